--- a/internal/decide/kqslots/demand.go
+++ b/internal/decide/kqslots/demand.go
@@ -6,30 +6,32 @@
 )
 
 const (
-	// demandOver is the time over which demand is taken.
-	demandOver = time.Second
-	// keptTimes is how many times their mean demand short calls have slots kept for, as
-	// they don't come evenly.
-	keptTimes = 2
+	// demandTimeConstant is the time constant of the decaying sum of demand.
+	demandTimeConstant = time.Second
+	// reserveFactor is how many times their mean demand is reserved for short calls,
+	// whose arrivals are uneven.
+	reserveFactor = 2
 )
 
-// demand is how many slots calls have asked for lately.
+// demand estimates how many slots recent calls have needed.
 type demand struct {
-	// work is what has come, in seconds, with what came earlier counting less.
+	// work is the expected work of recent calls in seconds, decaying exponentially.
 	work float64
-	// at is when a call came last.
-	at time.Time
+	// lastArrival is the time of the latest call.
+	lastArrival time.Time
 }
 
-// add takes in a call that is expected to run for so long.
+// add counts a call with the given expected work.
 func (d *demand) add(expected time.Duration, now time.Time) {
-	d.work = d.faded(now) + expected.Seconds()
-	d.at = now
+	d.work = d.decayed(now) + expected.Seconds()
+	d.lastArrival = now
 }
 
-// slots returns how many slots the calls have in use at once, on average.
-func (d *demand) slots(now time.Time) float64 { return d.faded(now) / demandOver.Seconds() }
+// meanSlots returns the mean number of slots in use at once by the recent calls.
+func (d *demand) meanSlots(now time.Time) float64 {
+	return d.decayed(now) / demandTimeConstant.Seconds()
+}
 
-func (d *demand) faded(now time.Time) float64 {
-	return d.work * math.Exp(-now.Sub(d.at).Seconds()/demandOver.Seconds())
+func (d *demand) decayed(now time.Time) float64 {
+	return d.work * math.Exp(-now.Sub(d.lastArrival).Seconds()/demandTimeConstant.Seconds())
 }
--- a/internal/decide/kqslots/doc.go
+++ b/internal/decide/kqslots/doc.go
@@ -1,33 +1,34 @@
-// Package kqslots decides at a gate which call gets one of the upstream's
-// slots, which waits and which is refused.
+// Package kqslots decides, at a gate, which call gets one of the upstream's
+// slots, which call waits and which is refused.
 //
 // Load patterns: burst, overload, hot caller, long jobs among short ones, nested calls.
 //
-// A call is taken in only if, by the work of those who would be served before
-// it, it will begin in time; otherwise it is refused at once, while its caller can
-// still go elsewhere. Without that the queue fills with calls that are served when
-// nobody waits for them any more, and goodput falls while the upstream is fully busy.
-// How long calls are expected to wait is corrected by how long they did wait lately:
-// callers whose turn comes first overtake those who were there before.
+// A call is admitted only if it is expected to start in time, given the work that is
+// served before it. Otherwise it is refused at once, while its caller can still retry
+// elsewhere. Without this, the queue fills with calls whose callers have given up by the
+// time they are served, and goodput falls while the upstream is saturated. The expected
+// wait is corrected by recent actual waits, because calls of callers whose turn comes
+// first overtake calls that are already queued.
 //
-// A call with a target is in time if it begins early enough to make it. Calls that can
-// still make theirs are served first. Those that cannot, since their caller has come back
-// or the queue was slower than expected, wait in lanes of their own for the slots that
-// the others leave; where these leave none, they are refused. In one queue the late ones
-// make those behind them late as well, and an upstream that is fully busy answers hardly
-// anybody in time. A target that is out of reach at this upstream counts as none. A call
-// without a target may wait for a share of the time that it has left, which is less for
-// less important classes, and little once its caller's calls have had to wait for long.
+// A call with a target is in time if it starts early enough to meet the target. Calls
+// that can still meet theirs are served first. Calls that cannot, because of an earlier
+// refusal or a queue slower than expected, wait in separate queues for slots that the
+// others leave unused, and are refused if there are none. In a single queue, late calls
+// would delay the calls behind them too, and a saturated upstream would answer hardly any
+// call in time. A target that this upstream cannot meet even when idle is ignored. A call
+// without a target may wait for a share of its remaining time; the share is smaller for
+// less important classes, and much smaller once its caller's calls have queued for long.
 //
-// While the queue is calm the oldest goes first, since all will be served and first come
-// is fair. Once calls wait beyond what they were promised, the newest go first and whoever
-// waited too long is refused there and then.
+// Each queue is FIFO while every call can expect to be served. Once its oldest call has
+// nearly used up its maximum wait, the queue is LIFO, and a call that has waited too long
+// is refused immediately.
 //
-// Nested calls are served before all others, and only their deadline counts: another call
-// holds a slot at its upstream while it waits for one, and all its work is lost with it.
+// Nested calls are served before all others, and their deadline counts rather than their
+// target: the calling call holds a slot at its own upstream meanwhile, and its work is lost
+// if the nested call fails.
 //
-// Short calls and long jobs wait apart, and what short calls have needed lately, up to
-// half of the slots, never goes to long jobs: otherwise a few long jobs take every slot
-// and each short call waits for as long as a long job lasts. Callers within a line share
-// by kqfair; a class is served before the less important ones.
+// Short calls and long jobs wait in separate queues, and the recent demand of short calls,
+// up to half of the slots, is reserved for them. Otherwise a few long jobs would occupy
+// every slot and delay each short call by the duration of a long job. Within a queue,
+// callers share by kqfair; more important classes are served first.
 package kqslots
--- a/internal/decide/kqslots/queue.go
+++ b/internal/decide/kqslots/queue.go
@@ -8,193 +8,193 @@
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqfair"
 )
 
-// enqueue takes the call in if it is going to begin in time, and refuses it at
-// once if not.
+// enqueue queues the call if it is expected to start in time, and refuses it otherwise.
 func (s *Slots) enqueue(t *Ticket, expected, left time.Duration, now time.Time) {
-	t.promised = s.expectWait(t, expected, now)
-	wait := time.Duration(float64(t.promised) * s.misjudged())
-	share := [levels]float64{nestedWait, criticalWait, normalWait, backgroundWait}[t.level]
-	allowed := s.allowed(t, wait, time.Duration(share*float64(left)), now)
-	// A call that has waited twice as long as it was promised at most, and for
-	// some calls more than that, has met an upstream that became slower.
-	most := max(2*allowed, allowed+slack*expected)
-	if t.aims() && !s.outOfReach(t, expected, now) {
-		t.begin = t.Target.Add(-time.Duration(spread * float64(expected)))
-		if t.tardy = now.Add(wait).After(t.begin); t.tardy {
-			wait += s.expectTardy(t, expected)
+	t.expectedWait = s.expectWait(t, expected, now)
+	wait := time.Duration(float64(t.expectedWait) * s.waitCorrection())
+	share := [priorityLevels]float64{nestedWaitShare, criticalWaitShare, normalWaitShare, backgroundWaitShare}[t.priority]
+	allowedWait := s.allowedWait(t, wait, time.Duration(share*float64(left)), now)
+	// A longer wait means that the upstream has become slower since the call was queued.
+	// Where the allowed wait is short, the estimate may be off by the work of several calls.
+	longest := max(2*allowedWait, allowedWait+waitSlackCalls*expected)
+	if t.hasTarget() && !s.targetUnreachable(t, expected, now) {
+		t.startBy = t.Target.Add(-time.Duration(targetMargin * float64(expected)))
+		if t.late = now.Add(wait).After(t.startBy); t.late {
+			wait += s.expectLateWait(t, expected)
 		} else {
-			allowed = max(allowed, t.begin.Sub(now))
+			allowedWait = max(allowedWait, t.startBy.Sub(now))
 		}
-		most = allowed
+		longest = allowedWait
 	}
-	if wait > allowed || wait+expected > left {
+	if wait > allowedWait || wait+expected > left {
 		t.refuse(kqcall.QueueFull, s.retryAfter())
 		return
 	}
 	t.Verdict = Wait
-	t.GiveUp = now.Add(min(most, max(left-expected, 0)))
+	t.GiveUp = now.Add(min(longest, max(left-expected, 0)))
 	s.push(t, expected, now)
 }
 
-// outOfReach reports whether the upstream is too slow for the route's target even when
-// nobody waits. All of the route's calls would count as late then, and be refused for the
-// sake of less important ones that are not.
-func (s *Slots) outOfReach(t *Ticket, expected time.Duration, now time.Time) bool {
+// targetUnreachable reports whether the upstream is too slow for the route's target even
+// when idle, and records the time left as the route's target. Without the check, all calls
+// of the route would count as late and be refused in favour of less important calls that
+// are not.
+func (s *Slots) targetUnreachable(t *Ticket, expected time.Duration, now time.Time) bool {
 	longest := max(s.targets[t.Route], t.Target.Sub(now))
-	if _, ok := s.targets[t.Route]; ok || len(s.targets) < mostTargets {
-		s.targets[t.Route] = longest - longest/forgetTarget
+	if _, ok := s.targets[t.Route]; ok || len(s.targets) < maxTargetRoutes {
+		s.targets[t.Route] = longest - longest/targetDecay
 	}
-	return time.Duration(spread*float64(expected)) > longest
+	return time.Duration(targetMargin*float64(expected)) > longest
 }
 
-// aims reports whether the call is served by what is left until its target. A nested one
-// is not: without an answer, late or not, the work of the call that waits for it is lost.
-func (t *Ticket) aims() bool { return !t.Nested && !t.Target.IsZero() }
+// hasTarget reports whether the call is scheduled by its target. A nested call is not: the
+// work of its calling call is lost unless it is answered, late or not.
+func (t *Ticket) hasTarget() bool { return !t.Nested && !t.Target.IsZero() }
 
 func (s *Slots) push(t *Ticket, expected time.Duration, since time.Time) {
-	t.place = kqfair.Place{Caller: t.Caller, Work: expected, Since: since, Owner: t}
-	s.lane(t).Push(&t.place)
+	t.item = kqfair.Place{Caller: t.Caller, Work: expected, Since: since, Owner: t}
+	s.queue(t).Push(&t.item)
 }
 
-// allowed returns how long a call may wait that cannot make its target, or has none: most,
-// or less once its caller's calls have had to wait for long. A nested call's have their
-// lane to themselves: what they wait for is the work of the calls that run, not a burst.
-func (s *Slots) allowed(t *Ticket, wait, most time.Duration, now time.Time) time.Duration {
-	line := s.lanes(t)[t.level]
-	line.Note(t.Caller, wait < most/standingWait/calm, now)
-	if !t.Nested && line.Standing(t.Caller, now) > standing {
-		most /= standingWait
+// allowedWait returns the maximum wait of a call that has no target or cannot meet it:
+// limit, or a fraction of it once the caller's calls have queued for long. Nested calls
+// are exempt: they have a queue of their own and wait for running calls, not behind a
+// burst.
+func (s *Slots) allowedWait(t *Ticket, wait, limit time.Duration, now time.Time) time.Duration {
+	q := s.queues(t)[t.priority]
+	q.Note(t.Caller, wait < limit/congestedWaitDivisor/shortWaitDivisor, now)
+	if !t.Nested && q.Standing(t.Caller, now) > congestedAfter {
+		limit /= congestedWaitDivisor
 	}
-	return max(most, leastWait)
+	return max(limit, minAllowedWait)
 }
 
-// expectTardy returns how much longer a call waits that cannot make its target: for those
-// alike before it, by the part of the slots that the others have left them lately.
-func (s *Slots) expectTardy(t *Ticket, expected time.Duration) time.Duration {
-	ahead := s.tardyLanes[t.level].Ahead(t.Caller) + expected
-	for i := range t.level {
-		ahead += s.tardyLanes[i].Work()
+// expectLateWait returns the additional wait of a call that cannot meet its target: the
+// late work before it, at the recent share of slots that calls in time leave unused.
+func (s *Slots) expectLateWait(t *Ticket, expected time.Duration) time.Duration {
+	ahead := s.lateQueues[t.priority].Ahead(t.Caller) + expected
+	for i := range t.priority {
+		ahead += s.lateQueues[i].Work()
 	}
-	return time.Duration(float64(ahead) / (max(s.spare, leastSpare) * float64(max(s.limit.Allowed(), 1))))
+	return time.Duration(float64(ahead) / (max(s.spare, minSpareShare) * float64(max(s.limit.Allowed(), 1))))
 }
 
-// expectWait returns how long a call that came now would wait, by the work of
-// those who would be served before it and the slots that its kind can have.
+// expectWait returns the expected wait of a call that arrives now, from the work that is
+// served before it and the slots available to short calls or long jobs.
 func (s *Slots) expectWait(t *Ticket, expected time.Duration, now time.Time) time.Duration {
-	lanes, places := &s.shortLanes, s.limit.Allowed()
-	if t.long {
-		lanes, places = &s.longLanes, s.longMost(now)
-	} else if lengthOf(&s.longLanes) > 0 || s.runningLong > 0 {
-		places = max(s.limit.Allowed()-s.longMost(now), 1)
+	queues, slots := &s.shortQueues, s.limit.Allowed()
+	if t.isLongJob {
+		queues, slots = &s.longQueues, s.maxLong(now)
+	} else if totalLen(&s.longQueues) > 0 || s.runningLong > 0 {
+		slots = max(s.limit.Allowed()-s.maxLong(now), 1)
 	}
-	ahead := lanes[t.level].Ahead(t.Caller)
-	for i := range t.level {
-		ahead += lanes[i].Work()
+	ahead := queues[t.priority].Ahead(t.Caller)
+	for i := range t.priority {
+		ahead += queues[i].Work()
 	}
-	// The calls that run are half done on average, and the first of them to end
-	// gives up its slot.
-	return (ahead + expected/2) / time.Duration(max(places, 1))
+	// Running calls are half done on average, and the first to finish frees its slot.
+	return (ahead + expected/2) / time.Duration(max(slots, 1))
 }
 
 // serve starts waiting calls while slots are free.
 func (s *Slots) serve(now time.Time) []*Ticket {
 	var settled []*Ticket
 	for s.running < s.limit.Allowed() && s.waiting() > 0 {
-		lanes := s.next(now)
-		if lanes == nil {
+		queues := s.nextQueues(now)
+		if queues == nil {
 			break
 		}
-		t := s.pop(lanes, now)
-		s.learn(t, now)
+		t := s.pop(queues, now)
+		s.recordWait(t, now)
 		switch {
 		case !now.Before(t.GiveUp):
-			// Its time to give up has come while the slot was taken; the caller is
-			// told now rather than by a call that would be done too late.
+			// The call reached its maximum wait before Expire was called. Refuse it now,
+			// since its answer would be too late.
 			t.refuse(kqcall.Late, s.retryAfter())
-		case !t.tardy && !t.begin.IsZero() && now.After(t.begin):
-			t.tardy = true
-			if now.Add(s.expectTardy(t, t.place.Work)).Before(t.GiveUp) {
-				s.push(t, t.place.Work, t.place.Since)
+		case !t.late && !t.startBy.IsZero() && now.After(t.startBy):
+			t.late = true
+			if now.Add(s.expectLateWait(t, t.item.Work)).Before(t.GiveUp) {
+				s.push(t, t.item.Work, t.item.Since)
 				continue
 			}
 			t.refuse(kqcall.Late, s.retryAfter())
 		default:
-			s.start(t, t.tardy)
+			s.start(t, t.late)
 		}
 		settled = append(settled, t)
 	}
 	return settled
 }
 
-// next returns the lanes that the next free slot goes to: short calls until
-// they have the half that is kept for them, then long jobs up to their most.
-func (s *Slots) next(now time.Time) *[levels]*kqfair.Queue {
-	short, long := lengthOf(&s.shortLanes) > 0, lengthOf(&s.longLanes) > 0 && s.room(true, now)
-	kept := s.limit.Allowed() - s.longMost(now)
+// nextQueues returns the queues that the next free slot goes to: short calls until they
+// use their reserved slots, then long jobs up to their maximum, then late calls.
+func (s *Slots) nextQueues(now time.Time) *[priorityLevels]*kqfair.Queue {
+	short, long := totalLen(&s.shortQueues) > 0, totalLen(&s.longQueues) > 0 && s.hasFreeSlot(true, now)
+	reserved := s.limit.Allowed() - s.maxLong(now)
 	switch {
-	case short && (!long || s.running-s.runningLong < kept):
-		return &s.shortLanes
+	case short && (!long || s.running-s.runningLong < reserved):
+		return &s.shortQueues
 	case long:
-		return &s.longLanes
-	case lengthOf(&s.tardyLanes) > 0:
-		return &s.tardyLanes
+		return &s.longQueues
+	case totalLen(&s.lateQueues) > 0:
+		return &s.lateQueues
 	default:
 		return nil
 	}
 }
 
-// pop takes the next call of the most important class that waits.
-func (s *Slots) pop(lanes *[levels]*kqfair.Queue, now time.Time) *Ticket {
-	for _, q := range lanes {
+// pop removes the next call of the most important class that has any waiting.
+func (s *Slots) pop(queues *[priorityLevels]*kqfair.Queue, now time.Time) *Ticket {
+	for _, q := range queues {
 		if q.Len() == 0 {
 			continue
 		}
-		return owner(q.Pop(late(q, now)))
+		return ticketOf(q.Pop(nearGiveUp(q, now)))
 	}
 	return nil
 }
 
-// late reports whether the call that has waited longest has used seven eighths
-// of the time after which it is given up.
-func late(q *kqfair.Queue, now time.Time) bool {
+// nearGiveUp reports whether the oldest call has used seven eighths of its maximum wait.
+func nearGiveUp(q *kqfair.Queue, now time.Time) bool {
 	p := q.Oldest()
-	return now.Sub(p.Since) > owner(p).GiveUp.Sub(p.Since)*7/8
+	return now.Sub(p.Since) > ticketOf(p).GiveUp.Sub(p.Since)*7/8
 }
 
-func owner(p *kqfair.Place) *Ticket {
-	// Places come from enqueue alone, which sets the owner.
+func ticketOf(p *kqfair.Place) *Ticket {
+	// Only push creates items, and it sets the value to a ticket.
 	t, _ := p.Owner.(*Ticket)
 	return t
 }
 
-// misjudged is how many times longer calls have waited lately than they were expected to.
-func (s *Slots) misjudged() float64 {
-	if s.promised <= 0 {
+// waitCorrection returns the ratio of recent actual waits to expected ones, from 1 to
+// maxWaitCorrection.
+func (s *Slots) waitCorrection() float64 {
+	if s.expectedWait <= 0 {
 		return 1
 	}
-	return min(max(s.waited/s.promised, 1), mostMisjudged)
+	return min(max(s.actualWait/s.expectedWait, 1), maxWaitCorrection)
 }
 
-// learn takes in how long a call waited.
-func (s *Slots) learn(t *Ticket, now time.Time) {
-	if t.tardy {
+// recordWait updates the mean actual and expected waits with the call's.
+func (s *Slots) recordWait(t *Ticket, now time.Time) {
+	if t.late {
 		return
 	}
-	s.waited += (now.Sub(t.place.Since).Seconds() - s.waited) / learnOver
-	s.promised += (t.promised.Seconds() - s.promised) / learnOver
+	s.actualWait += (now.Sub(t.item.Since).Seconds() - s.actualWait) / waitWindow
+	s.expectedWait += (t.expectedWait.Seconds() - s.expectedWait) / waitWindow
 }
 
-// start gives the ticket a slot; spare tells that nobody had to wait for it who could
-// still make a target.
+// start gives the ticket a slot. spare is set if no call that could meet its target was
+// waiting for the slot.
 func (s *Slots) start(t *Ticket, spare bool) {
 	share := 0.0
 	if spare {
 		share = 1
 	}
-	s.spare += (share - s.spare) / spareOver
+	s.spare += (share - s.spare) / spareWindow
 	t.Verdict = Run
 	s.running++
-	if t.long {
+	if t.isLongJob {
 		s.runningLong++
 	}
 }
@@ -205,55 +205,54 @@
 	t.Refusal.RetryAfter = after
 }
 
-// room reports whether a slot is free for a long job or a short call.
-func (s *Slots) room(long bool, now time.Time) bool {
-	return s.running < s.limit.Allowed() && (!long || s.runningLong < s.longMost(now))
+// hasFreeSlot reports whether a slot is free for a long job or a short call.
+func (s *Slots) hasFreeSlot(long bool, now time.Time) bool {
+	return s.running < s.limit.Allowed() && (!long || s.runningLong < s.maxLong(now))
 }
 
-// longMost is how many slots long jobs may have: all but what short calls need, which is
-// at most half, and one at least, or all while no short calls come. An upstream that has
-// become slow and answers a few requests of a millisecond beside its calls would serve
-// half of what it can if half were kept for those.
-func (s *Slots) longMost(now time.Time) int {
-	if now.Sub(s.short.at) > shortIdle {
+// maxLong returns how many slots long jobs may use: all but those reserved for short calls
+// (at least one, at most half), or all while no short calls arrive. Reserving half at all
+// times would halve the throughput of an upstream that has become slow and answers a few
+// requests of 1 ms beside its ordinary calls.
+func (s *Slots) maxLong(now time.Time) int {
+	if now.Sub(s.shortDemand.lastArrival) > reserveTimeout {
 		return s.limit.Allowed()
 	}
-	kept := max(int(math.Ceil(keptTimes*s.short.slots(now))), 1)
-	return max(s.limit.Allowed()-min(kept, s.limit.Allowed()/2), 1)
+	reserved := max(int(math.Ceil(reserveFactor*s.shortDemand.meanSlots(now))), 1)
+	return max(s.limit.Allowed()-min(reserved, s.limit.Allowed()/2), 1)
 }
 
-func (s *Slots) lanes(t *Ticket) *[levels]*kqfair.Queue {
-	if t.long {
-		return &s.longLanes
+func (s *Slots) queues(t *Ticket) *[priorityLevels]*kqfair.Queue {
+	if t.isLongJob {
+		return &s.longQueues
 	}
-	return &s.shortLanes
+	return &s.shortQueues
 }
 
-func (s *Slots) lane(t *Ticket) *kqfair.Queue {
-	if t.tardy {
-		return s.tardyLanes[t.level]
+func (s *Slots) queue(t *Ticket) *kqfair.Queue {
+	if t.late {
+		return s.lateQueues[t.priority]
 	}
-	return s.lanes(t)[t.level]
+	return s.queues(t)[t.priority]
 }
 
 func (s *Slots) waiting() int {
-	return lengthOf(&s.shortLanes) + lengthOf(&s.longLanes) + lengthOf(&s.tardyLanes)
+	return totalLen(&s.shortQueues) + totalLen(&s.longQueues) + totalLen(&s.lateQueues)
 }
 
-func lengthOf(lanes *[levels]*kqfair.Queue) int {
+func totalLen(queues *[priorityLevels]*kqfair.Queue) int {
 	n := 0
-	for _, q := range lanes {
+	for _, q := range queues {
 		n += q.Len()
 	}
 	return n
 }
 
-// retryAfter tells a refused caller when the queue that stands now will be
-// done.
+// retryAfter returns the time in which the current queue will be served.
 func (s *Slots) retryAfter() time.Duration {
 	work := time.Duration(0)
-	for i := range levels {
-		work += s.shortLanes[i].Work() + s.longLanes[i].Work() + s.tardyLanes[i].Work()
+	for i := range priorityLevels {
+		work += s.shortQueues[i].Work() + s.longQueues[i].Work() + s.lateQueues[i].Work()
 	}
 	return max(work/time.Duration(max(s.limit.Allowed(), 1)), minRetryAfter)
 }
--- a/internal/decide/kqslots/slots.go
+++ b/internal/decide/kqslots/slots.go
@@ -12,127 +12,128 @@
 )
 
 const (
-	// Run tells that the call has a slot; Leave gives it back.
+	// Run means that the call has a slot, which Leave frees.
 	Run Verdict = iota + 1
-	// Wait tells that the call is in the queue.
+	// Wait means that the call is queued.
 	Wait
-	// Refuse tells that the call does not run; its Refusal says why.
+	// Refuse means that the call is refused for the reason in its Refusal.
 	Refuse
 
-	// levels are the order in which calls are served: nested ones, then the classes.
-	levels = 4
-	// shares of the time left that a class's call may wait.
-	nestedWait, criticalWait, normalWait, backgroundWait = 0.6, 0.6, 0.6, 0.125
-	// standing is when a line is in no burst any more; standingWait then divides
-	// the shares further, until a wait is under a calm-th of what that leaves.
-	standing     = 4 * time.Second
-	standingWait = 10
-	calm         = 4
-	// spread is how many times its expected work a call must begin before its target: one
-	// that begins later seldom makes it, and has another come too late in its place.
-	spread = 1.2
-	// leastWait is what is allowed at least: a few calls in the queue keep the slots in
-	// use between two arrivals.
-	leastWait = 20 * time.Millisecond
-	// spareOver is how many calls the spare part of the slots is taken over, and
-	// leastSpare what is reckoned with at least.
-	spareOver  = 32
-	leastSpare = 0.01
-	// learnOver is how many calls a mistaken expectation is taken over, and mostMisjudged
-	// the most that it is corrected by.
-	learnOver     = 32
-	mostMisjudged = 4
-	// mostTargets bounds the routes whose targets are known, and forgetTarget is the part
-	// of one that is forgotten with each call: operators may change it.
-	mostTargets  = 256
-	forgetTarget = 1000
-	// slack is how many calls' work a short wait may be mistaken by.
-	slack = 8
-	// noticed is the mean time between two slots that long jobs free from which on
-	// a short call that waits for one is noticed: a quarter of the time that callers
-	// of short calls commonly allow.
-	noticed = 100 * time.Millisecond
-	// shortIdle is how long after the last short call slots are kept for short
-	// ones; without an end, an upstream whose every route has become slow would
-	// use half of its slots.
-	shortIdle = time.Second
-	// minRetryAfter is the least that a refused caller is told to stay away: about
-	// two calls' work, in which a queue that is full has changed, and little enough
-	// for the call to make a target of half a second after all.
+	// priorityLevels counts the priorities: nested calls first, then the three classes.
+	priorityLevels = 4
+	// Maximum waits as shares of the time left until the deadline, by priority.
+	nestedWaitShare, criticalWaitShare, normalWaitShare, backgroundWaitShare = 0.6, 0.6, 0.6, 0.125
+	// Queueing for longer than congestedAfter is overload rather than a burst. The
+	// caller's maximum waits are then divided by congestedWaitDivisor, until its expected
+	// waits are below that limit divided by shortWaitDivisor.
+	congestedAfter       = 4 * time.Second
+	congestedWaitDivisor = 10
+	shortWaitDivisor     = 4
+	// targetMargin is how many times its expected work before its target a call must
+	// start. Calls that start later seldom meet the target and make others miss theirs.
+	targetMargin = 1.2
+	// minAllowedWait is the least maximum wait: a few queued calls keep the slots in use
+	// between arrivals.
+	minAllowedWait = 20 * time.Millisecond
+	// spareWindow is the number of calls over which the share of spare slots is averaged;
+	// minSpareShare is its lower bound in estimates.
+	spareWindow   = 32
+	minSpareShare = 0.01
+	// waitWindow is the number of calls over which waits are averaged; maxWaitCorrection
+	// bounds the correction of expected waits.
+	waitWindow        = 32
+	maxWaitCorrection = 4
+	// maxTargetRoutes bounds the routes whose targets are remembered. Each call reduces
+	// the remembered target by 1/targetDecay, since operators may change it.
+	maxTargetRoutes = 256
+	targetDecay     = 1000
+	// waitSlackCalls is by how many calls' work the estimate of a short wait may be off.
+	waitSlackCalls = 8
+	// longJobSlotInterval is the mean interval between slots freed by long jobs from which
+	// on they delay short calls noticeably: a quarter of the time that callers of short
+	// calls commonly allow.
+	longJobSlotInterval = 100 * time.Millisecond
+	// reserveTimeout is how long after the last short call slots stay reserved for short
+	// calls. Without it, an upstream on which all routes have become slow would use half
+	// of its slots.
+	reserveTimeout = time.Second
+	// minRetryAfter is the least delay that refused callers are given: about the work of
+	// two calls, in which a full queue changes, and short enough to still meet a target of
+	// half a second.
 	minRetryAfter = 250 * time.Millisecond
 )
 
 type (
-	// Verdict is what becomes of a call for now.
+	// Verdict is the current decision about a call.
 	Verdict uint8
 
-	// Ticket is one call at the gate. The gate fills in the first fields.
+	// Ticket is one call at the gate, which sets the fields up to Target and Ready.
 	Ticket struct {
 		Caller kqname.Caller
 		Route  kqname.Route
 		Class  kqdocument.Class
-		// Nested tells that another call waits for this one at its upstream.
+		// Nested is set if the call is made by another call that waits for it.
 		Nested   bool
 		Deadline time.Time
-		// Target is until when an answer has its full worth; zero states nothing.
+		// Target is the time until which an answer has its full value; zero means none.
 		Target time.Time
 
-		// Verdict and, for Refuse, Refusal are settled by Slots.
+		// Verdict and, for Refuse, Refusal are set by Slots.
 		Verdict Verdict
 		Refusal kqcall.Outcome
-		// GiveUp is when a waiting call is to be given up by Expire.
+		// GiveUp is when the gate must call Expire if the call still waits.
 		GiveUp time.Time
-		// Ready belongs to the gate, which wakes a waiting call through it.
+		// Ready is used by the gate to wake a waiting call.
 		Ready chan struct{}
 
-		place kqfair.Place
-		level int
-		long  bool
-		// begin is until when the call must have begun to make its target, and tardy
-		// tells that it cannot.
-		begin time.Time
-		tardy bool
-		// promised is how long it was expected to wait.
-		promised time.Duration
+		item      kqfair.Place
+		priority  int
+		isLongJob bool
+		// startBy is the latest start that meets the target; late is set once that has
+		// passed or is expected to pass.
+		startBy time.Time
+		late    bool
+		// expectedWait is the wait estimated on arrival, before correction.
+		expectedWait time.Duration
 	}
 
-	// Option sets up Slots.
+	// Option configures Slots.
 	Option func(*Slots)
 
-	// Slots decides for one upstream. It is not safe for concurrent use.
+	// Slots schedules the calls of one upstream. It is not safe for concurrent use.
 	Slots struct {
 		count int
 		limit *kqlimit.Limit
 		work  *kqwork.Work
-		// targets is the longest time that calls of a route have had left until their
-		// target, which first tries have.
-		targets               map[kqname.Route]time.Duration
-		shortLanes, longLanes [levels]*kqfair.Queue
-		// tardyLanes are for calls that cannot make their targets any more.
-		tardyLanes [levels]*kqfair.Queue
-		// spare is the part of the last calls' slots that nobody waited for who could
-		// still make a target.
+		// targets holds the longest time that calls of each route had left until their
+		// target, which is that of first attempts.
+		targets                 map[kqname.Route]time.Duration
+		shortQueues, longQueues [priorityLevels]*kqfair.Queue
+		// lateQueues hold calls that can no longer meet their targets.
+		lateQueues [priorityLevels]*kqfair.Queue
+		// spare is the share of recent slots that no waiting call could have used to
+		// meet a target.
 		spare float64
-		// waited and promised are the means, in seconds, of what calls have waited lately
-		// and of what they were expected to.
-		waited, promised float64
-		running          int
-		runningLong      int
-		closed           bool
-		// exact tells that the announced slots are what the upstream runs at once.
-		exact bool
-		// short is what short calls ask for.
-		short demand
+		// actualWait and expectedWait are the recent means of actual and expected waits
+		// in seconds.
+		actualWait, expectedWait float64
+		running                  int
+		runningLong              int
+		closed                   bool
+		// fixedLimit is set if the announced slots are the upstream's real concurrency.
+		fixedLimit bool
+		// shortDemand is the recent demand of short calls.
+		shortDemand demand
 	}
 )
 
-// New returns slots for an upstream that runs count calls at once; salt parts
-// callers that another gate's hash brought together.
+// New returns Slots for an upstream that runs count calls at once. A different salt for
+// each gate keeps callers from colliding in the hash at all gates alike.
 func New(count int, salt uint64, options ...Option) *Slots {
 	s := &Slots{count: count, limit: kqlimit.New(count), work: kqwork.New(), spare: 1, targets: make(map[kqname.Route]time.Duration)}
-	for i := range levels {
-		s.shortLanes[i], s.longLanes[i] = kqfair.New(salt+uint64(i)), kqfair.New(salt+levels+uint64(i))
-		s.tardyLanes[i] = kqfair.New(salt + 2*levels + uint64(i))
+	for i := range priorityLevels {
+		s.shortQueues[i], s.longQueues[i] = kqfair.New(salt+uint64(i)), kqfair.New(salt+priorityLevels+uint64(i))
+		s.lateQueues[i] = kqfair.New(salt + 2*priorityLevels + uint64(i))
 	}
 	for _, o := range options {
 		o(s)
@@ -140,20 +141,20 @@
 	return s
 }
 
-// WithExact takes the announced slots for what the upstream really runs at once.
-// Where that is so, an upstream that has become slow for another reason would lose
-// slots by what is learnt of its latency, and serve still less.
-func WithExact() Option { return func(s *Slots) { s.exact = true } }
+// WithExact takes the announced slots as the upstream's real concurrency and disables
+// learning the limit. Learning would reduce the throughput of such an upstream further
+// when it becomes slow for another reason.
+func WithExact() Option { return func(s *Slots) { s.fixedLimit = true } }
 
-// Enter settles the ticket's verdict.
+// Enter decides whether the call runs, waits or is refused, and sets its verdict.
 func (s *Slots) Enter(t *Ticket, now time.Time) {
-	t.level, t.long = 1+t.Class.Rank(), s.long(t.Route)
+	t.priority, t.isLongJob = 1+t.Class.Rank(), s.isLongJob(t.Route)
 	if t.Nested {
-		t.level = 0
+		t.priority = 0
 	}
 	expected := s.work.Expect(t.Route)
-	if !t.long {
-		s.short.add(expected, now)
+	if !t.isLongJob {
+		s.shortDemand.add(expected, now)
 	}
 	left := t.Deadline.Sub(now)
 	switch {
@@ -161,29 +162,29 @@
 		t.refuse(kqcall.Draining, minRetryAfter)
 	case left <= 0:
 		t.refuse(kqcall.Late, 0)
-	case s.room(t.long, now) && lengthOf(s.lanes(t)) == 0:
-		s.lane(t).Passed(t.Caller, expected, now)
+	case s.hasFreeSlot(t.isLongJob, now) && totalLen(s.queues(t)) == 0:
+		s.queue(t).Passed(t.Caller, expected, now)
 		s.start(t, true)
 	default:
 		s.enqueue(t, expected, left, now)
 	}
 }
 
-// long reports whether calls of the route are long jobs that short ones must be
-// kept from waiting for. Where a slot is free every few milliseconds all the same,
-// to keep half of them for the short ones would waste what the others need.
-func (s *Slots) long(r kqname.Route) bool {
-	return s.work.Long(r) && s.work.Expect(r) >= noticed*time.Duration(s.limit.Allowed())
+// isLongJob reports whether calls of the route are long jobs from which short calls need
+// reserved slots. If a slot is freed every few milliseconds anyway, a reserve would only
+// waste slots.
+func (s *Slots) isLongJob(r kqname.Route) bool {
+	return s.work.Long(r) && s.work.Expect(r) >= longJobSlotInterval*time.Duration(s.limit.Allowed())
 }
 
-// Leave gives back the slot of a ticket whose call took so long at the
-// upstream, and returns the tickets that this settles.
+// Leave frees the slot of a call that took the given time at the upstream, and returns the
+// tickets whose verdicts this changes.
 func (s *Slots) Leave(t *Ticket, took time.Duration, now time.Time) []*Ticket {
-	if took > 0 && !t.long && s.runningLong == 0 && !s.exact {
+	if took > 0 && !t.isLongJob && s.runningLong == 0 && !s.fixedLimit {
 		s.limit.Learn(took, s.running)
 	}
 	s.running--
-	if t.long {
+	if t.isLongJob {
 		s.runningLong--
 	}
 	if took > 0 {
@@ -192,32 +193,32 @@
 	return s.serve(now)
 }
 
-// Expire refuses a waiting call whose time to give up has come, or whose caller
-// is gone, and reports whether it did still wait.
+// Expire refuses a call that has reached its maximum wait or whose caller has
+// disconnected, and reports whether it was still waiting.
 func (s *Slots) Expire(t *Ticket) bool {
 	if t.Verdict != Wait {
 		return false
 	}
-	s.lane(t).Remove(&t.place)
+	s.queue(t).Remove(&t.item)
 	t.refuse(kqcall.Late, s.retryAfter())
 	return true
 }
 
-// Resize follows a change of the upstream's slots and returns the tickets that
-// this settles. Calls that run stay.
+// Resize sets the upstream's announced slots and returns the tickets whose verdicts this
+// changes. Running calls continue.
 func (s *Slots) Resize(count int, now time.Time) []*Ticket {
 	s.count = count
 	s.limit.Announce(count)
 	return s.serve(now)
 }
 
-// Close refuses all that come and returns those that waited, now refused.
+// Close refuses all further calls and all waiting ones, and returns the latter.
 func (s *Slots) Close() []*Ticket {
 	s.closed = true
 	var settled []*Ticket
-	for _, lanes := range []*[levels]*kqfair.Queue{&s.shortLanes, &s.longLanes, &s.tardyLanes} {
-		for lengthOf(lanes) > 0 {
-			t := s.pop(lanes, time.Time{})
+	for _, queues := range []*[priorityLevels]*kqfair.Queue{&s.shortQueues, &s.longQueues, &s.lateQueues} {
+		for totalLen(queues) > 0 {
+			t := s.pop(queues, time.Time{})
 			t.refuse(kqcall.Draining, minRetryAfter)
 			settled = append(settled, t)
 		}
@@ -225,15 +226,15 @@
 	return settled
 }
 
-// Reopen lets calls in again, of an upstream that took its leave back.
+// Reopen admits calls again after the upstream has withdrawn its shutdown.
 func (s *Slots) Reopen() { s.closed = false }
 
-// Load returns what callers are to know.
+// Load returns the load that is reported to callers.
 func (s *Slots) Load() kqcall.Load {
 	return kqcall.Load{Running: s.running, Waiting: s.waiting(), Slots: s.limit.Allowed(), Work: s.work.Pace()}
 }
 
-// Tell returns the load with what a call like the ticket's would meet now.
+// Tell returns the load with the expected work and wait of a call like the ticket's.
 func (s *Slots) Tell(t *Ticket, now time.Time) kqcall.Load {
 	l := s.Load()
 	expected, ok := s.work.Known(t.Route)
@@ -241,8 +242,8 @@
 		return l
 	}
 	l.Expected = expected
-	if !s.room(t.long, now) || lengthOf(s.lanes(t)) > 0 {
-		l.Wait = time.Duration(float64(s.expectWait(t, expected, now)) * s.misjudged())
+	if !s.hasFreeSlot(t.isLongJob, now) || totalLen(s.queues(t)) > 0 {
+		l.Wait = time.Duration(float64(s.expectWait(t, expected, now)) * s.waitCorrection())
 	}
 	return l
 }
--- a/internal/decide/kqslots/slots_test.go
+++ b/internal/decide/kqslots/slots_test.go
@@ -8,16 +8,15 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// ticket is a call of a route with five seconds left.
+// ticket returns a call of the route with five seconds left until its deadline.
 func ticket(route kqname.Route, now time.Time) *kqslots.Ticket {
 	return &kqslots.Ticket{Caller: "c", Route: route, Deadline: now.Add(5 * time.Second), Ready: make(chan struct{}, 1)}
 }
 
-// Callers probe an upstream with calls of a millisecond while its ordinary calls
-// take 400 ms. The ordinary ones must not count as long jobs for that, or half of
-// the slots would be kept for probes that use next to none, and callers would be
-// refused at half of the capacity.
-func TestProbesDoNotHoldSlotsBack(t *testing.T) {
+// Probes of 1 ms arrive beside ordinary calls of 400 ms. The ordinary calls must not count
+// as long jobs because of them: half of the slots would be reserved for probes that use
+// almost none, and calls would be refused at half of the capacity.
+func TestProbesDoNotReserveSlots(t *testing.T) {
 	const slots = 12
 	now := time.Unix(1000, 0)
 	s := kqslots.New(slots, 1, kqslots.WithExact())
@@ -45,10 +44,10 @@
 	}
 }
 
-// A route's answers have their full worth within 400 ms, and calls of it take
-// 120 ms. In a standing overload a call that can still make its target must wait,
-// not be refused while a slot becomes free every few milliseconds.
-func TestCallWaitsWhileItsTargetAllows(t *testing.T) {
+// A route has a target of 400 ms and its calls take 120 ms. In a lasting overload, a call
+// that can still meet its target must wait rather than be refused, since a slot is freed
+// every few milliseconds.
+func TestCallsQueueWhileTheirTargetAllows(t *testing.T) {
 	const slots, work = 6, 120 * time.Millisecond
 	now := time.Unix(1000, 0)
 	s := kqslots.New(slots, 1, kqslots.WithExact())
@@ -60,7 +59,7 @@
 		return one
 	}
 	refused := 0
-	// Ten seconds at twice the capacity: a call each 10 ms, of 120 ms on 6 slots.
+	// Ten seconds at twice the capacity: one call every 10 ms, each of 120 ms, on 6 slots.
 	for step := range 1000 {
 		now = now.Add(10 * time.Millisecond)
 		if one := enter(); one.Verdict == kqslots.Run {
