--- a/internal/decide/kqpick/doc.go
+++ b/internal/decide/kqpick/doc.go
@@ -1,25 +1,25 @@
 // Package kqpick chooses the upstream that a call is sent to.
 //
-// Load patterns: slow upstream, churn, loss of a failure domain. A random choice
-// gives each upstream the same number of calls, whatever it can take: one that
-// is 20 times slower holds a sixth of the calls of six, and each waits there. A
-// choice of the best by reports that are a moment old sends every entry's calls
-// to the same one. Here the best of four random choices is taken, within the own
-// failure domain too, which evens the load out.
+// Load patterns: slow upstream, churn, loss of a failure domain. A uniformly random choice
+// sends each upstream the same number of calls regardless of its speed: one of six
+// upstreams that is 20 times slower still gets a sixth of the calls, and each waits there.
+// Choosing the best by reports that are slightly stale sends the calls of every entry to
+// the same upstream. Instead, the best of four random candidates is chosen, also within
+// the own failure domain, which balances the load.
 //
-// The best one has the least expected time: what its gate told that calls of the route
-// take and wait there, more while it is cold, and what this entry has sent since. By what
-// an upstream's calls of any kind take, one that answers many short calls would look idle
-// to the long ones, until it refuses them. Where a gate told nothing of the route, the
-// upstream's recent calls count, and the wait once its slots are nearly all in use. While
-// slots are free a fast upstream with some calls is better than a slow one with none; in
-// overload the wait decides. Upstreams of the entry's own failure domain are taken for a
-// fifth faster, as that saves the way between domains, and go before all others while
-// they are expected to answer well within the route's target.
+// The best candidate has the least expected time: the work and wait that its gate reported
+// for the route, increased while the upstream is cold, plus this entry's calls since then.
+// Judged by calls of any kind, an upstream that answers many short calls would look idle
+// to long ones until it refuses them. If its gate has not reported the route, the
+// upstream's recent calls count, with a wait once nearly all of its slots are in use.
+// While slots are free, a fast upstream with some calls beats a slow one with none; under
+// overload, the wait decides. Upstreams of the entry's own failure domain count as a fifth
+// faster, which saves traffic between domains, and are preferred to all others while
+// their expected time is well within the route's target.
 //
-// An upstream that fails part of its calls, by what its gate saw of all entries',
-// counts as slower by what a failure costs, and further ones are drawn until four do
-// not fail. This holds while the service has slots to spare, by the mean of all fresh
-// reports: in a burst the others have no room for those calls as well, and callers
-// would rather take their chance than wait in vain.
+// An upstream that fails part of its calls, as its gate counts over all entries, is
+// penalized by the cost of a failure, and sampling continues until it holds four that do
+// not fail. This applies while the service has spare slots, by the mean of recent reports:
+// in a burst the other upstreams have no room for those calls, and a call that may fail is
+// better than one that waits in vain.
 package kqpick
--- a/internal/decide/kqpick/failing_test.go
+++ b/internal/decide/kqpick/failing_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Half of a service's upstreams begin to fail every tenth call while their health
-// checks stay good. No entry alone sends them enough calls to judge them by. Orders
-// must not be sent again, so that each failure is one that its caller sees.
-func TestUpstreamsThatFailGetFewerCalls(t *testing.T) {
+// Half of the upstreams fail every tenth call while their health checks pass. No single
+// entry sends them enough calls to detect this. The calls are not idempotent, so each
+// failure reaches a caller.
+func TestFailingUpstreamsGetFewerCalls(t *testing.T) {
 	for seed := range uint64(3) {
-		w := newWorld(18, 14, seed)
+		w := newSimulation(18, 14, seed)
 		for i := 0; i < len(w.upstreams); i += 2 {
-			w.upstreams[nameOf(i)].fails = 0.1
+			w.upstreams[nameOf(i)].failShare = 0.1
 		}
-		w.play(200, 30*time.Second)
+		w.simulate(200, 30*time.Second)
 		failed := 0
 		for _, u := range w.upstreams {
 			failed += u.failed
@@ -26,35 +26,34 @@
 	}
 }
 
-// Many callers come at once, while half of the upstreams still fail every tenth call, or
-// three seconds after they are well again. If entries kept away from those, the others
-// would have no room for all calls: callers would wait in their queues beyond what they
-// allow, nearly every second one, to be spared one failure in ten.
-func TestUpstreamsThatFailServeABurst(t *testing.T) {
+// A burst arrives while half of the upstreams fail every tenth call, or 3 s after they
+// have recovered. If entries avoided those upstreams, the others would be overloaded, and
+// nearly half of the calls would be late to avoid one failure in ten.
+func TestFailingUpstreamsServeABurst(t *testing.T) {
 	for seed := range uint64(3) {
 		for _, well := range []time.Duration{0, 3 * time.Second} {
-			w := newWorld(18, 14, seed)
+			w := newSimulation(18, 14, seed)
 			for i := 0; i < len(w.upstreams); i += 2 {
-				w.upstreams[nameOf(i)].fails = 0.1
+				w.upstreams[nameOf(i)].failShare = 0.1
 			}
-			w.play(200, 4*time.Second)
+			w.simulate(200, 4*time.Second)
 			if well > 0 {
 				for _, u := range w.upstreams {
-					u.fails = 0
+					u.failShare = 0
 				}
-				w.play(200, well)
+				w.simulate(200, well)
 			}
 			before, late := len(w.took), 0
-			w.play(430, 5*time.Second)
+			w.simulate(430, 5*time.Second)
 			burst := w.took[before:]
 			for _, d := range burst {
 				if d > target {
 					late++
 				}
 			}
-			t.Logf("seed %d, well for %v: %d of %d calls of the burst late", seed, well, late, len(burst))
+			t.Logf("seed %d, recovered for %v: %d of %d calls of the burst late", seed, well, late, len(burst))
 			if late*500 > len(burst) {
-				t.Errorf("seed %d, well for %v: %d of %d calls of the burst late, want at most 1 in 500", seed, well, late, len(burst))
+				t.Errorf("seed %d, recovered for %v: %d of %d calls of the burst late, want at most 1 in 500", seed, well, late, len(burst))
 			}
 		}
 	}
--- a/internal/decide/kqpick/nested_test.go
+++ b/internal/decide/kqpick/nested_test.go
@@ -10,12 +10,11 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// More callers came than a service has slots, and each run held its slot for 100 ms of
-// work and for one lookup elsewhere. The lookup went to the upstream near by, which takes
-// 60 ms, well within the lookup's own target of 120 ms; another domain had one that takes
-// 20 ms. Every fourth caller was refused for the difference. The play keeps six slots in
-// use for 20 s and counts the runs.
-func TestLookupsOfRunsDoNotWasteSlots(t *testing.T) {
+// Under overload, each call holds its slot for 100 ms of work and one nested lookup. The
+// local upstream answers lookups in 60 ms, well within their target of 120 ms, and one in
+// another domain in 20 ms. Staying local would cost the capacity for every fourth caller.
+// The test keeps six slots in use for 20 s and counts the runs.
+func TestNestedCallsUseFasterRemoteUpstream(t *testing.T) {
 	const (
 		slots, lasts, own = 6, 20 * time.Second, 100 * time.Millisecond
 		near, far, way    = 60 * time.Millisecond, 20 * time.Millisecond, time.Millisecond
@@ -23,7 +22,7 @@
 	)
 	start := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 8))
-	p := fleet(start, []kqname.Domain{"here", "there"}, near, far)
+	p := newPool(start, []kqname.Domain{"here", "there"}, near, far)
 	target := kqpick.Target{Route: "lookup", Ample: kqpick.Ample(120*time.Millisecond, true)}
 	runs := 0
 	free := [slots]time.Time{}
@@ -54,21 +53,21 @@
 		runs++
 	}
 	if possible := slots * int(most); runs < possible*95/100 {
-		t.Errorf("%d runs in %v, want 95%% of the %d that the slots could do", runs, lasts, possible)
+		t.Errorf("%d runs in %v, want 95%% of the capacity of %d", runs, lasts, possible)
 	}
 }
 
-// A call from outside holds nothing while it waits: it stays near by where that is well
-// in time, and its answer does not cross between domains.
-func TestCallsFromOutsideStayNear(t *testing.T) {
+// A call from outside holds no slot while it waits: it stays in its own domain while that
+// meets the target, so that its answer does not cross between domains.
+func TestOuterCallsStayInOwnDomain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 9))
-	p := fleet(now, []kqname.Domain{"here", "there"}, 60*time.Millisecond, 20*time.Millisecond)
+	p := newPool(now, []kqname.Domain{"here", "there"}, 60*time.Millisecond, 20*time.Millisecond)
 	target := kqpick.Target{Ample: kqpick.Ample(120*time.Millisecond, false)}
 	for range 20 {
 		o := p.Pick(target, nil, now, random)
 		if o.Node != "0" {
-			t.Fatalf("went to %s, want the one near by", o.Node)
+			t.Fatalf("went to %s, want the local upstream", o.Node)
 		}
 		p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 6, Work: 60 * time.Millisecond}, now)
 	}
--- a/internal/decide/kqpick/peer.go
+++ b/internal/decide/kqpick/peer.go
@@ -14,109 +14,110 @@
 // Peer is one upstream of a pool.
 type Peer struct {
 	kqmember.Candidate
-	sent     int
-	load     kqcall.Load
-	reported time.Time
-	first    time.Time
-	state    kqeject.State
-	routes   routes
+	sent       int
+	load       kqcall.Load
+	reportedAt time.Time
+	addedAt    time.Time
+	state      kqeject.State
+	routes     routes
 }
 
-// Known returns the load that the upstream's gate told last, and its age; both
-// are 0 where it told none.
+// Known returns the upstream's last reported load and its age, both zero if there is none.
 func (o *Peer) Known(now time.Time) (kqcall.Load, time.Duration) {
-	if o.reported.IsZero() {
+	if o.reportedAt.IsZero() {
 		return o.load, 0
 	}
-	return o.load, now.Sub(o.reported)
+	return o.load, now.Sub(o.reportedAt)
 }
 
-// Sent returns how many calls of this entry are on their way to the upstream.
+// Sent returns the number of this entry's in-flight calls to the upstream.
 func (o *Peer) Sent() int { return o.sent }
 
-// Ejected reports whether the upstream is left out.
+// Ejected reports whether the upstream is ejected.
 func (o *Peer) Ejected() bool { return o.state.Ejected() }
 
-// best returns the one with the least expected time of a few that are drawn at
-// random from the list, whose order changes.
-func (p *Pool) best(list []*Peer, target Target, now time.Time, random *rand.Rand) *Peer {
-	if near := p.near(list, target, now, random); near != nil {
-		return near
+// selectBest returns the local upstream if one is fast enough, else the best of a random
+// sample. It reorders the list.
+func (p *Pool) selectBest(list []*Peer, target Target, now time.Time, random *rand.Rand) *Peer {
+	if localBest := p.localBest(list, target, now, random); localBest != nil {
+		return localBest
 	}
-	found, _ := p.least(list, target.Route, now, random)
+	found, _ := p.leastExpected(list, target.Route, now, random)
 	return found
 }
 
-// near returns the best upstream of the own failure domain if it is expected to
-// answer in ample time, else nil. That faster ones elsewhere stand idle gains
-// nothing then, while the answer would cross between domains.
-func (p *Pool) near(list []*Peer, target Target, now time.Time, random *rand.Rand) *Peer {
-	own := 0
+// localBest returns the best sampled upstream of the own failure domain if its expected
+// time is below target.Ample, else nil. A faster upstream in another domain would gain
+// nothing then, while its answers would cross between domains.
+func (p *Pool) localBest(list []*Peer, target Target, now time.Time, random *rand.Rand) *Peer {
+	local := 0
 	for i, o := range list {
 		if o.Domain == p.domain {
-			list[own], list[i] = list[i], list[own]
-			own++
+			list[local], list[i] = list[i], list[local]
+			local++
 		}
 	}
-	found, least := p.least(list[:own], target.Route, now, random)
-	if least >= target.Ample.Seconds() {
+	found, leastExpected := p.leastExpected(list[:local], target.Route, now, random)
+	if leastExpected >= target.Ample.Seconds() {
 		return nil
 	}
 	return found
 }
 
-// least returns the one with the least expected time of a few that are drawn from the
-// list, and that time in seconds. The best of all would be the same for every entry,
-// each of which knows only what came back with its own answers: they would meet there.
+// leastExpected returns the upstream with the least expected time in a random sample of
+// the list, and that time in seconds. Sampling keeps entries, each of which only has
+// reports from its own answers, from all choosing the same upstream.
 //
-// While the service is calm, those that fail part of their calls do not count among
-// the few: with half of the upstreams failing, every sixteenth draw would hold no other.
-func (p *Pool) least(list []*Peer, route kqname.Route, now time.Time, random *rand.Rand) (found *Peer, least float64) {
-	calm := p.calm(now)
-	well := 0
-	for i := range min(mostDrawn, len(list)) {
-		if well == drawn {
+// While the service has spare capacity, upstreams that fail part of their calls do not
+// count towards the sample size: if half of the upstreams fail, one sample in sixteen
+// would hold no other.
+func (p *Pool) leastExpected(list []*Peer, route kqname.Route, now time.Time, random *rand.Rand) (found *Peer, leastExpected float64) {
+	hasSpareCapacity := p.hasSpareCapacity(now)
+	healthy := 0
+	for i := range min(maxSampleSize, len(list)) {
+		if healthy == sampleSize {
 			break
 		}
 		j := i + random.IntN(len(list)-i)
 		list[i], list[j] = list[j], list[i]
 		o := list[i]
-		if !calm || o.failing(now) == 0 {
-			well++
+		if !hasSpareCapacity || o.failureRate(now) == 0 {
+			healthy++
 		}
-		score := p.expect(o, route, now) * o.risk(calm, now)
+		estimate := p.expectedTime(o, route, now) * o.failurePenalty(hasSpareCapacity, now)
 		if o.Domain == p.domain {
-			score *= nearFactor
+			estimate *= localFactor
 		}
-		if found == nil || score < least {
-			found, least = o, score
+		if found == nil || estimate < leastExpected {
+			found, leastExpected = o, estimate
 		}
 	}
-	return found, least
+	return found, leastExpected
 }
 
-// expect is the time, in seconds, that a call of the route is expected to take there: what
-// its gate told of such calls. Where it told of none, it is what they take elsewhere: by
-// calls of other kinds, an upstream whose orders take 100 ms would be taken to need as
-// long for a lookup of 20 ms, would be sent none, and would never be known better while
-// the others have more lookups than slots. Where nobody told, calls of any kind count.
-func (p *Pool) expect(o *Peer, route kqname.Route, now time.Time) float64 {
-	k := o.routes.known(route, now)
+// expectedTime returns the expected time in seconds of a call of the route at the
+// upstream, from its gate's report for the route. Without such a report, it uses the
+// route's work at other upstreams: by its calls of any kind, an upstream whose orders take
+// 100 ms would seem to need as long for a lookup of 20 ms, and would never get one while
+// the others have more lookups than slots. If no upstream has reported the route, calls of
+// any kind count.
+func (p *Pool) expectedTime(o *Peer, route kqname.Route, now time.Time) float64 {
+	k := o.routes.current(route, now)
 	if k.work == 0 {
 		work := p.Work(route)
 		if work == 0 {
-			work = o.work(p.typical(now))
+			work = o.work(p.typicalWork(now))
 		}
-		return o.score(work, now)
+		return o.estimate(work, now)
 	}
 	slots := float64(max(o.Slots, 1))
-	work := k.work.Seconds() * o.cold(now)
-	ahead := float64(k.since) / slots
-	return work*(1+crowd*float64(o.sent+1)/slots+ahead) + k.wait.Seconds()
+	work := k.work.Seconds() * o.coldSlowdown(now)
+	ahead := float64(k.sentSince) / slots
+	return work*(1+occupancyCost*float64(o.sent+1)/slots+ahead) + k.wait.Seconds()
 }
 
-// work is what calls of any kind take there, or at the median upstream where it told
-// nothing.
+// work returns the work of the upstream's calls of any kind, or the median if it has not
+// reported.
 func (o *Peer) work(median time.Duration) time.Duration {
 	if o.load.Work > 0 {
 		return o.load.Work
@@ -124,55 +125,56 @@
 	return max(median, time.Millisecond)
 }
 
-// score is the time, in seconds, that a call with that work is expected to take there:
-// more of it while the upstream is cold, and the wait for a slot.
-func (o *Peer) score(work time.Duration, now time.Time) float64 {
+// estimate returns the expected time in seconds of a call with the given work at the
+// upstream, including its cold slowdown and the wait for a slot.
+func (o *Peer) estimate(work time.Duration, now time.Time) float64 {
 	busy := float64(o.sent + 1)
-	if now.Sub(o.reported) < reportLasts {
+	if now.Sub(o.reportedAt) < reportTTL {
 		busy += float64(o.load.Running + o.load.Waiting)
 	}
 	used := busy / float64(max(o.Slots, 1))
-	return work.Seconds() * o.cold(now) * (1 + crowd*used + 2*max(used-full, 0))
+	return work.Seconds() * o.coldSlowdown(now) * (1 + occupancyCost*used + 2*max(used-queueingUse, 0))
 }
 
-// risk is what the expected time counts for as the call may fail. While the service's
-// slots are mostly in use, the others have no room for the calls of those that fail, and
-// a call that may fail is better than one that waits until nobody wants its answer.
-func (o *Peer) risk(calm bool, now time.Time) float64 {
-	if !calm {
+// failurePenalty returns the factor on the expected time for the risk of failure. It is 1
+// without spare capacity: the other upstreams could not take the calls, and a call that
+// may fail is better than one that waits until its caller has given up.
+func (o *Peer) failurePenalty(hasSpareCapacity bool, now time.Time) float64 {
+	if !hasSpareCapacity {
 		return 1
 	}
-	return 1 + failureCost*o.failing(now)
+	return 1 + failureCost*o.failureRate(now)
 }
 
-// failing is the part of the upstream's calls that fail, as far as is known.
-func (o *Peer) failing(now time.Time) float64 {
-	return kqfailing.Faded(o.load.Failing, now.Sub(o.reported))
+// failureRate returns the reported share of failing calls, decayed by its age.
+func (o *Peer) failureRate(now time.Time) float64 {
+	return kqfailing.Faded(o.load.Failing, now.Sub(o.reportedAt))
 }
 
-// cold is how many times slower the upstream is taken to be from its start.
-func (o *Peer) cold(now time.Time) float64 {
+// coldSlowdown returns how many times slower the upstream is expected to be after its
+// start.
+func (o *Peer) coldSlowdown(now time.Time) float64 {
 	if !o.Warm.IsZero() {
 		if now.Before(o.Warm) {
-			return announcedCold
+			return announcedColdFactor
 		}
 		return 1
 	}
-	if age := now.Sub(o.first); age < coldFor {
-		return 1 + (coldFactor-1)*(1-age.Seconds()/coldFor.Seconds())
+	if age := now.Sub(o.addedAt); age < coldDuration {
+		return 1 + (coldFactor-1)*(1-age.Seconds()/coldDuration.Seconds())
 	}
 	return 1
 }
 
-// spare reports whether the upstream has a slot free as far as is known; where the
-// service is crowded, only one that said so lately has.
-func (o *Peer) spare(crowded bool, now time.Time) bool {
-	lasts := spareLasts
-	if crowded {
-		lasts = reportLasts
+// hasFreeSlot reports whether the upstream probably has a free slot. If the service is
+// saturated, it takes a recent report to say so.
+func (o *Peer) hasFreeSlot(saturated bool, now time.Time) bool {
+	ttl := fullReportTTL
+	if saturated {
+		ttl = reportTTL
 	}
-	if now.Sub(o.reported) >= lasts {
-		return !crowded && o.sent < o.Slots
+	if now.Sub(o.reportedAt) >= ttl {
+		return !saturated && o.sent < o.Slots
 	}
 	return o.load.Waiting == 0 && max(o.sent, o.load.Running) < o.Slots
 }
--- a/internal/decide/kqpick/pick.go
+++ b/internal/decide/kqpick/pick.go
@@ -12,66 +12,67 @@
 )
 
 const (
-	// drawn is how many upstreams a choice is made among: with two, calls meet slow ones
-	// by chance; with all, every entry chooses the same one. mostDrawn bounds the draw
-	// where some of them fail part of their calls.
-	drawn     = 4
-	mostDrawn = 8
-	// nearFactor is what the expected time counts for in the entry's own failure
-	// domain: the way to another and back is 1 to 3 ms of calls that take 30 to 150 ms,
-	// and answers that cross are paid for.
-	nearFactor = 0.8
-	// full is the part of the slots in use above which a call is expected to wait,
-	// by a report that is some calls old; crowd is what each slot in use below it
-	// counts for, which spreads calls over equals.
-	full  = 0.75
-	crowd = 0.25
-	// announcedCold is how many times slower an upstream is that says so itself.
-	announcedCold = 2.0
-	// failureCost is how many calls' work a failed call counts for: it is made again
-	// elsewhere, which uses up a budget that all nodes share, or is lost to its caller
-	// if it must not be repeated. calmUse is the part of a service's slots up to which
-	// it counts.
+	// sampleSize is the number of upstreams sampled for each call. With two, calls meet
+	// slow upstreams by chance; with all, every entry chooses the same one. maxSampleSize
+	// bounds the sample when some of the upstreams fail part of their calls.
+	sampleSize    = 4
+	maxSampleSize = 8
+	// localFactor scales the expected time in the entry's own failure domain. A round trip
+	// to another domain takes 1 to 3 ms on calls of 30 to 150 ms, and traffic between
+	// domains is paid for.
+	localFactor = 0.8
+	// queueingUse is the share of slots in use above which a call is expected to queue,
+	// given a report that is some calls old. occupancyCost is the weight of each slot in
+	// use below it, which spreads calls over equal upstreams.
+	queueingUse   = 0.75
+	occupancyCost = 0.25
+	// announcedColdFactor is how many times slower an upstream is that announces itself
+	// cold.
+	announcedColdFactor = 2.0
+	// failureCost is the cost of a failed call in units of a call's work. The call is
+	// retried elsewhere, which spends a budget shared by all nodes, or is lost if it is
+	// not idempotent. The cost applies while less than spareUse of the service's slots are
+	// in use.
 	failureCost = 40.0
-	calmUse     = 0.5
-	// crowdedUse is the part of a service's slots, with those who wait, from which on it
-	// has more calls than it can run at once.
-	crowdedUse  = 1.0
-	coldFactor  = 4.0
-	coldFor     = 10 * time.Second
-	reportLasts = time.Second
-	medianLasts = 100 * time.Millisecond
-	// spareLasts is how long a full upstream is taken to stay full: about as long
-	// as a call lasts.
-	spareLasts = 100 * time.Millisecond
+	spareUse    = 0.5
+	// saturatedUse is the share of slots in use, including waiting calls, from which on
+	// the service has more calls than it can run at once.
+	saturatedUse = 1.0
+	coldFactor   = 4.0
+	coldDuration = 10 * time.Second
+	reportTTL    = time.Second
+	medianTTL    = 100 * time.Millisecond
+	// fullReportTTL is how long an upstream reported as full counts as full: about the
+	// duration of a call.
+	fullReportTTL = 100 * time.Millisecond
 )
 
 type (
-	// Pool holds what one entry knows of one service's upstreams. It is not safe
-	// for concurrent use.
+	// Pool holds one entry's view of the upstreams of one service. It is not safe for
+	// concurrent use.
 	Pool struct {
-		domain  kqname.Domain
-		plain   bool
-		source  []kqmember.Candidate
-		peers   []*Peer
-		fit     []*Peer
-		ejector kqeject.Ejector
-		median  time.Duration
-		judged  time.Time
-		// inUse is the part of the service's slots in use when it was counted last.
-		inUse   float64
-		counted time.Time
-		started bool
+		domain     kqname.Domain
+		uniform    bool
+		candidates []kqmember.Candidate
+		peers      []*Peer
+		eligible   []*Peer
+		ejector    kqeject.Ejector
+		median     time.Duration
+		medianAt   time.Time
+		// lastUtilization is the share of the service's slots in use at utilizationAt.
+		lastUtilization float64
+		utilizationAt   time.Time
+		initialized     bool
 	}
 
-	// Option sets up a Pool.
+	// Option configures a Pool.
 	Option func(*Pool)
 )
 
-// WithPlain makes the pool choose at random, as a baseline for measurements.
-func WithPlain(plain bool) Option { return func(p *Pool) { p.plain = plain } }
+// WithPlain makes the pool choose uniformly at random, as a baseline for measurements.
+func WithPlain(uniform bool) Option { return func(p *Pool) { p.uniform = uniform } }
 
-// New returns the pool of an entry in the failure domain.
+// New returns the pool of an entry in the given failure domain.
 func New(domain kqname.Domain, options ...Option) *Pool {
 	p := &Pool{domain: domain}
 	for _, o := range options {
@@ -80,15 +81,15 @@
 	return p
 }
 
-// Set takes in the service's upstreams. What is known of those that stay is
-// kept. The pool's first upstreams count as warm: a starting entry knows no
-// better, and they were there before it.
+// Set replaces the list of upstreams and keeps the state of those that remain. The first
+// upstreams of a pool count as warm, since they started before the entry and nothing else
+// is known of them.
 func (p *Pool) Set(all []kqmember.Candidate, now time.Time) {
-	if p.started && len(all) == len(p.source) && (len(all) == 0 || &all[0] == &p.source[0]) {
+	if p.initialized && len(all) == len(p.candidates) && (len(all) == 0 || &all[0] == &p.candidates[0]) {
 		return
 	}
 	old := p.peers
-	p.source, p.peers = all, make([]*Peer, 0, len(all))
+	p.candidates, p.peers = all, make([]*Peer, 0, len(all))
 	for _, c := range all {
 		i := slices.IndexFunc(old, func(o *Peer) bool { return o.Node == c.Node && o.Version == c.Version && o.Gate == c.Gate })
 		if i < 0 {
@@ -103,13 +104,13 @@
 	for _, o := range old {
 		p.ejector.Forget(&o.state)
 	}
-	p.started = true
+	p.initialized = true
 }
 
-// Pick returns an upstream that the target allows and whose node was not tried
-// before; nil if there is none. Done must follow.
+// Pick returns an upstream that the target allows and whose node has not been tried, or
+// nil if there is none. The caller must call Done for it.
 func (p *Pool) Pick(target Target, tried []kqname.Node, now time.Time, random *rand.Rand) *Peer {
-	chosen := p.choose(target, tried, now, random)
+	chosen := p.selectPeer(target, tried, now, random)
 	if chosen == nil {
 		return nil
 	}
@@ -121,29 +122,29 @@
 	return chosen
 }
 
-// Done takes in how a call ended that Pick chose the upstream for, and the load
-// that the gate told, if it did. A failed answer is one with a status of 5xx.
+// Done records the outcome of a call for which Pick returned the upstream, and the load
+// that the gate reported, if any. failed is set for an answer with a 5xx status.
 func (p *Pool) Done(o *Peer, end kqcall.Outcome, failed bool, load *kqcall.Load, now time.Time) {
 	o.sent--
 	if load != nil {
-		o.load, o.reported = *load, now
-		o.routes.learn(load, now)
+		o.load, o.reportedAt = *load, now
+		o.routes.update(load, now)
 	}
-	if p.plain {
+	if p.uniform {
 		return
 	}
 	switch {
-	case gone(end.Reason):
+	case isGone(end.Reason):
 		p.ejector.Unreachable(&o.state, now)
 	case end.Result == kqcall.Unknown && end.Reason != kqcall.Cancelled, failed, end.Reason == kqcall.Shed:
 		p.ejector.Failed(&o.state, len(p.peers), now)
 	default:
-		p.ejector.Answered(&o.state, len(p.peers), o.load.Work, p.outlying(now), now)
+		p.ejector.Answered(&o.state, len(p.peers), o.load.Work, p.ejectionMedian(now), now)
 	}
 }
 
-func (p *Pool) choose(target Target, tried []kqname.Node, now time.Time, random *rand.Rand) *Peer {
-	p.fit = p.fit[:0]
+func (p *Pool) selectPeer(target Target, tried []kqname.Node, now time.Time, random *rand.Rand) *Peer {
+	p.eligible = p.eligible[:0]
 	last := 0
 	for _, o := range p.peers {
 		if !target.allows(o.Candidate) || slices.Contains(tried, o.Node) {
@@ -156,25 +157,25 @@
 			last++
 			continue
 		}
-		p.fit = append(p.fit, o)
+		p.eligible = append(p.eligible, o)
 	}
-	if len(p.fit) == 0 && last > 0 {
+	if len(p.eligible) == 0 && last > 0 {
 		p.lastResort(target, tried)
 	}
-	if len(p.fit) == 0 {
+	if len(p.eligible) == 0 {
 		return nil
 	}
-	if p.plain {
-		return p.fit[random.IntN(len(p.fit))]
+	if p.uniform {
+		return p.eligible[random.IntN(len(p.eligible))]
 	}
-	return p.best(p.fit, target, now, random)
+	return p.selectBest(p.eligible, target, now, random)
 }
 
-// lastResort takes the ejected one in that is due back first: where all that a
-// call may go to look bad, a bad one may still answer, and refusing would answer
-// nobody. Each failure puts an upstream's return off, so that one which was out of
-// reach for a moment is met within a call or two. A choice by load would go on
-// meeting the dead instead: with nothing running they look idle.
+// lastResort makes the ejected upstream with the earliest return eligible: if all
+// upstreams look bad, one may still answer, while a refusal certainly fails. Each failure
+// postpones an upstream's return, so one that was only briefly unreachable is found within
+// a call or two. Choosing by load instead would keep selecting dead upstreams, which run
+// nothing and look idle.
 func (p *Pool) lastResort(target Target, tried []kqname.Node) {
 	var first *Peer
 	for _, o := range p.peers {
@@ -185,19 +186,19 @@
 			first = o
 		}
 	}
-	p.fit = append(p.fit, first)
+	p.eligible = append(p.eligible, first)
 }
 
 func (p *Pool) admit(c kqmember.Candidate, now time.Time) *Peer {
-	o := &Peer{Candidate: c, first: now}
-	if !p.started {
-		o.first = now.Add(-coldFor)
+	o := &Peer{Candidate: c, addedAt: now}
+	if !p.initialized {
+		o.addedAt = now.Add(-coldDuration)
 	}
 	return o
 }
 
-// gone reports whether the reason tells that the upstream takes no calls at all.
-func gone(r kqcall.Reason) bool {
+// isGone reports whether the reason means that the upstream accepts no calls at all.
+func isGone(r kqcall.Reason) bool {
 	switch r {
 	case kqcall.Draining, kqcall.NoUpstream, kqcall.ConnectFailed, kqcall.RolledBack:
 		return true
--- a/internal/decide/kqpick/routes.go
+++ b/internal/decide/kqpick/routes.go
@@ -7,23 +7,23 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// mostRoutes bounds the routes that are known of one upstream.
-const mostRoutes = 64
+// maxRoutes bounds the routes that are remembered for each upstream.
+const maxRoutes = 64
 
 type (
-	// routes is what an upstream's gate has told of calls of each route.
+	// routes holds the load that an upstream's gate reported for each route.
 	routes map[kqname.Route]*routeLoad
 
 	routeLoad struct {
 		work, wait time.Duration
-		reported   time.Time
-		// since counts the calls sent there after the report.
-		since int
+		reportedAt time.Time
+		// sentSince counts the calls sent to the upstream since the report.
+		sentSince int
 	}
 )
 
-// learn takes in what a gate told with an answer.
-func (r *routes) learn(l *kqcall.Load, now time.Time) {
+// update stores the report that came with an answer.
+func (r *routes) update(l *kqcall.Load, now time.Time) {
 	if l.Route == "" || l.Expected == 0 {
 		return
 	}
@@ -32,32 +32,32 @@
 	}
 	k, ok := (*r)[l.Route]
 	if !ok {
-		if len(*r) >= mostRoutes {
+		if len(*r) >= maxRoutes {
 			return
 		}
 		k = &routeLoad{}
 		(*r)[l.Route] = k
 	}
-	*k = routeLoad{work: l.Expected, wait: l.Wait, reported: now}
+	*k = routeLoad{work: l.Expected, wait: l.Wait, reportedAt: now}
 }
 
 // sent counts a call that is sent to the upstream.
 func (r routes) sent(route kqname.Route) {
 	if k, ok := r[route]; ok {
-		k.since++
+		k.sentSince++
 	}
 }
 
-// known returns what is known of calls of the route; a report that is old tells of the
-// work, but not of the queue.
-func (r routes) known(route kqname.Route, now time.Time) routeLoad {
+// current returns the load reported for the route. Once the report is outdated, the work
+// still counts but the wait does not.
+func (r routes) current(route kqname.Route, now time.Time) routeLoad {
 	k, ok := r[route]
 	if !ok {
 		return routeLoad{}
 	}
-	known := *k
-	if now.Sub(k.reported) >= reportLasts {
-		known.wait = 0
+	current := *k
+	if now.Sub(k.reportedAt) >= reportTTL {
+		current.wait = 0
 	}
-	return known
+	return current
 }
--- a/internal/decide/kqpick/crowd_test.go
+++ b/internal/decide/kqpick/saturation_test.go
@@ -12,11 +12,12 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// A service of twenty upstreams has twice the calls that it can run. An entry sends it
-// twenty calls a second and hears of each upstream once a second or so, which it took for
-// room: each call was offered to six gates and refused by all. Callers' orders of 4 KB
-// went over the servers' links six times over, until calls that had a slot were late.
-func TestFullServiceIsNotAskedGateByGate(t *testing.T) {
+// A service of 20 upstreams has twice its capacity in offered load. An entry sends it 20
+// calls a second and gets a report of each upstream about once a second. If it takes
+// outdated reports for free slots, each call is offered to six gates and refused by all,
+// and bodies of 4 KB cross the servers' links six times, until calls that have a slot are
+// late.
+func TestSaturatedServiceIsNotTriedGateByGate(t *testing.T) {
 	const (
 		upstreams, calls, warm = 20, 400, 40
 		most                   = 6
@@ -49,14 +50,14 @@
 		}
 	}
 	if got := float64(offers) / (calls - warm); got > 1.5 {
-		t.Errorf("each call was offered to %.1f gates of a service that is full, want 1.5 at most", got)
+		t.Errorf("each call was offered to %.1f gates of a saturated service, want at most 1.5", got)
 	}
 
-	// One that has said that it has a slot free is asked all the same.
+	// An upstream that has reported a free slot is still tried.
 	free := kqcall.Load{Running: 4, Slots: 6, Work: 200 * time.Millisecond}
 	o := pool.Pick(kqpick.Target{}, nil, now, random)
 	pool.Done(o, kqcall.OK(), false, &free, now)
 	if !pool.Spare(kqpick.Target{}, nil, now.Add(300*time.Millisecond)) {
-		t.Error("an upstream that told of free slots counts as full")
+		t.Error("an upstream that reported free slots counts as full")
 	}
 }
--- a/internal/decide/kqpick/herd_test.go
+++ b/internal/decide/kqpick/simulation_test.go
@@ -15,9 +15,9 @@
 )
 
 type (
-	// world plays entries of one failure domain that choose among its upstreams, each
-	// by what came back with its own answers.
-	world struct {
+	// simulation simulates entries of one failure domain that choose among its upstreams,
+	// each by the reports that come with its own answers.
+	simulation struct {
 		now       time.Time
 		random    *rand.Rand
 		entries   []*kqpick.Pool
@@ -30,17 +30,17 @@
 		slots, running, calls int
 		factor                float64
 		waiting               []*job
-		// fails is the part of its calls that fail, failed how many did, and record
-		// what its gate tells of them.
-		fails  float64
-		failed int
-		record kqfailing.Failing
+		// failShare is the share of its calls that fail, failed counts the failures, and
+		// record is the gate's count of them.
+		failShare float64
+		failed    int
+		record    kqfailing.Failing
 	}
 
 	job struct {
-		entry   int
-		peer    *kqpick.Peer
-		arrived time.Time
+		entry     int
+		peer      *kqpick.Peer
+		arrivedAt time.Time
 	}
 
 	event struct {
@@ -61,8 +61,8 @@
 	return last
 }
 
-// begin is when a play starts.
-var begin = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+// startTime is when a simulation starts.
+var startTime = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
 const (
 	work   = 380 * time.Millisecond
@@ -72,12 +72,12 @@
 
 func nameOf(i int) kqname.Node { return kqname.Node(fmt.Sprint("n", i)) }
 
-func newWorld(entries, upstreams int, seed uint64) *world {
-	w := &world{now: begin, random: rand.New(rand.NewPCG(seed, 1)), upstreams: make(map[kqname.Node]*upstream)}
+func newSimulation(entries, upstreams int, seed uint64) *simulation {
+	w := &simulation{now: startTime, random: rand.New(rand.NewPCG(seed, 1)), upstreams: make(map[kqname.Node]*upstream)}
 	var list []kqmember.Candidate
 	for i := range upstreams {
 		name := nameOf(i)
-		list = append(list, kqmember.Candidate{Node: name, Domain: "d", Gate: kqname.Address(name), Upstream: kqmember.Upstream{Service: "s", Slots: slots, Warm: begin}})
+		list = append(list, kqmember.Candidate{Node: name, Domain: "d", Gate: kqname.Address(name), Upstream: kqmember.Upstream{Service: "s", Slots: slots, Warm: startTime}})
 		w.upstreams[name] = &upstream{slots: slots, factor: []float64{0.5, 1, 1, 1.5}[i%4]}
 	}
 	for range entries {
@@ -88,11 +88,11 @@
 	return w
 }
 
-func (w *world) after(d time.Duration, do func()) { heap.Push(&w.events, event{w.now.Add(d), do}) }
+func (w *simulation) after(d time.Duration, do func()) { heap.Push(&w.events, event{w.now.Add(d), do}) }
 
-func (w *world) call(entry int) {
+func (w *simulation) call(entry int) {
 	p := w.entries[entry].Pick(kqpick.Target{Ample: target / 2}, nil, w.now, w.random)
-	j := &job{entry: entry, peer: p, arrived: w.now}
+	j := &job{entry: entry, peer: p, arrivedAt: w.now}
 	u := w.upstreams[p.Node]
 	u.calls++
 	w.after(time.Millisecond, func() {
@@ -104,12 +104,12 @@
 	})
 }
 
-func (w *world) run(u *upstream, j *job) {
+func (w *simulation) run(u *upstream, j *job) {
 	u.running++
 	took := time.Duration(float64(work) * u.factor * (0.7 + 0.6*w.random.Float64()))
 	w.after(took, func() {
 		u.running--
-		failed := w.random.Float64() < u.fails
+		failed := w.random.Float64() < u.failShare
 		if failed {
 			u.failed++
 		}
@@ -121,14 +121,14 @@
 		}
 		load := kqcall.Load{Running: u.running, Waiting: len(u.waiting), Slots: u.slots, Work: time.Duration(float64(work) * u.factor), Failing: u.record.Share(w.now)}
 		w.after(time.Millisecond, func() {
-			w.took = append(w.took, w.now.Sub(j.arrived))
+			w.took = append(w.took, w.now.Sub(j.arrivedAt))
 			w.entries[j.entry].Done(j.peer, kqcall.OK(), failed, &load, w.now)
 		})
 	})
 }
 
-// play sends calls at a rate for so long and lets all of them end.
-func (w *world) play(perSecond float64, length time.Duration) {
+// simulate sends calls at the rate for the given time and runs until all have ended.
+func (w *simulation) simulate(perSecond float64, length time.Duration) {
 	end := w.now.Add(length)
 	var arrive func()
 	arrive = func() {
@@ -146,14 +146,13 @@
 	}
 }
 
-// Eighteen entries of a failure domain serve callers by its fourteen upstreams, each
-// some ten calls a second, so that what an entry knows of an upstream is seconds old.
-// If each chose the one that looked best among all, they would meet at the same few:
-// callers would wait in a line there while others stand idle, and some be refused.
-func TestEntriesDoNotMeetAtOneUpstream(t *testing.T) {
+// 18 entries send calls to 14 upstreams, about ten a second to each, so that an entry's
+// reports are seconds old. If each entry chose the best of all upstreams, all would choose
+// the same few: calls would queue or be refused there while other upstreams are idle.
+func TestEntriesSpreadOverUpstreams(t *testing.T) {
 	for seed := range uint64(3) {
-		w := newWorld(18, 14, seed)
-		w.play(400, 30*time.Second)
+		w := newSimulation(18, 14, seed)
+		w.simulate(400, 30*time.Second)
 		late, most := 0, 0
 		for _, d := range w.took {
 			if d > target {
--- a/internal/decide/kqpick/slow_test.go
+++ b/internal/decide/kqpick/slow_test.go
@@ -13,14 +13,14 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// slowShare has three upstreams tell their loads, the first of them four times as slow
-// as the others, and returns how many of 100 further calls go to it.
-func slowShare(others kqcall.Load) int {
+// callsToSlow reports the loads of three upstreams, the first four times slower than the
+// others, and returns how many of 100 further calls go to it.
+func callsToSlow(others kqcall.Load) int {
 	const fast, slow = 100 * time.Millisecond, 400 * time.Millisecond
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 10))
-	p := fleet(now, []kqname.Domain{"x", "x", "x"}, fast, fast, fast)
-	tell := func(o *kqpick.Peer) {
+	p := newPool(now, []kqname.Domain{"x", "x", "x"}, fast, fast, fast)
+	report := func(o *kqpick.Peer) {
 		load := others
 		load.Slots, load.Work = 6, fast
 		if o.Node == "0" {
@@ -32,7 +32,7 @@
 	for range 3 {
 		o := p.Pick(kqpick.Target{}, tried, now, random)
 		tried = append(tried, o.Node)
-		tell(o)
+		report(o)
 	}
 	count := 0
 	for range 100 {
@@ -41,34 +41,34 @@
 		if o.Node == "0" {
 			count++
 		}
-		tell(o)
+		report(o)
 	}
 	return count
 }
 
-// One of three upstreams had become four times as slow while all slots of the service
-// were in use and callers waited. It was left out for 2 s, then for 4 and 8, as a slow
-// one; a third of the slots stood idle and callers were refused meanwhile. Its answers
-// come no later than those of the others, before which a queue stands.
-func TestSlowUpstreamWorksOnWhereTheOthersAreFull(t *testing.T) {
-	if got := slowShare(kqcall.Load{Running: 6, Waiting: 6}); got < 20 {
-		t.Errorf("%d of 100 calls went to the slow upstream, want a fifth at least", got)
+// One of three upstreams becomes four times slower while all slots of the service are in
+// use and calls wait. Ejecting it as slow for 2 s, then 4 s and 8 s, would leave a third
+// of the slots idle while calls are refused. Its answers come no later than those of the
+// others, which have queues.
+func TestSlowUpstreamStaysInUseUnderSaturation(t *testing.T) {
+	if got := callsToSlow(kqcall.Load{Running: 6, Waiting: 6}); got < 20 {
+		t.Errorf("%d of 100 calls went to the slow upstream, want at least a fifth", got)
 	}
 }
 
-// Where the others have room, every call that the slow one gets is answered later than
-// it need be.
-func TestSlowUpstreamIsLeftOutWhereOthersHaveRoom(t *testing.T) {
-	if got := slowShare(kqcall.Load{Running: 1}); got > 1 {
-		t.Errorf("%d of 100 calls went to the slow upstream, want one at most", got)
+// With spare capacity elsewhere, every call to the slow upstream is answered later than
+// necessary.
+func TestSlowUpstreamIsEjectedWithSpareCapacity(t *testing.T) {
+	if got := callsToSlow(kqcall.Load{Running: 1}); got > 1 {
+		t.Errorf("%d of 100 calls went to the slow upstream, want at most one", got)
 	}
 }
 
-// An upstream joins a service whose slots are all in use, and has told nothing yet. Taken
-// to need a millisecond, as nobody counted the median of the others while they were full,
-// it was sent every call until its first answer: thirty for six slots. It is due what makes
-// it as full as the others: a quarter of what all four have then.
-func TestUpstreamThatJoinsAFullServiceIsNotFlooded(t *testing.T) {
+// An upstream joins a service whose slots are all in use, and has not reported yet. If it
+// were expected to take 1 ms, since the median was not measured while the others were
+// full, it would get every call until its first answer: 30 for six slots. Its fair share
+// makes it as full as the others: a quarter of what all four then hold.
+func TestJoiningUpstreamIsNotFlooded(t *testing.T) {
 	const others, held, calls = 3, 12, 30
 	const fair = (others*held + calls + others) / (others + 1)
 	now := time.Unix(1000, 0)
@@ -97,6 +97,6 @@
 		}
 	}
 	if count > fair {
-		t.Errorf("%d of %d calls went to the upstream that has told nothing, want %d at most", count, calls, fair)
+		t.Errorf("%d of %d calls went to the upstream without a report, want at most %d", count, calls, fair)
 	}
 }
--- a/internal/decide/kqpick/target.go
+++ b/internal/decide/kqpick/target.go
@@ -9,35 +9,34 @@
 )
 
 const (
-	// ample is the part of a route's target within which an upstream near by is expected
-	// to answer to go before all others: most calls are then in time all the same, and
-	// their answers don't cross between domains.
-	ample = 0.6
-	// nestedAmple is that part for nested calls.
-	nestedAmple = 0.35
+	// ampleShare is the share of a route's target within which an upstream of the own
+	// failure domain is preferred: most calls still meet the target, and their answers do
+	// not cross between domains.
+	ampleShare = 0.6
+	// nestedAmpleShare is the share for nested calls.
+	nestedAmpleShare = 0.35
 )
 
-// Target says which upstreams of a service a call may go to.
+// Target restricts which upstreams of a service a call may go to.
 type Target struct {
-	// Version is the wanted upstream version; empty accepts any.
+	// Version is the required upstream version; empty allows any.
 	Version kqname.UpstreamVersion
-	// Nodes limits the choice to these nodes' upstreams; nil accepts all.
+	// Nodes restricts the choice to the upstreams of these nodes; nil allows all.
 	Nodes map[kqname.Node]bool
-	// Fallback is the version to turn to once the target has refused a
-	// call or has nobody to take it; empty leaves no other.
+	// Fallback is the version used after the target has refused a call or has no upstream
+	// for it; empty means none.
 	Fallback kqname.UpstreamVersion
-	// Not are versions that the call must not go to, and FallbackNot those of
-	// the target to turn to in place of Fallback.
+	// Not lists excluded versions. FallbackNot lists those excluded by the target that is
+	// used instead of Fallback.
 	Not, FallbackNot []kqname.UpstreamVersion
-	// Ample is an expected time that is well within what the call's answer is
-	// wanted in; an upstream of the own failure domain that is expected to
-	// take no longer goes first. 0 states none.
+	// Ample is the expected time up to which an upstream of the own failure domain is
+	// preferred to all others; 0 means none.
 	Ample time.Duration
-	// Route is the call's; empty where upstreams tell of no route.
+	// Route is the route of the call; empty if upstreams report no routes.
 	Route kqname.Route
 }
 
-// Next returns the target for a call that this one did not take.
+// Next returns the target to use after this one has not served the call.
 func (t Target) Next() Target {
 	switch {
 	case t.Fallback != "":
@@ -49,20 +48,20 @@
 	}
 }
 
-// HasNext reports whether there is another target to turn to.
+// HasNext reports whether there is a fallback target.
 func (t Target) HasNext() bool { return t.Fallback != "" || len(t.FallbackNot) > 0 }
 
 func (t Target) allows(c kqmember.Candidate) bool {
 	return (t.Version == "" || c.Version == t.Version) && (t.Nodes == nil || t.Nodes[c.Node]) && !slices.Contains(t.Not, c.Version)
 }
 
-// Ample returns the expected time that is ample for calls with a target. For nested ones
-// it is less: the call above holds a slot of its upstream while it waits for the answer,
-// and where slots are short each of these milliseconds is taken from another caller. A
-// queue near by is then reason enough to go elsewhere.
+// Ample returns the expected time within which a local upstream is preferred, for calls
+// with the given target. It is less for nested calls: the calling call holds a slot of its
+// upstream while it waits, so when slots are short, extra milliseconds delay other
+// callers, and a local queue is reason enough to use another domain.
 func Ample(target time.Duration, nested bool) time.Duration {
 	if nested {
-		return time.Duration(nestedAmple * float64(target))
+		return time.Duration(nestedAmpleShare * float64(target))
 	}
-	return time.Duration(ample * float64(target))
+	return time.Duration(ampleShare * float64(target))
 }
--- a/internal/decide/kqpick/usage.go
+++ b/internal/decide/kqpick/usage.go
@@ -7,25 +7,24 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Spare reports whether, by what is known, an upstream that the target allows and
-// whose node was not tried has a slot free. A report that is old says nothing, and
-// counts as room: asking is cheap beside refusing a caller whom somebody could
-// have served. Where the service as a whole has more calls than slots, it counts as none:
-// each entry hears of each of many upstreams so seldom that every call would be offered
-// to one gate after the other, with its body each time, until the links of the servers
-// are full and even those calls are late that have a slot.
+// Spare reports whether an upstream that the target allows, and whose node has not been
+// tried, probably has a free slot. An outdated report counts as a free slot, since an
+// attempt is cheap compared with refusing a call that could be served. If the service is
+// saturated, it does not: in a service with many upstreams each entry rarely gets a report
+// of each, so every call would be offered to one gate after another, with its body, until
+// the servers' links are full and even calls that have a slot are late.
 func (p *Pool) Spare(target Target, tried []kqname.Node, now time.Time) bool {
-	crowded := p.usage(now) >= crowdedUse
+	saturated := p.utilization(now) >= saturatedUse
 	for _, o := range p.peers {
-		if target.allows(o.Candidate) && !slices.Contains(tried, o.Node) && !o.state.Ejected() && o.spare(crowded, now) {
+		if target.allows(o.Candidate) && !slices.Contains(tried, o.Node) && !o.state.Ejected() && o.hasFreeSlot(saturated, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// Work returns the least time that calls of the route take at one of the upstreams, by
-// what their gates told; 0 where none did.
+// Work returns the least reported work of the route's calls at any upstream, or 0 if none
+// is known.
 func (p *Pool) Work(route kqname.Route) time.Duration {
 	least := time.Duration(0)
 	for _, o := range p.peers {
@@ -36,19 +35,19 @@
 	return least
 }
 
-// typical returns the median of what the upstreams' calls took lately.
-func (p *Pool) typical(now time.Time) time.Duration {
-	if now.Sub(p.judged) < medianLasts {
+// typicalWork returns the median of the upstreams' recent work.
+func (p *Pool) typicalWork(now time.Time) time.Duration {
+	if now.Sub(p.medianAt) < medianTTL {
 		return p.median
 	}
-	p.judged, p.median = now, 0
+	p.medianAt, p.median = now, 0
 	var works []time.Duration
 	for _, o := range p.peers {
 		if o.load.Work > 0 {
 			works = append(works, o.load.Work)
 		}
 	}
-	// The median of two would be one of them: neither tells which is off.
+	// The median of two would be one of them, which does not tell which is the outlier.
 	if len(works) > 2 {
 		slices.Sort(works)
 		p.median = works[len(works)/2]
@@ -56,36 +55,36 @@
 	return p.median
 }
 
-// outlying returns the work beside which an upstream may be left out as a slow one, 0 if
-// none may. While the others have room, what it would have run is run sooner elsewhere.
-// While they have none, a slow answer is better than the refusal that comes in its place:
-// left out, a third of a full service's slots stand idle for seconds.
-func (p *Pool) outlying(now time.Time) time.Duration {
-	if !p.calm(now) {
+// ejectionMedian returns the median work that slow upstreams are compared with for
+// ejection, or 0 if none may be ejected. With spare capacity, other upstreams run the
+// calls sooner. Without it, a slow answer is better than a refusal: ejecting one upstream
+// of three would leave a third of a full service's slots idle for seconds.
+func (p *Pool) ejectionMedian(now time.Time) time.Duration {
+	if !p.hasSpareCapacity(now) {
 		return 0
 	}
-	return p.typical(now)
+	return p.typicalWork(now)
 }
 
-// calm reports whether the service has slots to spare, by the mean of what its
-// upstreams' gates told lately: a single report may be a second old, in which one
-// upstream fills up, while the mean of many follows the load.
-func (p *Pool) calm(now time.Time) bool { return p.usage(now) < calmUse }
+// hasSpareCapacity reports whether the service has spare slots, by the mean over recent
+// reports. A single report may be a second old, in which an upstream can fill up, while
+// the mean of many follows the load.
+func (p *Pool) hasSpareCapacity(now time.Time) bool { return p.utilization(now) < spareUse }
 
-// usage returns the part of the service's slots in use as it was counted lately.
-func (p *Pool) usage(now time.Time) float64 {
-	if now.Sub(p.counted) >= medianLasts {
-		p.counted, p.inUse = now, p.use(now)
+// utilization returns the cached share of the service's slots in use.
+func (p *Pool) utilization(now time.Time) float64 {
+	if now.Sub(p.utilizationAt) >= medianTTL {
+		p.utilizationAt, p.lastUtilization = now, p.measureUtilization(now)
 	}
-	return p.inUse
+	return p.lastUtilization
 }
 
-// use returns the part of the slots in use, of the upstreams whose reports are fresh;
-// 0 where none is.
-func (p *Pool) use(now time.Time) float64 {
+// measureUtilization returns the share of slots in use over the upstreams with recent
+// reports, or 0 if there are none. Waiting calls count as slots in use.
+func (p *Pool) measureUtilization(now time.Time) float64 {
 	busy, slots := 0, 0
 	for _, o := range p.peers {
-		if now.Sub(o.reported) < reportLasts {
+		if now.Sub(o.reportedAt) < reportTTL {
 			busy += o.load.Running + o.load.Waiting
 			slots += o.Slots
 		}
