--- /dev/null
+++ b/internal/decide/kqfair/estimate.go
@@ -0,0 +1,134 @@
+package kqfair
+
+import (
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/kumquatgw/kumquatgw/pkg/kqname"
+)
+
+// RecordWait records whether a call of the caller expects almost no wait. A single such
+// call is no evidence: when all callers' queues are kept short, each is sometimes empty.
+func (q *Queue) RecordWait(caller kqname.Caller, prompt bool, now time.Time) {
+	f := &q.flows[q.assignFlow(caller, now)]
+	f.streak++
+	if !prompt {
+		f.streak = 0
+	}
+	if f.streak >= promptStreak {
+		f.prompt = now
+	}
+}
+
+// Remove removes a waiting call and reports whether it was in the queue.
+func (q *Queue) Remove(p *Item) bool {
+	if !p.queued {
+		return false
+	}
+	q.unlink(p)
+	return true
+}
+
+// Oldest returns the call that has waited longest, or nil if the queue is empty.
+func (q *Queue) Oldest() *Item {
+	var oldest *Item
+	for _, n := range q.backlogged {
+		if p := q.flows[n].head; oldest == nil || p.EnqueuedAt.Before(oldest.EnqueuedAt) {
+			oldest = p
+		}
+	}
+	return oldest
+}
+
+// QueueingFor returns for how long the caller's calls have had to wait.
+func (q *Queue) QueueingFor(caller kqname.Caller, now time.Time) time.Duration {
+	f := &q.flows[q.flowIndex(caller)]
+	if f.owner != caller {
+		return 0
+	}
+	return now.Sub(f.prompt)
+}
+
+// WorkAhead returns the expected work that will be served before a call that the caller
+// pushed now: that of waiting calls and, for a caller with a backlog, that of calls of
+// lighter callers that will arrive meanwhile and go first. Without the latter, a hot
+// caller's calls would wait several times longer than expected, and be refused late
+// instead of at once.
+func (q *Queue) WorkAhead(caller kqname.Caller) time.Duration {
+	if q.length == 0 {
+		return 0
+	}
+	own := q.flowIndex(caller)
+	f := &q.flows[own]
+	turn := max(f.startTag, q.virtualTime) + f.work
+	ahead, lighter := f.work, q.recent-f.recent
+	for _, n := range q.backlogged {
+		other := &q.flows[n]
+		if n == own {
+			continue
+		}
+		ahead += min(other.work, max(0, turn-other.startTag))
+		if other.work >= f.work {
+			lighter -= other.recent
+		}
+	}
+	if f.work == 0 {
+		return ahead
+	}
+	// Fair queueing bounds the wait: the flow gets its turn among all recently active
+	// flows.
+	turns := max(ahead, f.work*time.Duration(q.activeFlows+1))
+	left := 1 - float64(lighter)/float64(max(q.recent, 1))
+	if left <= 0 {
+		return turns
+	}
+	return min(turns, time.Duration(float64(ahead)/left))
+}
+
+// flowIndex returns the caller's flow, or the one that it would be assigned.
+func (q *Queue) flowIndex(caller kqname.Caller) int {
+	first := int((xxhash.Sum64String(string(caller)) ^ q.salt) * 0x9e3779b97f4a7c15 >> 55)
+	idle := -1
+	for i := range maxProbes {
+		n := (first + i) % NumFlows
+		if q.flows[n].owner == caller {
+			return n
+		}
+		if idle < 0 && q.flows[n].head == nil && q.flows[n].recent == 0 {
+			idle = n
+		}
+	}
+	if idle >= 0 {
+		return idle
+	}
+	return first
+}
+
+func (q *Queue) assignFlow(caller kqname.Caller, now time.Time) int {
+	n := q.flowIndex(caller)
+	if f := &q.flows[n]; f.head == nil && f.owner != caller {
+		f.owner, f.startTag, f.prompt = caller, 0, now
+	}
+	return n
+}
+
+func (q *Queue) recordWork(f *flow, work time.Duration) {
+	if f.recent == 0 && work > 0 {
+		q.activeFlows++
+	}
+	f.recent += work
+	q.recent += work
+	q.recorded++
+	if q.recorded < recentWindow {
+		return
+	}
+	q.recorded, q.recent, q.activeFlows = 0, 0, 0
+	for n := range q.flows {
+		q.flows[n].recent = q.flows[n].recent / 2 / minRecent * minRecent
+		q.recent += q.flows[n].recent
+		if q.flows[n].recent > 0 {
+			q.activeFlows++
+		}
+	}
+}
--- a/internal/decide/kqfair/fair.go
+++ b/internal/decide/kqfair/fair.go
@@ -7,160 +7,159 @@
 )
 
 const (
-	// Lines is the number of lines that callers are hashed into.
-	Lines = 512
+	// NumFlows is the number of flows that callers are hashed into.
+	NumFlows = 512
 
-	// probes is how many lines a caller looks at for one of its own.
-	probes = 8
+	// maxProbes is how many flows are probed for a caller's own or an idle one.
+	maxProbes = 8
 
-	// window is the number of calls after which what lines were lately given
-	// counts half: some tens of calls for each of ten busy lines, below which
-	// the shares waver.
-	window = 256
+	// recentWindow is the number of calls after which recent work is halved: some tens of
+	// calls for each of ten backlogged flows, below which the shares fluctuate.
+	recentWindow = 256
 
-	// calmStreak is how many calls in a row find nobody by more than chance.
-	calmStreak = 8
+	// promptStreak is how many calls in a row find almost no queue by more than chance.
+	promptStreak = 8
 
-	// least is what is not worth remembering, so that idle lines come free.
-	least = time.Microsecond
+	// minRecent is the unit that recent work is rounded down to, so that idle flows are
+	// freed.
+	minRecent = time.Microsecond
 )
 
 type (
 	// Queue holds waiting calls. It is not safe for concurrent use.
 	Queue struct {
 		salt  uint64
-		lines [Lines]line
-		// busy holds the numbers of the lines that have calls, in no order.
-		busy []int
-		// served is the start tag of the call that was served last: how much
-		// work each busy line has been given.
-		served time.Duration
-		work   time.Duration
-		length int
-		// recent is the work that was lately given out, to all lines.
+		flows [NumFlows]flow
+		// backlogged holds the indexes of the flows with waiting calls, in no order.
+		backlogged []int
+		// virtualTime is the start tag of the call served last: how much work each
+		// backlogged flow has been given.
+		virtualTime time.Duration
+		work        time.Duration
+		length      int
+		// recent is the work recently given to all flows.
 		recent time.Duration
-		// active is how many lines were lately given any.
-		active int
-		notes  int
+		// activeFlows is how many flows were recently given work.
+		activeFlows int
+		recorded    int
 	}
 
-	// Place is one call's place in the queue.
-	Place struct {
+	// Item is one call in the queue.
+	Item struct {
 		Caller kqname.Caller
-		// Work is how long the upstream is expected to need for the call.
+		// Work is the call's expected time at the upstream.
 		Work time.Duration
-		// Since is when the call began to wait.
-		Since time.Time
-		// Owner is whatever the place was taken for.
-		Owner any
+		// EnqueuedAt is when the call began to wait.
+		EnqueuedAt time.Time
+		// Value is the value that the item stands for.
+		Value any
 
-		line       int
+		flow       int
 		queued     bool
-		prev, next *Place
+		prev, next *Item
 	}
 
-	line struct {
+	flow struct {
 		owner      kqname.Caller
-		head, tail *Place
-		// start is the tag of the line's head: the work that had been given to
-		// each line when it became the head.
-		start time.Duration
-		work  time.Duration
-		// calm is when calls of the line last had next to nobody to wait for.
-		calm time.Time
-		// streak counts the calls in a row that had next to nobody to wait for.
+		head, tail *Item
+		// startTag is the tag of the flow's head: the work that each backlogged flow had
+		// been given when the call became the head.
+		startTag time.Duration
+		work     time.Duration
+		// prompt is when a call of the flow last had almost no wait.
+		prompt time.Time
+		// streak counts the consecutive calls with almost no wait.
 		streak int
-		// recent is the work that the line was lately given.
+		// recent is the work recently given to the flow.
 		recent time.Duration
 	}
 )
 
-// New returns an empty queue; salt parts callers that another queue's hash
-// brought together.
+// New returns an empty queue. Different salts keep callers from colliding in the hash of
+// all queues alike.
 func New(salt uint64) *Queue { return &Queue{salt: salt} }
 
-// Len returns the number of calls that wait.
+// Len returns the number of waiting calls.
 func (q *Queue) Len() int { return q.length }
 
-// Work returns the expected work of all calls that wait.
+// Work returns the expected work of all waiting calls.
 func (q *Queue) Work() time.Duration { return q.work }
 
-// Push puts a call at the end of its caller's line.
-func (q *Queue) Push(p *Place) {
-	p.line, p.queued = q.claim(p.Caller, p.Since), true
-	l := &q.lines[p.line]
-	if l.head == nil {
-		l.start = max(l.start, q.served)
-		l.head = p
-		q.busy = append(q.busy, p.line)
+// Push appends a call to its caller's flow.
+func (q *Queue) Push(p *Item) {
+	p.flow, p.queued = q.assignFlow(p.Caller, p.EnqueuedAt), true
+	f := &q.flows[p.flow]
+	if f.head == nil {
+		f.startTag = max(f.startTag, q.virtualTime)
+		f.head = p
+		q.backlogged = append(q.backlogged, p.flow)
 	} else {
-		l.tail.next, p.prev = p, l.tail
+		f.tail.next, p.prev = p, f.tail
 	}
-	l.tail = p
-	l.work += p.Work
+	f.tail = p
+	f.work += p.Work
 	q.work += p.Work
 	q.length++
 }
 
-// Pop takes the next call out of the line that has been given the least work:
-// its oldest call or, where newest is set, its newest. It returns nil when
-// nobody waits.
-func (q *Queue) Pop(newest bool) *Place {
+// Pop removes a call from the flow with the lowest start tag: its oldest call, or its
+// newest if newest is set. It returns nil if the queue is empty.
+func (q *Queue) Pop(newest bool) *Item {
 	if q.length == 0 {
 		return nil
 	}
-	next := q.busy[0]
-	for _, n := range q.busy[1:] {
-		if q.lines[n].start < q.lines[next].start {
+	next := q.backlogged[0]
+	for _, n := range q.backlogged[1:] {
+		if q.flows[n].startTag < q.flows[next].startTag {
 			next = n
 		}
 	}
-	l := &q.lines[next]
-	p := l.head
+	f := &q.flows[next]
+	p := f.head
 	if newest {
-		p = l.tail
+		p = f.tail
 	}
-	q.served = l.start
-	l.start += p.Work
-	q.note(l, p.Work)
+	q.virtualTime = f.startTag
+	f.startTag += p.Work
+	q.recordWork(f, p.Work)
 	q.unlink(p)
 	return p
 }
 
-// Passed notes work of a caller that was served without waiting.
-func (q *Queue) Passed(caller kqname.Caller, work time.Duration, now time.Time) {
-	l := &q.lines[q.claim(caller, now)]
-	l.calm = now
-	q.note(l, work)
+// RecordUnqueued counts the work of a call that was served without waiting.
+func (q *Queue) RecordUnqueued(caller kqname.Caller, work time.Duration, now time.Time) {
+	f := &q.flows[q.assignFlow(caller, now)]
+	f.prompt = now
+	q.recordWork(f, work)
 }
 
-func (q *Queue) unlink(p *Place) {
-	l := &q.lines[p.line]
+func (q *Queue) unlink(p *Item) {
+	f := &q.flows[p.flow]
 	if p.prev == nil {
-		l.head = p.next
+		f.head = p.next
 	} else {
 		p.prev.next = p.next
 	}
 	if p.next == nil {
-		l.tail = p.prev
+		f.tail = p.prev
 	} else {
 		p.next.prev = p.prev
 	}
 	p.prev, p.next, p.queued = nil, nil, false
-	l.work -= p.Work
+	f.work -= p.Work
 	q.work -= p.Work
 	q.length--
-	if l.head == nil {
-		q.retire(p.line)
+	if f.head == nil {
+		q.deactivate(p.flow)
 	}
 }
 
-func (q *Queue) retire(number int) {
-	for i, n := range q.busy {
-		if n == number {
-			last := len(q.busy) - 1
-			q.busy[i] = q.busy[last]
-			q.busy = q.busy[:last]
+func (q *Queue) deactivate(flowIndex int) {
+	for i, n := range q.backlogged {
+		if n == flowIndex {
+			last := len(q.backlogged) - 1
+			q.backlogged[i] = q.backlogged[last]
+			q.backlogged = q.backlogged[:last]
 			return
 		}
 	}
--- a/internal/decide/kqslots/queue.go
+++ b/internal/decide/kqslots/queue.go
@@ -52,7 +52,7 @@
 func (t *Ticket) hasTarget() bool { return !t.Nested && !t.Target.IsZero() }
 
 func (s *Slots) push(t *Ticket, expected time.Duration, since time.Time) {
-	t.item = kqfair.Place{Caller: t.Caller, Work: expected, Since: since, Owner: t}
+	t.item = kqfair.Item{Caller: t.Caller, Work: expected, EnqueuedAt: since, Value: t}
 	s.queue(t).Push(&t.item)
 }
 
@@ -62,8 +62,8 @@
 // burst.
 func (s *Slots) allowedWait(t *Ticket, wait, limit time.Duration, now time.Time) time.Duration {
 	q := s.queues(t)[t.priority]
-	q.Note(t.Caller, wait < limit/congestedWaitDivisor/shortWaitDivisor, now)
-	if !t.Nested && q.Standing(t.Caller, now) > congestedAfter {
+	q.RecordWait(t.Caller, wait < limit/congestedWaitDivisor/shortWaitDivisor, now)
+	if !t.Nested && q.QueueingFor(t.Caller, now) > congestedAfter {
 		limit /= congestedWaitDivisor
 	}
 	return max(limit, minAllowedWait)
@@ -72,7 +72,7 @@
 // expectLateWait returns the additional wait of a call that cannot meet its target: the
 // late work before it, at the recent share of slots that calls in time leave unused.
 func (s *Slots) expectLateWait(t *Ticket, expected time.Duration) time.Duration {
-	ahead := s.lateQueues[t.priority].Ahead(t.Caller) + expected
+	ahead := s.lateQueues[t.priority].WorkAhead(t.Caller) + expected
 	for i := range t.priority {
 		ahead += s.lateQueues[i].Work()
 	}
@@ -88,7 +88,7 @@
 	} else if totalLen(&s.longQueues) > 0 || s.runningLong > 0 {
 		slots = max(s.limit.Allowed()-s.maxLong(now), 1)
 	}
-	ahead := queues[t.priority].Ahead(t.Caller)
+	ahead := queues[t.priority].WorkAhead(t.Caller)
 	for i := range t.priority {
 		ahead += queues[i].Work()
 	}
@@ -114,7 +114,7 @@
 		case !t.late && !t.startBy.IsZero() && now.After(t.startBy):
 			t.late = true
 			if now.Add(s.expectLateWait(t, t.item.Work)).Before(t.GiveUp) {
-				s.push(t, t.item.Work, t.item.Since)
+				s.push(t, t.item.Work, t.item.EnqueuedAt)
 				continue
 			}
 			t.refuse(kqcall.Late, s.retryAfter())
@@ -157,12 +157,12 @@
 // nearGiveUp reports whether the oldest call has used seven eighths of its maximum wait.
 func nearGiveUp(q *kqfair.Queue, now time.Time) bool {
 	p := q.Oldest()
-	return now.Sub(p.Since) > ticketOf(p).GiveUp.Sub(p.Since)*7/8
+	return now.Sub(p.EnqueuedAt) > ticketOf(p).GiveUp.Sub(p.EnqueuedAt)*7/8
 }
 
-func ticketOf(p *kqfair.Place) *Ticket {
+func ticketOf(p *kqfair.Item) *Ticket {
 	// Only push creates items, and it sets the value to a ticket.
-	t, _ := p.Owner.(*Ticket)
+	t, _ := p.Value.(*Ticket)
 	return t
 }
 
@@ -180,7 +180,7 @@
 	if t.late {
 		return
 	}
-	s.actualWait += (now.Sub(t.item.Since).Seconds() - s.actualWait) / waitWindow
+	s.actualWait += (now.Sub(t.item.EnqueuedAt).Seconds() - s.actualWait) / waitWindow
 	s.expectedWait += (t.expectedWait.Seconds() - s.expectedWait) / waitWindow
 }
 
--- a/internal/decide/kqslots/slots.go
+++ b/internal/decide/kqslots/slots.go
@@ -86,7 +86,7 @@
 		// Ready is used by the gate to wake a waiting call.
 		Ready chan struct{}
 
-		item      kqfair.Place
+		item      kqfair.Item
 		priority  int
 		isLongJob bool
 		// startBy is the latest start that meets the target; late is set once that has
@@ -163,7 +163,7 @@
 	case left <= 0:
 		t.refuse(kqcall.Late, 0)
 	case s.hasFreeSlot(t.isLongJob, now) && totalLen(s.queues(t)) == 0:
-		s.queue(t).Passed(t.Caller, expected, now)
+		s.queue(t).RecordUnqueued(t.Caller, expected, now)
 		s.start(t, true)
 	default:
 		s.enqueue(t, expected, left, now)
