--- a/internal/decide/kqeject/doc.go
+++ b/internal/decide/kqeject/doc.go
@@ -1,14 +1,13 @@
-// Package kqeject decides which upstreams are left out for a while.
+// Package kqeject decides which upstreams are ejected for a while.
 //
-// Load pattern: a slow or failing upstream, and one whose reports mislead. An
-// upstream that fails at once looks idle and so draws work; without ejection a
-// choice by load sends it more and more. One that is slow gets no second report
-// in as long as nobody asks it, so that a choice by load alone would either
-// leave it out for ever or go by an old figure.
+// Load pattern: a slow or failing upstream, and one with misleading reports. An upstream
+// that fails immediately looks idle and so attracts calls; without ejection, a choice by
+// load sends it more and more. A slow upstream sends no new report while it gets no calls,
+// so a choice by load alone would either avoid it for ever or rely on an outdated report.
 //
-// An upstream is ejected when it could not be reached, after 5 failures in a
-// row, or when its typical work is over 3 times the median of its service's
-// upstreams. It comes back by a probe: after the ejection's time one call, and
-// no other until that is answered; a good answer readmits it, a bad one doubles
-// the time.
+// An upstream is ejected when it is unreachable, after 5 consecutive failures, when 30% of
+// its recent calls failed, or when its typical work exceeds 3 times the median of its
+// service's upstreams. After the ejection time it gets one call as a probe, and no other
+// until that is answered. Success readmits it; failure doubles the ejection time. At most
+// a third of the upstreams are ejected at a time, not counting unreachable ones.
 package kqeject
--- a/internal/decide/kqeject/eject.go
+++ b/internal/decide/kqeject/eject.go
@@ -3,116 +3,116 @@
 import "time"
 
 const (
-	// SlowFactor is how many times the median makes an upstream slow.
+	// SlowFactor is the multiple of the median above which an upstream is slow.
 	SlowFactor = 3
 
-	failuresInRow = 5
-	// rateCalls is how many calls a rate of failures is taken over, and
-	// failureRate the one that ejects: an upstream that fails every third call
+	maxConsecutiveFailures = 5
+	// rateWindow is the number of calls over which the failure rate is averaged, and
+	// maxFailureRate is the rate that ejects: an upstream that fails every third call
 	// seldom fails five in a row.
-	rateCalls   = 16
-	failureRate = 0.3
-	firstTime   = 2 * time.Second
-	longestTime = 30 * time.Second
-	capDivisor  = 3
+	rateWindow     = 16
+	maxFailureRate = 0.3
+	minEjection    = 2 * time.Second
+	maxEjection    = 30 * time.Second
+	capDivisor     = 3
 )
 
 type (
-	// State is what is known of one upstream. Its zero value is a healthy one.
+	// State is the state of one upstream. The zero value is a healthy upstream.
 	State struct {
-		until    time.Time
-		lasts    time.Duration
-		failures int
-		// rate is the part of the last calls that failed, the newest counting most,
-		// and calls how many there were, up to rateCalls.
-		rate    float64
-		calls   int
-		ejected bool
-		// hard ejections do not count towards the cap.
-		hard    bool
-		probing bool
+		until               time.Time
+		duration            time.Duration
+		consecutiveFailures int
+		// failureRate is the share of recent calls that failed, weighted towards the
+		// newest; rateCalls is how many calls it covers, up to rateWindow.
+		failureRate float64
+		rateCalls   int
+		ejected     bool
+		// unreachable is set for ejections that do not count towards the cap.
+		unreachable bool
+		probing     bool
 	}
 
-	// Ejector keeps count for one service's upstreams. It is not safe for
+	// Ejector limits the ejections among one service's upstreams. It is not safe for
 	// concurrent use.
-	Ejector struct{ soft int }
+	Ejector struct{ capped int }
 )
 
-// Ejected reports whether the upstream is left out, other than for a probe.
+// Ejected reports whether the upstream is ejected.
 func (s *State) Ejected() bool { return s.ejected }
 
-// Until returns when an ejected upstream is due back.
-func (s *State) Until() time.Time { return s.until }
+// EjectedUntil returns when an ejected upstream may be probed.
+func (s *State) EjectedUntil() time.Time { return s.until }
 
-// ProbeDue reports whether an ejected upstream is to be tried by one call.
+// ProbeDue reports whether an ejected upstream is due for a probe.
 func (s *State) ProbeDue(now time.Time) bool {
 	return s.ejected && !s.probing && !now.Before(s.until)
 }
 
-// Probe notes that the one call is under way.
-func (s *State) Probe() { s.probing = true }
+// StartProbe marks the probe as in flight.
+func (s *State) StartProbe() { s.probing = true }
 
-// Unreachable ejects an upstream that cannot be sent work, whatever the cap.
-func (e *Ejector) Unreachable(s *State, now time.Time) {
-	if s.ejected && !s.hard {
-		e.soft--
+// RecordUnreachable ejects an upstream that accepts no calls, regardless of the cap.
+func (e *Ejector) RecordUnreachable(s *State, now time.Time) {
+	if s.ejected && !s.unreachable {
+		e.capped--
 	}
-	s.hard = true
+	s.unreachable = true
 	s.eject(now)
 }
 
-// Failed takes in a call that failed; of is the number of upstreams.
-func (e *Ejector) Failed(s *State, of int, now time.Time) {
-	s.failures++
-	s.count(1)
-	if s.ejected || s.failures >= failuresInRow || s.calls >= rateCalls && s.rate >= failureRate {
-		e.eject(s, of, now)
+// RecordFailure records a failed call; total is the number of the service's upstreams.
+func (e *Ejector) RecordFailure(s *State, total int, now time.Time) {
+	s.consecutiveFailures++
+	s.recordResult(1)
+	if s.ejected || s.consecutiveFailures >= maxConsecutiveFailures || s.rateCalls >= rateWindow && s.failureRate >= maxFailureRate {
+		e.eject(s, total, now)
 	}
 }
 
-// Answered takes in a good answer of an upstream whose typical work is work,
-// beside the median of its service's upstreams.
-func (e *Ejector) Answered(s *State, of int, work, median time.Duration, now time.Time) {
-	s.failures = 0
-	s.count(0)
+// RecordSuccess records a successful call of an upstream with the given typical work,
+// given the median of its service's upstreams.
+func (e *Ejector) RecordSuccess(s *State, total int, work, median time.Duration, now time.Time) {
+	s.consecutiveFailures = 0
+	s.recordResult(0)
 	switch {
 	case median > 0 && work > SlowFactor*median:
-		e.eject(s, of, now)
+		e.eject(s, total, now)
 	case s.ejected && s.probing:
-		e.Forget(s)
-		s.ejected, s.probing, s.hard, s.lasts = false, false, false, 0
+		e.Release(s)
+		s.ejected, s.probing, s.unreachable, s.duration = false, false, false, 0
 	}
 }
 
-func (s *State) count(failed float64) {
-	s.calls = min(s.calls+1, rateCalls)
-	s.rate += (failed - s.rate) / float64(s.calls)
+func (s *State) recordResult(failed float64) {
+	s.rateCalls = min(s.rateCalls+1, rateWindow)
+	s.failureRate += (failed - s.failureRate) / float64(s.rateCalls)
 }
 
-// Forget tells that the upstream is gone or healthy again.
-func (e *Ejector) Forget(s *State) {
-	if s.ejected && !s.hard {
-		e.soft--
+// Release removes an upstream that is gone or healthy again from the count of ejections.
+func (e *Ejector) Release(s *State) {
+	if s.ejected && !s.unreachable {
+		e.capped--
 	}
 }
 
-func (e *Ejector) eject(s *State, of int, now time.Time) {
+func (e *Ejector) eject(s *State, total int, now time.Time) {
 	if !s.ejected {
-		if e.soft >= of/capDivisor {
+		if e.capped >= total/capDivisor {
 			return
 		}
-		e.soft++
+		e.capped++
 	}
 	s.eject(now)
 }
 
 func (s *State) eject(now time.Time) {
-	// Answers of calls that were sent before the ejection say nothing new.
+	// Answers to calls that were sent before the ejection carry no new information.
 	if s.ejected && !s.probing {
 		return
 	}
-	s.ejected, s.probing, s.failures = true, false, 0
-	s.rate, s.calls = 0, 0
-	s.lasts = min(max(2*s.lasts, firstTime), longestTime)
-	s.until = now.Add(s.lasts)
+	s.ejected, s.probing, s.consecutiveFailures = true, false, 0
+	s.failureRate, s.rateCalls = 0, 0
+	s.duration = min(max(2*s.duration, minEjection), maxEjection)
+	s.until = now.Add(s.duration)
 }
--- a/internal/decide/kqpick/pick.go
+++ b/internal/decide/kqpick/pick.go
@@ -102,7 +102,7 @@
 		p.peers = append(p.peers, o)
 	}
 	for _, o := range old {
-		p.ejector.Forget(&o.state)
+		p.ejector.Release(&o.state)
 	}
 	p.initialized = true
 }
@@ -115,7 +115,7 @@
 		return nil
 	}
 	if chosen.state.Ejected() {
-		chosen.state.Probe()
+		chosen.state.StartProbe()
 	}
 	chosen.sent++
 	chosen.routes.sent(target.Route)
@@ -135,11 +135,11 @@
 	}
 	switch {
 	case isGone(end.Reason):
-		p.ejector.Unreachable(&o.state, now)
+		p.ejector.RecordUnreachable(&o.state, now)
 	case end.Result == kqcall.Unknown && end.Reason != kqcall.Cancelled, failed, end.Reason == kqcall.Shed:
-		p.ejector.Failed(&o.state, len(p.peers), now)
+		p.ejector.RecordFailure(&o.state, len(p.peers), now)
 	default:
-		p.ejector.Answered(&o.state, len(p.peers), o.load.Work, p.ejectionMedian(now), now)
+		p.ejector.RecordSuccess(&o.state, len(p.peers), o.load.Work, p.ejectionMedian(now), now)
 	}
 }
 
@@ -182,7 +182,7 @@
 		if !target.allows(o.Candidate) || slices.Contains(tried, o.Node) {
 			continue
 		}
-		if first == nil || o.state.Until().Before(first.state.Until()) {
+		if first == nil || o.state.EjectedUntil().Before(first.state.EjectedUntil()) {
 			first = o
 		}
 	}
