--- a/internal/decide/kqlimit/doc.go
+++ b/internal/decide/kqlimit/doc.go
@@ -1,16 +1,15 @@
-// Package kqlimit learns how many calls an upstream really runs at once, where
-// the slots that it announced mislead.
+// Package kqlimit adapts the concurrency limit of an upstream to its latency, for
+// upstreams that announce more slots than they can use.
 //
-// Load pattern: overload of an upstream that announces more slots than it has
-// processors, locks or connections for. Its calls slow each other down: with
-// every announced slot taken it answers fewer calls a second than with half of
-// them, and few in time. Without a limit of our own the gate keeps it there.
+// Load pattern: overload of an upstream that announces more slots than it has processors,
+// locks or connections for. Its calls slow each other down: with all announced slots in
+// use it answers fewer calls a second than with half of them, and few in time. Without an
+// adaptive limit, the gate keeps it in that state.
 //
-// While all allowed slots are taken, what calls take is compared with what they
-// take when at most half are. Over twice as long, and one slot less is allowed;
-// under 1.5 times, one more, up to those announced, and after longer and longer
-// if that proves one too many. If half of the slots have
-// been taken away and calls do not get faster, the load is not the cause, such
-// as behind a slow database: all slots are given back and the new time becomes
-// the measure.
+// While all allowed slots are in use, mean latency is compared with the baseline, which is
+// taken with at most half of the slots in use. Above 2 times the baseline, the limit falls
+// by one slot. Below 1.5 times, it rises by one, up to the announced slots, and with
+// growing delays after each raise that had to be reverted. If latency has not improved
+// once half of the slots are withheld, load is not the cause (a slow database, for
+// example): all slots are allowed again, and the current latency becomes the baseline.
 package kqlimit
--- a/internal/decide/kqlimit/limit.go
+++ b/internal/decide/kqlimit/limit.go
@@ -3,28 +3,29 @@
 import "time"
 
 const (
-	window  = 32
-	slow    = 2.0
-	quick   = 1.5
-	better  = 0.8
-	measure = 8
-	// longest patience, in windows: some 13 s at 6 slots and 40 ms.
-	longest = 63
+	windowCalls     = 32
+	slowRatio       = 2.0
+	fastRatio       = 1.5
+	improvedRatio   = 0.8
+	baselineDivisor = 8
+	// maxRaiseDelay is in windows: about 13 s at 6 slots and 40 ms per call.
+	maxRaiseDelay = 63
 )
 
-// Limit learns one upstream's. It is not safe for concurrent use.
+// Limit is the adaptive concurrency limit of one upstream. It is not safe for concurrent
+// use.
 type Limit struct {
 	announced, allowed int
-	// alone is what calls take with at most half of the slots taken.
-	alone time.Duration
-	// before is what they took when slots began to be taken away.
-	before time.Duration
-	sum    time.Duration
-	count  int
-	// raised tells that the last step gave a slot back; patience is how many
-	// windows pass before the next is, left how many are still to pass.
-	raised         bool
-	patience, left int
+	// baseline is the mean latency with at most half of the slots in use.
+	baseline time.Duration
+	// latencyBefore is the mean latency at the announced slots, before the limit fell.
+	latencyBefore time.Duration
+	sum           time.Duration
+	count         int
+	// raised is set if the last change raised the limit. raiseDelay is how many windows
+	// must pass before the next raise, and raiseIn how many of them are left.
+	raised              bool
+	raiseDelay, raiseIn int
 }
 
 // New returns a limit that allows all announced slots.
@@ -33,69 +34,68 @@
 // Allowed returns how many calls may run at once.
 func (l *Limit) Allowed() int { return l.allowed }
 
-// Announce takes in that the upstream announced another number of slots.
+// Announce resets the limit to a new number of announced slots.
 func (l *Limit) Announce(slots int) {
 	l.announced, l.allowed = slots, slots
-	l.before, l.sum, l.count = 0, 0, 0
+	l.latencyBefore, l.sum, l.count = 0, 0, 0
 }
 
-// Learn takes in how long a short call took at whose end running calls ran,
-// itself among them.
-func (l *Limit) Learn(took time.Duration, running int) {
+// Observe records the latency of a short call; running is the number of running calls when
+// it ended, including itself.
+func (l *Limit) Observe(took time.Duration, running int) {
 	if running < l.allowed {
-		l.learnAlone(took, running)
+		l.updateBaseline(took, running)
 		return
 	}
 	l.sum += took
-	if l.count++; l.count < window {
+	if l.count++; l.count < windowCalls {
 		return
 	}
-	mean := l.sum / window
+	mean := l.sum / windowCalls
 	l.sum, l.count = 0, 0
-	l.judge(mean)
+	l.adjust(mean)
 }
 
-func (l *Limit) learnAlone(took time.Duration, running int) {
+func (l *Limit) updateBaseline(took time.Duration, running int) {
 	if running > max(l.announced/2, 1) {
 		return
 	}
-	if l.alone == 0 {
-		l.alone = took
+	if l.baseline == 0 {
+		l.baseline = took
 	}
-	l.alone += (took - l.alone) / measure
+	l.baseline += (took - l.baseline) / baselineDivisor
 }
 
-func (l *Limit) judge(mean time.Duration) {
-	if l.alone == 0 {
+func (l *Limit) adjust(mean time.Duration) {
+	if l.baseline == 0 {
 		return
 	}
-	ratio := float64(mean) / float64(l.alone)
+	ratio := float64(mean) / float64(l.baseline)
 	switch {
-	case ratio > slow && l.allowed <= max(l.announced/2, 1):
-		if float64(mean) > better*float64(l.before) {
-			l.alone, l.allowed, l.before = mean, l.announced, 0
+	case ratio > slowRatio && l.allowed <= max(l.announced/2, 1):
+		if float64(mean) > improvedRatio*float64(l.latencyBefore) {
+			l.baseline, l.allowed, l.latencyBefore = mean, l.announced, 0
 			return
 		}
 		l.allowed = max(l.allowed-1, 1)
-	case ratio > slow:
+	case ratio > slowRatio:
 		if l.allowed == l.announced {
-			l.before = mean
+			l.latencyBefore = mean
 		}
 		l.allowed--
-		l.wait()
-	case ratio < quick && l.left > 0:
-		l.left--
-	case ratio < quick && l.allowed < l.announced:
+		l.backOff()
+	case ratio < fastRatio && l.raiseIn > 0:
+		l.raiseIn--
+	case ratio < fastRatio && l.allowed < l.announced:
 		l.allowed++
 		l.raised = true
 	}
 }
 
-// wait makes the next slot that is given back wait longer, if the last one was
-// given back in vain.
-func (l *Limit) wait() {
+// backOff delays the next raise, for longer if the last raise had to be reverted.
+func (l *Limit) backOff() {
 	if l.raised {
-		l.patience = min(2*l.patience+1, longest)
+		l.raiseDelay = min(2*l.raiseDelay+1, maxRaiseDelay)
 	}
-	l.raised, l.left = false, l.patience
+	l.raised, l.raiseIn = false, l.raiseDelay
 }
--- a/internal/decide/kqslots/slots.go
+++ b/internal/decide/kqslots/slots.go
@@ -104,7 +104,7 @@
 	Slots struct {
 		count int
 		limit *kqlimit.Limit
-		work  *kqwork.Work
+		work  *kqwork.Estimator
 		// targets holds the longest time that calls of each route had left until their
 		// target, which is that of first attempts.
 		targets                 map[kqname.Route]time.Duration
@@ -181,14 +181,14 @@
 // tickets whose verdicts this changes.
 func (s *Slots) Leave(t *Ticket, took time.Duration, now time.Time) []*Ticket {
 	if took > 0 && !t.isLongJob && s.runningLong == 0 && !s.fixedLimit {
-		s.limit.Learn(took, s.running)
+		s.limit.Observe(took, s.running)
 	}
 	s.running--
 	if t.isLongJob {
 		s.runningLong--
 	}
 	if took > 0 {
-		s.work.Learn(t.Route, took)
+		s.work.Observe(t.Route, took)
 	}
 	return s.serve(now)
 }
@@ -237,7 +237,7 @@
 // Tell returns the load with the expected work and wait of a call like the ticket's.
 func (s *Slots) Tell(t *Ticket, now time.Time) kqcall.Load {
 	l := s.Load()
-	expected, ok := s.work.Known(t.Route)
+	expected, ok := s.work.Lookup(t.Route)
 	if !ok {
 		return l
 	}
