--- a/internal/decide/kqshed/doc.go
+++ b/internal/decide/kqshed/doc.go
@@ -1,18 +1,17 @@
 // Package kqshed decides at the entry which calls of a service are refused
-// before they are sent, because the service as a whole is full.
+// before they are sent, because the service as a whole is overloaded.
 //
-// Load pattern: overload of a whole service. Without it each refused call costs
-// a trip to a gate, and at several times the capacity the nodes are busy with
-// refusing; important calls stand in line with the others to be refused.
+// Load pattern: overload of a whole service. Without load shedding at the entry, each
+// refused call costs a round trip to a gate. At several times the capacity the nodes spend
+// their time on refusals, and important calls queue with the others to be refused.
 //
-// The entry counts, for each class, calls and those that were refused for load,
-// with older ones counting less; the rest is taken in, or on its way. It refuses
-// a call with the chance (calls - factor × taken in) / calls. The load that reaches the gates
-// settles at factor times what they take in, so that they stay full and a
-// change for the better is seen at once. The factor is smaller for less important
-// classes, which are to make room first.
+// For each class the entry keeps decaying counts of calls and of those refused for load;
+// the difference was accepted or is in flight. It refuses a call with probability
+// (calls - factor × accepted) / calls, so that the load on the gates settles at factor
+// times what they accept. They stay fully used, and recovery shows at once. The factor is
+// smaller for less important classes, which are shed first.
 //
-// Within a class, calls that cannot make their targets any more are refused before those
-// that can: refused at random, callers who have just come would give way to others whose
-// answers are late in any case.
+// Within a class, calls that can no longer meet their targets are shed before those that
+// can. Random shedding would drop first attempts in favour of retries whose answers are
+// late in any case.
 package kqshed
--- a/internal/decide/kqshed/shed.go
+++ b/internal/decide/kqshed/shed.go
@@ -9,39 +9,40 @@
 
 const (
 	halfLife = time.Second
-	// fewest calls in the window make a judgement.
-	fewest = 20
+	// minCalls is the number of calls in the window below which nothing is shed.
+	minCalls = 20
 )
 
 type (
-	// Shedder decides for one service. It is not safe for concurrent use.
+	// Shedder sheds the load of one service. It is not safe for concurrent use.
 	Shedder struct {
 		classes [3]window
 	}
 
 	window struct {
-		// tardy counts those of the calls that could not make their targets any more.
-		calls, tardy, refused float64
-		since                 time.Time
+		// late counts the calls that could no longer meet their targets.
+		calls, late, refused float64
+		since                time.Time
 	}
 )
 
+// factors are the multiples of accepted load that are sent to the gates, by class rank.
 var factors = [3]float64{4, 3, 2}
 
-// New returns a shedder that has seen no call.
+// New returns a Shedder without data.
 func New() *Shedder { return &Shedder{} }
 
-// Refuse reports whether a call of the class is to be refused, and counts it; tardy tells
-// that it cannot make its target any more.
-func (s *Shedder) Refuse(c kqdocument.Class, tardy bool, now time.Time, random *rand.Rand) bool {
+// Refuse counts a call of the class and reports whether to refuse it. late is set if the
+// call can no longer meet its target.
+func (s *Shedder) Refuse(c kqdocument.Class, late bool, now time.Time, random *rand.Rand) bool {
 	i := c.Rank()
 	w := &s.classes[i]
-	w.age(now)
+	w.decay(now)
 	w.calls++
-	if tardy {
-		w.tardy++
+	if late {
+		w.late++
 	}
-	if w.calls < fewest || random.Float64() >= w.share(factors[i], tardy) {
+	if w.calls < minCalls || random.Float64() >= w.shedProbability(factors[i], late) {
 		return false
 	}
 	w.refused++
@@ -51,25 +52,25 @@
 // Refused counts a call that a gate refused for load.
 func (s *Shedder) Refused(c kqdocument.Class) { s.classes[c.Rank()].refused++ }
 
-// share returns the part of such calls that is to be refused: what is too much goes off
-// those first that cannot make their targets any more.
-func (w *window) share(factor float64, tardy bool) float64 {
+// shedProbability returns the probability with which to refuse such a call. The excess
+// load is taken from late calls first.
+func (w *window) shedProbability(factor float64, late bool) float64 {
 	taken := w.calls - w.refused
 	excess := w.calls - factor*taken
-	if tardy {
-		return excess / w.tardy
+	if late {
+		return excess / w.late
 	}
-	return (excess - w.tardy) / max(w.calls-w.tardy, 1)
+	return (excess - w.late) / max(w.calls-w.late, 1)
 }
 
-func (w *window) age(now time.Time) {
+func (w *window) decay(now time.Time) {
 	if w.since.IsZero() {
 		w.since = now
 	}
 	for now.Sub(w.since) >= halfLife && w.calls > 0.5 {
-		w.calls, w.tardy, w.refused, w.since = w.calls/2, w.tardy/2, w.refused/2, w.since.Add(halfLife)
+		w.calls, w.late, w.refused, w.since = w.calls/2, w.late/2, w.refused/2, w.since.Add(halfLife)
 	}
 	if now.Sub(w.since) >= halfLife {
-		w.calls, w.tardy, w.refused, w.since = 0, 0, 0, now
+		w.calls, w.late, w.refused, w.since = 0, 0, 0, now
 	}
 }
--- a/internal/decide/kqshed/shed_test.go
+++ b/internal/decide/kqshed/shed_test.go
@@ -10,72 +10,72 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 )
 
-// caller is one who asks, and asks again when refused.
+// caller is a caller that retries when it is refused.
 type caller struct {
-	at    time.Time
-	tries int
+	at       time.Time
+	attempts int
 }
 
-// Callers ask for two and a half times what a service can do. Who is refused comes back,
-// and can then only be answered late. The entry refused callers at random, many who asked
-// for the first time among them, while gates were left with callers who came back: a
-// quarter of all answers were late, although there were callers enough who could have been
-// answered in time.
-func TestThoseWhoCanBeInTimeAreNotShedForOthers(t *testing.T) {
+// Offered load is 2.5 times the capacity. Refused calls are retried and can then only be
+// answered late. Random shedding refused many first attempts while the gates were left
+// with retries: a quarter of all answers were late although enough calls could have met
+// their target.
+func TestLateCallsAreShedFirst(t *testing.T) {
 	const (
-		tick    = 25 * time.Millisecond
-		fewest  = 2 // new callers a tick, and in every second one more
-		away    = 300 * time.Millisecond
-		tries   = 3
-		seconds = 30
+		tick        = 25 * time.Millisecond
+		minNewCalls = 2 // per tick, plus one in half of the ticks on average
+		retryDelay  = 300 * time.Millisecond
+		attempts    = 3
+		seconds     = 30
 	)
 	s, random, now := kqshed.New(), rand.New(rand.NewPCG(1, 1)), time.Unix(1000, 0)
-	var coming []caller
-	asked, inTime, late, free := 0, 0, 0, 0
+	var pending []caller
+	requests, inTime, late, idleSlots := 0, 0, 0, 0
 	for range seconds * int(time.Second/tick) {
 		now = now.Add(tick)
-		for range fewest + random.IntN(2) {
-			coming = append(coming, caller{at: now})
-			asked++
+		for range minNewCalls + random.IntN(2) {
+			pending = append(pending, caller{at: now})
+			requests++
 		}
-		// Each tick the gates have room for one, and take one who can be in time first.
-		var gated []caller
+		// Each tick the gates have capacity for one call, and prefer one that can be in
+		// time.
+		var admitted []caller
 		var refused []caller
-		coming = slices.DeleteFunc(coming, func(c caller) bool {
+		pending = slices.DeleteFunc(pending, func(c caller) bool {
 			if c.at.After(now) {
 				return false
 			}
-			if s.Refuse(kqdocument.ClassBackground, c.tries > 0, now, random) {
+			if s.Refuse(kqdocument.ClassBackground, c.attempts > 0, now, random) {
 				refused = append(refused, c)
 			} else {
-				gated = append(gated, c)
+				admitted = append(admitted, c)
 			}
 			return true
 		})
-		slices.SortStableFunc(gated, func(a, b caller) int { return a.tries - b.tries })
+		slices.SortStableFunc(admitted, func(a, b caller) int { return a.attempts - b.attempts })
 		switch {
-		case len(gated) == 0:
-			free++
-		case gated[0].tries == 0:
+		case len(admitted) == 0:
+			idleSlots++
+		case admitted[0].attempts == 0:
 			inTime++
 		default:
 			late++
 		}
-		for _, c := range gated[min(1, len(gated)):] {
+		for _, c := range admitted[min(1, len(admitted)):] {
 			s.Refused(kqdocument.ClassBackground)
 			refused = append(refused, c)
 		}
 		for _, c := range refused {
-			if c.tries++; c.tries < tries {
-				coming = append(coming, caller{at: now.Add(away), tries: c.tries})
+			if c.attempts++; c.attempts < attempts {
+				pending = append(pending, caller{at: now.Add(retryDelay), attempts: c.attempts})
 			}
 		}
 	}
-	t.Logf("%d asked, %d answered in time, %d late, room for %d left", asked, inTime, late, free)
+	t.Logf("%d calls, %d answered in time, %d late, %d slots idle", requests, inTime, late, idleSlots)
 	if late*20 > inTime {
-		t.Errorf("%d of %d answers were late, want at most 1 in 20 where all can be in time", late, inTime+late)
+		t.Errorf("%d of %d answers were late, want at most 1 in 20, as all can be in time", late, inTime+late)
 	}
-	if rooms := seconds * int(time.Second/tick); free*20 > rooms {
-		t.Errorf("room for %d of %d calls was left, want at most 1 in 20", free, rooms)
+	if slots := seconds * int(time.Second/tick); idleSlots*20 > slots {
+		t.Errorf("%d of %d slots were idle, want at most 1 in 20", idleSlots, slots)
 	}
 }
