--- a/internal/decide/kqlease/doc.go
+++ b/internal/decide/kqlease/doc.go
@@ -1,3 +1,3 @@
-// Package kqlease decides when a node takes, renews and gives up one of the
+// Package kqlease decides when a node acquires, renews and gives up a lease on one of the
 // reader slots of its failure domain.
 package kqlease
--- a/internal/decide/kqlease/lease.go
+++ b/internal/decide/kqlease/lease.go
@@ -3,89 +3,88 @@
 import "time"
 
 const (
-	// Wait does nothing.
+	// Wait means that there is nothing to do.
 	Wait Step = "wait"
-	// Look reads the slots, and takes one that is free.
+	// Look means to read the slots and acquire a free one.
 	Look Step = "look"
-	// Renew renews the lease that is held.
+	// Renew means to renew the held lease.
 	Renew Step = "renew"
-	// GiveUp stops reading: the lease may have lapsed.
+	// GiveUp means to stop reading, since the lease may have expired.
 	GiveUp Step = "give_up"
 
-	// Slots is how many readers a failure domain has: one and its stand-by.
+	// Slots is the number of readers of a failure domain: one and a standby.
 	Slots = 2
-	// TTL is how long a lease lasts. A domain that lost both readers is without
-	// for about that long; the other domains' readers serve it meanwhile.
+	// TTL is the duration of a lease. A domain that lost both readers has none for about
+	// that long; the other domains' readers serve it meanwhile.
 	TTL = 6 * time.Second
 
-	renewEvery = TTL / 3
-	// margin is given up before the platform would let the lease lapse, for
-	// clocks that run at different speeds and answers that were slow.
+	renewInterval = TTL / 3
+	// margin is how long before its expiry a lease is given up, to allow for clock drift
+	// and slow answers.
 	margin = TTL / 4
-	// rankStep keeps members of lower rank from looking together with the
-	// first: whoever looks first takes the slot, and the rest see it taken.
-	rankStep  = 2 * time.Second
-	lookEvery = 2 * time.Second
-	// lookers is how many members of a domain look at all. It makes the load of
-	// a vacant slot on the platform independent of the domain's size.
-	lookers = 3
+	// rankDelay delays members of lower rank, so that the first one acquires the slot
+	// before the others look.
+	rankDelay    = 2 * time.Second
+	lookInterval = 2 * time.Second
+	// maxLookers is how many members of a domain look for a vacant slot. It makes the load
+	// on the platform independent of the domain's size.
+	maxLookers = 3
 )
 
 type (
-	// Step is what to do next.
+	// Step is the next action of a Holder.
 	Step string
 
-	// Situation is what the decision depends on.
+	// Situation is the input of a decision.
 	Situation struct {
-		// Readers is how many live readers the own domain is known to have,
-		// this node left out.
+		// Readers is the number of live readers known in the own domain, without this
+		// node.
 		Readers int
-		// Rank is this node's place among the domain's members that could be
-		// readers, from 0.
+		// Rank is this node's position, from 0, among the domain's members that can be
+		// readers.
 		Rank int
 	}
 
-	// Holder decides for one node.
+	// Holder decides for one node when to acquire, renew and give up a lease.
 	//
-	// It answers outages and pauses. The time is the holder's own: a holder that
-	// was paused gives up by itself when it wakes, instead of finding out from
-	// the platform. Two readers at once, or none for a while, do no harm but
-	// calls and delay. Times are compared as given, so that a caller who passes
-	// monotonic times is safe from a wall clock that jumps.
+	// It handles outages and pauses. Expiry is measured by the local clock, so a holder
+	// that was paused gives up as soon as it resumes, without asking the platform. Two
+	// readers at once, or none for a while, cause only extra calls or delay. Times are
+	// compared as passed; passing monotonic times protects against wall clock jumps.
 	Holder struct {
-		held    bool
-		renewed time.Time
-		asked   time.Time
-		vacant  time.Time
-		looked  time.Time
+		held        bool
+		renewedAt   time.Time
+		requestedAt time.Time
+		vacantSince time.Time
+		lookedAt    time.Time
 	}
 )
 
-// Next returns what to do at the time now.
+// Next returns the action to take at the time now.
 func (h *Holder) Next(s Situation, now time.Time) Step {
 	if h.held {
 		return h.nextHeld(now)
 	}
-	if s.Readers >= Slots || s.Rank >= lookers {
-		h.vacant = time.Time{}
+	if s.Readers >= Slots || s.Rank >= maxLookers {
+		h.vacantSince = time.Time{}
 		return Wait
 	}
-	if h.vacant.IsZero() {
-		h.vacant = now
+	if h.vacantSince.IsZero() {
+		h.vacantSince = now
 	}
-	if now.Sub(h.vacant) < time.Duration(s.Rank)*rankStep || now.Sub(h.looked) < lookEvery {
+	if now.Sub(h.vacantSince) < time.Duration(s.Rank)*rankDelay || now.Sub(h.lookedAt) < lookInterval {
 		return Wait
 	}
-	h.looked = now
+	h.lookedAt = now
 	return Look
 }
 
 func (h *Holder) nextHeld(now time.Time) Step {
-	switch since := now.Sub(h.renewed); {
+	switch since := now.Sub(h.renewedAt); {
 	case since >= TTL-margin || since < 0:
 		return GiveUp
-	case since >= renewEvery && now.Sub(h.asked) >= renewEvery/3:
-		h.asked = now
+	case since >= renewInterval && now.Sub(h.requestedAt) >= renewInterval/3:
+		h.requestedAt = now
 		return Renew
 	default:
 		return Wait
@@ -95,9 +94,9 @@
 // Holds reports whether the lease is held.
 func (h *Holder) Holds() bool { return h.held }
 
-// Renewed notes that the platform granted or renewed the lease upon a request
-// that was sent at the time sent; the lease cannot end before sent and TTL.
-func (h *Holder) Renewed(sent time.Time) { h.held, h.renewed, h.asked = true, sent, sent }
+// Renewed records that the platform granted or renewed the lease in answer to a request
+// sent at the given time. The lease lasts at least TTL from then.
+func (h *Holder) Renewed(sent time.Time) { h.held, h.renewedAt, h.requestedAt = true, sent, sent }
 
-// Lost notes that the lease is gone or was given up.
-func (h *Holder) Lost() { *h = Holder{looked: h.looked} }
+// Lost records that the lease was lost or given up.
+func (h *Holder) Lost() { *h = Holder{lookedAt: h.lookedAt} }
--- a/internal/decide/kqlease/lease_test.go
+++ b/internal/decide/kqlease/lease_test.go
@@ -9,10 +9,10 @@
 
 var start = time.Unix(1000, 0)
 
-func TestHolderRenewsAndGivesUpByItsOwnClock(t *testing.T) {
+func TestHolderRenewsAndGivesUpByLocalClock(t *testing.T) {
 	var h kqlease.Holder
 	if step := h.Next(kqlease.Situation{}, start); step != kqlease.Look {
-		t.Fatalf("vacant slot: %s", step)
+		t.Fatalf("next step with a vacant slot is %s, want look", step)
 	}
 	h.Renewed(start)
 	for _, c := range []struct {
@@ -27,14 +27,14 @@
 		{-time.Second, kqlease.GiveUp},
 	} {
 		if got := h.Next(kqlease.Situation{}, start.Add(c.after)); got != c.want {
-			t.Errorf("after %s: %s, want %s", c.after, got, c.want)
+			t.Errorf("after %s: next step is %s, want %s", c.after, got, c.want)
 		}
 	}
 }
 
-// Both readers of a domain of 80 servers die together. If every server asked
-// the platform for the free slots, its load would grow with the fleet.
-func TestOnlyTheFirstMembersLookAtAVacantSlot(t *testing.T) {
+// Both readers of a domain of 80 servers die together. If every server looked for a free
+// slot, the load on the platform would grow with the fleet.
+func TestOnlyFirstMembersLookAtVacantSlot(t *testing.T) {
 	looks := 0
 	for rank := range 80 {
 		var h kqlease.Holder
@@ -45,6 +45,6 @@
 		}
 	}
 	if looks == 0 || looks > 4 {
-		t.Fatalf("%d looks in 3 s", looks)
+		t.Fatalf("%d looks in 3 s, want 1 to 4", looks)
 	}
 }
