--- a/internal/decide/kqneighbour/doc.go
+++ b/internal/decide/kqneighbour/doc.go
@@ -1,2 +1,2 @@
-// Package kqneighbour chooses the few peers that a node keeps links to.
+// Package kqneighbour chooses the few peers to which a node keeps overlay links.
 package kqneighbour
--- a/internal/decide/kqneighbour/neighbour.go
+++ b/internal/decide/kqneighbour/neighbour.go
@@ -10,94 +10,93 @@
 )
 
 const (
-	// successors in the own domain join every domain into a ring, so that no
-	// node is without a link in; two of them bear one loss.
-	successors = 2
-	// near and far are links to pseudo-random members of the own domain and of
-	// other domains. They make the overlay a random graph beside the rings,
-	// whose diameter grows with the logarithm of the fleet: about 4 links at 550
-	// nodes and 6 links each, by log(550)/log(6).
-	near = 1
-	far  = 3
+	// ringLinks go to successors in the own domain. They connect each domain as a ring, so
+	// that every node has an incoming link; two of them tolerate one loss.
+	ringLinks = 2
+	// localLinks and remoteLinks go to pseudo-random members of the own and of other
+	// domains. They add a random graph to the rings, whose diameter grows with the
+	// logarithm of the fleet: about 4 hops for 550 nodes with 6 links each, by
+	// log(550)/log(6).
+	localLinks  = 1
+	remoteLinks = 3
 )
 
 type (
-	// Member is what the choice depends on.
+	// Member is a member of the fleet.
 	Member struct {
 		Node   kqname.Node
 		Domain kqname.Domain
 		Region kqname.Region
 	}
 
-	// Chooser chooses neighbours. The zero value is ready.
+	// Chooser chooses neighbours. The zero value is ready to use.
 	//
-	// It answers herds and storms: when many members come or go at once, a node
-	// changes only the links to those members, because each choice is by a hash
-	// of the two names and not by a position in a list. Without it, every node
-	// would relink to every other and the reconnects would be a storm of their
-	// own. A node has at most 6 links and one for each region but its own.
+	// It limits reconnects when many members join or leave at once: a node changes only
+	// its links to those members, since each choice depends on a hash of two names rather
+	// than on a position in a list. Otherwise all nodes would replace their links, and the
+	// reconnects would be a storm of their own. A node has at most 6 links, plus one for
+	// each other region.
 	Chooser struct{}
 )
 
-// Choose returns the neighbours of self among the members, which may hold self.
-// It depends on nothing else, so any node can tell any other's neighbours.
+// Choose returns the neighbours of self among the members, which may include self. It
+// depends on nothing else, so any node can compute the neighbours of any other.
 func (Chooser) Choose(self Member, members []Member) []kqname.Node {
-	c := &choice{self: self, taken: map[kqname.Node]bool{self.Node: true}}
+	c := &selection{self: self, taken: map[kqname.Node]bool{self.Node: true}}
 	ring := filter(members, func(m Member) bool { return m.Domain == self.Domain })
-	c.take(successors, byRing(self.Node, ring))
-	c.take(near, byPair(self.Node, ring))
-	others := byPair(self.Node, filter(members, func(m Member) bool { return m.Domain != self.Domain }))
-	c.takeApart(others)
+	c.take(ringLinks, sortByRing(self.Node, ring))
+	c.take(localLinks, sortByPairHash(self.Node, ring))
+	others := sortByPairHash(self.Node, filter(members, func(m Member) bool { return m.Domain != self.Domain }))
+	c.takeRemote(others)
 	for _, region := range regions(others, self.Region) {
 		c.take(1, filter(others, func(m Member) bool { return m.Region == region }))
 	}
-	// A fleet of one domain, or of few members elsewhere, gets its links here.
-	c.take(successors+near+far-len(c.chosen), byPair(self.Node, members))
+	// In a fleet of one domain, or with few members elsewhere, fill up with any members.
+	c.take(ringLinks+localLinks+remoteLinks-len(c.chosen), sortByPairHash(self.Node, members))
 	return c.chosen
 }
 
-type choice struct {
+type selection struct {
 	self   Member
 	taken  map[kqname.Node]bool
 	chosen []kqname.Node
 }
 
-func (c *choice) take(most int, list []Member) {
+func (c *selection) take(limit int, list []Member) {
 	for _, m := range list {
-		if most <= 0 {
+		if limit <= 0 {
 			return
 		}
 		if !c.taken[m.Node] {
 			c.taken[m.Node] = true
 			c.chosen = append(c.chosen, m.Node)
-			most--
+			limit--
 		}
 	}
 }
 
-// takeApart takes far links, each in another domain while there are any.
-func (c *choice) takeApart(others []Member) {
+// takeRemote takes the remote links, each in a different domain as far as possible.
+func (c *selection) takeRemote(others []Member) {
 	seen := make(map[kqname.Domain]bool)
-	left := far
+	remaining := remoteLinks
 	for _, m := range others {
-		if left > 0 && !seen[m.Domain] && !c.taken[m.Node] {
+		if remaining > 0 && !seen[m.Domain] && !c.taken[m.Node] {
 			seen[m.Domain] = true
 			c.take(1, []Member{m})
-			left--
+			remaining--
 		}
 	}
-	c.take(left, others)
+	c.take(remaining, others)
 }
 
-// byRing returns the members in the order in which they follow node on a ring
-// of name hashes.
-func byRing(node kqname.Node, members []Member) []Member {
+// sortByRing returns the members in the order in which they follow node on a hash ring.
+func sortByRing(node kqname.Node, members []Member) []Member {
 	at := xxhash.Sum64String(string(node))
 	return sorted(members, func(m Member) uint64 { return xxhash.Sum64String(string(m.Node)) - at })
 }
 
-// byPair returns the members in the order of a hash of both names.
-func byPair(node kqname.Node, members []Member) []Member {
+// sortByPairHash returns the members ordered by a hash of node's name and theirs.
+func sortByPairHash(node kqname.Node, members []Member) []Member {
 	return sorted(members, func(m Member) uint64 { return xxhash.Sum64String(string(node) + "/" + string(m.Node)) })
 }
 
@@ -118,10 +117,10 @@
 	return result
 }
 
-func regions(members []Member, but kqname.Region) []kqname.Region {
+func regions(members []Member, except kqname.Region) []kqname.Region {
 	var list []kqname.Region
 	for _, m := range members {
-		if m.Region != but && !slices.Contains(list, m.Region) {
+		if m.Region != except && !slices.Contains(list, m.Region) {
 			list = append(list, m.Region)
 		}
 	}
--- a/internal/decide/kqneighbour/neighbour_test.go
+++ b/internal/decide/kqneighbour/neighbour_test.go
@@ -22,18 +22,18 @@
 	return members
 }
 
-// reached returns how many members a push from the first one reaches, and over
-// how many links at most.
-func reached(members []kqneighbour.Member) (count, hops int) {
+// broadcast returns how many members a message from the first one reaches, and the maximum
+// number of hops.
+func broadcast(members []kqneighbour.Member) (count, hops int) {
 	byName := make(map[kqname.Node]kqneighbour.Member)
 	for _, m := range members {
 		byName[m.Node] = m
 	}
 	seen := map[kqname.Node]bool{members[0].Node: true}
-	front := []kqneighbour.Member{members[0]}
-	for len(front) > 0 {
+	frontier := []kqneighbour.Member{members[0]}
+	for len(frontier) > 0 {
 		var next []kqneighbour.Member
-		for _, m := range front {
+		for _, m := range frontier {
 			for _, n := range (kqneighbour.Chooser{}).Choose(m, members) {
 				if !seen[n] {
 					seen[n] = true
@@ -41,37 +41,37 @@
 				}
 			}
 		}
-		if front = next; len(next) > 0 {
+		if frontier = next; len(next) > 0 {
 			hops++
 		}
 	}
 	return len(seen), hops
 }
 
-func TestPushReachesEveryNodeOverFewLinks(t *testing.T) {
+func TestBroadcastReachesAllNodesInFewHops(t *testing.T) {
 	for _, n := range []int{2, 7, 25, 200, 550} {
 		members := fleet(n)
-		if count, hops := reached(members); count != n || hops > 6 {
-			t.Errorf("%d nodes: reached %d over %d links", n, count, hops)
+		if count, hops := broadcast(members); count != n || hops > 6 {
+			t.Errorf("%d nodes: reached %d in %d hops, want all in at most 6", n, count, hops)
 		}
 		for _, m := range members {
 			if got := (kqneighbour.Chooser{}).Choose(m, members); len(got) > most || slices.Contains(got, m.Node) {
-				t.Errorf("%d nodes: %s has neighbours %v", n, m.Node, got)
+				t.Errorf("%d nodes: %s has neighbours %v, want at most 8 other nodes", n, m.Node, got)
 			}
 		}
 	}
 }
 
-// A failure domain is lost and the others relink at the same moment. If every
-// node dropped its old links, the fleet would reconnect all at once.
-func TestLossOfADomainKeepsTheOtherLinks(t *testing.T) {
+// A failure domain is lost, and the others replace their links at the same moment. If
+// every node dropped its remaining links, the whole fleet would reconnect at once.
+func TestDomainLossKeepsOtherLinks(t *testing.T) {
 	members := fleet(550)
-	left := slices.DeleteFunc(slices.Clone(members), func(m kqneighbour.Member) bool { return m.Domain == "domain-3" })
+	remaining := slices.DeleteFunc(slices.Clone(members), func(m kqneighbour.Member) bool { return m.Domain == "domain-3" })
 	kept, all := 0, 0
-	for _, m := range left {
-		after := (kqneighbour.Chooser{}).Choose(m, left)
+	for _, m := range remaining {
+		after := (kqneighbour.Chooser{}).Choose(m, remaining)
 		for _, n := range (kqneighbour.Chooser{}).Choose(m, members) {
-			if slices.ContainsFunc(left, func(l kqneighbour.Member) bool { return l.Node == n }) {
+			if slices.ContainsFunc(remaining, func(l kqneighbour.Member) bool { return l.Node == n }) {
 				all++
 				if slices.Contains(after, n) {
 					kept++
@@ -80,9 +80,9 @@
 		}
 	}
 	if kept*10 < all*9 {
-		t.Fatalf("kept %d of %d links to live nodes", kept, all)
+		t.Fatalf("kept %d of %d links to live nodes, want at least 90%%", kept, all)
 	}
-	if count, _ := reached(left); count != len(left) {
-		t.Fatalf("reached %d of %d", count, len(left))
+	if count, _ := broadcast(remaining); count != len(remaining) {
+		t.Fatalf("reached %d of %d nodes, want all", count, len(remaining))
 	}
 }
