--- a/internal/decide/kqsuspicion/doc.go
+++ b/internal/decide/kqsuspicion/doc.go
@@ -1,2 +1,2 @@
-// Package kqsuspicion judges from heartbeats which members have gone.
+// Package kqsuspicion detects failed members by missed heartbeats.
 package kqsuspicion
--- a/internal/decide/kqsuspicion/suspicion.go
+++ b/internal/decide/kqsuspicion/suspicion.go
@@ -9,105 +9,106 @@
 )
 
 const (
-	// Suspect says that a member has missed heartbeats and is asked to refute.
+	// Suspect means that a member has missed heartbeats and may refute the suspicion.
 	Suspect Judgement = "suspect"
-	// Dead says that a suspect has not refuted in time.
+	// Dead means that a suspect has not refuted the suspicion in time.
 	Dead Judgement = "dead"
 
-	// defaultMissed heartbeats make a suspect: at a loss of one in a hundred, a
-	// healthy member is suspected once in a million heartbeats.
-	defaultMissed = 3
-	// defaultRefute is in heartbeats, and leaves time for the suspicion to
-	// reach its subject over 5 links and for the refutation to come back.
-	defaultRefute = 5
+	// defaultMissedHeartbeats is the number of missed heartbeats that make a suspect: at
+	// 1% loss, a healthy member is suspected once in a million heartbeats.
+	defaultMissedHeartbeats = 3
+	// defaultRefuteHeartbeats is the time to refute, in heartbeats. It allows the
+	// suspicion to reach the suspect over 5 links and the refutation to return.
+	defaultRefuteHeartbeats = 5
 )
 
 type (
-	// Judgement is what a member is now held to be.
+	// Judgement is the suspected state of a member.
 	Judgement string
 
-	// Verdict is a judgement that is new.
+	// Verdict is a change of a member's state.
 	Verdict struct {
 		Node      kqname.Node
 		Judgement Judgement
 	}
 
-	// Detector remembers when members were last heard of.
+	// Detector detects failed members by the time of their last heartbeat.
 	//
-	// It answers the loss of servers, singly and by the domain. Without the step
-	// of suspicion, one lost packet or one paused node would take a healthy
-	// upstream out of service. Without the grace after a pause of its own, a
-	// node that wakes, or whose clock jumps ahead, would hold everybody else to
-	// be dead at once, and tell them so.
+	// It handles the loss of single servers and of failure domains. Without the
+	// intermediate state Suspect, one lost packet or paused node would take a healthy
+	// upstream out of service. Without the correction for its own pauses, a node that
+	// resumes, or whose clock jumps ahead, would declare all others dead at once and
+	// spread that.
 	Detector struct {
-		every          time.Duration
-		missed, refute int
-		judged         time.Time
-		heard          map[kqname.Node]time.Time
-		suspected      map[kqname.Node]time.Time
+		interval                           time.Duration
+		missedHeartbeats, refuteHeartbeats int
+		checkedAt                          time.Time
+		lastHeard                          map[kqname.Node]time.Time
+		suspectedAt                        map[kqname.Node]time.Time
 	}
 )
 
-// New returns a detector for heartbeats that are sent at the given interval.
-func New(every time.Duration) *Detector {
+// New returns a Detector for heartbeats sent at the given interval.
+func New(interval time.Duration) *Detector {
 	return &Detector{
-		every: every, missed: defaultMissed, refute: defaultRefute,
-		heard: make(map[kqname.Node]time.Time), suspected: make(map[kqname.Node]time.Time),
+		interval: interval, missedHeartbeats: defaultMissedHeartbeats, refuteHeartbeats: defaultRefuteHeartbeats,
+		lastHeard: make(map[kqname.Node]time.Time), suspectedAt: make(map[kqname.Node]time.Time),
 	}
 }
 
-// Heard notes that a member has given a sign of life.
+// Heard records a heartbeat or any other message of a member.
 func (d *Detector) Heard(n kqname.Node, now time.Time) {
-	if _, ok := d.heard[n]; ok {
-		d.heard[n] = now
+	if _, ok := d.lastHeard[n]; ok {
+		d.lastHeard[n] = now
 	}
 }
 
-// Watch sets which members are sent heartbeats, and so expected to answer.
+// Watch sets the members that are sent heartbeats and so expected to answer.
 func (d *Detector) Watch(nodes []kqname.Node, now time.Time) {
-	for n := range d.heard {
+	for n := range d.lastHeard {
 		if !slices.Contains(nodes, n) {
-			delete(d.heard, n)
+			delete(d.lastHeard, n)
 		}
 	}
 	for _, n := range nodes {
-		if _, ok := d.heard[n]; !ok {
-			d.heard[n] = now
+		if _, ok := d.lastHeard[n]; !ok {
+			d.lastHeard[n] = now
 		}
 	}
 }
 
-// Suspects sets which members anybody suspects; each has its time to refute
-// from when this node first heard of it.
+// Suspects sets the members that any node suspects. The time to refute starts when this
+// node first learns of the suspicion.
 func (d *Detector) Suspects(nodes []kqname.Node, now time.Time) {
-	for n := range d.suspected {
+	for n := range d.suspectedAt {
 		if !slices.Contains(nodes, n) {
-			delete(d.suspected, n)
+			delete(d.suspectedAt, n)
 		}
 	}
 	for _, n := range nodes {
-		if _, ok := d.suspected[n]; !ok {
-			d.suspected[n] = now
+		if _, ok := d.suspectedAt[n]; !ok {
+			d.suspectedAt[n] = now
 		}
 	}
 }
 
-// Judge returns the new verdicts. It is called at every heartbeat; if it was
-// not for longer than that, this node itself was away, and nobody is blamed.
+// Judge returns the members whose state has changed. It must be called at every heartbeat.
+// After an interval of more than two heartbeats, or a negative one, this node was paused
+// or its clock jumped, so all times are shifted and no member is suspected for it.
 func (d *Detector) Judge(now time.Time) []Verdict {
-	if away := now.Sub(d.judged); !d.judged.IsZero() && (away > 2*d.every || away < 0) {
-		d.excuse(away)
+	if pause := now.Sub(d.checkedAt); !d.checkedAt.IsZero() && (pause > 2*d.interval || pause < 0) {
+		d.shiftTimes(pause)
 	}
-	d.judged = now
+	d.checkedAt = now
 	var verdicts []Verdict
-	for n, at := range d.suspected {
-		if now.Sub(at) > time.Duration(d.refute)*d.every {
+	for n, at := range d.suspectedAt {
+		if now.Sub(at) > time.Duration(d.refuteHeartbeats)*d.interval {
 			verdicts = append(verdicts, Verdict{n, Dead})
-			delete(d.heard, n)
+			delete(d.lastHeard, n)
 		}
 	}
-	for n, at := range d.heard {
-		if _, already := d.suspected[n]; !already && now.Sub(at) > time.Duration(d.missed)*d.every {
+	for n, at := range d.lastHeard {
+		if _, already := d.suspectedAt[n]; !already && now.Sub(at) > time.Duration(d.missedHeartbeats)*d.interval {
 			verdicts = append(verdicts, Verdict{n, Suspect})
 		}
 	}
@@ -115,11 +116,11 @@
 	return verdicts
 }
 
-func (d *Detector) excuse(away time.Duration) {
-	for n, at := range d.heard {
-		d.heard[n] = at.Add(away)
+func (d *Detector) shiftTimes(pause time.Duration) {
+	for n, at := range d.lastHeard {
+		d.lastHeard[n] = at.Add(pause)
 	}
-	for n, at := range d.suspected {
-		d.suspected[n] = at.Add(away)
+	for n, at := range d.suspectedAt {
+		d.suspectedAt[n] = at.Add(pause)
 	}
 }
