--- a/internal/decide/kqallowance/allowance_test.go
+++ b/internal/decide/kqallowance/allowance_test.go
@@ -6,75 +6,74 @@
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqallowance"
 )
 
-// Every upstream of a service fails every call while 10, and then 90, nodes send
-// it 1,700 calls in ten seconds, all of which they may send again. The sendings
-// beyond the first must stay within the operators' bound for all nodes together,
-// or the upstreams that could recover get twice their load.
+// All upstreams of a service fail every call while 1, 10 or 90 nodes send it 1,700 calls
+// in ten seconds, all of which may be retried. The retries of all nodes together must stay
+// within the operators' bound, or upstreams that could recover get twice their load.
 func TestAllNodesTogetherStayWithinTheBound(t *testing.T) {
 	bound := kqallowance.Bound{Ratio: 0.2, Slack: 56}
 	const calls = 1700
 	for _, nodes := range []int{1, 10, 90} {
-		again := 0
+		repeats := 0
 		for n := range nodes {
 			a := kqallowance.New(bound)
 			for range calls/nodes + min(n, calls%nodes)/max(n, 1) {
 				a.Earn(nodes)
 				if a.Spend(nodes) {
-					again++
+					repeats++
 				}
 			}
 		}
-		// A node may always save up one sending.
-		most := bound.Ratio*calls + max(bound.Slack, float64(nodes))
-		if float64(again) > most {
-			t.Errorf("%d nodes sent %d again, the bound is %.0f", nodes, again, most)
+		// Each node may always accumulate one retry.
+		maxRepeats := bound.Ratio*calls + max(bound.Slack, float64(nodes))
+		if float64(repeats) > maxRepeats {
+			t.Errorf("%d nodes sent %d retries, want at most %.0f", nodes, repeats, maxRepeats)
 		}
-		if float64(again) < bound.Ratio*calls/2 {
-			t.Errorf("%d nodes sent only %d again of %.0f allowed", nodes, again, most)
+		if float64(repeats) < bound.Ratio*calls/2 {
+			t.Errorf("%d nodes sent only %d retries, %.0f are allowed", nodes, repeats, maxRepeats)
 		}
 	}
 }
 
-// Lookups come at a service because runs that made them before are sent again; the bound
-// counts them there like second sendings. With every eighth call of that kind, the node's
-// own second sendings must leave room for them.
-func TestRepeatsOfRepeatsCount(t *testing.T) {
+// Nested calls are repeated because their calling calls were retried, and the bound counts
+// them as retries. With every eighth call repeated, the node's own retries must leave room
+// for them.
+func TestRepeatedCallsSpendTheAllowance(t *testing.T) {
 	bound := kqallowance.Bound{Ratio: 0.2, Slack: 56}
 	const calls, nodes = 4000, 10
 	a := kqallowance.New(bound)
-	again := 0
+	repeats := 0
 	for n := range calls {
 		if n%8 == 0 {
 			a.Repeated(nodes)
-			again++
+			repeats++
 		} else {
 			a.Earn(nodes)
 		}
 		if a.Spend(nodes) {
-			again++
+			repeats++
 		}
 	}
-	if most := bound.Ratio*calls + bound.Slack/nodes; float64(again) > most {
-		t.Errorf("%d came again, the bound is %.0f", again, most)
+	if maxRepeats := bound.Ratio*calls + bound.Slack/nodes; float64(repeats) > maxRepeats {
+		t.Errorf("%d calls were repeated, want at most %.0f", repeats, maxRepeats)
 	}
 }
 
-// Nodes are restarted one after the other while every call fails. Each must not bring its
-// part of the slack along anew.
-func TestRestartsBringNoNewSlack(t *testing.T) {
+// Nodes are restarted one after the other while every call fails. No restart may renew a
+// node's share of the slack.
+func TestRestartsDoNotRenewSlack(t *testing.T) {
 	bound := kqallowance.Bound{Ratio: 0.2, Slack: 56}
 	const calls, nodes, restarts = 20, 10, 50
-	again := 0
+	repeats := 0
 	for range restarts {
 		a := kqallowance.New(bound)
 		for range calls {
 			a.Earn(nodes)
 			if a.Spend(nodes) {
-				again++
+				repeats++
 			}
 		}
 	}
-	if most := bound.Ratio * calls * restarts; float64(again) > most {
-		t.Errorf("%d came again, the bound's ratio allows %.0f", again, most)
+	if maxRepeats := bound.Ratio * calls * restarts; float64(repeats) > maxRepeats {
+		t.Errorf("%d calls were retried, want at most the ratio's %.0f", repeats, maxRepeats)
 	}
 }
