--- a/internal/decide/kqretry/doc.go
+++ b/internal/decide/kqretry/doc.go
@@ -1,16 +1,15 @@
-// Package kqretry decides whether a call may be sent again.
+// Package kqretry decides whether a call may be retried.
 //
-// Load pattern: retry storm. Without a budget, a service that refuses half of
-// its calls gets each of them up to three times, and is refused to be left
-// alone just when it is full; 13 services deep, where each level retries, the
-// load at the bottom is multiplied by the product of all levels.
+// Load pattern: retry storm. Without a budget, a service that refuses half of its calls
+// gets each of them up to three times, just when it is overloaded. In a chain of 13
+// services where each level retries, the load at the bottom is multiplied by the product
+// of all levels.
 //
-// Each call earns a part of a retry and each retry spends a whole one. Where
-// the refusal comes from load, only calls from outside (depth 0) may spend: one
-// level retries, not each. Calls that a node or upstream failed which has gone
-// (connect_failed, no_upstream, cut) may be retried at any depth, since the next
-// choice is another upstream, but from a budget so small that 13 levels of it
-// stay within the whole. A gate's own word that its upstream drains or was taken
-// back costs nothing: the entry leaves that upstream out from then on, so that
-// it is the few calls on their way that meet it.
+// Each call earns a fraction of a retry, and each retry spends a whole one. Refusals for
+// load may only be retried by calls from outside (depth 0), so that one level retries
+// rather than each. Calls that failed because a node or upstream has gone (connect_failed,
+// no_upstream, cut) may be retried at any depth, since the next choice is another
+// upstream, but from a budget so small that 13 levels of it stay within the total. If a
+// gate reports that its upstream drains or was rolled back, the retry is free: the entry
+// stops using that upstream, so only the few calls in flight are affected.
 package kqretry
--- a/internal/decide/kqretry/retry.go
+++ b/internal/decide/kqretry/retry.go
@@ -3,13 +3,13 @@
 import "github.com/kumquatgw/kumquatgw/internal/call/kqcall"
 
 const (
-	perLoad  = 1.0 / 20
-	perChurn = 1.0 / 300
-	reserve  = 10
+	loadRetryRatio  = 1.0 / 20
+	churnRetryRatio = 1.0 / 300
+	maxTokens       = 10
 )
 
 type (
-	// Budget is one service's, for calls of one depth. It is not safe for
+	// Budget is the retry budget of one service for calls of one depth. It is not safe for
 	// concurrent use.
 	Budget struct {
 		outermost   bool
@@ -17,25 +17,25 @@
 	}
 )
 
-// New returns a full budget; outermost tells that it is for calls from outside.
+// New returns a full Budget. outermost is set for calls from outside.
 func New(outermost bool) *Budget {
-	b := &Budget{outermost: outermost, churn: reserve}
+	b := &Budget{outermost: outermost, churn: maxTokens}
 	if outermost {
-		b.load = reserve
+		b.load = maxTokens
 	}
 	return b
 }
 
-// Earn counts a call that was sent for the first time.
+// Earn counts the first attempt of a call.
 func (b *Budget) Earn() {
-	b.churn = min(b.churn+perChurn, reserve)
+	b.churn = min(b.churn+churnRetryRatio, maxTokens)
 	if b.outermost {
-		b.load = min(b.load+perLoad, reserve)
+		b.load = min(b.load+loadRetryRatio, maxTokens)
 	}
 }
 
-// Spend reports whether a call that ended with the outcome may be sent again,
-// and counts it. A call that may have run is sent again only if it is idempotent.
+// Spend reports whether a call with the outcome may be retried, and counts the retry. A
+// call that may have run is only retried if it is idempotent.
 func (b *Budget) Spend(o kqcall.Outcome, idempotent bool) bool {
 	if o.Result == kqcall.Unknown && !idempotent || o.Result == kqcall.Answered {
 		return false
--- a/internal/decide/kqretry/retry_test.go
+++ b/internal/decide/kqretry/retry_test.go
@@ -12,11 +12,10 @@
 	calls  = 200000
 )
 
-// Thirteen services call each other in a row and every one of them fails,
-// whatever the reason. If each level sent its calls again, the last one would
-// get thousands of times its load and could never come back; all levels'
-// retries together must stay within a tenth.
-func TestRetriesThirteenDeep(t *testing.T) {
+// Thirteen services call each other in a chain, and each call fails, for any reason. If
+// every level retried, the last service would get thousands of times its load and could
+// never recover. The retries of all levels together must add at most a tenth.
+func TestRetriesAcrossLevelsAreBounded(t *testing.T) {
 	for _, reason := range []kqcall.Reason{kqcall.QueueFull, kqcall.Shed, kqcall.ConnectFailed, kqcall.NoUpstream, kqcall.Cut} {
 		load := calls
 		for depth := range levels {
@@ -31,20 +30,20 @@
 			}
 			load = sent
 		}
-		if most := calls + calls/10; load > most {
-			t.Errorf("%s: %d calls became %d at the last of %d levels, want at most %d", reason, calls, load, levels, most)
+		if maxLoad := calls + calls/10; load > maxLoad {
+			t.Errorf("%s: %d calls became %d at the last of %d levels, want at most %d", reason, calls, load, levels, maxLoad)
 		}
 	}
 }
 
-// The upstream has the call when the connection breaks. Sent again, an order
-// might be paid twice; only what is idempotent may be.
-func TestUnknownIsSentAgainOnlyIfIdempotent(t *testing.T) {
+// The connection breaks after the upstream has received the call. Retrying an order might
+// pay it twice, so only idempotent calls may be retried.
+func TestUnknownOutcomeIsRetriedOnlyIfIdempotent(t *testing.T) {
 	b := kqretry.New(true)
 	if b.Spend(kqcall.Lose(kqcall.Cut), false) {
-		t.Error("a call that may have run is sent again")
+		t.Error("a call that may have run is retried")
 	}
 	if !b.Spend(kqcall.Lose(kqcall.Cut), true) {
-		t.Error("an idempotent call is not sent again")
+		t.Error("an idempotent call is not retried")
 	}
 }
