--- a/internal/decide/kqreturn/doc.go
+++ b/internal/decide/kqreturn/doc.go
@@ -1,13 +1,13 @@
-// Package kqreturn knows callers who come back after a refusal or a failure, and since
-// when they have been asking.
+// Package kqreturn recognizes retries by callers after a refusal or failure, and when the
+// caller made its first attempt.
 //
-// Load pattern: overload, retry storm. Each try of a caller is a call of its own. Taken
-// for a new one, a call whose caller was refused a moment ago has the whole of its
-// route's target before it again: it is queued before calls that can still make theirs,
-// its answer comes late, and so does that of whoever waits behind it. At three times the
-// capacity two thirds of the answers come late then, though every one could be in time.
+// Load pattern: overload, retry storm. Each attempt of a caller is a call of its own. If a
+// retry counts as a new call, it has the route's whole target before it again: it is
+// queued before calls that can still meet theirs, its answer is late, and so are the
+// answers to calls queued behind it. At three times the capacity, two thirds of the
+// answers are then late although each could be in time.
 //
-// A call that has no good answer is remembered for as long as its caller waits, by who
-// asked for what. Callers who ask for the same at once are told apart by their number
-// alone; which of them counts as new does not matter to the others.
+// A call without a successful answer is remembered for as long as its caller waits, by a
+// hash of the caller and the request. Identical concurrent requests are distinguished by
+// their number only; which of them counts as new makes no difference.
 package kqreturn
--- a/internal/decide/kqreturn/return.go
+++ b/internal/decide/kqreturn/return.go
@@ -2,46 +2,49 @@
 
 import "time"
 
-// most bounds the calls that are remembered: a node that refuses 1,000 calls a second of
-// callers who wait for four seconds has as many to know.
-const most = 4096
+// maxCalls bounds the remembered calls. A node that refuses 1,000 calls a second of
+// callers that wait for four seconds has about as many to remember.
+const maxCalls = 4096
 
 type (
-	// Key is a hash of who asked for what.
+	// Key is a hash of a caller and its request.
 	Key uint64
 
-	// Returns remembers calls of one node. It is not safe for concurrent use.
+	// Returns remembers the unsuccessful calls of one node. It is not safe for concurrent
+	// use.
 	Returns struct {
-		held map[Key][]asked
-		// order holds the keys of all that was remembered, the oldest first; some may
-		// have come back meanwhile.
+		pending map[Key][]call
+		// order holds the keys of all remembered calls, oldest first, including some that
+		// have been retried since.
 		order []Key
 	}
 
-	asked struct {
+	// call is a remembered call: the time of its first attempt, and the time until which
+	// its caller waits.
+	call struct {
 		first, until time.Time
 	}
 )
 
-// New returns an empty memory.
-func New() *Returns { return &Returns{held: make(map[Key][]asked)} }
+// New returns an empty Returns.
+func New() *Returns { return &Returns{pending: make(map[Key][]call)} }
 
-// Unserved notes that a call ended without a good answer, whose caller asked first at
-// first and waits until until.
+// Unserved remembers a call that ended without a successful answer. Its caller made the
+// first attempt at first and waits until until.
 func (r *Returns) Unserved(k Key, first, until time.Time) {
-	for len(r.order) >= most {
-		r.take(r.order[0])
+	for len(r.order) >= maxCalls {
+		r.removeOldest(r.order[0])
 		r.order = r.order[1:]
 	}
-	r.held[k] = append(r.held[k], asked{first: first, until: until})
+	r.pending[k] = append(r.pending[k], call{first: first, until: until})
 	r.order = append(r.order, k)
 }
 
-// First returns since when the caller of a call that comes now has been asking: now,
-// unless it comes back.
+// First returns the time of the first attempt of a call that arrives now: now, unless it
+// is a retry.
 func (r *Returns) First(k Key, now time.Time) time.Time {
 	for {
-		a, ok := r.take(k)
+		a, ok := r.removeOldest(k)
 		if !ok {
 			return now
 		}
@@ -51,16 +54,16 @@
 	}
 }
 
-// take takes out what was remembered first of a key.
-func (r *Returns) take(k Key) (asked, bool) {
-	list := r.held[k]
+// removeOldest removes and returns the oldest remembered call of a key.
+func (r *Returns) removeOldest(k Key) (call, bool) {
+	list := r.pending[k]
 	if len(list) == 0 {
-		return asked{}, false
+		return call{}, false
 	}
 	if len(list) == 1 {
-		delete(r.held, k)
+		delete(r.pending, k)
 	} else {
-		r.held[k] = list[1:]
+		r.pending[k] = list[1:]
 	}
 	return list[0], true
 }
