--- a/internal/decide/kqfailing/doc.go
+++ b/internal/decide/kqfailing/doc.go
@@ -1,8 +1,8 @@
-// Package kqfailing tells which part of an upstream's calls fail.
+// Package kqfailing measures the share of an upstream's calls that fail.
 //
-// Load pattern: an upstream that fails part of its calls while its health check is
-// good, in a large fleet. Each of 90 entries sends such an upstream a few calls in the
-// seconds that it fails for, too few to judge it by, so that the fleet together goes on
-// sending it its full share. Its gate sees all calls of all entries, and tells the part
-// that fails with each answer, as it tells the load.
+// Load pattern: in a large fleet, an upstream that fails part of its calls while its
+// health check passes. Each of 90 entries sends it only a few calls in the seconds for
+// which it fails, too few to detect this, so that together they keep sending it its full
+// share. Its gate sees the calls of all entries, and reports the share of failures with
+// each answer, along with the load.
 package kqfailing
--- a/internal/decide/kqfailing/failing.go
+++ b/internal/decide/kqfailing/failing.go
@@ -6,41 +6,41 @@
 )
 
 const (
-	// over is how many calls the share is taken over.
-	over = 32
-	// halfLife is in how long without a call half of the share is forgotten.
+	// windowCalls is the number of calls over which the share is averaged.
+	windowCalls = 32
+	// halfLife is the time without calls in which the share falls by half.
 	halfLife = 3 * time.Second
-	// noise is the share below which nothing is told: less than two failures in 32 calls.
-	noise = 0.05
+	// minShare is the share below which 0 is reported: less than two failures in 32 calls.
+	minShare = 0.05
 )
 
-// Failing follows the calls of one upstream. Its zero value has seen none. It is not
-// safe for concurrent use.
+// Failing measures the failing calls of one upstream. The zero value is ready to use. It
+// is not safe for concurrent use.
 type Failing struct {
-	share float64
-	seen  time.Time
+	share    float64
+	lastCall time.Time
 }
 
-// Note takes in a call that ended.
+// Note records whether a call failed.
 func (f *Failing) Note(failed bool, now time.Time) {
-	share := Faded(f.share, now.Sub(f.seen))
+	share := Faded(f.share, now.Sub(f.lastCall))
 	ended := 0.0
 	if failed {
 		ended = 1
 	}
-	f.share, f.seen = share+(ended-share)/over, now
+	f.share, f.lastCall = share+(ended-share)/windowCalls, now
 }
 
-// Share returns the part of the last calls that failed, from 0 to 1; 0 where it may
-// be chance.
+// Share returns the share of recent calls that failed, from 0 to 1. It is 0 where the
+// failures may be chance.
 func (f *Failing) Share(now time.Time) float64 {
-	if share := Faded(f.share, now.Sub(f.seen)); share >= noise {
+	if share := Faded(f.share, now.Sub(f.lastCall)); share >= minShare {
 		return share
 	}
 	return 0
 }
 
-// Faded returns what is left of a share that was told so long ago.
+// Faded returns the share after decaying for the given age.
 func Faded(share float64, age time.Duration) float64 {
 	if share == 0 || age <= 0 {
 		return share
