--- a/internal/decide/kqfifo/doc.go
+++ b/internal/decide/kqfifo/doc.go
@@ -1,4 +1,3 @@
-// Package kqfifo is the baseline that measurements set beside kqslots: one
-// bounded queue, first come, first served, whoever calls and however long a
-// call's work is.
+// Package kqfifo is the baseline that kqslots is measured against: one bounded FIFO queue
+// for all calls, regardless of their caller and work.
 package kqfifo
--- a/internal/decide/kqfifo/fifo.go
+++ b/internal/decide/kqfifo/fifo.go
@@ -8,19 +8,19 @@
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqslots"
 )
 
-const perSlot = 10
+const maxWaitingPerSlot = 10
 
-// Queue decides for one upstream. It is not safe for concurrent use.
+// Queue schedules the calls of one upstream. It is not safe for concurrent use.
 type Queue struct {
 	count, running int
 	waiting        []*kqslots.Ticket
 	closed         bool
 }
 
-// New returns a queue for an upstream that runs count calls at once.
+// New returns a Queue for an upstream that runs count calls at once.
 func New(count int) *Queue { return &Queue{count: count} }
 
-// Enter settles the ticket's verdict.
+// Enter decides whether the call runs, waits or is refused, and sets its verdict.
 func (q *Queue) Enter(t *kqslots.Ticket, now time.Time) {
 	switch {
 	case q.closed:
@@ -30,7 +30,7 @@
 	case q.running < q.count:
 		q.running++
 		t.Verdict = kqslots.Run
-	case len(q.waiting) >= perSlot*q.count:
+	case len(q.waiting) >= maxWaitingPerSlot*q.count:
 		refuse(t, kqcall.QueueFull)
 	default:
 		t.Verdict, t.GiveUp = kqslots.Wait, t.Deadline
@@ -38,13 +38,13 @@
 	}
 }
 
-// Leave gives a slot back and returns the tickets that this settles.
+// Leave frees a slot and returns the tickets whose verdicts this changes.
 func (q *Queue) Leave(_ *kqslots.Ticket, _ time.Duration, now time.Time) []*kqslots.Ticket {
 	q.running--
 	return q.serve(now)
 }
 
-// Expire refuses a waiting call and reports whether it did still wait.
+// Expire refuses a waiting call and reports whether it was still waiting.
 func (q *Queue) Expire(t *kqslots.Ticket) bool {
 	i := slices.Index(q.waiting, t)
 	if i < 0 {
@@ -55,13 +55,13 @@
 	return true
 }
 
-// Resize follows a change of the upstream's slots.
+// Resize sets the number of slots and returns the tickets whose verdicts this changes.
 func (q *Queue) Resize(count int, now time.Time) []*kqslots.Ticket {
 	q.count = count
 	return q.serve(now)
 }
 
-// Close refuses all that come and returns those that waited, now refused.
+// Close refuses all further calls and all waiting ones, and returns the latter.
 func (q *Queue) Close() []*kqslots.Ticket {
 	q.closed = true
 	settled := q.waiting
@@ -72,15 +72,15 @@
 	return settled
 }
 
-// Reopen lets calls in again.
+// Reopen admits calls again.
 func (q *Queue) Reopen() { q.closed = false }
 
-// Load returns what callers are to know.
+// Load returns the load that is reported to callers.
 func (q *Queue) Load() kqcall.Load {
 	return kqcall.Load{Running: q.running, Waiting: len(q.waiting), Slots: q.count}
 }
 
-// Tell returns the same: in a queue of all calls alike, no call meets anything of its own.
+// Tell returns the same as Load, since all calls are treated alike.
 func (q *Queue) Tell(*kqslots.Ticket, time.Time) kqcall.Load { return q.Load() }
 
 func (q *Queue) serve(now time.Time) []*kqslots.Ticket {
