--- a/internal/decide/kqstart/doc.go
+++ b/internal/decide/kqstart/doc.go
@@ -1,2 +1,2 @@
-// Package kqstart decides when a starting node knows the newest version.
+// Package kqstart decides when a starting node has found the newest version.
 package kqstart
--- a/internal/decide/kqstart/start.go
+++ b/internal/decide/kqstart/start.go
@@ -3,28 +3,28 @@
 import "github.com/kumquatgw/kumquatgw/pkg/kqname"
 
 const (
-	// enough answers come from that many peers, in that many failure domains: a
-	// single peer, or a domain that was cut off, may lag behind the fleet.
-	enoughPeers   = 3
-	enoughDomains = 2
+	// Answers must come from minPeers peers in minDomains failure domains, since a single
+	// peer, or a domain that was partitioned, may lag behind the fleet.
+	minPeers   = 3
+	minDomains = 2
 )
 
-// Evidence is what a starting node has gathered.
+// Evidence is the set of answers that a starting node has received.
 //
-// It answers replaced servers: a node that keeps nothing and asks one lagging
-// peer would serve from an older version than the fleet's, and callers would see
-// accepted configuration go back. It holds the node's first version until the
-// platform has answered, or enough peers have.
+// It handles replaced servers. A node without stored state that asks a single lagging peer
+// would serve an older version than the fleet's, and accepted configuration would appear
+// to be reverted. The node therefore does not serve its first version until the platform
+// or enough peers have answered.
 type Evidence struct {
-	// Platform tells that the platform's answer has been taken in.
+	// Platform is set once the platform has answered.
 	Platform bool
-	// Answered are the peers that told their version, Known all live peers.
+	// Answered holds the peers that reported their version, and Known all live peers.
 	Answered, Known map[kqname.Node]kqname.Domain
 }
 
-// Enough reports whether the highest version among the answers may be served.
-// Where the fleet is smaller than what is asked for, all of it must answer; a
-// node that knows nobody waits for the platform.
+// Enough reports whether the highest version among the answers may be served. In a fleet
+// with fewer peers or domains than required, all of them must answer. A node that knows no
+// peers waits for the platform.
 func (e Evidence) Enough() bool {
 	if e.Platform {
 		return true
@@ -38,10 +38,10 @@
 			live[n] = d
 		}
 	}
-	return len(live) >= min(enoughPeers, len(e.Known)) && domains(live) >= min(enoughDomains, domains(e.Known))
+	return len(live) >= min(minPeers, len(e.Known)) && countDomains(live) >= min(minDomains, countDomains(e.Known))
 }
 
-func domains(peers map[kqname.Node]kqname.Domain) int {
+func countDomains(peers map[kqname.Node]kqname.Domain) int {
 	seen := make(map[kqname.Domain]bool)
 	for _, d := range peers {
 		seen[d] = true
