--- a/internal/decide/kqpick/pick.go
+++ b/internal/decide/kqpick/pick.go
@@ -38,6 +38,8 @@
 	// saturatedUse is the share of slots in use, including waiting calls, from which on
 	// the service has more calls than it can run at once.
 	saturatedUse = 1.0
+	// coldFactor is how many times slower an upstream counts as when it is added, unless
+	// it announces its warm-up itself. It falls to 1 over coldDuration.
 	coldFactor   = 4.0
 	coldDuration = 10 * time.Second
 	reportTTL    = time.Second
