--- a/internal/decide/kqfair/estimate.go
+++ b/internal/decide/kqfair/estimate.go
@@ -22,11 +22,11 @@
 }
 
 // Remove removes a waiting call and reports whether it was in the queue.
-func (q *Queue) Remove(p *Item) bool {
-	if !p.queued {
+func (q *Queue) Remove(item *Item) bool {
+	if !item.queued {
 		return false
 	}
-	q.unlink(p)
+	q.unlink(item)
 	return true
 }
 
@@ -34,8 +34,8 @@
 func (q *Queue) Oldest() *Item {
 	var oldest *Item
 	for _, n := range q.backlogged {
-		if p := q.flows[n].head; oldest == nil || p.EnqueuedAt.Before(oldest.EnqueuedAt) {
-			oldest = p
+		if item := q.flows[n].head; oldest == nil || item.EnqueuedAt.Before(oldest.EnqueuedAt) {
+			oldest = item
 		}
 	}
 	return oldest
--- a/internal/decide/kqfair/fair.go
+++ b/internal/decide/kqfair/fair.go
@@ -86,19 +86,19 @@
 func (q *Queue) Work() time.Duration { return q.work }
 
 // Push appends a call to its caller's flow.
-func (q *Queue) Push(p *Item) {
-	p.flow, p.queued = q.assignFlow(p.Caller, p.EnqueuedAt), true
-	f := &q.flows[p.flow]
+func (q *Queue) Push(item *Item) {
+	item.flow, item.queued = q.assignFlow(item.Caller, item.EnqueuedAt), true
+	f := &q.flows[item.flow]
 	if f.head == nil {
 		f.startTag = max(f.startTag, q.virtualTime)
-		f.head = p
-		q.backlogged = append(q.backlogged, p.flow)
+		f.head = item
+		q.backlogged = append(q.backlogged, item.flow)
 	} else {
-		f.tail.next, p.prev = p, f.tail
+		f.tail.next, item.prev = item, f.tail
 	}
-	f.tail = p
-	f.work += p.Work
-	q.work += p.Work
+	f.tail = item
+	f.work += item.Work
+	q.work += item.Work
 	q.length++
 }
 
@@ -115,15 +115,15 @@
 		}
 	}
 	f := &q.flows[next]
-	p := f.head
+	item := f.head
 	if newest {
-		p = f.tail
+		item = f.tail
 	}
 	q.virtualTime = f.startTag
-	f.startTag += p.Work
-	q.recordWork(f, p.Work)
-	q.unlink(p)
-	return p
+	f.startTag += item.Work
+	q.recordWork(f, item.Work)
+	q.unlink(item)
+	return item
 }
 
 // RecordUnqueued counts the work of a call that was served without waiting.
@@ -133,24 +133,24 @@
 	q.recordWork(f, work)
 }
 
-func (q *Queue) unlink(p *Item) {
-	f := &q.flows[p.flow]
-	if p.prev == nil {
-		f.head = p.next
+func (q *Queue) unlink(item *Item) {
+	f := &q.flows[item.flow]
+	if item.prev == nil {
+		f.head = item.next
 	} else {
-		p.prev.next = p.next
+		item.prev.next = item.next
 	}
-	if p.next == nil {
-		f.tail = p.prev
+	if item.next == nil {
+		f.tail = item.prev
 	} else {
-		p.next.prev = p.prev
+		item.next.prev = item.prev
 	}
-	p.prev, p.next, p.queued = nil, nil, false
-	f.work -= p.Work
-	q.work -= p.Work
+	item.prev, item.next, item.queued = nil, nil, false
+	f.work -= item.Work
+	q.work -= item.Work
 	q.length--
 	if f.head == nil {
-		q.deactivate(p.flow)
+		q.deactivate(item.flow)
 	}
 }
 
--- a/internal/decide/kqpick/failing_test.go
+++ b/internal/decide/kqpick/failing_test.go
@@ -10,18 +10,18 @@
 // failure reaches a caller.
 func TestFailingUpstreamsGetFewerCalls(t *testing.T) {
 	for seed := range uint64(3) {
-		w := newSimulation(18, 14, seed)
-		for i := 0; i < len(w.upstreams); i += 2 {
-			w.upstreams[nameOf(i)].failShare = 0.1
+		sim := newSimulation(18, 14, seed)
+		for i := 0; i < len(sim.upstreams); i += 2 {
+			sim.upstreams[nameOf(i)].failShare = 0.1
 		}
-		w.simulate(200, 30*time.Second)
+		sim.simulate(200, 30*time.Second)
 		failed := 0
-		for _, u := range w.upstreams {
+		for _, u := range sim.upstreams {
 			failed += u.failed
 		}
-		t.Logf("seed %d: %d of %d calls failed", seed, failed, len(w.took))
-		if failed*16 > len(w.took) {
-			t.Errorf("seed %d: %d of %d calls failed, want at most 1 in 16 where half of the upstreams fail 1 in 10", seed, failed, len(w.took))
+		t.Logf("seed %d: %d of %d calls failed", seed, failed, len(sim.took))
+		if failed*16 > len(sim.took) {
+			t.Errorf("seed %d: %d of %d calls failed, want at most 1 in 16 where half of the upstreams fail 1 in 10", seed, failed, len(sim.took))
 		}
 	}
 }
@@ -31,29 +31,29 @@
 // nearly half of the calls would be late to avoid one failure in ten.
 func TestFailingUpstreamsServeABurst(t *testing.T) {
 	for seed := range uint64(3) {
-		for _, well := range []time.Duration{0, 3 * time.Second} {
-			w := newSimulation(18, 14, seed)
-			for i := 0; i < len(w.upstreams); i += 2 {
-				w.upstreams[nameOf(i)].failShare = 0.1
+		for _, recovery := range []time.Duration{0, 3 * time.Second} {
+			sim := newSimulation(18, 14, seed)
+			for i := 0; i < len(sim.upstreams); i += 2 {
+				sim.upstreams[nameOf(i)].failShare = 0.1
 			}
-			w.simulate(200, 4*time.Second)
-			if well > 0 {
-				for _, u := range w.upstreams {
+			sim.simulate(200, 4*time.Second)
+			if recovery > 0 {
+				for _, u := range sim.upstreams {
 					u.failShare = 0
 				}
-				w.simulate(200, well)
+				sim.simulate(200, recovery)
 			}
-			before, late := len(w.took), 0
-			w.simulate(430, 5*time.Second)
-			burst := w.took[before:]
+			before, late := len(sim.took), 0
+			sim.simulate(430, 5*time.Second)
+			burst := sim.took[before:]
 			for _, d := range burst {
 				if d > target {
 					late++
 				}
 			}
-			t.Logf("seed %d, recovered for %v: %d of %d calls of the burst late", seed, well, late, len(burst))
+			t.Logf("seed %d, recovered for %v: %d of %d calls of the burst late", seed, recovery, late, len(burst))
 			if late*500 > len(burst) {
-				t.Errorf("seed %d, recovered for %v: %d of %d calls of the burst late, want at most 1 in 500", seed, well, late, len(burst))
+				t.Errorf("seed %d, recovered for %v: %d of %d calls of the burst late, want at most 1 in 500", seed, recovery, late, len(burst))
 			}
 		}
 	}
--- a/internal/decide/kqpick/nested_test.go
+++ b/internal/decide/kqpick/nested_test.go
@@ -16,44 +16,44 @@
 // The test keeps six slots in use for 20 s and counts the runs.
 func TestNestedCallsUseFasterRemoteUpstream(t *testing.T) {
 	const (
-		slots, lasts, own = 6, 20 * time.Second, 100 * time.Millisecond
-		near, far, way    = 60 * time.Millisecond, 20 * time.Millisecond, time.Millisecond
-		most              = lasts / (own + far + way)
+		slots, duration, ownWork         = 6, 20 * time.Second, 100 * time.Millisecond
+		localWork, remoteWork, roundTrip = 60 * time.Millisecond, 20 * time.Millisecond, time.Millisecond
+		runsPerSlot                      = duration / (ownWork + remoteWork + roundTrip)
 	)
 	start := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 8))
-	p := newPool(start, []kqname.Domain{"here", "there"}, near, far)
+	p := newPool(start, []kqname.Domain{"here", "there"}, localWork, remoteWork)
 	target := kqpick.Target{Route: "lookup", Ample: kqpick.Ample(120*time.Millisecond, true)}
 	runs := 0
-	free := [slots]time.Time{}
-	for i := range free {
-		free[i] = start
+	freeAt := [slots]time.Time{}
+	for i := range freeAt {
+		freeAt[i] = start
 	}
 	for {
 		next := 0
-		for i := range free {
-			if free[i].Before(free[next]) {
+		for i := range freeAt {
+			if freeAt[i].Before(freeAt[next]) {
 				next = i
 			}
 		}
-		now := free[next]
-		if now.Sub(start) >= lasts {
+		now := freeAt[next]
+		if now.Sub(start) >= duration {
 			break
 		}
 		o := p.Pick(target, nil, now, random)
-		took := near
+		took := localWork
 		if o.Node == "1" {
-			took = far
+			took = remoteWork
 		}
 		p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 6, Work: took, Route: "lookup", Expected: took}, now)
 		if o.Node == "1" {
-			took += way
+			took += roundTrip
 		}
-		free[next] = now.Add(own + took)
+		freeAt[next] = now.Add(ownWork + took)
 		runs++
 	}
-	if possible := slots * int(most); runs < possible*95/100 {
-		t.Errorf("%d runs in %v, want 95%% of the capacity of %d", runs, lasts, possible)
+	if capacity := slots * int(runsPerSlot); runs < capacity*95/100 {
+		t.Errorf("%d runs in %v, want 95%% of the capacity of %d", runs, duration, capacity)
 	}
 }
 
--- a/internal/decide/kqpick/peer.go
+++ b/internal/decide/kqpick/peer.go
@@ -23,18 +23,18 @@
 }
 
 // Known returns the upstream's last reported load and its age, both zero if there is none.
-func (o *Peer) Known(now time.Time) (kqcall.Load, time.Duration) {
-	if o.reportedAt.IsZero() {
-		return o.load, 0
+func (peer *Peer) Known(now time.Time) (kqcall.Load, time.Duration) {
+	if peer.reportedAt.IsZero() {
+		return peer.load, 0
 	}
-	return o.load, now.Sub(o.reportedAt)
+	return peer.load, now.Sub(peer.reportedAt)
 }
 
 // Sent returns the number of this entry's in-flight calls to the upstream.
-func (o *Peer) Sent() int { return o.sent }
+func (peer *Peer) Sent() int { return peer.sent }
 
 // Ejected reports whether the upstream is ejected.
-func (o *Peer) Ejected() bool { return o.state.Ejected() }
+func (peer *Peer) Ejected() bool { return peer.state.Ejected() }
 
 // selectBest returns the local upstream if one is fast enough, else the best of a random
 // sample. It reorders the list.
@@ -51,8 +51,8 @@
 // nothing then, while its answers would cross between domains.
 func (p *Pool) localBest(list []*Peer, target Target, now time.Time, random *rand.Rand) *Peer {
 	local := 0
-	for i, o := range list {
-		if o.Domain == p.domain {
+	for i, peer := range list {
+		if peer.Domain == p.domain {
 			list[local], list[i] = list[i], list[local]
 			local++
 		}
@@ -80,16 +80,16 @@
 		}
 		j := i + random.IntN(len(list)-i)
 		list[i], list[j] = list[j], list[i]
-		o := list[i]
-		if !hasSpareCapacity || o.failureRate(now) == 0 {
+		peer := list[i]
+		if !hasSpareCapacity || peer.failureRate(now) == 0 {
 			healthy++
 		}
-		estimate := p.expectedTime(o, route, now) * o.failurePenalty(hasSpareCapacity, now)
-		if o.Domain == p.domain {
+		estimate := p.expectedTime(peer, route, now) * peer.failurePenalty(hasSpareCapacity, now)
+		if peer.Domain == p.domain {
 			estimate *= localFactor
 		}
 		if found == nil || estimate < leastExpected {
-			found, leastExpected = o, estimate
+			found, leastExpected = peer, estimate
 		}
 	}
 	return found, leastExpected
@@ -101,66 +101,66 @@
 // 100 ms would seem to need as long for a lookup of 20 ms, and would never get one while
 // the others have more lookups than slots. If no upstream has reported the route, calls of
 // any kind count.
-func (p *Pool) expectedTime(o *Peer, route kqname.Route, now time.Time) float64 {
-	k := o.routes.current(route, now)
+func (p *Pool) expectedTime(peer *Peer, route kqname.Route, now time.Time) float64 {
+	k := peer.routes.current(route, now)
 	if k.work == 0 {
 		work := p.Work(route)
 		if work == 0 {
-			work = o.work(p.typicalWork(now))
+			work = peer.work(p.typicalWork(now))
 		}
-		return o.estimate(work, now)
+		return peer.estimate(work, now)
 	}
-	slots := float64(max(o.Slots, 1))
-	work := k.work.Seconds() * o.coldSlowdown(now)
+	slots := float64(max(peer.Slots, 1))
+	work := k.work.Seconds() * peer.coldSlowdown(now)
 	ahead := float64(k.sentSince) / slots
-	return work*(1+occupancyCost*float64(o.sent+1)/slots+ahead) + k.wait.Seconds()
+	return work*(1+occupancyCost*float64(peer.sent+1)/slots+ahead) + k.wait.Seconds()
 }
 
 // work returns the work of the upstream's calls of any kind, or the median if it has not
 // reported.
-func (o *Peer) work(median time.Duration) time.Duration {
-	if o.load.Work > 0 {
-		return o.load.Work
+func (peer *Peer) work(median time.Duration) time.Duration {
+	if peer.load.Work > 0 {
+		return peer.load.Work
 	}
 	return max(median, time.Millisecond)
 }
 
 // estimate returns the expected time in seconds of a call with the given work at the
 // upstream, including its cold slowdown and the wait for a slot.
-func (o *Peer) estimate(work time.Duration, now time.Time) float64 {
-	busy := float64(o.sent + 1)
-	if now.Sub(o.reportedAt) < reportTTL {
-		busy += float64(o.load.Running + o.load.Waiting)
+func (peer *Peer) estimate(work time.Duration, now time.Time) float64 {
+	busy := float64(peer.sent + 1)
+	if now.Sub(peer.reportedAt) < reportTTL {
+		busy += float64(peer.load.Running + peer.load.Waiting)
 	}
-	used := busy / float64(max(o.Slots, 1))
-	return work.Seconds() * o.coldSlowdown(now) * (1 + occupancyCost*used + 2*max(used-queueingUse, 0))
+	used := busy / float64(max(peer.Slots, 1))
+	return work.Seconds() * peer.coldSlowdown(now) * (1 + occupancyCost*used + 2*max(used-queueingUse, 0))
 }
 
 // failurePenalty returns the factor on the expected time for the risk of failure. It is 1
 // without spare capacity: the other upstreams could not take the calls, and a call that
 // may fail is better than one that waits until its caller has given up.
-func (o *Peer) failurePenalty(hasSpareCapacity bool, now time.Time) float64 {
+func (peer *Peer) failurePenalty(hasSpareCapacity bool, now time.Time) float64 {
 	if !hasSpareCapacity {
 		return 1
 	}
-	return 1 + failureCost*o.failureRate(now)
+	return 1 + failureCost*peer.failureRate(now)
 }
 
 // failureRate returns the reported share of failing calls, decayed by its age.
-func (o *Peer) failureRate(now time.Time) float64 {
-	return kqfailing.Faded(o.load.Failing, now.Sub(o.reportedAt))
+func (peer *Peer) failureRate(now time.Time) float64 {
+	return kqfailing.Faded(peer.load.Failing, now.Sub(peer.reportedAt))
 }
 
 // coldSlowdown returns how many times slower the upstream is expected to be after its
 // start.
-func (o *Peer) coldSlowdown(now time.Time) float64 {
-	if !o.Warm.IsZero() {
-		if now.Before(o.Warm) {
+func (peer *Peer) coldSlowdown(now time.Time) float64 {
+	if !peer.Warm.IsZero() {
+		if now.Before(peer.Warm) {
 			return announcedColdFactor
 		}
 		return 1
 	}
-	if age := now.Sub(o.addedAt); age < coldDuration {
+	if age := now.Sub(peer.addedAt); age < coldDuration {
 		return 1 + (coldFactor-1)*(1-age.Seconds()/coldDuration.Seconds())
 	}
 	return 1
@@ -168,13 +168,13 @@
 
 // hasFreeSlot reports whether the upstream probably has a free slot. If the service is
 // saturated, it takes a recent report to say so.
-func (o *Peer) hasFreeSlot(saturated bool, now time.Time) bool {
+func (peer *Peer) hasFreeSlot(saturated bool, now time.Time) bool {
 	ttl := fullReportTTL
 	if saturated {
 		ttl = reportTTL
 	}
-	if now.Sub(o.reportedAt) >= ttl {
-		return !saturated && o.sent < o.Slots
+	if now.Sub(peer.reportedAt) >= ttl {
+		return !saturated && peer.sent < peer.Slots
 	}
-	return o.load.Waiting == 0 && max(o.sent, o.load.Running) < o.Slots
+	return peer.load.Waiting == 0 && max(peer.sent, peer.load.Running) < peer.Slots
 }
--- a/internal/decide/kqpick/pick.go
+++ b/internal/decide/kqpick/pick.go
@@ -93,18 +93,18 @@
 	old := p.peers
 	p.candidates, p.peers = all, make([]*Peer, 0, len(all))
 	for _, c := range all {
-		i := slices.IndexFunc(old, func(o *Peer) bool { return o.Node == c.Node && o.Version == c.Version && o.Gate == c.Gate })
+		i := slices.IndexFunc(old, func(peer *Peer) bool { return peer.Node == c.Node && peer.Version == c.Version && peer.Gate == c.Gate })
 		if i < 0 {
 			p.peers = append(p.peers, p.admit(c, now))
 			continue
 		}
-		o := old[i]
+		peer := old[i]
 		old = slices.Delete(slices.Clone(old), i, i+1)
-		o.Candidate = c
-		p.peers = append(p.peers, o)
+		peer.Candidate = c
+		p.peers = append(p.peers, peer)
 	}
-	for _, o := range old {
-		p.ejector.Release(&o.state)
+	for _, peer := range old {
+		p.ejector.Release(&peer.state)
 	}
 	p.initialized = true
 }
@@ -126,42 +126,42 @@
 
 // Done records the outcome of a call for which Pick returned the upstream, and the load
 // that the gate reported, if any. failed is set for an answer with a 5xx status.
-func (p *Pool) Done(o *Peer, end kqcall.Outcome, failed bool, load *kqcall.Load, now time.Time) {
-	o.sent--
+func (p *Pool) Done(peer *Peer, outcome kqcall.Outcome, failed bool, load *kqcall.Load, now time.Time) {
+	peer.sent--
 	if load != nil {
-		o.load, o.reportedAt = *load, now
-		o.routes.update(load, now)
+		peer.load, peer.reportedAt = *load, now
+		peer.routes.update(load, now)
 	}
 	if p.uniform {
 		return
 	}
 	switch {
-	case isGone(end.Reason):
-		p.ejector.RecordUnreachable(&o.state, now)
-	case end.Result == kqcall.Unknown && end.Reason != kqcall.Cancelled, failed, end.Reason == kqcall.Shed:
-		p.ejector.RecordFailure(&o.state, len(p.peers), now)
+	case isGone(outcome.Reason):
+		p.ejector.RecordUnreachable(&peer.state, now)
+	case outcome.Result == kqcall.Unknown && outcome.Reason != kqcall.Cancelled, failed, outcome.Reason == kqcall.Shed:
+		p.ejector.RecordFailure(&peer.state, len(p.peers), now)
 	default:
-		p.ejector.RecordSuccess(&o.state, len(p.peers), o.load.Work, p.ejectionMedian(now), now)
+		p.ejector.RecordSuccess(&peer.state, len(p.peers), peer.load.Work, p.ejectionMedian(now), now)
 	}
 }
 
 func (p *Pool) selectPeer(target Target, tried []kqname.Node, now time.Time, random *rand.Rand) *Peer {
 	p.eligible = p.eligible[:0]
-	last := 0
-	for _, o := range p.peers {
-		if !target.allows(o.Candidate) || slices.Contains(tried, o.Node) {
+	ejected := 0
+	for _, peer := range p.peers {
+		if !target.allows(peer.Candidate) || slices.Contains(tried, peer.Node) {
 			continue
 		}
-		if o.state.Ejected() {
-			if o.state.ProbeDue(now) {
-				return o
+		if peer.state.Ejected() {
+			if peer.state.ProbeDue(now) {
+				return peer
 			}
-			last++
+			ejected++
 			continue
 		}
-		p.eligible = append(p.eligible, o)
+		p.eligible = append(p.eligible, peer)
 	}
-	if len(p.eligible) == 0 && last > 0 {
+	if len(p.eligible) == 0 && ejected > 0 {
 		p.lastResort(target, tried)
 	}
 	if len(p.eligible) == 0 {
@@ -180,23 +180,23 @@
 // nothing and look idle.
 func (p *Pool) lastResort(target Target, tried []kqname.Node) {
 	var first *Peer
-	for _, o := range p.peers {
-		if !target.allows(o.Candidate) || slices.Contains(tried, o.Node) {
+	for _, peer := range p.peers {
+		if !target.allows(peer.Candidate) || slices.Contains(tried, peer.Node) {
 			continue
 		}
-		if first == nil || o.state.EjectedUntil().Before(first.state.EjectedUntil()) {
-			first = o
+		if first == nil || peer.state.EjectedUntil().Before(first.state.EjectedUntil()) {
+			first = peer
 		}
 	}
 	p.eligible = append(p.eligible, first)
 }
 
 func (p *Pool) admit(c kqmember.Candidate, now time.Time) *Peer {
-	o := &Peer{Candidate: c, addedAt: now}
+	peer := &Peer{Candidate: c, addedAt: now}
 	if !p.initialized {
-		o.addedAt = now.Add(-coldDuration)
+		peer.addedAt = now.Add(-coldDuration)
 	}
-	return o
+	return peer
 }
 
 // isGone reports whether the reason means that the upstream accepts no calls at all.
--- a/internal/decide/kqpick/saturation_test.go
+++ b/internal/decide/kqpick/saturation_test.go
@@ -19,8 +19,8 @@
 // late.
 func TestSaturatedServiceIsNotTriedGateByGate(t *testing.T) {
 	const (
-		upstreams, calls, warm = 20, 400, 40
-		most                   = 6
+		upstreams, calls, warmUp = 20, 400, 40
+		maxAttempts              = 6
 	)
 	pool, random, now := kqpick.New("d"), rand.New(rand.NewPCG(1, 1)), time.Unix(1000, 0)
 	var list []kqmember.Candidate
@@ -36,7 +36,7 @@
 	for i := range calls {
 		now = now.Add(50 * time.Millisecond)
 		var tried []kqname.Node
-		for again := true; again && len(tried) < most; again = pool.Spare(kqpick.Target{}, tried, now) {
+		for retry := true; retry && len(tried) < maxAttempts; retry = pool.Spare(kqpick.Target{}, tried, now) {
 			o := pool.Pick(kqpick.Target{}, tried, now, random)
 			if o == nil {
 				break
@@ -45,11 +45,11 @@
 			pool.Done(o, kqcall.Refuse(kqcall.QueueFull), false, &full, now)
 			tried = append(tried, o.Node)
 		}
-		if i >= warm {
+		if i >= warmUp {
 			offers += len(tried)
 		}
 	}
-	if got := float64(offers) / (calls - warm); got > 1.5 {
+	if got := float64(offers) / (calls - warmUp); got > 1.5 {
 		t.Errorf("each call was offered to %.1f gates of a saturated service, want at most 1.5", got)
 	}
 
--- a/internal/decide/kqpick/simulation_test.go
+++ b/internal/decide/kqpick/simulation_test.go
@@ -16,7 +16,7 @@
 
 type (
 	// simulation simulates entries of one failure domain that choose among its upstreams,
-	// each by the reports that come with its own answers.
+	// each by the reports that come with its own answers. took holds the callers' latencies.
 	simulation struct {
 		now       time.Time
 		random    *rand.Rand
@@ -73,99 +73,102 @@
 func nameOf(i int) kqname.Node { return kqname.Node(fmt.Sprint("n", i)) }
 
 func newSimulation(entries, upstreams int, seed uint64) *simulation {
-	w := &simulation{now: startTime, random: rand.New(rand.NewPCG(seed, 1)), upstreams: make(map[kqname.Node]*upstream)}
+	sim := &simulation{now: startTime, random: rand.New(rand.NewPCG(seed, 1)), upstreams: make(map[kqname.Node]*upstream)}
 	var list []kqmember.Candidate
 	for i := range upstreams {
 		name := nameOf(i)
 		list = append(list, kqmember.Candidate{Node: name, Domain: "d", Gate: kqname.Address(name), Upstream: kqmember.Upstream{Service: "s", Slots: slots, Warm: startTime}})
-		w.upstreams[name] = &upstream{slots: slots, factor: []float64{0.5, 1, 1, 1.5}[i%4]}
+		sim.upstreams[name] = &upstream{slots: slots, factor: []float64{0.5, 1, 1, 1.5}[i%4]}
 	}
 	for range entries {
 		p := kqpick.New("d")
-		p.Set(list, w.now)
-		w.entries = append(w.entries, p)
+		p.Set(list, sim.now)
+		sim.entries = append(sim.entries, p)
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) after(d time.Duration, do func()) { heap.Push(&w.events, event{w.now.Add(d), do}) }
+func (sim *simulation) after(d time.Duration, do func()) {
+	heap.Push(&sim.events, event{sim.now.Add(d), do})
+}
 
-func (w *simulation) call(entry int) {
-	p := w.entries[entry].Pick(kqpick.Target{Ample: target / 2}, nil, w.now, w.random)
-	j := &job{entry: entry, peer: p, arrivedAt: w.now}
-	u := w.upstreams[p.Node]
+func (sim *simulation) call(entry int) {
+	p := sim.entries[entry].Pick(kqpick.Target{Ample: target / 2}, nil, sim.now, sim.random)
+	j := &job{entry: entry, peer: p, arrivedAt: sim.now}
+	u := sim.upstreams[p.Node]
 	u.calls++
-	w.after(time.Millisecond, func() {
+	sim.after(time.Millisecond, func() {
 		if u.running >= u.slots {
 			u.waiting = append(u.waiting, j)
 			return
 		}
-		w.run(u, j)
+		sim.run(u, j)
 	})
 }
 
-func (w *simulation) run(u *upstream, j *job) {
+func (sim *simulation) run(u *upstream, j *job) {
 	u.running++
-	took := time.Duration(float64(work) * u.factor * (0.7 + 0.6*w.random.Float64()))
-	w.after(took, func() {
+	took := time.Duration(float64(work) * u.factor * (0.7 + 0.6*sim.random.Float64()))
+	sim.after(took, func() {
 		u.running--
-		failed := w.random.Float64() < u.failShare
+		failed := sim.random.Float64() < u.failShare
 		if failed {
 			u.failed++
 		}
-		u.record.Note(failed, w.now)
+		u.record.Note(failed, sim.now)
 		if len(u.waiting) > 0 {
 			next := u.waiting[0]
 			u.waiting = u.waiting[1:]
-			w.run(u, next)
+			sim.run(u, next)
 		}
-		load := kqcall.Load{Running: u.running, Waiting: len(u.waiting), Slots: u.slots, Work: time.Duration(float64(work) * u.factor), Failing: u.record.Share(w.now)}
-		w.after(time.Millisecond, func() {
-			w.took = append(w.took, w.now.Sub(j.arrivedAt))
-			w.entries[j.entry].Done(j.peer, kqcall.OK(), failed, &load, w.now)
+		load := kqcall.Load{Running: u.running, Waiting: len(u.waiting), Slots: u.slots, Work: time.Duration(float64(work) * u.factor), Failing: u.record.Share(sim.now)}
+		sim.after(time.Millisecond, func() {
+			sim.took = append(sim.took, sim.now.Sub(j.arrivedAt))
+			sim.entries[j.entry].Done(j.peer, kqcall.OK(), failed, &load, sim.now)
 		})
 	})
 }
 
 // simulate sends calls at the rate for the given time and runs until all have ended.
-func (w *simulation) simulate(perSecond float64, length time.Duration) {
-	end := w.now.Add(length)
+func (sim *simulation) simulate(perSecond float64, length time.Duration) {
+	end := sim.now.Add(length)
 	var arrive func()
 	arrive = func() {
-		if w.now.After(end) {
+		if sim.now.After(end) {
 			return
 		}
-		w.call(w.random.IntN(len(w.entries)))
-		w.after(time.Duration(w.random.ExpFloat64()/perSecond*float64(time.Second)), arrive)
+		sim.call(sim.random.IntN(len(sim.entries)))
+		sim.after(time.Duration(sim.random.ExpFloat64()/perSecond*float64(time.Second)), arrive)
 	}
 	arrive()
-	for len(w.events) > 0 {
-		next := heap.Pop(&w.events).(event)
-		w.now = next.at
+	for len(sim.events) > 0 {
+		next := heap.Pop(&sim.events).(event)
+		sim.now = next.at
 		next.do()
 	}
 }
 
-// 18 entries send calls to 14 upstreams, about ten a second to each, so that an entry's
-// reports are seconds old. If each entry chose the best of all upstreams, all would choose
-// the same few: calls would queue or be refused there while other upstreams are idle.
+// 18 entries send 400 calls a second to 14 upstreams, so that each entry gets fewer than
+// two reports a second of an upstream. If each entry chose the best of all upstreams, all
+// would choose the same few: calls would queue or be refused there while other upstreams
+// are idle.
 func TestEntriesSpreadOverUpstreams(t *testing.T) {
 	for seed := range uint64(3) {
-		w := newSimulation(18, 14, seed)
-		w.simulate(400, 30*time.Second)
-		late, most := 0, 0
-		for _, d := range w.took {
+		sim := newSimulation(18, 14, seed)
+		sim.simulate(400, 30*time.Second)
+		late, busiest := 0, 0
+		for _, d := range sim.took {
 			if d > target {
 				late++
 			}
 		}
-		for _, u := range w.upstreams {
-			most = max(most, u.calls)
+		for _, u := range sim.upstreams {
+			busiest = max(busiest, u.calls)
 		}
-		mean := float64(len(w.took)) / float64(len(w.upstreams))
-		t.Logf("seed %d: %d calls, %d late, busiest has %.2f times the mean", seed, len(w.took), late, float64(most)/mean)
-		if late*200 > len(w.took) {
-			t.Errorf("seed %d: %d of %d calls late at three quarters of the capacity, want at most 1 in 200", seed, late, len(w.took))
+		mean := float64(len(sim.took)) / float64(len(sim.upstreams))
+		t.Logf("seed %d: %d calls, %d late, busiest has %.2f times the mean", seed, len(sim.took), late, float64(busiest)/mean)
+		if late*200 > len(sim.took) {
+			t.Errorf("seed %d: %d of %d calls late at three quarters of the capacity, want at most 1 in 200", seed, late, len(sim.took))
 		}
 	}
 }
--- a/internal/decide/kqpick/slow_test.go
+++ b/internal/decide/kqpick/slow_test.go
@@ -69,8 +69,8 @@
 // full, it would get every call until its first answer: 30 for six slots. Its fair share
 // makes it as full as the others: a quarter of what all four then hold.
 func TestJoiningUpstreamIsNotFlooded(t *testing.T) {
-	const others, held, calls = 3, 12, 30
-	const fair = (others*held + calls + others) / (others + 1)
+	const others, occupied, calls = 3, 12, 30
+	const fair = (others*occupied + calls + others) / (others + 1)
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 11))
 	p := kqpick.New("here")
--- a/internal/decide/kqpick/usage.go
+++ b/internal/decide/kqpick/usage.go
@@ -15,8 +15,8 @@
 // the servers' links are full and even calls that have a slot are late.
 func (p *Pool) Spare(target Target, tried []kqname.Node, now time.Time) bool {
 	saturated := p.utilization(now) >= saturatedUse
-	for _, o := range p.peers {
-		if target.allows(o.Candidate) && !slices.Contains(tried, o.Node) && !o.state.Ejected() && o.hasFreeSlot(saturated, now) {
+	for _, peer := range p.peers {
+		if target.allows(peer.Candidate) && !slices.Contains(tried, peer.Node) && !peer.state.Ejected() && peer.hasFreeSlot(saturated, now) {
 			return true
 		}
 	}
@@ -27,8 +27,8 @@
 // is known.
 func (p *Pool) Work(route kqname.Route) time.Duration {
 	least := time.Duration(0)
-	for _, o := range p.peers {
-		if k, ok := o.routes[route]; ok && !o.state.Ejected() && (least == 0 || k.work < least) {
+	for _, peer := range p.peers {
+		if k, ok := peer.routes[route]; ok && !peer.state.Ejected() && (least == 0 || k.work < least) {
 			least = k.work
 		}
 	}
@@ -42,9 +42,9 @@
 	}
 	p.medianAt, p.median = now, 0
 	var works []time.Duration
-	for _, o := range p.peers {
-		if o.load.Work > 0 {
-			works = append(works, o.load.Work)
+	for _, peer := range p.peers {
+		if peer.load.Work > 0 {
+			works = append(works, peer.load.Work)
 		}
 	}
 	// The median of two would be one of them, which does not tell which is the outlier.
@@ -83,10 +83,10 @@
 // reports, or 0 if there are none. Waiting calls count as slots in use.
 func (p *Pool) measureUtilization(now time.Time) float64 {
 	busy, slots := 0, 0
-	for _, o := range p.peers {
-		if now.Sub(o.reportedAt) < reportTTL {
-			busy += o.load.Running + o.load.Waiting
-			slots += o.Slots
+	for _, peer := range p.peers {
+		if now.Sub(peer.reportedAt) < reportTTL {
+			busy += peer.load.Running + peer.load.Waiting
+			slots += peer.Slots
 		}
 	}
 	return float64(busy) / float64(max(slots, 1))
--- a/internal/decide/kqslots/overload_test.go
+++ b/internal/decide/kqslots/overload_test.go
@@ -41,10 +41,10 @@
 
 	// request is one request of a caller, over all its attempts.
 	request struct {
-		stream *stream
-		caller kqname.Caller
-		first  time.Time
-		tries  int
+		stream   *stream
+		caller   kqname.Caller
+		first    time.Time
+		attempts int
 	}
 
 	// results counts the outcomes of a stream's requests.
@@ -71,90 +71,90 @@
 	}
 )
 
-func (b *simulation) after(d time.Duration, do func()) {
-	e := event{b.now.Add(d), do}
-	i, _ := slices.BinarySearchFunc(b.events, e, func(x, y event) int { return cmp.Compare(x.at.UnixNano(), y.at.UnixNano()+1) })
-	b.events = slices.Insert(b.events, i, e)
+func (sim *simulation) after(d time.Duration, do func()) {
+	e := event{sim.now.Add(d), do}
+	i, _ := slices.BinarySearchFunc(sim.events, e, func(x, y event) int { return cmp.Compare(x.at.UnixNano(), y.at.UnixNano()+1) })
+	sim.events = slices.Insert(sim.events, i, e)
 }
 
 // simulate runs the load and returns the results by route.
 func simulate(l load, seed uint64) map[kqname.Route]*results {
-	b := &simulation{
+	sim := &simulation{
 		load: l, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 1)),
 		slots: kqslots.New(l.slots, seed, kqslots.WithExact()), results: make(map[kqname.Route]*results), calls: make(map[*kqslots.Ticket]*request), entered: make(map[*kqslots.Ticket]time.Time),
 	}
 	for i := range l.streams {
 		s := &l.streams[i]
-		b.results[s.route] = &results{}
-		b.after(s.from, func() { b.arrive(s) })
+		sim.results[s.route] = &results{}
+		sim.after(s.from, func() { sim.arrive(s) })
 	}
-	for len(b.events) > 0 {
-		e := b.events[0]
-		b.events = b.events[1:]
-		b.now = e.at
+	for len(sim.events) > 0 {
+		e := sim.events[0]
+		sim.events = sim.events[1:]
+		sim.now = e.at
 		e.do()
 	}
-	return b.results
+	return sim.results
 }
 
-func (b *simulation) arrive(s *stream) {
+func (sim *simulation) arrive(s *stream) {
 	until := s.until
 	if until == 0 {
-		until = b.duration
+		until = sim.duration
 	}
-	if b.now.Sub(time.Unix(1000, 0)) >= until {
+	if sim.now.Sub(time.Unix(1000, 0)) >= until {
 		return
 	}
-	b.results[s.route].requests++
-	b.try(&request{stream: s, caller: kqname.Caller(fmt.Sprint(b.random.IntN(s.callers))), first: b.now})
-	b.after(time.Duration(b.random.ExpFloat64()/s.rate*float64(time.Second)), func() { b.arrive(s) })
+	sim.results[s.route].requests++
+	sim.try(&request{stream: s, caller: kqname.Caller(fmt.Sprint(sim.random.IntN(s.callers))), first: sim.now})
+	sim.after(time.Duration(sim.random.ExpFloat64()/s.rate*float64(time.Second)), func() { sim.arrive(s) })
 }
 
-func (b *simulation) try(r *request) {
+func (sim *simulation) try(r *request) {
 	s := r.stream
-	r.tries++
+	r.attempts++
 	t := &kqslots.Ticket{
-		Caller: r.caller, Route: s.route, Class: s.class, Nested: s.nested, Deadline: b.now.Add(s.deadline), Target: r.first.Add(s.target), Ready: make(chan struct{}, 1),
+		Caller: r.caller, Route: s.route, Class: s.class, Nested: s.nested, Deadline: sim.now.Add(s.deadline), Target: r.first.Add(s.target), Ready: make(chan struct{}, 1),
 	}
-	b.calls[t], b.entered[t] = r, b.now
-	b.slots.Enter(t, b.now)
-	b.handle(t)
+	sim.calls[t], sim.entered[t] = r, sim.now
+	sim.slots.Enter(t, sim.now)
+	sim.handle(t)
 }
 
 // handle acts on a ticket's new verdict.
-func (b *simulation) handle(t *kqslots.Ticket) {
-	r := b.calls[t]
+func (sim *simulation) handle(t *kqslots.Ticket) {
+	r := sim.calls[t]
 	switch t.Verdict {
 	case kqslots.Run:
-		z := b.random.NormFloat64()
+		z := sim.random.NormFloat64()
 		took := time.Duration(float64(r.stream.work) * math.Exp(r.stream.sigma*z-r.stream.sigma*r.stream.sigma/2))
-		b.after(took, func() {
-			g := b.results[r.stream.route]
-			if b.now.After(r.first.Add(r.stream.target)) {
+		sim.after(took, func() {
+			g := sim.results[r.stream.route]
+			if sim.now.After(r.first.Add(r.stream.target)) {
 				g.late++
 			} else {
 				g.inTime++
 			}
-			for _, one := range b.slots.Leave(t, took, b.now) {
-				b.handle(one)
+			for _, settled := range sim.slots.Leave(t, took, sim.now) {
+				sim.handle(settled)
 			}
 		})
 	case kqslots.Wait:
-		b.after(t.GiveUp.Sub(b.now), func() {
-			if b.slots.Expire(t) {
-				b.handle(t)
+		sim.after(t.GiveUp.Sub(sim.now), func() {
+			if sim.slots.Expire(t) {
+				sim.handle(t)
 			}
 		})
 	case kqslots.Refuse:
-		if b.now.Sub(b.entered[t]) > 50*time.Millisecond {
-			b.results[r.stream.route].refusedAfterWait++
+		if sim.now.Sub(sim.entered[t]) > 50*time.Millisecond {
+			sim.results[r.stream.route].refusedAfterWait++
 		}
-		if r.tries > b.maxRetries {
-			b.results[r.stream.route].refused++
+		if r.attempts > sim.maxRetries {
+			sim.results[r.stream.route].refused++
 			return
 		}
 		// The entry delays the retry of a caller whose answer can only be late.
-		b.after(max(t.Refusal.RetryAfter, r.first.Add(maxPatience).Sub(b.now)/3), func() { b.try(r) })
+		sim.after(max(t.Refusal.RetryAfter, r.first.Add(maxPatience).Sub(sim.now)/3), func() { sim.try(r) })
 	}
 }
 
--- a/internal/decide/kqslots/queue.go
+++ b/internal/decide/kqslots/queue.go
@@ -156,13 +156,13 @@
 
 // nearGiveUp reports whether the oldest call has used seven eighths of its maximum wait.
 func nearGiveUp(q *kqfair.Queue, now time.Time) bool {
-	p := q.Oldest()
-	return now.Sub(p.EnqueuedAt) > ticketOf(p).GiveUp.Sub(p.EnqueuedAt)*7/8
+	item := q.Oldest()
+	return now.Sub(item.EnqueuedAt) > ticketOf(item).GiveUp.Sub(item.EnqueuedAt)*7/8
 }
 
-func ticketOf(p *kqfair.Item) *Ticket {
+func ticketOf(item *kqfair.Item) *Ticket {
 	// Only push creates items, and it sets the value to a ticket.
-	t, _ := p.Value.(*Ticket)
+	t, _ := item.Value.(*Ticket)
 	return t
 }
 
--- a/internal/decide/kqslots/slots_test.go
+++ b/internal/decide/kqslots/slots_test.go
@@ -21,10 +21,10 @@
 	now := time.Unix(1000, 0)
 	s := kqslots.New(slots, 1, kqslots.WithExact())
 	run := func(route kqname.Route, took time.Duration) {
-		one := ticket(route, now)
-		s.Enter(one, now)
+		call := ticket(route, now)
+		s.Enter(call, now)
 		now = now.Add(took)
-		s.Leave(one, took, now)
+		s.Leave(call, took, now)
 	}
 	for range 100 {
 		run("probe", time.Millisecond)
@@ -34,8 +34,8 @@
 	run("probe", time.Millisecond)
 	running := 0
 	for range slots {
-		one := ticket("order", now)
-		if s.Enter(one, now); one.Verdict == kqslots.Run {
+		call := ticket("order", now)
+		if s.Enter(call, now); call.Verdict == kqslots.Run {
 			running++
 		}
 	}
@@ -53,18 +53,18 @@
 	s := kqslots.New(slots, 1, kqslots.WithExact())
 	var running []*kqslots.Ticket
 	enter := func() *kqslots.Ticket {
-		one := ticket("browse", now)
-		one.Class, one.Target = "background", now.Add(400*time.Millisecond)
-		s.Enter(one, now)
-		return one
+		call := ticket("browse", now)
+		call.Class, call.Target = "background", now.Add(400*time.Millisecond)
+		s.Enter(call, now)
+		return call
 	}
 	refused := 0
 	// Ten seconds at twice the capacity: one call every 10 ms, each of 120 ms, on 6 slots.
 	for step := range 1000 {
 		now = now.Add(10 * time.Millisecond)
-		if one := enter(); one.Verdict == kqslots.Run {
-			running = append(running, one)
-		} else if one.Verdict == kqslots.Refuse {
+		if call := enter(); call.Verdict == kqslots.Run {
+			running = append(running, call)
+		} else if call.Verdict == kqslots.Refuse {
 			refused++
 		}
 		if step%2 == 0 && len(running) > 0 {
