--- a/internal/call/kqgate/beliefs_address_test.go
+++ b/internal/call/kqgate/address_reuse_test.go
@@ -15,16 +15,15 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Callers of an upstream that had been replaced by another version at the same address
-// were refused four times a second, whenever some of them waited for a slot, although
-// the upstream was well and had time for them: the gate went on taking the address for
-// the former version's, which is gone, for as long as calls kept coming, and turned
-// away all that waited at each of its looks.
+// Guards against queued calls being refused after another version has taken over an
+// upstream's address. The gate used to keep the address under the former version as long
+// as calls kept coming, and refused all waiting calls at each sweep, four times a
+// second.
 func TestAddressTakenOverByAnotherVersion(t *testing.T) {
-	work := make(chan struct{})
+	finish := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
-			<-work
+			<-finish
 		}
 		fmt.Fprint(w, "ran")
 	}))
@@ -43,7 +42,7 @@
 	}
 	announce("v1")
 	if o := do("/"); o != kqcall.OK() {
-		t.Fatalf("first version: %+v", o)
+		t.Fatalf("call to the first version ended as %+v, want answered", o)
 	}
 	announce("v2")
 	var group sync.WaitGroup
@@ -53,7 +52,7 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	g.Sweep(time.Now())
-	close(work)
+	close(finish)
 	group.Wait()
 	for i, o := range outcomes {
 		if o != kqcall.OK() {
--- a/internal/call/kqgate/left_test.go
+++ b/internal/call/kqgate/cancel_queued_test.go
@@ -17,14 +17,15 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Guards against a call that waited and has its turn just after its caller has gone: its
-// upstream would work for nobody, or run what its caller was told has not run.
-func TestCallWhoseCallerHasGoneDoesNotGetItsTurn(t *testing.T) {
+// Guards against running a queued call whose caller disconnected just before the call
+// got a slot: the upstream would do work that nobody waits for, or run a call that was
+// reported as not run.
+func TestQueuedCallOfDisconnectedCallerDoesNotRun(t *testing.T) {
 	var runs atomic.Int32
-	work := make(chan struct{})
+	finish := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		runs.Add(1)
-		<-work
+		<-finish
 		fmt.Fprint(w, "ran")
 	}))
 	defer server.Close()
@@ -39,17 +40,17 @@
 	for runs.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	waits := newCall("/")
-	waits.Look = func() { waits.Cancel.Now(kqcall.Cancelled) }
+	queued := newCall("/")
+	queued.Look = func() { queued.Cancel.Now(kqcall.Cancelled) }
 	var o kqcall.Outcome
-	group.Go(func() { o, _ = g.Do(waits) })
+	group.Go(func() { o, _ = g.Do(queued) })
 	time.Sleep(50 * time.Millisecond)
-	close(work)
+	close(finish)
 	group.Wait()
 	if o.Result != kqcall.NotRun || o.Reason != kqcall.Cancelled {
-		t.Errorf("%+v, want cancelled and not run", o)
+		t.Errorf("queued call ended as %+v, want cancelled and not run", o)
 	}
 	if n := runs.Load(); n != 1 {
-		t.Errorf("%d calls ran, want the first alone", n)
+		t.Errorf("%d calls ran, want only the first", n)
 	}
 }
--- a/internal/call/kqgate/doc.go
+++ b/internal/call/kqgate/doc.go
@@ -1,4 +1,4 @@
-// Package kqgate stands in front of a node's own upstream and is the only way
-// to it. It knows the upstream's slots exactly, can tell with certainty that a
-// call did not run, and stops new work for a leaving upstream at once.
+// Package kqgate guards a node's local upstream: every call to it passes the gate. The
+// gate counts the upstream's slots in use exactly, knows which calls did not run, and
+// rejects new calls as soon as the upstream drains.
 package kqgate
--- a/internal/call/kqgate/gate.go
+++ b/internal/call/kqgate/gate.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// part is the gate's name in what is noted of it.
-	part = "gate"
-	// looksAfter is how long a call waits before its caller is looked for again: each
-	// look costs a system call.
-	looksAfter = time.Millisecond
+	// component names the gate in reports of panics.
+	component = "gate"
+	// callerCheckAfter is how long a call must have waited before its caller's
+	// connection is checked: each check costs a system call.
+	callerCheckAfter = time.Millisecond
 )
 
 type (
@@ -31,36 +31,37 @@
 		Find(service kqname.Service, version kqname.UpstreamVersion) (kqlocal.Announcement, bool)
 	}
 
-	// Withdrawer leaves out an upstream that takes no connections.
+	// Withdrawer removes an upstream that accepts no connections from the announced
+	// ones.
 	Withdrawer interface {
 		Withdraw(address kqname.Address, now time.Time)
 	}
 
-	// Counter counts how calls ended at the gate.
+	// Counter counts the outcomes of calls at the gate.
 	Counter interface {
 		Gated(o kqcall.Outcome)
 	}
 
-	// Observer is told how each call that reached the upstream went.
+	// Observer receives the result of each call that reached the upstream.
 	Observer interface {
 		Observe(o Observation)
 	}
 
-	// Guard says which upstream versions get no calls.
+	// Guard reports which upstream versions must not get calls.
 	Guard interface {
 		Refuses(service kqname.Service, version kqname.UpstreamVersion) bool
 	}
 
-	// Observation is one call as its gate saw it.
+	// Observation is the result of one call as its gate saw it.
 	Observation struct {
 		Service kqname.Service
 		Version kqname.UpstreamVersion
 		Route   kqname.Route
 		Outcome kqcall.Outcome
-		// Status is the upstream's HTTP status, 0 where it gave none.
+		// Status is the upstream's HTTP status, 0 if it sent none.
 		Status int
-		// Began is when the call was sent to the upstream; Took is how long
-		// the upstream had it.
+		// Began is when the call was sent to the upstream; Took is how long the upstream
+		// had it.
 		Began time.Time
 		Took  time.Duration
 	}
@@ -79,87 +80,92 @@
 		recorder Recorder
 		keeper   *kqkeeper.Keeper
 		nesting  *kqnesting.Calls
-		number   atomic.Uint64
+		sequence atomic.Uint64
 		leaving  atomic.Bool
 
 		mu        sync.Mutex
-		upstreams map[place]*upstream
+		upstreams map[upstreamKey]*upstream
 	}
 
-	// place is an address as one service's version holds it. An address may pass to
-	// another before the former's last call has ended; by the address alone, the
-	// new one's calls would share the fate of the former's.
-	place struct {
+	// upstreamKey identifies an upstream by address, service and version. The address
+	// alone is not enough: another version may take it over while calls to the former
+	// one still run, and its calls would then be refused together with the former's.
+	upstreamKey struct {
 		address kqname.Address
 		service kqname.Service
 		version kqname.UpstreamVersion
 	}
 
-	// Option sets up a Gate.
+	// Option configures a Gate.
 	Option func(*Gate)
 
-	// Recorder is told of each call once it has left the gate.
+	// Recorder receives a record of each call once it has left the gate.
 	Recorder interface {
 		Gated(r Record, now time.Time)
 	}
 
-	// Record is one call as the gate saw it.
+	// Record describes one call as the gate saw it.
 	Record struct {
 		Call     *kqcall.Call
 		Outcome  kqcall.Outcome
 		Status   int
 		Instance kqname.Instance
-		// Load is the upstream's after the call.
+		// Load is the upstream's load after the call.
 		Load kqcall.Load
-		// Waited is the time in the queue, Took that at the upstream.
+		// Waited is the time in the queue; Took is the time at the upstream.
 		Waited, Took time.Duration
 	}
 
-	nobody struct{}
+	// noop implements the optional interfaces that no option sets.
+	noop struct{}
 )
 
 // Gated implements Recorder.
-func (forgetful) Gated(Record, time.Time) {}
+func (noopRecorder) Gated(Record, time.Time) {}
 
-// WithRecorder has r told of each call.
+// WithRecorder sets the recorder that gets a record of each call.
 func WithRecorder(r Recorder) Option { return func(g *Gate) { g.recorder = r } }
 
-type forgetful struct{}
+// noopRecorder discards records.
+type noopRecorder struct{}
 
 // Withdraw implements Withdrawer.
-func (nobody) Withdraw(kqname.Address, time.Time) {}
+func (noop) Withdraw(kqname.Address, time.Time) {}
 
 // Observe implements Observer.
-func (nobody) Observe(Observation) {}
+func (noop) Observe(Observation) {}
 
 // Gated implements Counter.
-func (nobody) Gated(kqcall.Outcome) {}
+func (noop) Gated(kqcall.Outcome) {}
 
-// WithCounter counts calls' ends.
+// WithCounter sets the counter of outcomes.
 func WithCounter(c Counter) Option { return func(g *Gate) { g.counter = c } }
 
 // Refuses implements Guard.
-func (nobody) Refuses(kqname.Service, kqname.UpstreamVersion) bool { return false }
+func (noop) Refuses(kqname.Service, kqname.UpstreamVersion) bool { return false }
 
-// WithGuard refuses calls to the versions that guard names.
+// WithGuard refuses calls to the versions that guard refuses.
 func WithGuard(guard Guard) Option { return func(g *Gate) { g.guard = guard } }
 
-// WithObserver tells o of each call.
+// WithObserver sets the observer that gets the result of each call.
 func WithObserver(o Observer) Option { return func(g *Gate) { g.observer = o } }
 
-// WithWithdrawer has upstreams that take no connections left out.
+// WithWithdrawer sets what withdraws upstreams that accept no connections.
 func WithWithdrawer(w Withdrawer) Option { return func(g *Gate) { g.withdraw = w } }
 
-// WithDialect sets what upstreams speak in place of our headers.
+// WithDialect sets the dialect that upstreams use instead of this project's headers.
 func WithDialect(d kqcall.Dialect) Option { return func(g *Gate) { g.dialect = d } }
 
-// WithKeeper has a call that panics end alone.
+// WithKeeper sets the keeper that recovers panics, so that a panic ends only its own
+// call.
 func WithKeeper(k *kqkeeper.Keeper) Option { return func(g *Gate) { g.keeper = k } }
 
-// WithNesting tells c of the calls that run.
+// WithNesting records running calls in c, so that calls made on their behalf are
+// recognized.
 func WithNesting(c *kqnesting.Calls) Option { return func(g *Gate) { g.nesting = c } }
 
-// WithExactSlots takes what upstreams announce for what they run at once.
+// WithExactSlots takes the announced slots as the upstream's exact concurrency instead
+// of learning a limit.
 func WithExactSlots() Option {
 	return func(g *Gate) {
 		g.queue = func(slots int, address kqname.Address) queue {
@@ -168,19 +174,19 @@
 	}
 }
 
-// WithBaseline queues calls first come, first served, for measurements.
+// WithBaseline queues calls first come, first served, as the baseline for measurements.
 func WithBaseline() Option {
 	return func(g *Gate) { g.queue = func(slots int, _ kqname.Address) queue { return kqfifo.New(slots) } }
 }
 
-// WithHangup has w look after the connections that calls come on.
+// WithHangup sets the watch that detects callers' disconnects.
 func WithHangup(w *kqhangup.Watch) Option { return func(g *Gate) { g.hangup = w } }
 
 // New returns a gate to the upstreams that local finds.
 func New(local Finder, options ...Option) *Gate {
 	g := &Gate{
-		local: local, withdraw: nobody{}, observer: nobody{}, guard: nobody{}, counter: nobody{}, recorder: forgetful{}, now: time.Now, hangup: kqhangup.New(),
-		upstreams: make(map[place]*upstream), nesting: kqnesting.New(),
+		local: local, withdraw: noop{}, observer: noop{}, guard: noop{}, counter: noop{}, recorder: noopRecorder{}, now: time.Now, hangup: kqhangup.New(),
+		upstreams: make(map[upstreamKey]*upstream), nesting: kqnesting.New(),
 		queue: func(slots int, address kqname.Address) queue {
 			return kqslots.New(slots, saltOf(address))
 		},
@@ -191,7 +197,7 @@
 	return g
 }
 
-// Serve answers calls that other nodes send to this one's gate.
+// Serve handles a call that another node sends to this node's gate.
 func (g *Gate) Serve(ctx *fasthttp.RequestCtx) {
 	now := g.now()
 	c, err := kqcall.Read(&ctx.Request, &ctx.Response, now)
@@ -203,78 +209,80 @@
 	var cancel kqcall.Cancel
 	var line kqhangup.Line
 	c.Cancel, c.Dialect, c.Look = &cancel, g.dialect, line.Look
-	g.hangup.Begin(&line, g.number.Add(1), ctx.Conn(), &cancel, now)
-	o, load := g.run(c, now)
+	g.hangup.Begin(&line, g.sequence.Add(1), ctx.Conn(), &cancel, now)
+	o, load := g.handle(c, now)
 	g.hangup.End(&line)
 	g.counter.Gated(o)
 	c.Answer(o)
 	c.WriteStarved()
 	load.Write(&ctx.Response.Header)
 	if g.leaving.Load() {
-		// The node that calls closes the connection itself; the server's own
-		// close could meet a call that is on its way.
+		// The calling node is asked to close the connection: if this server closed it, a
+		// call already on its way could be lost.
 		ctx.SetConnectionClose()
 	}
 }
 
-// Do runs a call of this node's own entry at the local upstream, fills in its
-// response, and returns the upstream's load.
+// Do runs a call of this node's own entry at the local upstream, fills in its response
+// and returns the upstream's load.
 func (g *Gate) Do(c *kqcall.Call) (kqcall.Outcome, kqcall.Load) {
-	o, load := g.run(c, g.now())
+	o, load := g.handle(c, g.now())
 	g.counter.Gated(o)
 	return o, load
 }
 
-// Leave refuses all that come from now on: the node is going. Calls that wait
-// are refused, calls that run are finished.
+// Leave starts draining the gate before the node stops: new and waiting calls are
+// refused, running calls finish.
 func (g *Gate) Leave() {
 	g.leaving.Store(true)
 	g.Sweep(g.now())
 }
 
-// Sweep follows what became of the local upstreams: whoever drains takes no new
-// work, and whoever is gone is forgotten once its last call has ended.
+// Sweep applies changes of the local upstreams: it closes the queue of an upstream that
+// drains or is gone, and deletes one that is gone once its last call has ended and its
+// last connection is closed.
 func (g *Gate) Sweep(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for p, u := range g.upstreams {
-		a, ok := g.local.Find(p.service, p.version)
-		if !ok || a.Address != p.address || a.Draining || g.leaving.Load() {
+	for key, u := range g.upstreams {
+		a, ok := g.local.Find(key.service, key.version)
+		if !ok || a.Address != key.address || a.Draining || g.leaving.Load() {
 			u.close()
 		}
-		if u.client.Sweep(now) == 0 && (!ok || a.Address != p.address) && u.idle() {
-			delete(g.upstreams, p)
+		if u.client.Sweep(now) == 0 && (!ok || a.Address != key.address) && u.isIdle() {
+			delete(g.upstreams, key)
 		}
 	}
 }
 
-// Working reports whether calls are at work, or wait, at an upstream of the service
-// whose version is one of those that fits.
+// Working reports whether calls run or wait at an upstream of the service whose version
+// satisfies fits.
 func (g *Gate) Working(service kqname.Service, fits func(kqname.UpstreamVersion) bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for p, u := range g.upstreams {
-		if p.service == service && fits(p.version) && !u.idle() {
+	for key, u := range g.upstreams {
+		if key.service == service && fits(key.version) && !u.isIdle() {
 			return true
 		}
 	}
 	return false
 }
 
-// run passes the call on and has it recorded.
-func (g *Gate) run(c *kqcall.Call, now time.Time) (kqcall.Outcome, kqcall.Load) {
+// handle forwards the call and records it.
+func (g *Gate) handle(c *kqcall.Call, now time.Time) (kqcall.Outcome, kqcall.Load) {
 	r := Record{Call: c}
-	if !g.keeper.Try(part, func() { r.Outcome, r.Load = g.pass(c, &r, now) }) {
-		// What the panic left of an answer is not passed on.
+	if !g.keeper.Try(component, func() { r.Outcome, r.Load = g.forward(c, &r, now) }) {
+		// A response that the panic left incomplete must not reach the caller.
 		c.Response.Reset()
 		r.Outcome = kqcall.Lose(kqcall.Panicked)
 	}
-	r.Status = status(c, r.Outcome)
+	r.Status = upstreamStatus(c, r.Outcome)
 	g.keeper.Try("record", func() { g.recorder.Gated(r, g.now()) })
 	return r.Outcome, r.Load
 }
 
-func (g *Gate) pass(c *kqcall.Call, r *Record, now time.Time) (kqcall.Outcome, kqcall.Load) {
+// forward admits the call, sends it to the upstream and reports its outcome.
+func (g *Gate) forward(c *kqcall.Call, r *Record, now time.Time) (kqcall.Outcome, kqcall.Load) {
 	if g.leaving.Load() {
 		return kqcall.Refuse(kqcall.Draining), kqcall.Load{}
 	}
@@ -290,7 +298,7 @@
 	}
 	r.Instance = a.Instance
 	u := g.upstream(a, now)
-	t := u.ticket(c)
+	t := u.newTicket(c)
 	o := u.admit(t, c, now)
 	r.Waited = g.now().Sub(now)
 	if o.Result != kqcall.Answered {
@@ -298,80 +306,85 @@
 		u.recycle(t)
 		return o, load
 	}
-	if reason := left(c, r.Waited); reason != kqcall.NoReason {
+	if reason := cancelReason(c, r.Waited); reason != kqcall.NoReason {
 		o = kqcall.Refuse(reason)
 		return o, u.leave(t, o, false, 0, g.now())
 	}
-	began, given := g.now(), false
+	began, released := g.now(), false
 	defer func() {
-		// A panic must not keep the slot: after a few the upstream took no calls.
-		if !given {
+		// A slot that a panic kept would be lost; after a few panics the upstream took
+		// no calls.
+		if !released {
 			u.leave(t, kqcall.Lose(kqcall.Panicked), true, 0, began)
 		}
 	}()
 	c.Instance = a.Instance
 	g.nesting.Begin(c)
 	defer g.nesting.End(c.ID)
-	o = send(u, c, began)
+	o = sendToUpstream(u, c, began)
 	c.Starved = g.nesting.Starved(c.ID)
 	ended := g.now()
 	took := ended.Sub(began)
 	r.Took = took
-	if u.unreachable(o, ended) {
+	if u.updateUnreachable(o, ended) {
 		g.withdraw.Withdraw(a.Address, ended)
 	}
-	// That this node ended before the call says nothing of the upstream.
+	// Draining means that this node stopped before the call ended, which is no fault of
+	// the upstream.
 	if o.Reason != kqcall.Draining {
 		g.observer.Observe(Observation{
 			Service: c.Service, Version: a.Version, Route: c.Route, Outcome: o,
-			Status: status(c, o), Began: began, Took: took,
+			Status: upstreamStatus(c, o), Began: began, Took: took,
 		})
 	}
-	failed := failed(c, o)
-	given = true
+	upstreamFailed := upstreamFailed(c, o)
+	released = true
 	if !c.Response.IsBodyStream() {
-		return o, u.leave(t, o, failed, took, ended)
+		return o, u.leave(t, o, upstreamFailed, took, ended)
 	}
-	// The upstream works on the call until all of its answer has been taken.
+	// The slot stays in use until the whole streamed response has been read.
 	c.Finish = func() {
 		c.Finish = nil
 		now := g.now()
-		u.leave(t, o, failed, now.Sub(began), now)
+		u.leave(t, o, upstreamFailed, now.Sub(began), now)
 	}
 	return o, u.load(t, ended)
 }
 
-// left returns why a call that has waited must not run any more.
-func left(c *kqcall.Call, waited time.Duration) kqcall.Reason {
-	if waited >= looksAfter && c.Look != nil {
+// cancelReason returns why a call that has waited must not run any more, or NoReason.
+func cancelReason(c *kqcall.Call, waited time.Duration) kqcall.Reason {
+	if waited >= callerCheckAfter && c.Look != nil {
 		c.Look()
 	}
 	return c.Cancel.Reason()
 }
 
-// failed reports whether the upstream failed the call: it answered so, broke off, or
-// turned away a call that it had a slot for.
-func failed(c *kqcall.Call, o kqcall.Outcome) bool {
+// upstreamFailed reports whether the upstream failed the call: it answered 5xx, broke
+// the connection off, or rejected a call although it had a slot for it.
+func upstreamFailed(c *kqcall.Call, o kqcall.Outcome) bool {
 	if o.Result == kqcall.Answered {
 		return c.Response.StatusCode() >= fasthttp.StatusInternalServerError
 	}
 	return o.Reason != kqcall.Cancelled && o.Reason != kqcall.Draining
 }
 
+// upstream returns the state of the announced upstream, creating it at the first call.
 func (g *Gate) upstream(a kqlocal.Announcement, now time.Time) *upstream {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	p := place{a.Address, a.Service, a.Version}
-	u, ok := g.upstreams[p]
+	key := upstreamKey{a.Address, a.Service, a.Version}
+	u, ok := g.upstreams[key]
 	if !ok {
 		u = newUpstream(a, g.queue(a.Slots, a.Address), g.dialect)
-		g.upstreams[p] = u
+		g.upstreams[key] = u
 	}
-	u.follow(a, now)
+	u.update(a, now)
 	return u
 }
 
-func send(u *upstream, c *kqcall.Call, now time.Time) kqcall.Outcome {
+// sendToUpstream sends the call and turns a response that says the call did not run into
+// a refusal.
+func sendToUpstream(u *upstream, c *kqcall.Call, now time.Time) kqcall.Outcome {
 	c.Tell(now)
 	o := u.client.Do(c)
 	if o.Result != kqcall.Answered {
@@ -391,7 +404,8 @@
 	return o
 }
 
-func status(c *kqcall.Call, o kqcall.Outcome) int {
+// upstreamStatus returns the HTTP status that the upstream sent, 0 if it sent none.
+func upstreamStatus(c *kqcall.Call, o kqcall.Outcome) int {
 	if o.Result != kqcall.Answered && o.Reason != kqcall.Shed {
 		return 0
 	}
--- a/internal/call/kqgate/unreachable_test.go
+++ b/internal/call/kqgate/unreachable_test.go
@@ -12,9 +12,10 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Guards against calls of every node that meet an upstream which has died, and against a
-// good version that is taken back for them: its small share goes to that one alone.
-func TestDeadUpstreamIsLeftOut(t *testing.T) {
+// Guards against sending calls to an upstream that accepts no connections. Besides
+// failing those calls, it caused rollbacks of good versions whose small share of traffic
+// went to that upstream alone.
+func TestUnreachableUpstreamIsWithdrawn(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -23,24 +24,24 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	var told []kqmember.Upstream
-	local := kqlocal.New(time.Minute, func(list []kqmember.Upstream) { told = list })
+	var published []kqmember.Upstream
+	local := kqlocal.New(time.Minute, func(list []kqmember.Upstream) { published = list })
 	if err := local.Announce(kqlocal.Announcement{Service: "store", Version: "v1", Address: address, Slots: 1}, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	g := kqgate.New(local, kqgate.WithWithdrawer(local))
 	do := func() {
 		if o, _ := g.Do(newCall("/")); o.Reason != kqcall.ConnectFailed {
-			t.Fatalf("%+v, want no connection", o)
+			t.Fatalf("call ended as %+v, want connect_failed", o)
 		}
 	}
 	do()
-	if len(told) != 1 {
-		t.Fatal("left out for one connection that failed")
+	if len(published) != 1 {
+		t.Fatal("upstream was withdrawn after a single failed connection")
 	}
 	time.Sleep(150 * time.Millisecond)
 	do()
-	if len(told) != 0 {
-		t.Error("not left out though it has taken no connection for a while")
+	if len(published) != 0 {
+		t.Error("upstream was not withdrawn after 150 ms without a connection")
 	}
 }
--- a/internal/call/kqgate/upstream.go
+++ b/internal/call/kqgate/upstream.go
@@ -16,19 +16,21 @@
 )
 
 const (
-	// maxConnections is what an upstream takes, by the users' figures.
+	// maxConnections is the number of connections that an upstream accepts, according to
+	// the users.
 	maxConnections = 100
-	// upstreamIdle is how long a connection to an upstream is kept without a
-	// call. A new one costs the upstream about 1 ms of a slot; one that the
-	// upstream closes first may have a call on its way, whose end is then unknown.
-	upstreamIdle = 5 * time.Second
-	// unreachableFor is for how long no connection could be made to an upstream that has
-	// died: one that was full for a moment takes the next.
-	unreachableFor = 100 * time.Millisecond
+	// upstreamIdleTimeout is how long a connection to an upstream is kept without a
+	// call. A new connection costs the upstream about 1 ms of a slot; but if the
+	// upstream closes an idle one first, a call may just have been sent on it, and its
+	// outcome is unknown.
+	upstreamIdleTimeout = 5 * time.Second
+	// unreachableAfter is how long connections must fail before an upstream counts as
+	// unreachable. One that was only full for a moment accepts the next connection.
+	unreachableAfter = 100 * time.Millisecond
 )
 
 type (
-	// queue decides who gets a slot.
+	// queue decides which call gets a slot.
 	queue interface {
 		Enter(t *kqslots.Ticket, now time.Time)
 		Leave(t *kqslots.Ticket, took time.Duration, now time.Time) []*kqslots.Ticket
@@ -40,18 +42,18 @@
 		Tell(t *kqslots.Ticket, now time.Time) kqcall.Load
 	}
 
-	// upstream is one local upstream, its queue and its connections.
+	// upstream holds the queue and the connections of one local upstream.
 	upstream struct {
 		client *kqsend.Client
 
 		mu    sync.Mutex
 		queue queue
-		// failing follows what became of the calls of all entries.
+		// failing is the failure rate of the calls from all entries.
 		failing kqfailing.Failing
 		slots   int
 		closed  bool
-		// failedSince is since when no connection could be made, nil if the last call had
-		// one.
+		// failedSince is when connecting began to fail, nil if the last call got a
+		// connection.
 		failedSince atomic.Pointer[time.Time]
 	}
 )
@@ -62,7 +64,7 @@
 )
 
 func newUpstream(a kqlocal.Announcement, q queue, d kqcall.Dialect) *upstream {
-	options := []kqsend.Option{kqsend.WithMost(max(maxConnections, a.Slots)), kqsend.WithIdle(upstreamIdle)}
+	options := []kqsend.Option{kqsend.WithMost(max(maxConnections, a.Slots)), kqsend.WithIdle(upstreamIdleTimeout)}
 	if d != nil {
 		options = append(options, kqsend.WithMatch(d.Belongs))
 	}
@@ -72,9 +74,9 @@
 	}
 }
 
-// unreachable takes in how a call ended, and reports whether the upstream has taken no
-// connection for a while.
-func (u *upstream) unreachable(o kqcall.Outcome, now time.Time) bool {
+// updateUnreachable records whether a call got a connection, and reports whether
+// connections have failed for at least unreachableAfter.
+func (u *upstream) updateUnreachable(o kqcall.Outcome, now time.Time) bool {
 	since := u.failedSince.Load()
 	switch {
 	case o.Reason != kqcall.ConnectFailed:
@@ -86,13 +88,13 @@
 		u.failedSince.Store(&now)
 		return false
 	default:
-		return now.Sub(*since) >= unreachableFor
+		return now.Sub(*since) >= unreachableAfter
 	}
 }
 
-// follow takes over what the upstream announced: its slots may change while it
-// runs, and one that drained may come back.
-func (u *upstream) follow(a kqlocal.Announcement, now time.Time) {
+// update applies the latest announcement: the number of slots may change while the
+// upstream runs, and an upstream that drained may take calls again.
+func (u *upstream) update(a kqlocal.Announcement, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.closed {
@@ -105,8 +107,8 @@
 	}
 }
 
-// ticket returns a ticket for the call; recycle takes it back.
-func (u *upstream) ticket(c *kqcall.Call) *kqslots.Ticket {
+// newTicket returns a ticket for the call from the pool; recycle puts it back.
+func (u *upstream) newTicket(c *kqcall.Call) *kqslots.Ticket {
 	// The pool holds tickets only.
 	t, _ := tickets.Get().(*kqslots.Ticket)
 	*t = kqslots.Ticket{
@@ -117,8 +119,8 @@
 
 func (u *upstream) recycle(t *kqslots.Ticket) { tickets.Put(t) }
 
-// admit waits until the ticket has a slot, is refused, is given up, or its
-// caller goes away.
+// admit waits until the ticket gets a slot, is refused or times out, or until the call
+// is cancelled.
 func (u *upstream) admit(t *kqslots.Ticket, c *kqcall.Call, now time.Time) kqcall.Outcome {
 	u.mu.Lock()
 	u.queue.Enter(t, now)
@@ -137,31 +139,32 @@
 		timer.Stop()
 		timers.Put(timer)
 	}()
-	gone := false
+	cancelled := false
 	select {
 	case <-t.Ready:
-		return settled(t)
+		return admission(t)
 	case <-timer.C:
 	case <-c.Cancel.Wake():
-		gone = true
+		cancelled = true
 	}
 	u.mu.Lock()
-	waited := u.queue.Expire(t)
+	stillWaiting := u.queue.Expire(t)
 	u.mu.Unlock()
 	switch {
-	case !waited:
-		// Somebody settled it in the meantime, and that stands.
+	case !stillWaiting:
+		// The queue decided in the meantime, and its decision holds.
 		<-t.Ready
-		return settled(t)
-	case gone:
+		return admission(t)
+	case cancelled:
 		return kqcall.Refuse(c.Cancel.Reason())
 	default:
 		return t.Refusal
 	}
 }
 
-// leave gives the slot and the ticket back and returns the load. How long a call took counts
-// only where the upstream answered it: a cut says nothing of its work.
+// leave releases the slot, recycles the ticket and returns the load. The duration counts
+// only if the upstream answered or the call timed out: a broken connection says nothing
+// about how long the work takes.
 func (u *upstream) leave(t *kqslots.Ticket, o kqcall.Outcome, failed bool, took time.Duration, now time.Time) kqcall.Load {
 	if o.Result != kqcall.Answered && o.Reason != kqcall.Timeout {
 		took = 0
@@ -172,18 +175,19 @@
 	if o.Reason != kqcall.Cancelled {
 		u.failing.Note(failed, now)
 	}
-	l := u.told(t, now)
+	l := u.loadLocked(t, now)
 	u.recycle(t)
 	return l
 }
 
-// told is the load with what the gate adds to it. The lock is held.
-func (u *upstream) told(t *kqslots.Ticket, now time.Time) kqcall.Load {
+// loadLocked returns the queue's load plus the failure rate. The caller holds u.mu.
+func (u *upstream) loadLocked(t *kqslots.Ticket, now time.Time) kqcall.Load {
 	l := u.queue.Tell(t, now)
 	l.Failing = u.failing.Share(now)
 	return l
 }
 
+// close refuses waiting and new calls until update reopens the queue.
 func (u *upstream) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -191,30 +195,35 @@
 	wake(u.queue.Close())
 }
 
-func (u *upstream) idle() bool {
+// isIdle reports whether no call runs or waits.
+func (u *upstream) isIdle() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	l := u.queue.Load()
 	return l.Running == 0 && l.Waiting == 0
 }
 
+// load returns what loadLocked does, and takes u.mu itself.
 func (u *upstream) load(t *kqslots.Ticket, now time.Time) kqcall.Load {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.told(t, now)
+	return u.loadLocked(t, now)
 }
 
-func settled(t *kqslots.Ticket) kqcall.Outcome {
+// admission returns the outcome of a ticket that the queue has decided on.
+func admission(t *kqslots.Ticket) kqcall.Outcome {
 	if t.Verdict == kqslots.Run {
 		return kqcall.OK()
 	}
 	return t.Refusal
 }
 
+// wake signals each ticket's waiting call that the queue has decided on it.
 func wake(list []*kqslots.Ticket) {
 	for _, t := range list {
 		t.Ready <- struct{}{}
 	}
 }
 
+// saltOf derives the salt of an upstream's queue from its address.
 func saltOf(a kqname.Address) uint64 { return xxhash.Sum64String(string(a)) }
