--- a/internal/call/kqentry/once_test.go
+++ b/internal/call/kqentry/at_most_once_test.go
@@ -18,28 +18,28 @@
 )
 
 const (
-	patience = 20 * time.Second
-	senders  = 8
+	testTimeout = 20 * time.Second
+	callerCount = 8
 )
 
-// shop is a fleet with one entry that stays and some servers that may not, and
-// what callers were told of each order that they sent.
-type shop struct {
+// testFleet is a fleet with one entry that keeps running and servers that a test may
+// stop. It keeps the outcome that was reported for each order.
+type testFleet struct {
 	*kqfleet.Fleet
 	front   *kqfleet.Server
-	backs   []*kqfleet.Server
+	servers []*kqfleet.Server
 	client  *fasthttp.HostClient
 	mu      sync.Mutex
 	results map[string]kqcall.Outcome
 }
 
-func newShop(t testing.TB, backs, slots int, work time.Duration) *shop {
+func newTestFleet(t testing.TB, servers, slots int, work time.Duration) *testFleet {
 	t.Helper()
-	s := &shop{Fleet: kqfleet.New(), results: make(map[string]kqcall.Outcome)}
+	s := &testFleet{Fleet: kqfleet.New(), results: make(map[string]kqcall.Outcome)}
 	t.Cleanup(func() { _ = s.Close() })
 	s.front = s.start(t, kqfleet.Spec{Node: "front", Domain: "one", Region: "one"})
-	for i := range backs {
-		s.backs = append(s.backs, s.start(t, kqfleet.Spec{
+	for i := range servers {
+		s.servers = append(s.servers, s.start(t, kqfleet.Spec{
 			Node: kqname.Node(fmt.Sprintf("back-%d", i)), Domain: "one", Region: "one", Service: "store", Version: "v1",
 			Slots: slots, Behaviour: kqupstream.Behaviour{Work: work},
 		}))
@@ -62,12 +62,12 @@
 			known += len(m.Upstreams)
 		}
 		o, err := s.send(fasthttp.MethodGet, "warm")
-		return known == backs && err == nil && (o.Result == kqcall.Answered || backs == 0 && o.Reason == kqcall.NoUpstream)
+		return known == servers && err == nil && (o.Result == kqcall.Answered || servers == 0 && o.Reason == kqcall.NoUpstream)
 	})
 	return s
 }
 
-func (s *shop) start(t testing.TB, spec kqfleet.Spec) *kqfleet.Server {
+func (s *testFleet) start(t testing.TB, spec kqfleet.Spec) *kqfleet.Server {
 	t.Helper()
 	server, err := s.Start(spec)
 	if err != nil {
@@ -76,15 +76,15 @@
 	return server
 }
 
-// send sends one order and returns what its caller was told.
-func (s *shop) send(method, work string) (kqcall.Outcome, error) {
+// send sends one order and returns the outcome that its caller got.
+func (s *testFleet) send(method, work string) (kqcall.Outcome, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI("http://store/orders")
 	request.Header.SetMethod(method)
 	request.Header.Set(kqupstream.HeaderWork, work)
-	if err := s.client.DoTimeout(request, response, patience); err != nil {
+	if err := s.client.DoTimeout(request, response, testTimeout); err != nil {
 		return kqcall.Outcome{}, err
 	}
 	o := kqcall.Outcome{
@@ -97,12 +97,12 @@
 	return o, nil
 }
 
-// during sends orders from several callers while disturb runs.
-func (s *shop) during(t *testing.T, disturb func()) {
+// sendDuring sends orders from several callers while disturb runs.
+func (s *testFleet) sendDuring(t *testing.T, disturb func()) {
 	t.Helper()
 	stop := make(chan struct{})
 	var group conc.WaitGroup
-	for i := range senders {
+	for i := range callerCount {
 		group.Go(func() {
 			for n := 0; ; n++ {
 				select {
@@ -126,10 +126,10 @@
 	group.Wait()
 }
 
-// runs returns how often each order ran, anywhere.
-func (s *shop) runs() map[string]int {
+// runs returns how often each order ran at any upstream.
+func (s *testFleet) runs() map[string]int {
 	all := make(map[string]int)
-	for _, b := range s.backs {
+	for _, b := range s.servers {
 		for work, n := range b.Upstream.Runs() {
 			all[work] += n
 		}
@@ -137,8 +137,8 @@
 	return all
 }
 
-// sent waits until the callers have been told the end of n more orders.
-func (s *shop) sent(t *testing.T, n int) {
+// waitForOrders waits until n more orders have ended.
+func (s *testFleet) waitForOrders(t *testing.T, n int) {
 	t.Helper()
 	count := func() int {
 		s.mu.Lock()
@@ -146,11 +146,11 @@
 		return len(s.results)
 	}
 	until := count() + n
-	poll(t, "orders go on", func() bool { return count() >= until })
+	poll(t, "more orders have ended", func() bool { return count() >= until })
 }
 
-// answersAll waits until n orders in a row are answered.
-func (s *shop) answersAll(t *testing.T, n int) {
+// waitUntilAnswered waits until n orders in a row are answered.
+func (s *testFleet) waitUntilAnswered(t *testing.T, n int) {
 	t.Helper()
 	try := 0
 	poll(t, fmt.Sprintf("%d orders in a row are answered", n), func() bool {
@@ -169,59 +169,59 @@
 	})
 }
 
-// check compares what callers were told with what ran.
-func (s *shop) check(t *testing.T) map[kqcall.Outcome]int {
+// check compares the outcomes that callers got with what ran, and returns how many
+// orders ended with each outcome.
+func (s *testFleet) check(t *testing.T) map[kqcall.Outcome]int {
 	t.Helper()
-	runs, ends := s.runs(), make(map[kqcall.Outcome]int)
+	runs, outcomes := s.runs(), make(map[kqcall.Outcome]int)
 	for work, o := range s.results {
-		ends[o]++
+		outcomes[o]++
 		n := runs[work]
 		switch {
 		case n > 1:
 			t.Errorf("%s ran %d times", work, n)
 		case o.Result == kqcall.NotRun && n != 0:
-			t.Errorf("%s was told %v and ran", work, o)
+			t.Errorf("%s was reported as %v but ran", work, o)
 		case o.Result == kqcall.Answered && n != 1:
-			t.Errorf("%s was answered and ran %d times", work, n)
+			t.Errorf("%s was answered but ran %d times", work, n)
 		}
 	}
-	return ends
+	return outcomes
 }
 
-// Servers die under load, two of them at the same moment, while orders are on
-// their way to them, run there, and are being answered. An order that was sent
-// again after it might have run would be paid twice; one that is told as not
-// run although it did would be sent again by its caller. Each must run at most
-// once, and be told the truth; and once the deaths are known, all are answered.
+// Guards against running an order twice or reporting its outcome wrongly when servers
+// die under load, two of them at the same moment, with orders in flight. A retry of an
+// order that may have run would charge it twice, and its caller would do the same after
+// a wrong "not run". Once the deaths are known, every order must be answered.
 func TestOrdersRunAtMostOnceWhenServersDie(t *testing.T) {
 	t.Parallel()
-	s := newShop(t, 4, 4, 3*time.Millisecond)
-	s.during(t, func() {
-		s.sent(t, 100)
+	s := newTestFleet(t, 4, 4, 3*time.Millisecond)
+	s.sendDuring(t, func() {
+		s.waitForOrders(t, 100)
 		var kills conc.WaitGroup
-		kills.Go(s.backs[0].Kill)
-		kills.Go(s.backs[1].Kill)
+		kills.Go(s.servers[0].Kill)
+		kills.Go(s.servers[1].Kill)
 		kills.Wait()
-		s.sent(t, 100)
-		s.backs[2].Kill()
-		s.sent(t, 200)
-		s.answersAll(t, 100)
+		s.waitForOrders(t, 100)
+		s.servers[2].Kill()
+		s.waitForOrders(t, 200)
+		s.waitUntilAnswered(t, 100)
 	})
-	t.Logf("ends are %v", s.check(t))
+	t.Logf("outcomes of the orders: %v", s.check(t))
 }
 
-// A server is taken out of service by its operators while orders run on it. Its
-// upstream drains, then its node shuts down. No order may be cut, lost or run
-// twice, and none may be refused while another server has room for it.
+// Guards against losing orders while a server is taken out of service: its upstream
+// drains, then its node stops. No order may be cut off, lost or run twice, and none may
+// be refused while another server has room for it.
 func TestGracefulLeaveCutsNothing(t *testing.T) {
 	t.Parallel()
-	s := newShop(t, 3, 4, 3*time.Millisecond)
-	s.during(t, func() {
-		s.sent(t, 100)
-		s.backs[0].Stop()
-		s.sent(t, 100)
-		s.backs[1].Stop()
-		s.sent(t, 100)
+	s := newTestFleet(t, 3, 4, 3*time.Millisecond)
+	s.sendDuring(t, func() {
+		s.waitForOrders(t, 100)
+		s.servers[0].Stop()
+		s.waitForOrders(t, 100)
+		s.servers[1].Stop()
+		s.waitForOrders(t, 100)
 	})
 	for o, n := range s.check(t) {
 		if o != kqcall.OK() {
@@ -230,21 +230,22 @@
 	}
 }
 
-// An upstream announces that it drains and goes on running. Work that still
-// came would hold it up for ever; its own gate must refuse at once, whoever
-// sends, and every order must be answered elsewhere.
+// Guards against new work for an upstream that announces that it drains and keeps
+// running: it could never finish. Its own gate must refuse at once, whichever node
+// calls, and every order must be answered elsewhere.
 func TestDrainingUpstreamGetsNoNewWork(t *testing.T) {
 	t.Parallel()
-	s := newShop(t, 2, 4, 3*time.Millisecond)
-	s.during(t, func() {
-		s.sent(t, 100)
-		s.backs[0].Upstream.Drain()
-		// Whatever its gate let in before has begun; nothing new may.
-		s.sent(t, 2*senders)
-		before := len(s.backs[0].Upstream.Runs())
-		s.sent(t, 200)
-		if after := len(s.backs[0].Upstream.Runs()); after != before {
-			t.Errorf("the draining upstream ran %d orders more", after-before)
+	s := newTestFleet(t, 2, 4, 3*time.Millisecond)
+	s.sendDuring(t, func() {
+		s.waitForOrders(t, 100)
+		s.servers[0].Upstream.Drain()
+		// By now every order that its gate admitted before the drain has started; no
+		// other may.
+		s.waitForOrders(t, 2*callerCount)
+		before := len(s.servers[0].Upstream.Runs())
+		s.waitForOrders(t, 200)
+		if after := len(s.servers[0].Upstream.Runs()); after != before {
+			t.Errorf("the draining upstream ran %d more orders", after-before)
 		}
 	})
 	for o, n := range s.check(t) {
@@ -254,13 +255,14 @@
 	}
 }
 
+// poll waits until done reports true, and fails the test after testTimeout.
 func poll(t testing.TB, what string, done func() bool) {
 	t.Helper()
-	for range int(patience / (10 * time.Millisecond)) {
+	for range int(testTimeout / (10 * time.Millisecond)) {
 		if done() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("waited in vain until %s", what)
+	t.Fatalf("timed out waiting until %s", what)
 }
--- a/internal/call/kqentry/doc.go
+++ b/internal/call/kqentry/doc.go
@@ -1,3 +1,3 @@
-// Package kqentry takes callers' calls, matches a route, picks an upstream and
-// sends the call to that upstream's gate.
+// Package kqentry accepts calls, matches each to a route, picks an upstream and sends
+// the call to that upstream's gate.
 package kqentry
--- a/internal/call/kqentry/entry.go
+++ b/internal/call/kqentry/entry.go
@@ -24,34 +24,34 @@
 )
 
 const (
-	defaultTimeout = 10 * time.Second
-	configWait     = 2 * time.Second
-	maxTries       = 3
-	// awayFor is what callers of a node that ends are told: about as long as it
-	// takes to end and start again.
-	awayFor = 2 * time.Second
-	// retryAfter is what refused callers are told that no gate has told more of, as
-	// long as a gate tells at least.
-	retryAfter = 250 * time.Millisecond
-	// part is the entry's name in what is noted of it.
-	part = "entry"
-	// maxGates bounds how many gates one call is offered to. Each costs about a
-	// tenth of a millisecond of processor time on two servers.
+	defaultTimeout     = 10 * time.Second
+	configTimeout      = 2 * time.Second
+	defaultMaxAttempts = 3
+	// restartRetryAfter is the Retry-After of a node that stops: about the time that a
+	// node takes to stop and start again.
+	restartRetryAfter = 2 * time.Second
+	// defaultRetryAfter is the Retry-After of refusals for which no gate gave one. It is
+	// the least that a gate gives.
+	defaultRetryAfter = 250 * time.Millisecond
+	// component names the entry in reports of panics.
+	component = "entry"
+	// maxGates bounds the gates that one call is offered to. Each costs about 0.1 ms of
+	// CPU time on two servers.
 	maxGates = 6
 )
 
 type (
-	// Configuration gives the snapshot that holds a host's routes.
+	// Configuration provides the snapshot that holds a host's routes.
 	Configuration interface {
 		Want(ctx context.Context, host kqname.Host, now time.Time) (*kqsnapshot.Snapshot, error)
 	}
 
-	// Directory gives the upstreams of a service that take new work.
+	// Directory lists the upstreams of a service that take new work.
 	Directory interface {
 		Upstreams(service kqname.Service) []kqmember.Candidate
 	}
 
-	// Splitter says which upstreams of a service a call may go to.
+	// Splitter decides which upstreams of a service a call may go to.
 	Splitter interface {
 		Split(service kqresource.Service, call *kqcall.Call) kqpick.Target
 	}
@@ -61,7 +61,7 @@
 		Do(c *kqcall.Call) (kqcall.Outcome, kqcall.Load)
 	}
 
-	// Counter counts how calls ended and why calls were sent again.
+	// Counter counts the outcomes of calls and the reasons for retries.
 	Counter interface {
 		Ended(o kqcall.Outcome)
 		Retried(r kqcall.Reason)
@@ -77,118 +77,128 @@
 		splitter  Splitter
 		counter   Counter
 		hangup    *kqhangup.Watch
-		forged    func()
+		onForged  func()
 		baseline  bool
 		dialect   kqcall.Dialect
 		recorder  Recorder
 		keeper    *kqkeeper.Keeper
-		// bound is what operators allow of second sendings over all nodes, whose
-		// number is nodes; nil nodes keeps to this program's own budget.
-		bound    kqallowance.Bound
-		nodes    func() int
-		origin   kqname.Service
-		leaving  atomic.Bool
-		refusing atomic.Bool
-		// arrived is when the last call came, in nanoseconds since began: counted
-		// by the time of day, a step of the clock would pass for silence.
-		arrived atomic.Int64
-		began   time.Time
-		// calls is how many are under way.
+		// bound is the operators' limit on retries over all nodes, and nodeCount returns
+		// the number of nodes. If nodeCount is nil, only this node's own retry budget
+		// applies.
+		bound     kqallowance.Bound
+		nodeCount func() int
+		origin    kqname.Service
+		draining  atomic.Bool
+		refusing  atomic.Bool
+		// lastArrival is when the last call arrived, in nanoseconds since started. It is
+		// not a wall-clock time, because a clock step would then look like an idle
+		// period.
+		lastArrival atomic.Int64
+		started     time.Time
+		// calls is the number of calls in flight.
 		calls atomic.Int64
 		now   func() time.Time
-		// nesting knows the calls that the local upstream works on.
+		// nesting holds the calls that the local upstream is running.
 		nesting *kqnesting.Calls
-		// returns knows callers from outside who come back.
-		returns returns
-
-		prefix  string
-		number  atomic.Uint64
-		shards  [shardCount]shard
-		clients clients
+		// returningCallers remembers unserved calls from outside whose callers may retry
+		// them.
+		returningCallers returningCallers
+
+		idPrefix    string
+		sequence    atomic.Uint64
+		shards      [shardCount]shard
+		gateClients gateClients
 	}
 
-	// Option sets up an Entry.
+	// Option configures an Entry.
 	Option func(*Entry)
 
-	// flight is what one call needs beside its request, in one piece of memory.
-	flight struct {
+	// callState holds what one call needs beside its request, in a single allocation.
+	callState struct {
 		call   kqcall.Call
 		cancel kqcall.Cancel
 		line   kqhangup.Line
-		// version and tries are for the record.
-		version kqname.ConfigVersion
-		tries   []Try
-		// sent tells that an upstream may have been sent the call.
+		// version and sendAttempts are for the record.
+		version      kqname.ConfigVersion
+		sendAttempts []Try
+		// sent reports whether an upstream may have been sent the call.
 		sent bool
-		// first is since when the caller has been asking, patience until when it waits,
-		// where it tells, and key who asks for what.
-		first, patience time.Time
-		key             kqreturn.Key
+		// firstTry is when the caller first made this call. callerDeadline is when it
+		// stops waiting, zero if it did not say. callKey identifies the caller and its
+		// request.
+		firstTry, callerDeadline time.Time
+		callKey                  kqreturn.Key
 	}
 
-	stable struct{}
-	silent struct{}
+	// defaultSplitter sends every call to the service's configured version.
+	defaultSplitter struct{}
+	// noopCounter discards counts.
+	noopCounter struct{}
 )
 
 // Split implements Splitter.
-func (stable) Split(s kqresource.Service, _ *kqcall.Call) kqpick.Target {
+func (defaultSplitter) Split(s kqresource.Service, _ *kqcall.Call) kqpick.Target {
 	return kqpick.Target{Version: s.Service.Version}
 }
 
 // Ended implements Counter.
-func (silent) Ended(kqcall.Outcome) {}
+func (noopCounter) Ended(kqcall.Outcome) {}
 
 // Retried implements Counter.
-func (silent) Retried(kqcall.Reason) {}
+func (noopCounter) Retried(kqcall.Reason) {}
 
-// WithSplitter lets rollouts share out the calls.
+// WithSplitter sets how calls are split between versions during rollouts.
 func WithSplitter(s Splitter) Option { return func(e *Entry) { e.splitter = s } }
 
-// WithCounter counts ends and retries.
+// WithCounter sets the counter of outcomes and retries.
 func WithCounter(c Counter) Option { return func(e *Entry) { e.counter = c } }
 
-// WithDomain tells the entry's failure domain, whose upstreams it prefers.
+// WithDomain sets the entry's failure domain, whose upstreams it prefers.
 func WithDomain(d kqname.Domain) Option { return func(e *Entry) { e.domain = d } }
 
-// WithHangup has w look after the connections that calls come on.
+// WithHangup sets the watch that detects callers' disconnects.
 func WithHangup(w *kqhangup.Watch) Option { return func(e *Entry) { e.hangup = w } }
 
-// WithForged is told of each call from outside that carried headers of ours.
-func WithForged(f func()) Option { return func(e *Entry) { e.forged = f } }
+// WithForged sets a function that runs for each call from outside that carried headers
+// reserved for this project.
+func WithForged(f func()) Option { return func(e *Entry) { e.onForged = f } }
 
-// WithDialer replaces plain TCP to other nodes' gates. Its errors must come
-// before a byte of a call is sent.
-func WithDialer(dial fasthttp.DialFunc) Option { return func(e *Entry) { e.clients.dial = dial } }
+// WithDialer replaces plain TCP for connections to other nodes' gates. The dialer must
+// report its errors before any byte of a call is sent.
+func WithDialer(dial fasthttp.DialFunc) Option { return func(e *Entry) { e.gateClients.dial = dial } }
 
-// WithDialect sets what callers and upstreams speak in place of our headers.
+// WithDialect sets the dialect that callers and upstreams use instead of this project's
+// headers.
 func WithDialect(d kqcall.Dialect) Option { return func(e *Entry) { e.dialect = d } }
 
-// WithKeeper has a call that panics end alone.
+// WithKeeper sets the keeper that recovers panics, so that a panic ends only its own
+// call.
 func WithKeeper(k *kqkeeper.Keeper) Option { return func(e *Entry) { e.keeper = k } }
 
-// WithOrigin tells the service beside whose upstream the entry stands.
+// WithOrigin sets the service whose upstream runs on this entry's server.
 func WithOrigin(s kqname.Service) Option { return func(e *Entry) { e.origin = s } }
 
-// WithBound keeps second sendings within what operators allow for each service
-// over all nodes.
-func WithBound(b kqallowance.Bound, nodes func() int) Option {
-	return func(e *Entry) { e.bound, e.nodes = b, nodes }
+// WithBound limits retries of each service to what operators allow over all nodes.
+func WithBound(b kqallowance.Bound, nodeCount func() int) Option {
+	return func(e *Entry) { e.bound, e.nodeCount = b, nodeCount }
 }
 
-// WithNesting has calls of the local upstream known by the calls that it works on.
+// WithNesting sets the local upstream's running calls, by which its own calls are
+// recognized as nested.
 func WithNesting(c *kqnesting.Calls) Option { return func(e *Entry) { e.nesting = c } }
 
-// WithBaseline chooses at random and retries without a budget, for measurements.
+// WithBaseline picks upstreams at random and retries without a budget, as the baseline
+// for measurements.
 func WithBaseline() Option { return func(e *Entry) { e.baseline = true } }
 
-// New returns an entry of the node self.
+// New returns the entry of the node self.
 func New(self kqname.Node, config Configuration, directory Directory, local Local, options ...Option) *Entry {
 	e := &Entry{
 		self: self, config: config, directory: directory, local: local,
-		splitter: stable{}, counter: silent{}, recorder: forgetful{}, hangup: kqhangup.New(), forged: func() {}, began: time.Now(), now: time.Now,
-		// Two nodes, or one before and after a restart, never give out the same id.
-		prefix:  strconv.FormatUint(rand.Uint64(), 36) + "-",
-		returns: newReturns(), nesting: kqnesting.New(),
+		splitter: defaultSplitter{}, counter: noopCounter{}, recorder: noopRecorder{}, hangup: kqhangup.New(), onForged: func() {}, started: time.Now(), now: time.Now,
+		// The random prefix keeps ids unique across nodes and across restarts of a node.
+		idPrefix:         strconv.FormatUint(rand.Uint64(), 36) + "-",
+		returningCallers: newReturningCallers(), nesting: kqnesting.New(),
 	}
 	for _, o := range options {
 		o(e)
@@ -196,9 +206,9 @@
 	for i := range e.shards {
 		e.shards[i].services = make(map[kqname.Service]*service)
 	}
-	e.clients.held = make(map[kqname.Address]*client)
-	if e.clients.dial == nil {
-		e.clients.dial = kqsend.DialNode
+	e.gateClients.byAddress = make(map[kqname.Address]*gateClient)
+	if e.gateClients.dial == nil {
+		e.gateClients.dial = kqsend.DialNode
 	}
 	return e
 }
--- /dev/null
+++ b/internal/call/kqentry/fault_injection_none.go
@@ -0,0 +1,7 @@
+//go:build !kqfault
+
+package kqentry
+
+// retriesNonIdempotent makes the entry retry calls that may have run even if they are
+// not idempotent. Only the soak test's build (tag kqfault) can set it.
+const retriesNonIdempotent = false
--- a/internal/call/kqentry/forge_test.go
+++ b/internal/call/kqentry/headers_test.go
@@ -18,27 +18,26 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// rawSlots are those of a raw upstream.
+// rawSlots is the number of slots that a raw upstream announces.
 const rawSlots = 4
 
-// raw is an upstream that keeps each request's headers and answers as the test
-// says.
-type raw struct {
+// rawUpstream keeps each request's headers and responds as the test says.
+type rawUpstream struct {
 	net.Listener
 	mu   sync.Mutex
 	seen []http.Header
 }
 
-// besides puts a raw upstream of the service beside a server's node, in place of
-// a fake one.
-func besides(t *testing.T, s *kqfleet.Server, service kqname.Service, answer func(w http.ResponseWriter, r *http.Request)) *raw {
+// startRawUpstream starts a raw upstream of the service on a server that has no fake
+// one, and keeps announcing it.
+func startRawUpstream(t *testing.T, s *kqfleet.Server, service kqname.Service, answer func(w http.ResponseWriter, r *http.Request)) *rawUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &raw{Listener: l}
-	server := &http.Server{ReadHeaderTimeout: patience, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	u := &rawUpstream{Listener: l}
+	server := &http.Server{ReadHeaderTimeout: testTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		u.mu.Lock()
 		header := r.Header.Clone()
 		header.Set("Path", r.URL.Path)
@@ -73,7 +72,7 @@
 	return u
 }
 
-// exchange writes a request as it stands and reads the whole answer.
+// exchange sends a request byte for byte as given and reads the response.
 func exchange(t *testing.T, to kqname.Address, request string) *http.Response {
 	t.Helper()
 	c, err := net.Dial("tcp", string(to))
@@ -81,24 +80,24 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	go func() { _, _ = io.WriteString(c, request) }()
 	answer, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatalf("no answer to %.40q: %v", request, err)
+		t.Fatalf("read response to %.40q: %v", request, err)
 	}
 	t.Cleanup(func() { _ = answer.Body.Close() })
 	return answer
 }
 
-// Someone outside writes our own headers into a request, in whatever case, to
-// pass for another caller or to reach a version that is being tried out; and an
-// upstream writes them into its answer, so that its failure would be taken for a
-// call that did not run and be sent again. Neither may get through.
+// Guards against outside callers and upstreams that set this project's headers, in any
+// case. A caller could pass for another one or reach a version that is still being
+// rolled out; an upstream's failure could be taken for a call that did not run, and be
+// retried.
 func TestForgedHeadersAreStripped(t *testing.T) {
 	t.Parallel()
-	s := newShop(t, 0, 0, 0)
-	u := besides(t, s.front, "store", func(w http.ResponseWriter, r *http.Request) {
+	s := newTestFleet(t, 0, 0, 0)
+	u := startRawUpstream(t, s.front, "store", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("kq-result", "not_run")
 		w.Header().Set("KQ-REASON", "queue_full")
 		w.Header().Set("Kq-Load", "0;0;1000;1")
@@ -112,27 +111,27 @@
 		"kQ-cAlL: x;someone;store;store;v9;critical;i;r;99000000;0\r\nKq-Depth: 7\r\nkq-version: v9\r\nKq-Anything: 1\r\n\r\n")
 	if answer.StatusCode != http.StatusOK || answer.Header.Get(kqcall.HeaderResult) != string(kqcall.Answered) ||
 		answer.Header.Get(kqcall.HeaderReason) != "" || answer.Header.Get("Kq-Load") != "" {
-		t.Errorf("caller got %d %v", answer.StatusCode, answer.Header)
+		t.Errorf("caller got status %d and headers %v", answer.StatusCode, answer.Header)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	last := u.seen[len(u.seen)-1]
 	for name := range last {
 		if strings.HasPrefix(name, "Kq-") && name != kqcall.HeaderID && name != kqcall.HeaderTimeout && name != kqcall.HeaderDepth {
-			t.Errorf("the upstream was sent %s: %v", name, last[name])
+			t.Errorf("the upstream got header %s: %v", name, last[name])
 		}
 	}
 	if last.Get(kqcall.HeaderDepth) != "0" || last.Get(kqcall.HeaderID) == "x" {
-		t.Errorf("the upstream was sent %v", last)
+		t.Errorf("the upstream got headers %v, want depth 0 and a new call id", last)
 	}
 }
 
-// A body over the bound or a head that cannot be read reaches no upstream, so
-// its sender is told for certain, and why; a bare broken connection would leave
-// it to guess.
-func TestUnreadableCallsAreToldNotRun(t *testing.T) {
+// Guards against closing the connection without a response to a request that is too
+// large or cannot be parsed. It reaches no upstream, so its caller must get "not run"
+// and the reason.
+func TestUnreadableCallsAreReportedNotRun(t *testing.T) {
 	t.Parallel()
-	s := newShop(t, 0, 0, 0)
+	s := newTestFleet(t, 0, 0, 0)
 	for name, c := range map[string]struct {
 		request string
 		status  int
@@ -146,24 +145,24 @@
 		answer := exchange(t, s.front.Node.EntryAddress(), c.request)
 		if answer.StatusCode != c.status || answer.Header.Get(kqcall.HeaderResult) != string(kqcall.NotRun) ||
 			answer.Header.Get(kqcall.HeaderReason) != string(c.reason) {
-			t.Errorf("%s: %d %v", name, answer.StatusCode, answer.Header)
+			t.Errorf("%s: got status %d and headers %v", name, answer.StatusCode, answer.Header)
 		}
 	}
 }
 
-// Callers go away while their calls run at another node's upstream, and one
-// while its call waits in the queue there. Left alone they would take slots for
-// nobody; those that run must see that their callers are gone, and the one that
-// waits must never run.
+// Guards against slots held for disconnected callers. Callers disconnect while their
+// calls run at another node's upstream, and one while its call waits in the queue there.
+// The upstream must see the running calls cancelled, and the waiting call must never
+// run.
 func TestCallersWhoLeaveFreeTheirPlaces(t *testing.T) {
 	t.Parallel()
-	s := newShop(t, 0, 0, 0)
-	back := s.start(t, kqfleet.Spec{Node: "back", Domain: "one", Region: "one"})
-	var gone atomic.Int32
-	u := besides(t, back, "store", func(w http.ResponseWriter, r *http.Request) {
+	s := newTestFleet(t, 0, 0, 0)
+	server := s.start(t, kqfleet.Spec{Node: "back", Domain: "one", Region: "one"})
+	var disconnects atomic.Int32
+	u := startRawUpstream(t, server, "store", func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/long" {
 			<-r.Context().Done()
-			gone.Add(1)
+			disconnects.Add(1)
 			return
 		}
 		fmt.Fprint(w, r.URL.Path)
@@ -174,27 +173,27 @@
 	})
 	var running []net.Conn
 	for range rawSlots {
-		running = append(running, s.leave(t, "/long"))
+		running = append(running, s.sendUnread(t, "/long"))
 	}
 	poll(t, "every slot is taken", func() bool { return u.count("/long") == rawSlots })
-	waiting := s.leave(t, "/waits")
+	waiting := s.sendUnread(t, "/waits")
 	_ = waiting.Close()
-	poll(t, "the waiting call is cancelled", func() bool { return cancelled(t, s.front) == 1 })
+	poll(t, "the waiting call is cancelled", func() bool { return countCancelled(t, s.front) == 1 })
 	for _, c := range running {
 		_ = c.Close()
 	}
-	poll(t, "the upstream sees its callers gone", func() bool { return gone.Load() == rawSlots })
+	poll(t, "the upstream sees its callers' disconnects", func() bool { return disconnects.Load() == rawSlots })
 	poll(t, "the slots are free", func() bool {
 		o, err := s.send(http.MethodGet, "after")
 		return err == nil && o.Result == kqcall.Answered
 	})
 	if n := u.count("/waits"); n != 0 {
-		t.Errorf("the call whose caller had left ran %d times", n)
+		t.Errorf("the call of the disconnected caller ran %d times", n)
 	}
 }
 
-// leave sends a call and leaves its answer unread.
-func (s *shop) leave(t *testing.T, path string) net.Conn {
+// sendUnread sends a call and does not read its response.
+func (s *testFleet) sendUnread(t *testing.T, path string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", string(s.front.Node.EntryAddress()))
 	if err != nil {
@@ -205,7 +204,8 @@
 	return c
 }
 
-func (u *raw) count(path string) int {
+// count returns how many requests for the path the upstream got.
+func (u *rawUpstream) count(path string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	n := 0
@@ -217,8 +217,8 @@
 	return n
 }
 
-// cancelled returns how many calls ended so at the server's entry.
-func cancelled(t *testing.T, s *kqfleet.Server) int {
+// countCancelled returns how many calls the server's entry counted as cancelled.
+func countCancelled(t *testing.T, s *kqfleet.Server) int {
 	t.Helper()
 	families, err := s.Node.Metrics().Registry().Gather()
 	if err != nil {
--- a/internal/call/kqentry/match.go
+++ b/internal/call/kqentry/match.go
@@ -15,22 +15,24 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// patience is a context with a deadline whose timer starts when somebody first
-// waits on it, which hardly any call does.
-type patience struct {
+// lazyDeadline is a context whose deadline timer starts only when something first waits
+// on it, which few calls do.
+type lazyDeadline struct {
 	context.Context
-	until time.Time
+	deadline time.Time
 
 	mu     sync.Mutex
-	timed  context.Context
+	ctx    context.Context
 	cancel context.CancelFunc
 }
 
+// match returns the snapshot and the route that fit the call, or the reason for a
+// refusal.
 func (e *Entry) match(c *kqcall.Call, now time.Time) (*kqsnapshot.Snapshot, kqdocument.Route, kqcall.Reason) {
 	host := hostOf(c.Request)
-	snapshot, err := e.want(host, now)
-	// A node that has just started holds no version: that it knows no route then
-	// says nothing of the call, which may be served a moment later.
+	snapshot, err := e.snapshotFor(host, now)
+	// A node that has just started holds no configuration yet (version 0). Answering "no
+	// route" would be wrong then, since the call may be served a moment later.
 	if err != nil || snapshot.Version() == 0 {
 		return nil, kqdocument.Route{}, kqcall.NoConfig
 	}
@@ -44,47 +46,51 @@
 	return snapshot, route, kqcall.NoReason
 }
 
-func (e *Entry) want(host kqname.Host, now time.Time) (*kqsnapshot.Snapshot, error) {
-	ctx := &patience{Context: context.Background(), until: now.Add(configWait)}
-	defer ctx.end()
+// snapshotFor returns the configuration for the host and waits for it for at most
+// configTimeout.
+func (e *Entry) snapshotFor(host kqname.Host, now time.Time) (*kqsnapshot.Snapshot, error) {
+	ctx := &lazyDeadline{Context: context.Background(), deadline: now.Add(configTimeout)}
+	defer ctx.stop()
 	return e.config.Want(ctx, host, now)
 }
 
 // Done implements context.Context.
-func (p *patience) Done() <-chan struct{} { return p.start().Done() }
+func (p *lazyDeadline) Done() <-chan struct{} { return p.timer().Done() }
 
 // Err implements context.Context.
-func (p *patience) Err() error { return p.start().Err() }
+func (p *lazyDeadline) Err() error { return p.timer().Err() }
 
 // Deadline implements context.Context.
-func (p *patience) Deadline() (time.Time, bool) { return p.until, true }
+func (p *lazyDeadline) Deadline() (time.Time, bool) { return p.deadline, true }
 
-func (p *patience) start() context.Context {
+// timer returns the context with the deadline timer, which it starts at the first use.
+func (p *lazyDeadline) timer() context.Context {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.timed == nil {
-		p.timed, p.cancel = context.WithDeadline(p.Context, p.until)
+	if p.ctx == nil {
+		p.ctx, p.cancel = context.WithDeadline(p.Context, p.deadline)
 	}
-	return p.timed
+	return p.ctx
 }
 
-func (p *patience) end() {
+// stop releases the timer if it was started.
+func (p *lazyDeadline) stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.timed != nil {
+	if p.ctx != nil {
 		p.cancel()
 	}
 }
 
-// hostOf returns the host that a request names, in lower case without the port.
+// hostOf returns the request's host in lower case without the port.
 func hostOf(r *fasthttp.Request) kqname.Host {
 	host, _, _ := bytes.Cut(r.Header.Host(), []byte{':'})
 	return kqname.Host(bytes.ToLower(host))
 }
 
-// pathOf returns the path as the caller wrote it. The library's own way to it
-// also rewrites the request that is passed on: dots and escapes would reach the
-// upstream in another form than the caller sent.
+// pathOf returns the path as the caller wrote it. fasthttp's URI().Path() also rewrites
+// the request that is passed on, so that the upstream would get dots and escapes in
+// another form than the caller sent.
 func pathOf(r *fasthttp.Request) string {
 	uri := r.Header.RequestURI()
 	if len(uri) == 0 || uri[0] != '/' {
@@ -94,10 +100,10 @@
 	return string(path)
 }
 
-// stripHop removes what the caller said of its own connection. Passed on, it
-// would have the node close its connections to upstreams, or the upstream speak
-// a protocol that is not carried.
-func stripHop(h *fasthttp.RequestHeader) {
+// stripHopByHop removes hop-by-hop headers. Passed on, they would make the node close
+// its connections to upstreams, or make an upstream switch to a protocol that the node
+// does not proxy.
+func stripHopByHop(h *fasthttp.RequestHeader) {
 	h.Del(fasthttp.HeaderExpect)
 	if len(h.Peek(fasthttp.HeaderConnection)) == 0 {
 		return
@@ -110,9 +116,9 @@
 	}
 }
 
-// fill takes over what the configuration says of the call. A deadline that was
-// passed on stays unless the route's own is earlier.
-func fill(c *kqcall.Call, route kqdocument.Route, service kqresource.Service, now time.Time) {
+// applyConfig sets the call's fields from its route and service. A deadline that the
+// caller passed on stays unless the route's timeout ends earlier.
+func applyConfig(c *kqcall.Call, route kqdocument.Route, service kqresource.Service, now time.Time) {
 	c.MaxAttempts = route.MaxAttempts
 	if route.TargetMS > 0 {
 		c.Target = c.Arrived.Add(time.Duration(route.TargetMS) * time.Millisecond)
--- a/internal/call/kqentry/refuse_test.go
+++ b/internal/call/kqentry/refusal_test.go
@@ -24,44 +24,49 @@
 )
 
 type (
-	// gate plays another node's gate: full, cutting, or answering.
-	gate struct {
+	// fakeGate acts as another node's gate. It can be full, abort calls or answer them.
+	fakeGate struct {
 		*httptest.Server
-		full, cuts atomic.Bool
-		asked      atomic.Int64
-		// everyOther refuses every other call; it is set before the first.
-		everyOther bool
-		// told is what the entry told of its last call.
-		told atomic.Value
+		full, aborts atomic.Bool
+		calls        atomic.Int64
+		// refusesEveryOther makes the gate refuse every other call. It must be set
+		// before the first call.
+		refusesEveryOther bool
+		// lastCall is the call header of the entry's last call.
+		lastCall atomic.Value
 	}
 
-	fixed struct{ snapshot *kqsnapshot.Snapshot }
+	// fixedConfig provides the same snapshot for every host.
+	fixedConfig struct{ snapshot *kqsnapshot.Snapshot }
 
-	directory []kqmember.Candidate
+	// fakeDirectory lists the same upstreams for every service.
+	fakeDirectory []kqmember.Candidate
 
-	nowhere struct{}
+	// noLocal is a node without a local upstream.
+	noLocal struct{}
 )
 
-func (f fixed) Want(context.Context, kqname.Host, time.Time) (*kqsnapshot.Snapshot, error) {
+func (f fixedConfig) Want(context.Context, kqname.Host, time.Time) (*kqsnapshot.Snapshot, error) {
 	return f.snapshot, nil
 }
 
-func (d directory) Upstreams(kqname.Service) []kqmember.Candidate { return d }
+func (d fakeDirectory) Upstreams(kqname.Service) []kqmember.Candidate { return d }
 
-func (nowhere) Do(*kqcall.Call) (kqcall.Outcome, kqcall.Load) {
+func (noLocal) Do(*kqcall.Call) (kqcall.Outcome, kqcall.Load) {
 	return kqcall.Refuse(kqcall.NoUpstream), kqcall.Load{}
 }
 
-func newGate(t *testing.T) *gate {
+// newFakeGate starts a gate that answers every call.
+func newFakeGate(t *testing.T) *fakeGate {
 	t.Helper()
-	g := &gate{}
+	g := &fakeGate{}
 	g.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked := g.asked.Add(1)
-		if g.cuts.Load() {
+		calls := g.calls.Add(1)
+		if g.aborts.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		fields := r.Header.Get("Kq-Call")
-		g.told.Store(fields)
+		g.lastCall.Store(fields)
 		var id string
 		for i := range fields {
 			if fields[i] == ';' {
@@ -71,7 +76,7 @@
 		}
 		w.Header().Set(kqcall.HeaderID, id)
 		w.Header().Set("Kq-Load", "2;0;6;100000")
-		if g.everyOther && asked%2 == 0 || g.full.Load() {
+		if g.refusesEveryOther && calls%2 == 0 || g.full.Load() {
 			w.Header().Set(kqcall.HeaderResult, string(kqcall.NotRun))
 			w.Header().Set(kqcall.HeaderReason, string(kqcall.QueueFull))
 			w.Header().Set("Kq-Retry-Ms", "250")
@@ -84,9 +89,9 @@
 	return g
 }
 
-// callers returns what sends one call to an entry before the gates and returns
-// the status that its caller gets.
-func callers(t *testing.T, gates ...*gate) func() int {
+// newCaller starts an entry that knows the gates, and returns a function that sends one
+// call to it and returns the status of the response.
+func newCaller(t *testing.T, gates ...*fakeGate) func() int {
 	t.Helper()
 	root, objects, err := kqresource.Split(kqdocument.Document{
 		Teams:    []kqdocument.Team{{Name: "t"}},
@@ -101,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all directory
+	var all fakeDirectory
 	for i, g := range gates {
 		all = append(all, kqmember.Candidate{
 			Upstream: kqmember.Upstream{Service: "store", Version: "v1", Slots: 6, Warm: time.Unix(1, 0)},
@@ -109,7 +114,7 @@
 		})
 	}
 	bound := kqallowance.Bound{Ratio: 0.2, Slack: 50}
-	e := kqentry.New("self", fixed{snapshot}, all, nowhere{}, kqentry.WithBound(bound, func() int { return 1 }))
+	e := kqentry.New("self", fixedConfig{snapshot}, all, noLocal{}, kqentry.WithBound(bound, func() int { return 1 }))
 	listener := fasthttputil.NewInmemoryListener()
 	server := &fasthttp.Server{Handler: e.ServeOutside}
 	go func() { _ = server.Serve(listener) }()
@@ -125,19 +130,18 @@
 	}
 }
 
-// Each of six gates refuses every other call that it is asked for, as after a herd
-// of servers has returned unevenly, and nearly every call is taken by the second
-// or third gate. The entry must not count such calls as refused and go on refusing
-// on its own: callers would be turned away for ten seconds while upstreams stand
-// half idle.
+// Guards against an entry that sheds calls for ten seconds while upstreams are half
+// idle. Each of six gates refuses every other call, as when servers have come back
+// unevenly, and nearly every call is accepted by the second or third gate. The entry
+// must not count such calls as refused.
 func TestEntryDoesNotRefuseWhatAnotherGateTakes(t *testing.T) {
-	var gates []*gate
+	var gates []*fakeGate
 	for range 6 {
-		g := newGate(t)
-		g.everyOther = true
+		g := newFakeGate(t)
+		g.refusesEveryOther = true
 		gates = append(gates, g)
 	}
-	call := callers(t, gates...)
+	call := newCaller(t, gates...)
 	refused := 0
 	for range 300 {
 		if call() != http.StatusOK {
@@ -149,27 +153,26 @@
 	}
 }
 
-// The connection to the first gate breaks after the call was sent, and the second
-// gate has no room. The caller must not be told that the call has not run: the
-// first upstream may have run it.
+// Guards against reporting "not run" for a call that may have run: the connection to the
+// first gate breaks after the call was sent, and the second gate is full.
 func TestNotRunIsTrueOfAllSendings(t *testing.T) {
-	gates := []*gate{newGate(t), newGate(t)}
-	call := callers(t, gates...)
-	gates[0].cuts.Store(true)
+	gates := []*fakeGate{newFakeGate(t), newFakeGate(t)}
+	call := newCaller(t, gates...)
+	gates[0].aborts.Store(true)
 	gates[1].full.Store(true)
-	met := false
+	aborted := false
 	for range 20 {
-		before := gates[0].asked.Load()
+		before := gates[0].calls.Load()
 		status := call()
-		if gates[0].asked.Load() == before {
+		if gates[0].calls.Load() == before {
 			continue
 		}
-		met = true
+		aborted = true
 		if status == http.StatusServiceUnavailable {
 			t.Error("a call that may have run was answered 503")
 		}
 	}
-	if !met {
-		t.Error("no call met the gate that breaks off")
+	if !aborted {
+		t.Error("no call was sent to the gate that aborts calls")
 	}
 }
--- /dev/null
+++ b/internal/call/kqentry/returning_callers.go
@@ -0,0 +1,89 @@
+package kqentry
+
+import (
+	"sync"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
+	"github.com/kumquatgw/kumquatgw/internal/decide/kqreturn"
+)
+
+// retryAfterParts divides a caller's remaining time into its Retry-After: a third of it
+// allows for about three tries.
+const retryAfterParts = 3
+
+type (
+	// returningCallers remembers unserved calls, in shards by caller and request, to
+	// recognize a caller's retry.
+	returningCallers struct {
+		shards [shardCount]*returningShard
+	}
+
+	returningShard struct {
+		mu               sync.Mutex
+		returningCallers *kqreturn.Returns
+	}
+)
+
+// newReturningCallers returns an empty memory.
+func newReturningCallers() returningCallers {
+	var r returningCallers
+	for i := range r.shards {
+		r.shards[i] = &returningShard{returningCallers: kqreturn.New()}
+	}
+	return r
+}
+
+// started sets when the call's caller first made it: now, unless the caller retries a
+// call that was not served. Only callers that say how long they wait are remembered.
+func (r *returningCallers) started(f *callState, now time.Time) {
+	f.firstTry, f.callerDeadline = now, f.call.Deadline
+	if f.callerDeadline.IsZero() {
+		return
+	}
+	f.callKey = callKey(&f.call)
+	s := r.shards[f.callKey%shardCount]
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	f.firstTry = s.returningCallers.First(f.callKey, now)
+}
+
+// ended remembers a call without a good answer until its caller's deadline, so that a
+// retry is recognized. Calls whose callers do not say how long they wait are not
+// remembered.
+func (r *returningCallers) ended(f *callState, o kqcall.Outcome) {
+	c := &f.call
+	if f.callerDeadline.IsZero() || o.Result == kqcall.Answered && c.Response.StatusCode() < failureStatus {
+		return
+	}
+	s := r.shards[f.callKey%shardCount]
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.returningCallers.Unserved(f.callKey, f.firstTry, f.callerDeadline)
+}
+
+// extendRetryAfter lengthens the Retry-After of a caller that would miss its target even
+// if it retried as early as it was going to be told. Waiting a third of its remaining
+// time brings it back after a burst rather than twice more within it.
+func (f *callState) extendRetryAfter(o *kqcall.Outcome, now time.Time) {
+	c := &f.call
+	if o.RetryAfter == 0 || c.Target.IsZero() || f.callerDeadline.IsZero() || now.Add(o.RetryAfter).Before(c.Target) {
+		return
+	}
+	o.RetryAfter = max(o.RetryAfter, f.callerDeadline.Sub(now)/retryAfterParts)
+}
+
+// callKey identifies the caller and its request by a hash. It must run while the
+// request's header is still as the caller sent it.
+func callKey(c *kqcall.Call) kqreturn.Key {
+	var d xxhash.Digest
+	d.Reset()
+	h := &c.Request.Header
+	for _, part := range [][]byte{[]byte(c.Caller), h.Method(), h.Host(), h.RequestURI()} {
+		_, _ = d.Write(part)
+		_, _ = d.Write([]byte{0})
+	}
+	return kqreturn.Key(d.Sum64())
+}
--- a/internal/call/kqentry/return_test.go
+++ b/internal/call/kqentry/returning_callers_test.go
@@ -22,24 +22,26 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// patient is a dialect whose callers tell how long they wait, and for which call.
-type patient struct{}
+// patientDialect is a dialect whose callers say how long they wait and which running
+// call they belong to.
+type patientDialect struct{}
 
-const waitsFor = 3 * time.Second
+const callerTimeout = 3 * time.Second
 
-func (patient) Accept(h *fasthttp.RequestHeader) kqcall.Told {
-	return kqcall.Told{ID: kqcall.ID(h.Peek("Id")), Left: waitsFor, Above: kqcall.ID(h.Peek("Above"))}
+func (patientDialect) Accept(h *fasthttp.RequestHeader) kqcall.Told {
+	return kqcall.Told{ID: kqcall.ID(h.Peek("Id")), Left: callerTimeout, Above: kqcall.ID(h.Peek("Above"))}
 }
-func (patient) Tell(*kqcall.Call, time.Duration)  {}
-func (patient) Belongs(*kqcall.Call) bool         { return true }
-func (patient) Judge(*kqcall.Call) kqcall.Verdict { return kqcall.Verdict{} }
-func (patient) RetryAfter(d time.Duration) string {
+func (patientDialect) Tell(*kqcall.Call, time.Duration)  {}
+func (patientDialect) Belongs(*kqcall.Call) bool         { return true }
+func (patientDialect) Judge(*kqcall.Call) kqcall.Verdict { return kqcall.Verdict{} }
+func (patientDialect) RetryAfter(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
 
-// patientEntry returns what sends a call to an entry of patient callers before the gate,
-// for a route with a target of 400 ms.
-func patientEntry(t *testing.T, g *gate, nesting *kqnesting.Calls) func(headers ...string) *http.Response {
+// newPatientCaller starts an entry with patientDialect that knows one gate, for a route
+// with a target of 400 ms. It returns a function that sends one call with the given
+// headers.
+func newPatientCaller(t *testing.T, g *fakeGate, nesting *kqnesting.Calls) func(headers ...string) *http.Response {
 	t.Helper()
 	root, objects, err := kqresource.Split(kqdocument.Document{
 		Teams:    []kqdocument.Team{{Name: "t"}},
@@ -54,11 +56,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := directory{{
+	all := fakeDirectory{{
 		Upstream: kqmember.Upstream{Service: "store", Version: "v1", Slots: 6, Warm: time.Unix(1, 0)},
 		Node:     "gate", Gate: kqname.Address(g.Listener.Addr().String()),
 	}}
-	e := kqentry.New("self", fixed{snapshot}, all, nowhere{}, kqentry.WithDialect(patient{}), kqentry.WithNesting(nesting))
+	e := kqentry.New("self", fixedConfig{snapshot}, all, noLocal{}, kqentry.WithDialect(patientDialect{}), kqentry.WithNesting(nesting))
 	listener := fasthttputil.NewInmemoryListener()
 	go func() { _ = (&fasthttp.Server{Handler: e.ServeOutside}).Serve(listener) }()
 	t.Cleanup(func() { _ = listener.Close() })
@@ -82,48 +84,48 @@
 	}
 }
 
-// fields returns what the entry told the gate of its last call.
-func (g *gate) fields() []string { return strings.Split(g.told.Load().(string), ";") }
+// fields returns the fields of the entry's last call to the gate.
+func (g *fakeGate) fields() []string { return strings.Split(g.lastCall.Load().(string), ";") }
 
-// A caller is refused and comes back after 300 ms of the 400 in which it wants its answer.
-// Told to the gate as a new call with all of them left, it is queued before callers who can
-// still be in time. And what it is told of when to come back must reach beyond a burst.
-func TestCallerWhoComesBackHasItsFirstTarget(t *testing.T) {
-	g := newGate(t)
-	call := patientEntry(t, g, kqnesting.New())
+// Guards against giving a retrying caller its whole target again. A caller that is
+// refused and retries after 300 ms of its 400 ms target would be queued before calls
+// that can still be in time. Its Retry-After must also reach beyond a burst.
+func TestRetryingCallerKeepsItsFirstTarget(t *testing.T) {
+	g := newFakeGate(t)
+	call := newPatientCaller(t, g, kqnesting.New())
 	g.full.Store(true)
 	call("Id: a")
 	time.Sleep(300 * time.Millisecond)
 	a := call("Id: b")
 	left, err := strconv.Atoi(g.fields()[11])
 	if err != nil || left > 110000 {
-		t.Errorf("the gate was told of %d us until the target, %v; want 100 ms at most", left, err)
+		t.Errorf("the gate got %d us until the target, error %v; want 100 ms at most", left, err)
 	}
 	after, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
-	if err != nil || after < 0.9*waitsFor.Seconds()/3 {
-		t.Errorf("Retry-After %v, %v: want a third of what the caller waits", after, err)
+	if err != nil || after < 0.9*callerTimeout.Seconds()/3 {
+		t.Errorf("Retry-After is %v, error %v; want a third of the time that the caller waits", after, err)
 	}
 	g.full.Store(false)
 	call("Id: c")
 	call("Id: d")
 	if left, err := strconv.Atoi(g.fields()[11]); err != nil || left < 390000 {
-		t.Errorf("a new call was told with %d us until its target, %v", left, err)
+		t.Errorf("the gate got %d us until a new call's target, error %v; want nearly 400 ms", left, err)
 	}
 }
 
-// An upstream calls others while it works on a call. Named after a call that runs beside
-// this node, its call must go to the gate as a nested one; a caller from outside that makes
-// such a name up must not.
-func TestOnlyCallsOfRunningCallsAreNested(t *testing.T) {
-	g := newGate(t)
+// Guards against treating an outside call as nested. A call that names a call running
+// beside this node as its parent must reach the gate as a nested one; a made-up parent
+// must be ignored.
+func TestCallIsNestedOnlyUnderARunningCall(t *testing.T) {
+	g := newFakeGate(t)
 	nesting := kqnesting.New()
-	call := patientEntry(t, g, nesting)
+	call := newPatientCaller(t, g, nesting)
 	nesting.Begin(&kqcall.Call{ID: "run", Caller: "10.9.9.9", Depth: 2})
-	for above, want := range map[string]string{"run": "3 10.9.9.9", "made-up": "0 "} {
-		call("Id: x", "Above: "+above)
+	for parent, want := range map[string]string{"run": "3 10.9.9.9", "made-up": "0 "} {
+		call("Id: x", "Above: "+parent)
 		got := g.fields()
 		if depth := got[10] + " " + got[1]; !strings.HasPrefix(depth, want) {
-			t.Errorf("above %q: the gate was told of depth and caller %q, want %q", above, depth, want)
+			t.Errorf("parent %q: the gate got depth and caller %q, want %q", parent, depth, want)
 		}
 	}
 }
--- a/internal/call/kqentry/serve.go
+++ b/internal/call/kqentry/serve.go
@@ -13,129 +13,134 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// ServeOutside answers callers from outside the mesh: headers of ours are not
-// theirs to set.
+// ServeOutside handles calls from outside the mesh. It removes this project's headers,
+// which outside callers must not set.
 func (e *Entry) ServeOutside(ctx *fasthttp.RequestCtx) {
 	if kqcall.Strip(&ctx.Request.Header) > 0 {
-		e.forged()
+		e.onForged()
 	}
-	var told kqcall.Told
+	var info kqcall.Told
 	if e.dialect != nil {
-		told = e.dialect.Accept(&ctx.Request.Header)
+		info = e.dialect.Accept(&ctx.Request.Header)
 	}
-	e.serve(ctx, kqname.Caller(ctx.RemoteIP().String()), 0, told)
+	e.serve(ctx, kqname.Caller(ctx.RemoteIP().String()), 0, info)
 }
 
-// ServeLocal answers calls from the node's own upstream, which may pass on the
-// depth and the remaining time of the call that it works on, and nothing else.
+// ServeLocal handles calls from the node's own upstream. The only headers of this
+// project that it reads are the depth and the remaining time of the call that the
+// upstream works on.
 func (e *Entry) ServeLocal(ctx *fasthttp.RequestCtx, caller kqname.Caller) {
 	depth, left := kqcall.Context(&ctx.Request.Header)
 	e.serve(ctx, caller, depth+1, kqcall.Told{Left: left})
 }
 
-// Leave asks callers to close their connections: the node is going.
-func (e *Entry) Leave() { e.leaving.Store(true) }
+// Leave starts draining the entry before the node stops: each response asks its caller
+// to close the connection.
+func (e *Entry) Leave() { e.draining.Store(true) }
 
-// Quiet returns for how long no call has come.
+// Quiet returns how long ago the last call arrived.
 func (e *Entry) Quiet(now time.Time) time.Duration {
-	return now.Sub(e.began) - time.Duration(e.arrived.Load())
+	return now.Sub(e.started) - time.Duration(e.lastArrival.Load())
 }
 
-// Calls returns how many calls are under way.
+// Calls returns the number of calls in flight.
 func (e *Entry) Calls() int { return int(e.calls.Load()) }
 
-// Refuse refuses all calls that come from now on: the process ends before they
-// would have their answers, which would be cut off.
+// Refuse makes the entry refuse all new calls, because the process will end before their
+// answers could be complete.
 func (e *Entry) Refuse() { e.refusing.Store(true) }
 
-// Close ends the idle connections to other nodes' gates.
-func (e *Entry) Close() { e.clients.close() }
+// Close closes the idle connections to other nodes' gates.
+func (e *Entry) Close() { e.gateClients.close() }
 
-// LetGo ends the idle connections to the gate of a node that is going, which waits
-// for that.
+// LetGo closes the idle connections to the gate of a node that is stopping, since that
+// node waits until they are closed.
 func (e *Entry) LetGo(gate kqname.Address) {
-	if found, ok := e.clients.find(gate); ok {
+	if found, ok := e.gateClients.find(gate); ok {
 		found.Close()
 	}
 }
 
-// Sweep closes what has been idle and forgets gates that are gone.
-func (e *Entry) Sweep(now time.Time) { e.clients.sweep(now) }
+// Sweep closes connections that have been idle for too long and forgets gates that have
+// none left.
+func (e *Entry) Sweep(now time.Time) { e.gateClients.sweep(now) }
 
-func (e *Entry) serve(ctx *fasthttp.RequestCtx, caller kqname.Caller, depth int, told kqcall.Told) {
+// serve handles one call from its arrival to its record.
+func (e *Entry) serve(ctx *fasthttp.RequestCtx, caller kqname.Caller, depth int, info kqcall.Told) {
 	e.calls.Add(1)
 	defer e.calls.Add(-1)
 	now := e.now()
-	e.arrived.Store(int64(now.Sub(e.began)))
+	e.lastArrival.Store(int64(now.Sub(e.started)))
 	kqcall.Strip(&ctx.Request.Header)
-	stripHop(&ctx.Request.Header)
-	number := e.number.Add(1)
-	f := &flight{}
+	stripHopByHop(&ctx.Request.Header)
+	sequence := e.sequence.Add(1)
+	f := &callState{}
 	f.call = kqcall.Call{
-		ID: told.ID, Caller: caller, Origin: e.origin, Depth: depth, Arrived: now, Dialect: e.dialect,
+		ID: info.ID, Caller: caller, Origin: e.origin, Depth: depth, Arrived: now, Dialect: e.dialect,
 		Cancel: &f.cancel, Request: &ctx.Request, Response: &ctx.Response,
 	}
 	c := &f.call
 	c.Look = f.line.Look
 	if c.ID == "" {
-		c.ID = e.id(number)
+		c.ID = e.newID(sequence)
 	}
-	if told.Left > 0 {
-		c.Deadline = now.Add(told.Left)
+	if info.Left > 0 {
+		c.Deadline = now.Add(info.Left)
 	}
-	if above, ok := e.nesting.Find(told.Above); ok && told.Above != "" {
-		c.Caller, c.Depth, c.Repeat = above.Caller, above.Depth+1, above.Repeat
+	if parent, ok := e.nesting.Find(info.Above); ok && info.Above != "" {
+		c.Caller, c.Depth, c.Repeat = parent.Caller, parent.Depth+1, parent.Repeat
 	}
-	e.returns.began(f, now)
-	e.hangup.Begin(&f.line, number, ctx.Conn(), &f.cancel, now)
+	e.returningCallers.started(f, now)
+	e.hangup.Begin(&f.line, sequence, ctx.Conn(), &f.cancel, now)
 	var o kqcall.Outcome
-	if !e.keeper.Try(part, func() { o = e.do(f, now) }) {
-		o = f.panicked()
+	if !e.keeper.Try(component, func() { o = e.handle(f, now) }) {
+		o = f.panicOutcome()
 	}
 	e.hangup.End(&f.line)
 	if o.Result == kqcall.NotRun {
-		f.settle(&o, e.now())
+		f.extendRetryAfter(&o, e.now())
 	}
 	e.counter.Ended(o)
-	e.returns.ended(f, o)
-	if c.Depth > 0 && scarce(o) {
-		e.nesting.Starve(told.Above)
+	e.returningCallers.ended(f, o)
+	if c.Depth > 0 && isOverload(o) {
+		e.nesting.Starve(info.Above)
 	}
 	c.Answer(o)
 	e.keeper.Try("record", func() {
-		e.recorder.Ended(Record{Call: c, Outcome: o, Status: ctx.Response.StatusCode(), Version: f.version, Tries: f.tries}, e.now())
+		e.recorder.Ended(Record{Call: c, Outcome: o, Status: ctx.Response.StatusCode(), Version: f.version, Tries: f.sendAttempts}, e.now())
 	})
-	// Refused callers come back on a new connection; the one that they leave behind
-	// would hold a descriptor for as long as callers keep idle connections, and in
-	// a storm of refusals the process would run out of them.
-	if e.leaving.Load() || e.dialect != nil && o.Result == kqcall.NotRun {
+	// Callers of a dialect retry a refused call on a new connection. The old one would
+	// hold a descriptor for as long as the caller keeps idle connections, and during a
+	// burst of refusals the process would run out of descriptors.
+	if e.draining.Load() || e.dialect != nil && o.Result == kqcall.NotRun {
 		ctx.SetConnectionClose()
 	}
 }
 
-func (e *Entry) do(f *flight, now time.Time) kqcall.Outcome {
+// handle matches the call to a route, fills in its fields and sends it.
+func (e *Entry) handle(f *callState, now time.Time) kqcall.Outcome {
 	c := &f.call
 	if c.Depth > kqcall.MaxDepth {
 		return kqcall.Refuse(kqcall.Malformed)
 	}
 	if e.refusing.Load() {
 		o := kqcall.Refuse(kqcall.Draining)
-		o.RetryAfter = awayFor
+		o.RetryAfter = restartRetryAfter
 		return o
 	}
 	snapshot, route, refusal := e.match(c, now)
 	if refusal != kqcall.NoReason {
 		o := kqcall.Refuse(refusal)
 		if refusal == kqcall.NoConfig {
-			o.RetryAfter = retryAfter
+			o.RetryAfter = defaultRetryAfter
 		}
 		return o
 	}
 	f.version = snapshot.Version()
 	found, _ := snapshot.Service(route.Choose(rand.Float64()))
-	fill(c, route, found, now)
+	applyConfig(c, route, found, now)
 	if !c.Target.IsZero() {
-		c.Target = c.Target.Add(f.first.Sub(now))
+		c.Target = c.Target.Add(f.firstTry.Sub(now))
 	}
 	if !now.Before(c.Deadline) {
 		return kqcall.Refuse(kqcall.Late)
@@ -144,26 +149,26 @@
 	target.Route = c.Route
 	target.Ample = kqpick.Ample(time.Duration(route.TargetMS)*time.Millisecond, c.Depth > 0)
 	s := e.service(c.Service)
-	if !s.begin(c, e.baseline, now) {
+	if !s.admit(c, e.baseline, now) {
 		o := kqcall.Refuse(kqcall.Overload)
-		o.RetryAfter = retryAfter
+		o.RetryAfter = defaultRetryAfter
 		return o
 	}
-	o := e.tries(f, s, target, now)
+	o := e.sendAttempts(f, s, target, now)
 	if o.Reason == kqcall.QueueFull {
-		s.refused(c)
+		s.recordRefusal(c)
 	}
 	return o
 }
 
-// tries sends the call until it has an answer, may have run, or may not be sent
-// again.
-func (e *Entry) tries(f *flight, s *service, target kqpick.Target, now time.Time) kqcall.Outcome {
+// sendAttempts sends the call to one upstream after another until it is answered, may
+// have run, or must not be retried.
+func (e *Entry) sendAttempts(f *callState, s *service, target kqpick.Target, now time.Time) kqcall.Outcome {
 	c := &f.call
 	var space [maxGates]kqname.Node
-	tried, most, sends, ran, repeat := space[:0], attempts(c), 0, 0, c.Repeat
+	tried, limit, sends, mayHaveRun, repeat := space[:0], maxAttempts(c), 0, 0, c.Repeat
 	last := kqcall.Refuse(kqcall.NoUpstream)
-	last.RetryAfter = retryAfter
+	last.RetryAfter = defaultRetryAfter
 	for {
 		c.Version = target.Version
 		to, gate, try := s.pick(c, e.directory.Upstreams(c.Service), target, tried, now)
@@ -172,42 +177,42 @@
 			continue
 		}
 		if to == nil {
-			return honest(last, ran)
+			return combined(last, mayHaveRun)
 		}
 		tried = append(tried, gate.Node)
 		var load kqcall.Load
-		var told bool
+		var hasLoad bool
 		f.sent, c.Repeat = true, repeat || sends > 0
-		if !e.keeper.Try(part, func() { last, load, told = e.send(c, gate) }) {
+		if !e.keeper.Try(component, func() { last, load, hasLoad = e.send(c, gate) }) {
 			last = kqcall.Lose(kqcall.Panicked)
 		}
-		f.sent = ran > 0 || last.Result != kqcall.NotRun
+		f.sent = mayHaveRun > 0 || last.Result != kqcall.NotRun
 		sent := now
 		now = e.now()
-		try.Ejected = s.done(c, to, last, load, told, now)
+		try.Ejected = s.recordTry(c, to, last, load, hasLoad, now)
 		try.Took, try.Outcome = now.Sub(sent), last
 		if last.Result == kqcall.Answered {
 			try.Status = c.Response.StatusCode()
 		}
-		if reached(last) {
+		if reachedUpstream(last) {
 			sends++
 		}
 		if last.Result != kqcall.NotRun {
-			ran++
+			mayHaveRun++
 		}
-		possible := sends < most && len(tried) < maxGates && now.Before(c.Deadline) && !c.Cancel.Done()
-		try.Again = possible && (s.again(c, last) || s.elsewhere(last, target, tried, now) || e.plainRetry(c, last))
-		f.tries = append(f.tries, try)
+		canRetry := sends < limit && len(tried) < maxGates && now.Before(c.Deadline) && !c.Cancel.Done()
+		try.Again = canRetry && (s.spendRetry(c, last) || s.hasSpareGate(last, target, tried, now) || e.baselineRetries(c, last))
+		f.sendAttempts = append(f.sendAttempts, try)
 		if !try.Again {
-			return honest(last, ran)
+			return combined(last, mayHaveRun)
 		}
 		e.counter.Retried(last.Reason)
 		target = target.Next()
 	}
 }
 
-// scarce reports whether a call was not served for want of room.
-func scarce(o kqcall.Outcome) bool {
+// isOverload reports whether a call was not served for lack of capacity.
+func isOverload(o kqcall.Outcome) bool {
 	switch o.Reason {
 	case kqcall.QueueFull, kqcall.Overload, kqcall.Shed, kqcall.Late:
 		return true
@@ -216,60 +221,64 @@
 	}
 }
 
-// panicked is the outcome of a call whose handling panicked.
-func (f *flight) panicked() kqcall.Outcome {
+// panicOutcome returns the outcome of a call whose handling panicked.
+func (f *callState) panicOutcome() kqcall.Outcome {
 	if f.sent {
 		return kqcall.Lose(kqcall.Panicked)
 	}
 	o := kqcall.Refuse(kqcall.Panicked)
-	o.RetryAfter = retryAfter
+	o.RetryAfter = defaultRetryAfter
 	return o
 }
 
-// attempts returns how many upstreams a call may be sent to.
-func attempts(c *kqcall.Call) int {
+// maxAttempts returns how many upstreams a call may be sent to.
+func maxAttempts(c *kqcall.Call) int {
 	if c.MaxAttempts > 0 {
 		return c.MaxAttempts
 	}
-	return maxTries
+	return defaultMaxAttempts
 }
 
-// honest makes an outcome that says "not run" tell the truth of all sendings: an
-// upstream that was sent the call before may have run it.
-func honest(last kqcall.Outcome, ran int) kqcall.Outcome {
-	if last.Result != kqcall.NotRun || ran == 0 {
+// combined returns the outcome of all attempts. If an earlier attempt may have run the
+// call, the last one's "not run" does not hold for the call as a whole.
+func combined(last kqcall.Outcome, mayHaveRun int) kqcall.Outcome {
+	if last.Result != kqcall.NotRun || mayHaveRun == 0 {
 		return last
 	}
 	return kqcall.Lose(last.Reason)
 }
 
-// reached reports whether a call with that outcome has been at an upstream, and
-// not only at the gate before it.
-func reached(o kqcall.Outcome) bool {
+// reachedUpstream reports whether a call with that outcome was sent to an upstream, and
+// was not stopped at its gate.
+func reachedUpstream(o kqcall.Outcome) bool {
 	return o.Result != kqcall.NotRun || o.Reason == kqcall.Shed || o.Reason == kqcall.Moved
 }
 
-// plainRetry is the baseline's rule: again whatever did not run.
-func (e *Entry) plainRetry(_ *kqcall.Call, o kqcall.Outcome) bool {
+// baselineRetries reports whether the baseline for measurements retries the call:
+// whenever it did not run, unless its deadline has passed.
+func (e *Entry) baselineRetries(_ *kqcall.Call, o kqcall.Outcome) bool {
 	return e.baseline && o.Result == kqcall.NotRun && o.Reason != kqcall.Late
 }
 
+// send sends the call to a gate and returns the outcome and the gate's load, and whether
+// the gate reported one.
 func (e *Entry) send(c *kqcall.Call, to kqmember.Candidate) (kqcall.Outcome, kqcall.Load, bool) {
 	if to.Node == e.self {
 		o, load := e.local.Do(c)
 		return o, load, load.Slots > 0
 	}
 	c.Write(e.now())
-	o := e.clients.get(to.Gate).Do(c)
+	o := e.gateClients.get(to.Gate).Do(c)
 	if o.Result != kqcall.Answered {
 		return o, kqcall.Load{}, false
 	}
 	c.ReadStarved()
-	load, told := kqcall.ReadLoad(&c.Response.Header)
-	return c.Outcome(), load, told && load.Slots > 0
+	load, hasLoad := kqcall.ReadLoad(&c.Response.Header)
+	return c.Outcome(), load, hasLoad && load.Slots > 0
 }
 
-func (e *Entry) id(number uint64) kqcall.ID {
+// newID returns an id that no other call has.
+func (e *Entry) newID(sequence uint64) kqcall.ID {
 	var space [32]byte
-	return kqcall.ID(strconv.AppendUint(append(space[:0], e.prefix...), number, 36))
+	return kqcall.ID(strconv.AppendUint(append(space[:0], e.idPrefix...), sequence, 36))
 }
--- a/internal/call/kqentry/service.go
+++ b/internal/call/kqentry/service.go
@@ -20,9 +20,10 @@
 
 const (
 	shardCount = 16
-	// clientIdle is how long a client without connections is kept.
-	clientIdle = time.Minute
-	// failureStatus is the lowest HTTP status that an upstream fails with.
+	// clientIdleTimeout is how long a gate's client is kept after its last connection
+	// has closed.
+	clientIdleTimeout = time.Minute
+	// failureStatus is the lowest HTTP status that counts as the upstream's failure.
 	failureStatus = 500
 )
 
@@ -32,33 +33,35 @@
 		services map[kqname.Service]*service
 	}
 
-	// service is what the entry has learnt of one service, under its own lock.
+	// service is the entry's state of one service, guarded by its own lock.
 	service struct {
 		mu      sync.Mutex
 		random  *rand.Rand
 		pool    *kqpick.Pool
 		shedder *kqshed.Shedder
 		budgets [kqcall.MaxDepth + 1]*kqretry.Budget
-		// allowance takes the budgets' place where operators bound all nodes
-		// together; nodes is their number.
+		// allowance replaces the budgets if operators set a limit over all nodes, whose
+		// number nodeCount returns.
 		allowance *kqallowance.Allowance
-		nodes     func() int
+		nodeCount func() int
 	}
 
-	clients struct {
-		dial fasthttp.DialFunc
-		mu   sync.RWMutex
-		held map[kqname.Address]*client
+	// gateClients holds the connections to other nodes' gates.
+	gateClients struct {
+		dial      fasthttp.DialFunc
+		mu        sync.RWMutex
+		byAddress map[kqname.Address]*gateClient
 	}
 
-	client struct {
+	// gateClient holds the connections to one gate; used is when it last had any.
+	gateClient struct {
 		*kqsend.Client
 		used time.Time
 	}
 )
 
-// service returns what is known of a service. Services come from the
-// configuration alone, so their number is bounded by it.
+// service returns the state of a service, creating it at the first call. Only configured
+// services are looked up, so the configuration bounds their number.
 func (e *Entry) service(name kqname.Service) *service {
 	s := &e.shards[xxhash.Sum64String(string(name))%shardCount]
 	s.mu.RLock()
@@ -75,36 +78,38 @@
 			pool:    kqpick.New(e.domain, kqpick.WithPlain(e.baseline)),
 			shedder: kqshed.New(),
 		}
-		if e.nodes != nil {
-			found.allowance, found.nodes = kqallowance.New(e.bound), e.nodes
+		if e.nodeCount != nil {
+			found.allowance, found.nodeCount = kqallowance.New(e.bound), e.nodeCount
 		}
 		s.services[name] = found
 	}
 	return found
 }
 
-// begin counts a call, and reports false if it is refused for overload.
-func (s *service) begin(c *kqcall.Call, baseline bool, now time.Time) bool {
+// admit counts a call and reports false if load shedding refuses it.
+func (s *service) admit(c *kqcall.Call, baseline bool, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.allowance != nil {
 		if c.Repeat {
-			s.allowance.Repeated(s.nodes())
+			s.allowance.Repeated(s.nodeCount())
 		} else {
-			s.allowance.Earn(s.nodes())
+			s.allowance.Earn(s.nodeCount())
 		}
 	} else {
-		s.budget(c.Depth).Earn()
+		s.budgetFor(c.Depth).Earn()
 	}
-	return baseline || !s.shedder.Refuse(c.Class, s.tardy(c, now), now, s.random)
+	return baseline || !s.shedder.Refuse(c.Class, s.missesTarget(c, now), now, s.random)
 }
 
-// tardy reports whether the call cannot make its target any more, by the least time that
-// an upstream's gate told of the route's calls.
-func (s *service) tardy(c *kqcall.Call, now time.Time) bool {
+// missesTarget reports whether the call cannot make its target any more, even in the
+// least time that an upstream's gate reported for calls of the route.
+func (s *service) missesTarget(c *kqcall.Call, now time.Time) bool {
 	return c.Depth == 0 && !c.Target.IsZero() && now.Add(s.pool.Work(c.Route)).After(c.Target)
 }
 
+// pick returns the upstream for the next attempt, nil if there is none that was not
+// tried yet.
 func (s *service) pick(c *kqcall.Call, all []kqmember.Candidate, target kqpick.Target, tried []kqname.Node, now time.Time) (*kqpick.Peer, kqmember.Candidate, Try) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,16 +118,16 @@
 	if p == nil {
 		return nil, kqmember.Candidate{}, Try{}
 	}
-	return p, p.Candidate, chosen(p, c, now)
+	return p, p.Candidate, newTry(p, c, now)
 }
 
-// done takes in how a try ended, and reports whether the upstream is left out from
-// then on.
-func (s *service) done(c *kqcall.Call, to *kqpick.Peer, o kqcall.Outcome, load kqcall.Load, told bool, now time.Time) bool {
+// recordTry records how an attempt ended, and reports whether the upstream is now
+// ejected.
+func (s *service) recordTry(c *kqcall.Call, to *kqpick.Peer, o kqcall.Outcome, load kqcall.Load, hasLoad bool, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var known *kqcall.Load
-	if told {
+	if hasLoad {
 		load.Route = c.Route
 		known = &load
 	}
@@ -131,40 +136,43 @@
 	return to.Ejected()
 }
 
-// again reports whether a call may be sent to another upstream, and counts it.
-func (s *service) again(c *kqcall.Call, o kqcall.Outcome) bool {
+// spendRetry reports whether a call may be sent to another upstream, and charges the
+// retry.
+func (s *service) spendRetry(c *kqcall.Call, o kqcall.Outcome) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.allowance != nil {
-		return s.mayRepeat(c, o)
+		return s.spendAllowance(c, o)
 	}
-	return s.budget(c.Depth).Spend(o, c.Idempotent || repeatsAll)
+	return s.budgetFor(c.Depth).Spend(o, c.Idempotent || retriesNonIdempotent)
 }
 
-// mayRepeat reports whether a call may go to another upstream by the operators'
-// bound. What only a gate refused has not been at an upstream and is not counted.
-func (s *service) mayRepeat(c *kqcall.Call, o kqcall.Outcome) bool {
+// spendAllowance reports whether the operators' limit permits another attempt, and
+// charges it. A call that only a gate refused has not reached an upstream and is not
+// charged.
+func (s *service) spendAllowance(c *kqcall.Call, o kqcall.Outcome) bool {
 	switch {
-	case o.Result == kqcall.NotRun && !reached(o):
-		return unreachable(o.Reason)
+	case o.Result == kqcall.NotRun && !reachedUpstream(o):
+		return takesNoCalls(o.Reason)
 	case o.Result == kqcall.NotRun:
-		return s.allowance.Spend(s.nodes())
+		return s.allowance.Spend(s.nodeCount())
 	case c.Starved:
-		// Another upstream would ask the same service for the same, in vain as well, and
-		// hold a slot meanwhile.
+		// A call that this one made was refused for lack of capacity. Another upstream
+		// would
+		// call the same overloaded service, fail as well, and hold a slot meanwhile.
 		return false
 	case !c.Idempotent || o.Reason == kqcall.Timeout || o.Reason == kqcall.Cancelled:
 		return false
-	case o.Result == kqcall.Answered && !repeatable(c.Response.StatusCode()):
+	case o.Result == kqcall.Answered && !isRetryableStatus(c.Response.StatusCode()):
 		return false
 	default:
-		return s.allowance.Spend(s.nodes())
+		return s.allowance.Spend(s.nodeCount())
 	}
 }
 
-// unreachable reports whether the reason tells that the upstream takes no calls,
-// whatever the load.
-func unreachable(r kqcall.Reason) bool {
+// takesNoCalls reports whether the reason means that the upstream takes no calls at all,
+// whatever its load.
+func takesNoCalls(r kqcall.Reason) bool {
 	switch r {
 	case kqcall.Draining, kqcall.RolledBack, kqcall.ConnectFailed, kqcall.NoUpstream:
 		return true
@@ -173,26 +181,26 @@
 	}
 }
 
-// repeatable reports whether an upstream's answer tells of a failure that another
-// upstream may not have. One that ran into the deadline has used up the time.
-func repeatable(status int) bool {
+// isRetryableStatus reports whether another upstream may succeed where this one failed
+// with the status. A gateway timeout is not retried, since it has used up the time.
+func isRetryableStatus(status int) bool {
 	return status >= failureStatus && status != fasthttp.StatusGatewayTimeout
 }
 
-// refused counts a call that no gate had room for, once however many were asked.
-// Counted at each gate, one full second would make the entry refuse most calls
-// for many seconds after the gates have room again.
-func (s *service) refused(c *kqcall.Call) {
+// recordRefusal counts a call that no gate had room for, once however many gates refused
+// it. If it counted once for each gate, one second at capacity would make the entry shed
+// most calls for many seconds after the gates have room again.
+func (s *service) recordRefusal(c *kqcall.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.shedder.Refused(c.Class)
 }
 
-// elsewhere reports whether a call that a gate had no room for may go to another
-// gate beside the retry budget: it has not been at an upstream, and there is one
-// that seems to have a slot free. While the whole service is full there is none,
-// and refused calls do not go round.
-func (s *service) elsewhere(o kqcall.Outcome, target kqpick.Target, tried []kqname.Node, now time.Time) bool {
+// hasSpareGate reports whether a call refused by a full gate may go to another gate
+// without being charged as a retry: the call has not reached an upstream, and another
+// one seems to have a free slot. When the whole service is full there is none, so
+// refused calls are not passed from gate to gate.
+func (s *service) hasSpareGate(o kqcall.Outcome, target kqpick.Target, tried []kqname.Node, now time.Time) bool {
 	if o.Reason != kqcall.QueueFull {
 		return false
 	}
@@ -201,7 +209,8 @@
 	return s.pool.Spare(target, tried, now)
 }
 
-func (s *service) budget(depth int) *kqretry.Budget {
+// budgetFor returns the retry budget of calls at that depth.
+func (s *service) budgetFor(depth int) *kqretry.Budget {
 	b := s.budgets[depth]
 	if b == nil {
 		b = kqretry.New(depth == 0)
@@ -210,46 +219,47 @@
 	return b
 }
 
-func (c *clients) find(to kqname.Address) (*client, bool) {
+func (c *gateClients) find(to kqname.Address) (*gateClient, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	found, ok := c.held[to]
+	found, ok := c.byAddress[to]
 	return found, ok
 }
 
-func (c *clients) get(to kqname.Address) *kqsend.Client {
+// get returns the client of a gate, creating it at the first call.
+func (c *gateClients) get(to kqname.Address) *kqsend.Client {
 	found, ok := c.find(to)
 	if ok {
 		return found.Client
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if found, ok = c.held[to]; !ok {
-		found = &client{Client: kqsend.New(to, kqsend.WithDialer(c.dial), kqsend.WithEcho(), kqsend.WithSilenceTimeout()), used: time.Now()}
-		c.held[to] = found
+	if found, ok = c.byAddress[to]; !ok {
+		found = &gateClient{Client: kqsend.New(to, kqsend.WithDialer(c.dial), kqsend.WithEcho(), kqsend.WithSilenceTimeout()), used: time.Now()}
+		c.byAddress[to] = found
 	}
 	return found.Client
 }
 
-func (c *clients) close() {
+func (c *gateClients) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, one := range c.held {
+	for _, one := range c.byAddress {
 		one.Close()
 	}
 }
 
-// sweep closes idle connections. A gate without any for a while is forgotten:
-// addresses come and go with the fleet.
-func (c *clients) sweep(now time.Time) {
+// sweep closes idle connections and forgets gates that have had none for a while, since
+// addresses change as nodes come and go.
+func (c *gateClients) sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for to, one := range c.held {
+	for to, one := range c.byAddress {
 		if one.Sweep(now) > 0 {
 			one.used = now
 		}
-		if now.Sub(one.used) > clientIdle {
-			delete(c.held, to)
+		if now.Sub(one.used) > clientIdleTimeout {
+			delete(c.byAddress, to)
 		}
 	}
 }
--- a/internal/call/kqentry/stream_test.go
+++ b/internal/call/kqentry/stream_test.go
@@ -11,15 +11,14 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqfleet"
 )
 
-// An editor uploads pictures and is sent some back, larger than a node buffers,
-// of known and unknown length, over connections that are used again. A byte too
-// many or too few would spoil a picture, and what is left of one would be read
-// as the next call's answer.
+// Guards against corrupted bodies that are larger than a node buffers, of known and
+// unknown length, on reused connections. A missing or extra byte would corrupt a body,
+// and bytes left over would be read as the next call's response.
 func TestLargeBodiesPassWhole(t *testing.T) {
 	t.Parallel()
-	s := newShop(t, 0, 0, 0)
-	back := s.start(t, kqfleet.Spec{Node: "back", Domain: "one", Region: "one"})
-	besides(t, back, "store", func(w http.ResponseWriter, r *http.Request) {
+	s := newTestFleet(t, 0, 0, 0)
+	server := s.start(t, kqfleet.Spec{Node: "back", Domain: "one", Region: "one"})
+	startRawUpstream(t, server, "store", func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
@@ -50,6 +49,7 @@
 	}
 }
 
+// upload sends the body and returns the response's body and status.
 func upload(t *testing.T, url string, body io.Reader) ([]byte, int) {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodPut, url, body)
