--- a/internal/call/kqcall/call.go
+++ b/internal/call/kqcall/call.go
@@ -10,57 +10,58 @@
 )
 
 const (
-	// Answered calls have the upstream's own answer.
+	// Answered means that the caller gets the upstream's own response.
 	Answered Result = "answered"
-	// NotRun calls certainly did not run at any upstream.
+	// NotRun means that the call certainly did not run at any upstream.
 	NotRun Result = "not_run"
-	// Unknown calls may have run; no answer came.
+	// Unknown means that the call may have run, but no response came.
 	Unknown Result = "unknown"
 
-	// NoReason goes with Answered.
+	// NoReason is the reason of an Answered call.
 	NoReason Reason = ""
-	// NoRoute tells that no route fits the call.
+	// NoRoute means that no route matches the call.
 	NoRoute Reason = "no_route"
-	// NoConfig tells that the route's configuration could not be fetched in time.
+	// NoConfig means that the route's configuration could not be fetched in time.
 	NoConfig Reason = "no_config"
-	// NoUpstream tells that no upstream of the service takes new work.
+	// NoUpstream means that no upstream of the service takes new work.
 	NoUpstream Reason = "no_upstream"
-	// QueueFull tells that the gate's queue had no place.
+	// QueueFull means that the gate's queue was full.
 	QueueFull Reason = "queue_full"
-	// Overload tells that the service as a whole is full, by what its gates said.
+	// Overload means that the entry shed the call because the service's gates refused
+	// too many calls before.
 	Overload Reason = "overload"
-	// Late tells that the call's deadline passed, or would pass, before it began.
+	// Late means that the call's deadline passed, or would have passed, before it ran.
 	Late Reason = "late"
-	// RolledBack tells that the upstream's version was taken back.
+	// RolledBack means that the upstream's version was rolled back.
 	RolledBack Reason = "rolled_back"
-	// Draining tells that the upstream takes no new work, or that a node ended before
-	// the call.
+	// Draining means that the upstream takes no new work, or that a node stopped before
+	// the call ended.
 	Draining Reason = "draining"
-	// Shed tells that the upstream refused with 503 and its service's
-	// configuration states that it then has not run.
+	// Shed means that the upstream responded 503, and that its service's configuration
+	// states that such a call did not run.
 	Shed Reason = "shed"
-	// ConnectFailed tells that no connection could be made, so nothing was sent.
+	// ConnectFailed means that no connection could be made, so nothing was sent.
 	ConnectFailed Reason = "connect_failed"
-	// TooLarge tells that the call's body is over the bound.
+	// TooLarge means that the call's body exceeds the size limit.
 	TooLarge Reason = "too_large"
-	// Malformed tells that the call's headers cannot be read.
+	// Malformed means that the call's headers cannot be parsed.
 	Malformed Reason = "malformed"
-	// TooSlow tells that the call did not arrive whole in time.
+	// TooSlow means that the call did not arrive completely in time.
 	TooSlow Reason = "too_slow"
-	// Timeout tells that the deadline passed after the call was sent.
+	// Timeout means that the deadline passed after the call was sent.
 	Timeout Reason = "timeout"
-	// Cut tells that the connection broke after the call was sent.
+	// Cut means that the connection broke after the call was sent.
 	Cut Reason = "cut"
-	// Cancelled tells that the caller went away.
+	// Cancelled means that the caller disconnected.
 	Cancelled Reason = "cancelled"
-	// Crossed tells that the answer carried another call's id.
+	// Crossed means that the response carried another call's id.
 	Crossed Reason = "crossed"
-	// Moved tells that another upstream has taken over the address, and has not
-	// run the call.
+	// Moved means that another upstream has taken over the address and did not run the
+	// call.
 	Moved Reason = "moved"
-	// NoMemory tells that the node has no room for the call's body now.
+	// NoMemory means that the node has no memory for the call's body at the moment.
 	NoMemory Reason = "no_memory"
-	// Panicked tells that a fault in this program ended the call.
+	// Panicked means that a panic in this program ended the call.
 	Panicked Reason = "panicked"
 )
 
@@ -68,84 +69,90 @@
 	// Result is how a call ended.
 	Result string
 
-	// Reason tells why a call did not end with an answer; each has a counter.
+	// Reason is why a call was not answered. Each reason has its own counter.
 	Reason string
 
-	// ID names one call on its way through the nodes.
+	// ID identifies one call in all nodes that it passes through.
 	ID string
 
-	// Outcome is a call's end and its reason.
+	// Outcome is the result of a call with its reason.
 	Outcome struct {
 		Result Result
 		Reason Reason
-		// RetryAfter tells the caller when to come back; 0 says nothing.
+		// RetryAfter is how long the caller should wait before it retries, 0 if
+		// unspecified.
 		RetryAfter time.Duration
 	}
 
-	// Load is what a gate tells of its upstream with each response.
+	// Load is the state of an upstream that its gate reports with each response.
 	Load struct {
 		Running, Waiting, Slots int
-		// Work is what the upstream's short calls took lately.
+		// Work is how long the upstream's short calls took lately.
 		Work time.Duration
-		// Failing is the part of the upstream's last calls that failed, from 0 to 1, as
-		// its gate saw it; 0 where that may be chance.
+		// Failing is the share of the upstream's last calls that failed, from 0 to 1, as
+		// its gate saw it. It is 0 if the failures may be chance.
 		Failing float64
-		// Route is the route that Expected and Wait are told of. It is not passed on:
-		// whoever made the call knows it.
+		// Route is the route that Expected and Wait apply to. It is not sent, since the
+		// node that made the call knows it.
 		Route kqname.Route
-		// Expected is how long the upstream is expected to need for a call of the route,
-		// and Wait how long such a call would wait for a slot; 0 where nothing is known.
+		// Expected is how long the upstream is expected to take for a call of the route,
+		// and Wait is how long such a call would wait for a slot. Each is 0 if unknown.
 		Expected, Wait time.Duration
 	}
 
-	// Call is one request on its way from caller to upstream. Request and
-	// Response belong to whoever serves the call.
+	// Call is one request on its way from caller to upstream. The server that handles
+	// the call owns Request and Response.
 	Call struct {
 		ID     ID
 		Caller kqname.Caller
-		// Origin is the service beside whose upstream the call entered the mesh.
+		// Origin is the service whose upstream runs beside the node where the call
+		// entered the mesh.
 		Origin     kqname.Service
 		Route      kqname.Route
 		Service    kqname.Service
 		Version    kqname.UpstreamVersion
 		Class      kqdocument.Class
 		Idempotent bool
-		// RefusalMeansNotRun is the service's contract on its own 503.
+		// RefusalMeansNotRun reports whether the service guarantees that a call which it
+		// answers with 503 did not run.
 		RefusalMeansNotRun bool
-		// Depth counts the calls above this one: 0 for an outside caller's.
+		// Depth is the number of calls that this one is nested in, 0 for a call from
+		// outside.
 		Depth int
-		// Repeat tells that an upstream may have been sent the call, or one above it,
-		// before.
+		// Repeat reports whether an upstream may have been sent this call, or one that
+		// it is nested in, before.
 		Repeat bool
-		// Starved tells that the upstream failed the call because one that it made in turn
-		// was not served for want of room.
+		// Starved reports whether the upstream failed the call because a nested call of
+		// it was not served for lack of capacity.
 		Starved  bool
 		Arrived  time.Time
 		Deadline time.Time
-		// Target is until when an answer has its full worth; zero states nothing.
+		// Target is when the response should arrive to be of full use, zero if
+		// unspecified.
 		Target time.Time
-		// MaxAttempts is how many upstreams the call may be sent to; 0 leaves it to
-		// the entry.
+		// MaxAttempts is how many upstreams the call may be sent to; 0 means the entry's
+		// default.
 		MaxAttempts int
-		// Instance is the upstream that the call is meant for; "" accepts any.
+		// Instance is the upstream that the call is meant for; empty accepts any.
 		Instance kqname.Instance
-		// Dialect is what caller and upstream speak; nil means this package's
-		// headers.
+		// Dialect is how caller and upstream express a call's data in headers; nil means
+		// the headers of this package.
 		Dialect Dialect
-		// Cancel ends the call when its caller goes away; nil where nobody can.
+		// Cancel ends the call when its caller disconnects; nil if the call cannot be
+		// cancelled.
 		Cancel *Cancel
-		// Look has the call cancelled if its caller has gone by now; nil where nobody can
-		// tell.
+		// Look checks the caller's connection now and cancels the call if it was closed;
+		// nil if the connection cannot be checked.
 		Look func()
-		// Finish is called once a streamed answer has been passed on or cut off;
-		// nil where nobody needs to know.
+		// Finish is called once a streamed response has been passed on or cut off; nil
+		// if nothing needs to run then.
 		Finish   func()
 		Request  *fasthttp.Request
 		Response *fasthttp.Response
 	}
 )
 
-// Reasons returns every reason, for counters whose labels must be bounded.
+// Reasons returns every reason, for counters that need a bounded set of labels.
 func Reasons() []Reason {
 	return []Reason{
 		NoReason, NoRoute, NoConfig, NoUpstream, QueueFull, Overload, Late, RolledBack, Draining, Shed, ConnectFailed,
@@ -153,18 +160,18 @@
 	}
 }
 
-// OK is the outcome of a call that has its upstream's answer.
+// OK returns the outcome of a call that has its upstream's response.
 func OK() Outcome { return Outcome{Result: Answered} }
 
-// Refuse is the outcome of a call that did not run.
+// Refuse returns the outcome of a call that did not run.
 func Refuse(reason Reason) Outcome { return Outcome{Result: NotRun, Reason: reason} }
 
-// Lose is the outcome of a call that may have run.
+// Lose returns the outcome of a call that may have run.
 func Lose(reason Reason) Outcome { return Outcome{Result: Unknown, Reason: reason} }
 
-// Status returns the HTTP status that goes with an outcome that is not an
-// answer: 404 for no route, 413 for too large a body, 400 for a malformed
-// call, 408 for one that came too slowly, 503 where the call did not run and 504 where it may have.
+// Status returns the HTTP status of an outcome other than Answered: 404 for no route,
+// 413 for a body that is too large, 400 for a malformed call, 408 for one that arrived
+// too slowly, 503 if the call did not run, and 504 if it may have.
 func (o Outcome) Status() int {
 	switch {
 	case o.Reason == NoRoute:
--- a/internal/call/kqcall/cancel.go
+++ b/internal/call/kqcall/cancel.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// Cancel ends a call whose caller, or whose node, goes away: it wakes the call where it waits,
-// and closes the connection that it was sent on, which passes the cancellation
-// on. The zero value is ready.
+// Cancel cancels a call when its caller disconnects or its node stops. It wakes the call
+// if it waits, and closes the connection that the call was sent on, which propagates the
+// cancellation. The zero value is ready to use.
 type Cancel struct {
 	mu     sync.Mutex
 	reason Reason
@@ -15,7 +15,7 @@
 	closer io.Closer
 }
 
-// Now cancels the call and has it told why; the first reason stands.
+// Now cancels the call with that reason. Later cancellations keep the first reason.
 func (c *Cancel) Now(why Reason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,15 +27,15 @@
 		close(c.wake)
 	}
 	if c.closer != nil {
-		// The exchange that uses the connection meets the error and reports it.
+		// The exchange on the connection fails and reports the error.
 		_ = c.closer.Close()
 	}
 }
 
-// Done reports whether the call was cancelled. A nil Cancel never is.
+// Done reports whether the call was cancelled. A nil Cancel is never cancelled.
 func (c *Cancel) Done() bool { return c.Reason() != NoReason }
 
-// Reason returns why the call was cancelled, NoReason if it was not.
+// Reason returns why the call was cancelled, or NoReason if it was not.
 func (c *Cancel) Reason() Reason {
 	if c == nil {
 		return NoReason
@@ -45,8 +45,8 @@
 	return c.reason
 }
 
-// Wake returns a channel that is closed once the call is cancelled; that of a
-// nil Cancel blocks for ever.
+// Wake returns a channel that is closed once the call is cancelled. For a nil Cancel the
+// channel is nil and blocks forever.
 func (c *Cancel) Wake() <-chan struct{} {
 	if c == nil {
 		return nil
@@ -62,8 +62,8 @@
 	return c.wake
 }
 
-// Attach has the connection closed by a cancellation from now on, nil none. It
-// reports false if the call was cancelled already.
+// Attach sets the connection that a cancellation closes; nil means none. It reports
+// false if the call was already cancelled.
 func (c *Cancel) Attach(connection io.Closer) bool {
 	if c == nil {
 		return true
--- a/internal/call/kqcall/dialect.go
+++ b/internal/call/kqcall/dialect.go
@@ -8,43 +8,42 @@
 )
 
 type (
-	// Dialect is what callers and upstreams of a deployment say to this system,
-	// and hear from it, in the headers of their calls. Without one they speak the
-	// headers of this package.
+	// Dialect translates between a call and the headers that callers and upstreams of a
+	// deployment use. Without one they use the headers of this package.
 	Dialect interface {
-		// Accept reads what a caller tells of its call, and takes out of the
-		// request what callers may not set.
+		// Accept reads what a caller's headers say about its call, and removes the
+		// headers that callers must not set.
 		Accept(h *fasthttp.RequestHeader) Told
-		// Tell puts into the call's request what its upstream is to know; left is
-		// the time until the deadline.
+		// Tell writes into the request what the upstream needs to know; left is the time
+		// until the deadline.
 		Tell(c *Call, left time.Duration)
-		// Belongs reports whether the response is the upstream's answer to this
-		// very call.
+		// Belongs reports whether the response is the upstream's answer to this call.
 		Belongs(c *Call) bool
-		// Judge reads what an answer that belongs to the call says of its run.
+		// Judge reads from the answer to the call whether the call ran.
 		Judge(c *Call) Verdict
-		// RetryAfter writes for how long a refused caller is to stay away.
+		// RetryAfter formats how long a refused caller should wait before it retries.
 		RetryAfter(d time.Duration) string
 	}
 
-	// Told is what a caller says of its own call; zero values say nothing.
+	// Told is what a caller says about its own call; zero values are unspecified.
 	Told struct {
 		ID ID
 		// Left is how long the caller will wait.
 		Left time.Duration
-		// Above is the call that the caller, a local upstream, says to work on.
+		// Above is the id of the running call that this one is nested in, according to
+		// the caller, a local upstream.
 		Above ID
 	}
 
-	// Verdict is what an upstream's answer says of the call's run.
+	// Verdict is what an upstream's answer says about whether the call ran.
 	Verdict struct {
-		// NotRun tells, as the reason, that the upstream has not run the call and
-		// will not; NoReason tells that it ran.
+		// NotRun is why the upstream has not run the call and will not, or NoReason if
+		// it ran.
 		NotRun Reason
 	}
 )
 
-// wholeSeconds is how Retry-After is written by RFC 9110, rounded up.
+// wholeSeconds formats Retry-After as RFC 9110 defines it, in seconds, rounded up.
 func wholeSeconds(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
--- a/internal/call/kqcall/doc.go
+++ b/internal/call/kqcall/doc.go
@@ -1,3 +1,3 @@
-// Package kqcall holds what a call carries from filter to filter and from node
-// to node, and the three ways in which it can end.
+// Package kqcall defines a call, its outcomes, and the headers that carry it between
+// callers, nodes and upstreams.
 package kqcall
--- a/internal/call/kqcall/header.go
+++ b/internal/call/kqcall/header.go
@@ -14,57 +14,58 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Headers of our own, all of which begin with "Kq-". From outsiders' requests
-// and from upstreams' responses every such header is stripped, whoever made it up.
+// Internal headers, all of which begin with "Kq-". Every such header is removed from
+// outside requests and from upstreams' responses, since nobody outside this project may
+// set them.
 const (
-	// HeaderID, HeaderTimeout (in milliseconds) and HeaderDepth go to the
-	// upstream, which may pass them on with calls of its own.
+	// HeaderID, HeaderTimeout (in milliseconds) and HeaderDepth are sent to the
+	// upstream, which may pass them on with its own calls.
 	HeaderID      = "Kq-Call-Id"
 	HeaderTimeout = "Kq-Timeout-Ms"
 	HeaderDepth   = "Kq-Depth"
-	// HeaderResult and HeaderReason tell the caller how its call ended.
+	// HeaderResult and HeaderReason report to the caller how its call ended.
 	HeaderResult = "Kq-Result"
 	HeaderReason = "Kq-Reason"
 
-	// headerCall takes a call's fields from the entry to the gate, headerLoad
+	// headerCall carries a call's fields from the entry to the gate; headerLoad carries
 	// the upstream's load back.
 	headerCall = "Kq-Call"
 	headerLoad = "Kq-Load"
-	// headerRetry tells between nodes what Retry-After tells callers, in
-	// milliseconds, as callers may need it in another form.
+	// headerRetry carries Retry-After between nodes in milliseconds, since callers may
+	// need it in another format.
 	headerRetry = "Kq-Retry-Ms"
-	// headerStarved tells between nodes that a failure is one of a service behind the
-	// upstream.
+	// headerStarved tells the calling node that a failure was caused by a lack of
+	// capacity in a service that the upstream called.
 	headerStarved = "Kq-Starved"
 
-	// MaxDepth bounds how deep calls may go; a loop of calls ends there.
+	// MaxDepth bounds how deeply calls may be nested, which ends a loop of calls.
 	MaxDepth = 32
 
 	callFields = 12
-	// loadFields are those of a load, of which gates of an earlier release tell the first
-	// loadLeast.
-	loadFields = 7
-	loadLeast  = 5
-	// perMille is what a share is counted in.
-	perMille   = 1000
-	separator  = ';'
-	idempotent = "i"
-	repeat     = "p"
-	refusal    = "r"
+	// loadFields is the number of fields of a load. Gates of an earlier release send
+	// only the first minLoadFields.
+	loadFields    = 7
+	minLoadFields = 5
+	// perMille is the scale at which a share is sent as an integer.
+	perMille       = 1000
+	separator      = ';'
+	idempotentFlag = "i"
+	repeatFlag     = "p"
+	refusalFlag    = "r"
 )
 
 var (
-	// ErrMalformed tells that one of our headers cannot be read.
+	// ErrMalformed means that an internal header cannot be parsed.
 	ErrMalformed = errors.New("malformed internal header")
 
-	prefix = []byte("Kq-")
+	headerPrefix = []byte("Kq-")
 )
 
-// Strip removes every header of ours from a request, and returns how many.
+// Strip removes all internal headers from a request and returns their number.
 func Strip(h *fasthttp.RequestHeader) int {
 	var found [][]byte
 	for key := range h.All() {
-		if ours(key) {
+		if isInternal(key) {
 			found = append(found, bytes.Clone(key))
 		}
 	}
@@ -74,12 +75,12 @@
 	return len(found)
 }
 
-// StripResponse removes every header of ours from a response. An upstream that
-// could set them would have its own failure taken for a call that did not run.
+// StripResponse removes all internal headers from a response. An upstream that could set
+// them could have its own failure taken for a call that did not run.
 func StripResponse(h *fasthttp.ResponseHeader) {
 	var found [][]byte
 	for key := range h.All() {
-		if ours(key) {
+		if isInternal(key) {
 			found = append(found, bytes.Clone(key))
 		}
 	}
@@ -94,7 +95,7 @@
 	b := space[:0]
 	for _, field := range []string{
 		string(c.ID), string(c.Caller), string(c.Route), string(c.Service), string(c.Version), string(c.Class),
-		flag(c.Idempotent, idempotent) + flag(c.Repeat, repeat), flag(c.RefusalMeansNotRun, refusal), string(c.Origin),
+		textIf(c.Idempotent, idempotentFlag) + textIf(c.Repeat, repeatFlag), textIf(c.RefusalMeansNotRun, refusalFlag), string(c.Origin),
 	} {
 		b = append(append(b, field...), separator)
 	}
@@ -106,24 +107,24 @@
 	c.Request.Header.SetBytesV(headerCall, b)
 }
 
-// Read makes a call from what Write put into a request.
+// Read returns the call whose fields Write put into a request.
 func Read(req *fasthttp.Request, resp *fasthttp.Response, now time.Time) (*Call, error) {
-	fields, ok := split(string(req.Header.Peek(headerCall)))
+	fields, ok := splitFields(string(req.Header.Peek(headerCall)))
 	if !ok {
-		return nil, fmt.Errorf("read %s: %w", headerCall, ErrMalformed)
+		return nil, fmt.Errorf("split fields of %s: %w", headerCall, ErrMalformed)
 	}
 	timeout, err := strconv.ParseInt(fields[9], 10, 64)
 	if err != nil {
-		return nil, fmt.Errorf("read remaining time: %w", errors.Join(ErrMalformed, err))
+		return nil, fmt.Errorf("parse remaining time: %w", errors.Join(ErrMalformed, err))
 	}
 	depth, err := strconv.Atoi(fields[10])
 	if err != nil || depth < 0 || depth > MaxDepth {
-		return nil, fmt.Errorf("read depth: %w", errors.Join(ErrMalformed, err))
+		return nil, fmt.Errorf("parse depth: %w", errors.Join(ErrMalformed, err))
 	}
 	c := &Call{
 		ID: ID(fields[0]), Caller: kqname.Caller(fields[1]), Route: kqname.Route(fields[2]),
 		Service: kqname.Service(fields[3]), Version: kqname.UpstreamVersion(fields[4]), Class: kqdocument.Class(fields[5]),
-		Idempotent: strings.Contains(fields[6], idempotent), Repeat: strings.Contains(fields[6], repeat), RefusalMeansNotRun: fields[7] == refusal,
+		Idempotent: strings.Contains(fields[6], idempotentFlag), Repeat: strings.Contains(fields[6], repeatFlag), RefusalMeansNotRun: fields[7] == refusalFlag,
 		Origin: kqname.Service(fields[8]), Depth: depth, Arrived: now, Deadline: now.Add(time.Duration(timeout) * time.Microsecond),
 		Request: req, Response: resp,
 	}
@@ -131,13 +132,13 @@
 		c.Target = now.Add(time.Duration(target) * time.Microsecond)
 	}
 	if c.ID == "" || c.Service == "" {
-		return nil, fmt.Errorf("read call id and service: %w", ErrMalformed)
+		return nil, fmt.Errorf("call id or service is missing: %w", ErrMalformed)
 	}
 	return c, nil
 }
 
-// Context reads what a local upstream passed on of the call that it works on:
-// the depth, 0 where it passed none on, and the time left, 0 likewise.
+// Context reads the headers that a local upstream passed on from the call that it is
+// running: the depth and the remaining time, each 0 if it did not pass them on.
 func Context(h *fasthttp.RequestHeader) (depth int, left time.Duration) {
 	depth, err := strconv.Atoi(string(h.Peek(HeaderDepth)))
 	if err != nil || depth < 0 {
@@ -150,8 +151,7 @@
 	return depth, time.Duration(ms) * time.Millisecond
 }
 
-// Tell puts into the request what the upstream is to know, in place of what
-// nodes tell each other.
+// Tell replaces the fields meant for the gate by the headers that the upstream gets.
 func (c *Call) Tell(now time.Time) {
 	h := &c.Request.Header
 	h.Del(headerCall)
@@ -164,8 +164,8 @@
 	h.Set(HeaderDepth, strconv.Itoa(c.Depth))
 }
 
-// Answer puts the outcome into the call's response; unless it is an answer, it
-// becomes the whole response.
+// Answer writes the outcome into the call's response. If the outcome is not Answered, it
+// replaces the whole response.
 func (c *Call) Answer(o Outcome) {
 	if o.Result != Answered {
 		c.Response.Reset()
@@ -190,7 +190,7 @@
 	}
 }
 
-// Outcome reads what Answer put into a response.
+// Outcome reads the outcome that Answer wrote into a response.
 func (c *Call) Outcome() Outcome {
 	h := &c.Response.Header
 	o := Outcome{Result: Result(h.Peek(HeaderResult)), Reason: Reason(h.Peek(HeaderReason))}
@@ -203,7 +203,7 @@
 	return o
 }
 
-// WriteStarved puts into the response whether the call was starved, and ReadStarved reads
+// WriteStarved writes into the response whether the call was starved; ReadStarved reads
 // it.
 func (c *Call) WriteStarved() {
 	if c.Starved {
@@ -211,7 +211,7 @@
 	}
 }
 
-// ReadStarved takes over what WriteStarved put into the response.
+// ReadStarved sets Starved to what WriteStarved wrote into the response.
 func (c *Call) ReadStarved() { c.Starved = len(c.Response.Header.Peek(headerStarved)) > 0 }
 
 // Write puts the load into a response.
@@ -227,14 +227,15 @@
 	h.SetBytesV(headerLoad, strconv.AppendInt(b, l.Wait.Microseconds(), 10))
 }
 
-// ReadLoad reads what Write put into a response, and reports whether it did.
+// ReadLoad reads the load that Write put into a response, and reports whether there was
+// a valid one.
 func ReadLoad(h *fasthttp.ResponseHeader) (Load, bool) {
 	rest := h.Peek(headerLoad)
 	var numbers [loadFields]int
 	for i := range numbers {
 		field, after, _ := bytes.Cut(rest, []byte{separator})
 		n, err := strconv.Atoi(string(field))
-		if i >= loadLeast && len(field) == 0 {
+		if i >= minLoadFields && len(field) == 0 {
 			break
 		}
 		if err != nil || n < 0 {
@@ -249,8 +250,9 @@
 	}, true
 }
 
-// split parts a header's value into just as many fields as a call has.
-func split(text string) (fields [callFields]string, ok bool) {
+// splitFields splits a header's value into the fields of a call, and reports false
+// unless their number is exactly callFields.
+func splitFields(text string) (fields [callFields]string, ok bool) {
 	for i := range callFields - 1 {
 		if fields[i], text, ok = strings.Cut(text, string(separator)); !ok {
 			return fields, false
@@ -260,11 +262,14 @@
 	return fields, !strings.ContainsRune(text, separator)
 }
 
-func ours(key []byte) bool {
-	return len(key) >= len(prefix) && bytes.EqualFold(key[:len(prefix)], prefix)
+// isInternal reports whether a header's name begins with the internal prefix, in any
+// case.
+func isInternal(key []byte) bool {
+	return len(key) >= len(headerPrefix) && bytes.EqualFold(key[:len(headerPrefix)], headerPrefix)
 }
 
-func flag(set bool, text string) string {
+// textIf returns text if set is true, else "".
+func textIf(set bool, text string) string {
 	if set {
 		return text
 	}
