--- a/internal/call/kqlocal/doc.go
+++ b/internal/call/kqlocal/doc.go
@@ -1,3 +1,3 @@
-// Package kqlocal keeps the upstreams that have announced themselves to this
-// node. An upstream that stops renewing is forgotten.
+// Package kqlocal holds the upstreams that have announced themselves to this node. An
+// upstream that stops renewing its announcement is removed.
 package kqlocal
--- /dev/null
+++ b/internal/call/kqlocal/pause_test.go
@@ -0,0 +1,63 @@
+package kqlocal_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/kumquatgw/kumquatgw/internal/call/kqlocal"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
+)
+
+// Guards against a node that takes its own pause for an upstream's silence. A node that
+// was paused for longer than an announcement lasts removed expired ones before it read
+// those that had arrived meanwhile, and refused calls until the next announcement. Its
+// peers saw the upstream leave and then a new one, which they used with the caution due
+// to a newly started one.
+func TestAnnouncementsOutliveTheNodesOwnPause(t *testing.T) {
+	const ttl, interval, pause = 3 * time.Second, 250 * time.Millisecond, 10 * time.Second
+	now := time.Unix(1000, 0)
+	var published [][]kqmember.Upstream
+	u := kqlocal.New(ttl, func(list []kqmember.Upstream) { published = append(published, list) })
+	a := kqlocal.Announcement{Service: "store", Version: "v1", Address: "127.0.0.1:1", Slots: 4}
+	if err := u.Announce(a, now); err != nil {
+		t.Fatal(err)
+	}
+	u.Sweep(now)
+	now = now.Add(pause)
+	u.Sweep(now)
+	if _, ok := u.Find("store", ""); !ok || len(published) != 1 {
+		t.Errorf("published %+v, want the upstream kept and no new list", published)
+	}
+	// An upstream that is silent while the node sweeps must still expire.
+	for end := now.Add(ttl + interval); !now.After(end); now = now.Add(interval) {
+		u.Sweep(now)
+	}
+	if _, ok := u.Find("store", ""); ok {
+		t.Error("a silent upstream did not expire")
+	}
+}
+
+// Guards against the same fault with a pause just longer than a short ttl: each pause
+// made the node drop its upstream and refuse calls if it swept before it had read the
+// waiting announcements. An upstream that is really silent must still expire, even on a
+// node that is paused again and again.
+func TestAnnouncementsOutliveAShortPause(t *testing.T) {
+	now := time.Unix(1000, 0)
+	var published []kqmember.Upstream
+	u := kqlocal.New(600*time.Millisecond, func(list []kqmember.Upstream) { published = list })
+	if err := u.Announce(kqlocal.Announcement{Service: "store", Version: "v1", Address: "127.0.0.1:1", Slots: 4}, now); err != nil {
+		t.Fatal(err)
+	}
+	u.Sweep(now)
+	now = now.Add(700 * time.Millisecond)
+	if u.Sweep(now); len(published) != 1 {
+		t.Fatal("the upstream was removed because of the node's own pause")
+	}
+	for range 3 {
+		now = now.Add(700 * time.Millisecond)
+		u.Sweep(now)
+	}
+	if len(published) != 0 {
+		t.Error("a silent upstream was kept for 2.8 s on a node that is paused repeatedly")
+	}
+}
--- /dev/null
+++ b/internal/call/kqlocal/upstreams.go
@@ -0,0 +1,284 @@
+package kqlocal
+
+import (
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
+	"github.com/kumquatgw/kumquatgw/pkg/kqname"
+)
+
+// MaxSlots bounds the slots that an upstream may announce.
+const MaxSlots = 10000
+
+// historyTTL is how long a goodbye is remembered, so that the upstream's earlier
+// announcements are recognized as late if they arrive after it; a network delays them by
+// seconds at most. A withdrawal is remembered for as long, so that the next one lasts
+// longer.
+const historyTTL = time.Minute
+
+// sweepInterval is the expected time between two calls of Sweep. If a sweep comes later,
+// this node itself was paused and may not have read waiting announcements yet, so the
+// excess does not count as an upstream's silence. The interval itself always counts:
+// otherwise a dead upstream would never expire on a node that is paused again and again.
+const sweepInterval = 250 * time.Millisecond
+
+// minWithdrawal is how long an upstream that could not be connected to is left out at
+// first, even if it keeps announcing itself; each further withdrawal doubles that up to
+// maxWithdrawal. Otherwise an upstream that announces itself but accepts no connections
+// would be added and removed all the time, and each change is sent to all nodes.
+const (
+	minWithdrawal = time.Second
+	maxWithdrawal = 8 * time.Second
+)
+
+// ErrAnnouncement means that an announcement is invalid.
+var ErrAnnouncement = errors.New("announcement refused")
+
+type (
+	// Announcement is what an upstream posts to its node, first and as a renewal.
+	Announcement struct {
+		Service  kqname.Service         `json:"service"`
+		Version  kqname.UpstreamVersion `json:"version"`
+		Address  kqname.Address         `json:"address"`
+		Slots    int                    `json:"slots"`
+		Draining bool                   `json:"draining,omitempty"`
+		// Instance distinguishes this upstream from others that have had its address.
+		Instance kqname.Instance `json:"instance,omitempty"`
+		// Born is when the upstream started, in milliseconds of its own clock, and
+		// Sequence numbers its announcements since then, so that late ones are
+		// recognized. If both are 0, announcements apply in the order of their arrival.
+		Born     int64  `json:"born,omitempty"`
+		Sequence uint64 `json:"sequence,omitempty"`
+		// Cold is for how much longer the upstream is slow after its start.
+		Cold time.Duration `json:"cold,omitempty"`
+		// Gone means that the upstream takes no more work at all. Only Instance and, if
+		// known, Born are set with it.
+		Gone bool `json:"gone,omitempty"`
+	}
+
+	// Upstreams holds the current announcements. It is safe for concurrent use.
+	Upstreams struct {
+		ttl      time.Duration
+		onChange func([]kqmember.Upstream)
+
+		mu        sync.Mutex
+		byAddress map[kqname.Address]registration
+		// lastSweep is when Sweep last ran, zero before its first run.
+		lastSweep time.Time
+		// goodbyes holds the goodbyes received, since earlier announcements of the same
+		// upstream may arrive after them.
+		goodbyes map[kqname.Instance]goodbye
+	}
+
+	// goodbye means that every start of an upstream up to startMS has ended. receivedAt
+	// is when this node learned of it.
+	goodbye struct {
+		startMS    int64
+		receivedAt time.Time
+	}
+
+	// registration is an upstream's latest announcement with the node's state about it.
+	registration struct {
+		Announcement
+		firstSeen, lastRenewed time.Time
+		// coldFor is how long after firstSeen the upstream is slow, according to its
+		// first announcement.
+		coldFor time.Duration
+		withdrawal
+	}
+
+	// withdrawal is whether an upstream is left out, when it was last withdrawn, and for
+	// how long at least.
+	withdrawal struct {
+		withdrawn   bool
+		withdrawnAt time.Time
+		minDuration time.Duration
+	}
+)
+
+// New returns an empty set whose announcements expire after ttl unless renewed. onChange
+// receives the whole list at each change that other nodes must learn of.
+func New(ttl time.Duration, onChange func([]kqmember.Upstream)) *Upstreams {
+	return &Upstreams{ttl: ttl, onChange: onChange, byAddress: make(map[kqname.Address]registration), goodbyes: make(map[kqname.Instance]goodbye)}
+}
+
+// Announce applies an announcement, first or renewed.
+//
+// A late announcement, by an earlier start of the upstream or with a lower sequence
+// number, is ignored without an error. Applying it could bring back an upstream that has
+// left, and calls would reach a closed port or another program.
+func (u *Upstreams) Announce(a Announcement, now time.Time) error {
+	if a.Gone {
+		u.recordGoodbye(a, now)
+		return nil
+	}
+	if !kqname.Valid(a.Service) || !kqname.Valid(a.Version) || a.Address == "" || a.Slots < 1 || a.Slots > MaxSlots {
+		return fmt.Errorf("announce %q %q at %q with %d slots: %w", a.Service, a.Version, a.Address, a.Slots, ErrAnnouncement)
+	}
+	if ignoresDraining {
+		a.Draining = false
+	}
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	old, ok := u.byAddress[a.Address]
+	if e, left := u.goodbyes[a.Instance]; left && a.Born <= e.startMS || ok && a.isOlderThan(old.Announcement) {
+		return nil
+	}
+	next := registration{Announcement: a, firstSeen: now, lastRenewed: now, coldFor: a.Cold}
+	if ok && old.Service == a.Service && old.Version == a.Version && old.Instance == a.Instance && old.Born == a.Born {
+		next.firstSeen, next.coldFor, next.withdrawal = old.firstSeen, old.coldFor, old.withdrawal
+		next.withdrawn = old.withdrawn && now.Sub(old.withdrawnAt) < old.minDuration
+	}
+	u.byAddress[a.Address] = next
+	if !ok || !old.sameForPeers(a) || next.withdrawn != old.withdrawn {
+		u.publish()
+	}
+	return nil
+}
+
+// Withdraw leaves out an upstream that accepts no connections, until it announces itself
+// again after the withdrawal's minimum duration. Its announcement would otherwise stay
+// valid for seconds, in which calls of every node would fail.
+func (u *Upstreams) Withdraw(address kqname.Address, now time.Time) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	e, ok := u.byAddress[address]
+	if !ok || e.withdrawn {
+		return
+	}
+	if now.Sub(e.withdrawnAt) > historyTTL {
+		e.minDuration = 0
+	}
+	e.withdrawal = withdrawal{withdrawn: true, withdrawnAt: now, minDuration: min(max(2*e.minDuration, minWithdrawal), maxWithdrawal)}
+	u.byAddress[address] = e
+	u.publish()
+}
+
+// recordGoodbye removes an upstream that has said goodbye, including its earlier starts:
+// the start that says goodbye may be one whose announcements never arrived.
+func (u *Upstreams) recordGoodbye(a Announcement, now time.Time) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	startMS, removed := a.Born, false
+	for address, e := range u.byAddress {
+		if e.Instance != a.Instance || a.Born != 0 && a.Born < e.Born {
+			continue
+		}
+		startMS, removed = max(startMS, e.Born), true
+		delete(u.byAddress, address)
+	}
+	if removed {
+		u.publish()
+	}
+	u.goodbyes[a.Instance] = goodbye{startMS: max(startMS, u.goodbyes[a.Instance].startMS), receivedAt: now}
+}
+
+// Left applies a goodbye that an earlier process of this node received.
+func (u *Upstreams) Left(instance kqname.Instance, startMS int64, now time.Time) {
+	u.recordGoodbye(Announcement{Instance: instance, Born: startMS}, now)
+}
+
+// Born returns when the upstream of that instance started, by its own clock in
+// milliseconds, or 0 if it is unknown.
+func (u *Upstreams) Born(instance kqname.Instance) int64 {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for _, e := range u.byAddress {
+		if e.Instance == instance {
+			return e.Born
+		}
+	}
+	return 0
+}
+
+// isOlderThan reports whether the announcement was made before the held one of the same
+// address.
+func (a Announcement) isOlderThan(held Announcement) bool {
+	if a.Born != held.Born {
+		return a.Born < held.Born
+	}
+	return a.Sequence != 0 && a.Instance == held.Instance && a.Sequence < held.Sequence
+}
+
+// sameForPeers reports whether two announcements make no difference to other nodes.
+func (a Announcement) sameForPeers(other Announcement) bool {
+	a.Sequence, other.Sequence = 0, 0
+	a.Cold, other.Cold = 0, 0
+	return a == other
+}
+
+// Sweep removes upstreams whose announcements have expired. If it was not called for a
+// long time, this node itself was paused, and announcements that arrived meanwhile may
+// still wait to be read; that time does not count against any upstream.
+func (u *Upstreams) Sweep(now time.Time) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	removed := false
+	pause := time.Duration(0)
+	if !u.lastSweep.IsZero() {
+		pause = max(now.Sub(u.lastSweep)-sweepInterval, 0)
+	}
+	u.lastSweep = now
+	for instance, e := range u.goodbyes {
+		if now.Sub(e.receivedAt) > historyTTL {
+			delete(u.goodbyes, instance)
+		}
+	}
+	for address, e := range u.byAddress {
+		if e.lastRenewed = e.lastRenewed.Add(pause); e.lastRenewed.After(now) {
+			e.lastRenewed = now
+		}
+		if now.Sub(e.lastRenewed) > u.ttl {
+			delete(u.byAddress, address)
+			removed = true
+			continue
+		}
+		u.byAddress[address] = e
+	}
+	if removed {
+		u.publish()
+	}
+}
+
+// Find returns the upstream of a service and version; an empty version accepts any. Of
+// several, it prefers one that does not drain, then the one first seen last, since the
+// announcement of a replaced upstream stays until it expires.
+func (u *Upstreams) Find(service kqname.Service, version kqname.UpstreamVersion) (Announcement, bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	var best registration
+	for _, e := range u.byAddress {
+		if e.Service == service && (version == "" || e.Version == version) && (best.Slots == 0 || e.isPreferredTo(best)) {
+			best = e
+		}
+	}
+	return best.Announcement, best.Slots > 0
+}
+
+// isPreferredTo reports whether Find returns e rather than other.
+func (e registration) isPreferredTo(other registration) bool {
+	if e.Draining != other.Draining {
+		return other.Draining
+	}
+	return e.firstSeen.After(other.firstSeen)
+}
+
+// publish passes the upstreams that are not withdrawn to onChange. The caller holds
+// u.mu.
+func (u *Upstreams) publish() {
+	list := make([]kqmember.Upstream, 0, len(u.byAddress))
+	for _, e := range u.byAddress {
+		if e.withdrawn {
+			continue
+		}
+		next := kqmember.Upstream{Service: e.Service, Version: e.Version, Slots: e.Slots, Draining: e.Draining, Started: e.firstSeen}
+		if e.Instance != "" {
+			next.Warm = e.firstSeen.Add(e.coldFor)
+		}
+		list = append(list, next)
+	}
+	u.onChange(list)
+}
--- /dev/null
+++ b/internal/call/kqlocal/upstreams_test.go
@@ -0,0 +1,94 @@
+package kqlocal_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/kumquatgw/kumquatgw/internal/call/kqlocal"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
+)
+
+// Guards against ignoring announcements of a restarted upstream, which would leave its
+// slots idle, and against applying late announcements of its former start.
+func TestRestartedUpstreamIsAccepted(t *testing.T) {
+	now := time.Unix(1000, 0)
+	var published []kqmember.Upstream
+	u := kqlocal.New(time.Minute, func(list []kqmember.Upstream) { published = list })
+	announce := func(a kqlocal.Announcement) {
+		t.Helper()
+		a.Service, a.Version, a.Address, a.Slots, a.Instance = "store", "v1", "127.0.0.1:1", 4, "one"
+		if err := u.Announce(a, now); err != nil {
+			t.Fatal(err)
+		}
+	}
+	announce(kqlocal.Announcement{Born: 10, Sequence: 5})
+	if err := u.Announce(kqlocal.Announcement{Instance: "one", Gone: true}, now); err != nil {
+		t.Fatal(err)
+	}
+	announce(kqlocal.Announcement{Born: 10, Sequence: 6})
+	if len(published) != 0 {
+		t.Error("a late announcement of the former start was applied")
+	}
+	announce(kqlocal.Announcement{Born: 20, Sequence: 1})
+	if len(published) != 1 {
+		t.Error("the announcement of the new start was ignored")
+	}
+	announce(kqlocal.Announcement{Born: 10, Sequence: 9, Draining: true})
+	if len(published) != 1 || published[0].Draining {
+		t.Error("an announcement of the former start changed the new one")
+	}
+}
+
+// Guards against an older announcement that arrives late: it says that the upstream is
+// ready and must not undo a later one that says that it drains.
+func TestOlderAnnouncementDoesNotUndoDraining(t *testing.T) {
+	now := time.Unix(1000, 0)
+	var published []kqmember.Upstream
+	u := kqlocal.New(time.Minute, func(list []kqmember.Upstream) { published = list })
+	for _, a := range []kqlocal.Announcement{{Sequence: 1}, {Sequence: 3, Draining: true}, {Sequence: 2}} {
+		a.Service, a.Version, a.Address, a.Slots, a.Instance, a.Born = "store", "v1", "127.0.0.1:1", 4, "one", 10
+		if err := u.Announce(a, now); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if len(published) != 1 || !published[0].Draining {
+		t.Errorf("published %+v, want one that drains", published)
+	}
+}
+
+// Guards against sending calls to a dead upstream until its announcement expires, and
+// against one that is added and removed all the time. Each withdrawal lasts twice as
+// long as the one before.
+func TestRepeatedWithdrawalsLastLonger(t *testing.T) {
+	now := time.Unix(1000, 0)
+	var published []kqmember.Upstream
+	u := kqlocal.New(time.Minute, func(list []kqmember.Upstream) { published = list })
+	a := kqlocal.Announcement{Service: "store", Version: "v1", Address: "127.0.0.1:1", Slots: 4, Instance: "one", Born: 10}
+	announce := func() {
+		t.Helper()
+		a.Sequence++
+		if err := u.Announce(a, now); err != nil {
+			t.Fatal(err)
+		}
+	}
+	announce()
+	for _, out := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
+		u.Withdraw(a.Address, now)
+		if len(published) != 0 {
+			t.Fatal("the upstream is still published after its withdrawal")
+		}
+		now = now.Add(out - time.Millisecond)
+		if announce(); len(published) != 0 {
+			t.Errorf("the upstream is published again %v after its withdrawal", out-time.Millisecond)
+		}
+		now = now.Add(time.Millisecond)
+		if announce(); len(published) != 1 {
+			t.Errorf("the upstream is not published again %v after its withdrawal", out)
+		}
+	}
+	u.Withdraw(a.Address, now)
+	a.Born, a.Sequence = 20, 0
+	if announce(); len(published) != 1 {
+		t.Error("the upstream's next start is not published")
+	}
+}
