--- a/internal/call/kqcall/header.go
+++ b/internal/call/kqcall/header.go
@@ -61,8 +61,8 @@
 	headerPrefix = []byte("Kq-")
 )
 
-// Strip removes all internal headers from a request and returns their number.
-func Strip(h *fasthttp.RequestHeader) int {
+// StripRequest removes all internal headers from a request and returns their number.
+func StripRequest(h *fasthttp.RequestHeader) int {
 	var found [][]byte
 	for key := range h.All() {
 		if isInternal(key) {
@@ -137,9 +137,9 @@
 	return c, nil
 }
 
-// Context reads the headers that a local upstream passed on from the call that it is
-// running: the depth and the remaining time, each 0 if it did not pass them on.
-func Context(h *fasthttp.RequestHeader) (depth int, left time.Duration) {
+// ReadPropagated reads the headers that a local upstream passed on from the call that it
+// is running: the depth and the remaining time, each 0 if it did not pass them on.
+func ReadPropagated(h *fasthttp.RequestHeader) (depth int, left time.Duration) {
 	depth, err := strconv.Atoi(string(h.Peek(HeaderDepth)))
 	if err != nil || depth < 0 {
 		depth = 0
--- a/internal/call/kqentry/serve.go
+++ b/internal/call/kqentry/serve.go
@@ -16,7 +16,7 @@
 // ServeOutside handles calls from outside the mesh. It removes this project's headers,
 // which outside callers must not set.
 func (e *Entry) ServeOutside(ctx *fasthttp.RequestCtx) {
-	if kqcall.Strip(&ctx.Request.Header) > 0 {
+	if kqcall.StripRequest(&ctx.Request.Header) > 0 {
 		e.onForged()
 	}
 	var info kqcall.Told
@@ -30,7 +30,7 @@
 // project that it reads are the depth and the remaining time of the call that the
 // upstream works on.
 func (e *Entry) ServeLocal(ctx *fasthttp.RequestCtx, caller kqname.Caller) {
-	depth, left := kqcall.Context(&ctx.Request.Header)
+	depth, left := kqcall.ReadPropagated(&ctx.Request.Header)
 	e.serve(ctx, caller, depth+1, kqcall.Told{Left: left})
 }
 
@@ -71,7 +71,7 @@
 	defer e.calls.Add(-1)
 	now := e.now()
 	e.lastArrival.Store(int64(now.Sub(e.started)))
-	kqcall.Strip(&ctx.Request.Header)
+	kqcall.StripRequest(&ctx.Request.Header)
 	stripHopByHop(&ctx.Request.Header)
 	sequence := e.sequence.Add(1)
 	f := &callState{}
@@ -103,7 +103,7 @@
 	e.counter.Ended(o)
 	e.returningCallers.ended(f, o)
 	if c.Depth > 0 && isOverload(o) {
-		e.nesting.Starve(info.Above)
+		e.nesting.MarkStarved(info.Above)
 	}
 	c.Answer(o)
 	e.keeper.Try("record", func() {
--- a/internal/call/kqnesting/doc.go
+++ b/internal/call/kqnesting/doc.go
@@ -1,10 +1,11 @@
-// Package kqnesting knows which calls run at the upstreams beside a node, so that a call
-// which one of them makes in turn is known for what it is.
+// Package kqnesting holds the calls that run at a node's local upstreams, so that a call
+// which an upstream makes on behalf of one of them is recognized as nested.
 //
-// Where upstreams do not pass on the depth of the call that they work on, their own calls
-// come in like any caller's. Taken for new work they are queued and refused like it, while
-// the call that waits for them holds a slot at another upstream: refused, they throw that
-// work away, and the more is thrown away the busier both services are.
+// Where upstreams do not pass on the depth of the call that they are running, their own
+// calls look like calls from outside and would be queued and refused like new work. But
+// the outer call holds a slot at another upstream while it waits: refusing the nested
+// call wastes that work, and the more is wasted, the busier both services become.
 //
-// An upstream is believed only if it names a call that runs beside this very node now.
+// An upstream's claim counts only if it names a call that is running beside this node
+// now.
 package kqnesting
--- a/internal/call/kqnesting/nesting.go
+++ b/internal/call/kqnesting/nesting.go
@@ -17,25 +17,28 @@
 		shards [shardCount]shard
 	}
 
-	// Above is what a nested call takes over from the call that it is made for.
-	Above struct {
+	// Parent is what a nested call inherits from the call that it is made for.
+	Parent struct {
 		Caller kqname.Caller
 		Depth  int
-		// Repeat tells that the call is a repeated sending.
+		// Repeat reports whether the parent may have been sent to an upstream before.
 		Repeat bool
 	}
 
 	shard struct {
-		mu   sync.Mutex
-		held map[kqcall.ID]held
+		mu      sync.Mutex
+		running map[kqcall.ID]running
 	}
 
-	held struct {
-		Above
-		// starved tells that a call made for it was not served for want of room.
+	// running is a parent with the state of its runs.
+	running struct {
+		Parent
+		// starved reports whether a call nested in it was not served for lack of
+		// capacity.
 		starved bool
-		// sendings counts the runs under that id; a call may be sent to one upstream again.
-		sendings int
+		// runs is how many runs under this id are in progress; a call may be sent to the
+		// same upstream again.
+		runs int
 	}
 )
 
@@ -43,61 +46,62 @@
 func New() *Calls {
 	c := &Calls{}
 	for i := range c.shards {
-		c.shards[i].held = make(map[kqcall.ID]held)
+		c.shards[i].running = make(map[kqcall.ID]running)
 	}
 	return c
 }
 
-// Begin notes that a call runs until End.
+// Begin records that a call runs until End.
 func (c *Calls) Begin(call *kqcall.Call) {
 	s := c.shard(call.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.held[call.ID]
-	h.Above = Above{Caller: call.Caller, Depth: call.Depth, Repeat: call.Repeat}
-	h.sendings++
-	s.held[call.ID] = h
+	h := s.running[call.ID]
+	h.Parent = Parent{Caller: call.Caller, Depth: call.Depth, Repeat: call.Repeat}
+	h.runs++
+	s.running[call.ID] = h
 }
 
-// Starve notes that a call made for the call of that id was not served for want of room.
-func (c *Calls) Starve(id kqcall.ID) {
+// MarkStarved records that a call nested in the call with that id was not served for
+// lack of capacity.
+func (c *Calls) MarkStarved(id kqcall.ID) {
 	s := c.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h, ok := s.held[id]; ok {
+	if h, ok := s.running[id]; ok {
 		h.starved = true
-		s.held[id] = h
+		s.running[id] = h
 	}
 }
 
-// Starved reports whether that was noted of the call.
+// Starved reports whether MarkStarved was called for the running call with that id.
 func (c *Calls) Starved(id kqcall.ID) bool {
 	s := c.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held[id].starved
+	return s.running[id].starved
 }
 
-// End notes that a call has ended.
+// End records that a run of the call has ended.
 func (c *Calls) End(id kqcall.ID) {
 	s := c.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.held[id]
-	if h.sendings--; h.sendings > 0 {
-		s.held[id] = h
+	h := s.running[id]
+	if h.runs--; h.runs > 0 {
+		s.running[id] = h
 	} else {
-		delete(s.held, id)
+		delete(s.running, id)
 	}
 }
 
-// Find returns the call of that id, and false if none runs.
-func (c *Calls) Find(id kqcall.ID) (Above, bool) {
+// Find returns the running call with that id, and false if there is none.
+func (c *Calls) Find(id kqcall.ID) (Parent, bool) {
 	s := c.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h, ok := s.held[id]
-	return h.Above, ok
+	h, ok := s.running[id]
+	return h.Parent, ok
 }
 
 func (c *Calls) shard(id kqcall.ID) *shard {
