--- a/internal/call/kqentry/entry.go
+++ b/internal/call/kqentry/entry.go
@@ -113,7 +113,7 @@
 	// Option configures an Entry.
 	Option func(*Entry)
 
-	// callState holds what one call needs beside its request, in a single allocation.
+	// callState holds what one call needs besides its request, in a single allocation.
 	callState struct {
 		call   kqcall.Call
 		cancel kqcall.Cancel
--- a/internal/call/kqentry/returning_callers.go
+++ b/internal/call/kqentry/returning_callers.go
@@ -64,9 +64,9 @@
 	s.returningCallers.Unserved(f.callKey, f.firstTry, f.callerDeadline)
 }
 
-// extendRetryAfter lengthens the Retry-After of a caller that would miss its target even
-// if it retried as early as it was going to be told. Waiting a third of its remaining
-// time brings it back after a burst rather than twice more within it.
+// extendRetryAfter lengthens a Retry-After with which the caller would miss its target
+// anyway. A third of the caller's remaining time brings it back after a burst is over,
+// rather than twice more during it.
 func (f *callState) extendRetryAfter(o *kqcall.Outcome, now time.Time) {
 	c := &f.call
 	if o.RetryAfter == 0 || c.Target.IsZero() || f.callerDeadline.IsZero() || now.Add(o.RetryAfter).Before(c.Target) {
--- a/internal/call/kqentry/serve.go
+++ b/internal/call/kqentry/serve.go
@@ -161,8 +161,8 @@
 	return o
 }
 
-// sendAttempts sends the call to one upstream after another until it is answered, may
-// have run, or must not be retried.
+// sendAttempts sends the call to one upstream after another until none is left, or the
+// rules and budgets for retries allow no further attempt.
 func (e *Entry) sendAttempts(f *callState, s *service, target kqpick.Target, now time.Time) kqcall.Outcome {
 	c := &f.call
 	var space [maxGates]kqname.Node
