--- a/internal/config/kqcommit/collect.go
+++ b/internal/config/kqcommit/collect.go
@@ -13,214 +13,222 @@
 )
 
 type (
-	// Deleter is the verb that collection needs over a commit's.
+	// Deleter is the operation that collection needs in addition to Store.
 	Deleter interface {
 		Delete(ctx context.Context, key string, expected kqstore.Revision) error
 	}
 
-	// Collected counts what one collection took away.
-	Collected struct {
+	// CollectStats counts what one collection deleted or trimmed.
+	CollectStats struct {
 		Objects int `json:"objects"`
 		Roots   int `json:"roots"`
 		Intents int `json:"intents"`
-		// Kept counts old objects that were written anew meanwhile.
+		// Kept counts old objects that were not deleted because a commit
+		// rewrote them during the collection.
 		Kept int `json:"kept"`
 	}
 
+	// collection is the state of one run of Collect. Objects in live are in
+	// use; candidates maps the objects to delete to their revisions.
 	collection struct {
-		committer *Committer
-		deleter   Deleter
-		before    time.Time
-		root      kqresource.Root
-		revision  kqstore.Revision
-		ledger    ledger
-		entered   kqstore.Revision
-		live      map[kqresource.Digest]bool
-		old       map[kqresource.Digest]kqstore.Revision
-		roots     []Past
-		intents   []string
-		done      Collected
+		committer      *Committer
+		deleter        Deleter
+		cutoff         time.Time
+		root           kqresource.Root
+		rootRevision   kqstore.Revision
+		ledger         ledger
+		ledgerRevision kqstore.Revision
+		live           map[kqresource.Digest]bool
+		candidates     map[kqresource.Digest]kqstore.Revision
+		expiredRoots   []Past
+		expiredIntents []string
+		stats          CollectStats
 	}
 )
 
-// Collect deletes objects that no root names which is in force or was replaced
-// after before, and that no intent names which was left after before. It
-// returns kqstore.ErrConflict, with nothing deleted, when a commit came
-// between; then it can be called again.
+// Collect deletes objects that are referenced neither by the current root, nor
+// by a root replaced after cutoff, nor by an intent written after cutoff. It
+// returns kqstore.ErrConflict, with nothing deleted, if a commit interfered; it
+// can then be called again.
 //
-// A commit that writes an old object again while it is being collected would
-// otherwise swap in a root whose object is gone, and no node could apply that
-// version. So the revisions of old objects are read first; then the swap of the
-// ledger proves that no commit has entered since the intents were read, and the
-// renewal of the root makes the swap of any commit fail whose own intent was
-// too old to count; only then are the objects deleted, by their revisions. A
-// commit that enters later finds each object either gone, and writes it, or
-// still there, and its write makes the deletion fail.
-func (c *Committer) Collect(ctx context.Context, deleter Deleter, before time.Time) (Collected, error) {
-	n := &collection{
-		committer: c, deleter: deleter, before: before,
-		live: make(map[kqresource.Digest]bool), old: make(map[kqresource.Digest]kqstore.Revision),
-	}
-	for _, step := range []func(context.Context) error{n.readRoots, n.readIntents, n.readOld, n.fence, n.sweep} {
+// The order of steps prevents a race: a commit could rewrite an old object while
+// it is being collected and then swap in a root whose object has been deleted,
+// and no node could apply that version. The revisions of old objects are read
+// first. Then the swap of the ledger proves that no commit has registered since
+// the intents were read, and the rewrite of the root fails the swap of any
+// commit whose intent was too old to protect its objects. Only then are the
+// objects deleted, conditional on their revisions. A commit that registers later
+// writes each object again: before the deletion, its new revision makes the
+// deletion fail; after it, the object is recreated.
+func (c *Committer) Collect(ctx context.Context, deleter Deleter, cutoff time.Time) (CollectStats, error) {
+	run := &collection{
+		committer: c, deleter: deleter, cutoff: cutoff,
+		live: make(map[kqresource.Digest]bool), candidates: make(map[kqresource.Digest]kqstore.Revision),
+	}
+	for _, step := range []func(context.Context) error{run.readRoots, run.readIntents, run.readCandidates, run.fenceCommits, run.sweep} {
 		if err := step(ctx); err != nil {
-			return n.done, fmt.Errorf("collect: %w", err)
+			return run.stats, fmt.Errorf("collect: %w", err)
 		}
 	}
-	return n.done, nil
+	return run.stats, nil
 }
 
-// readRoots walks from the root in force back to the last one that an earlier
-// collection has trimmed. A root counts from when it was replaced: a node that
-// lags may still apply it until then.
-func (n *collection) readRoots(ctx context.Context) error {
+// readRoots walks from the current root back to the newest one that an earlier
+// collection has trimmed. The age of a root counts from when it was replaced,
+// since a lagging node may still apply it until then.
+func (c *collection) readRoots(ctx context.Context) error {
 	var err error
-	n.root, n.revision, err = n.committer.Root(ctx)
+	c.root, c.rootRevision, err = c.committer.Root(ctx)
 	if err != nil {
 		return err
 	}
-	n.mark(n.root.Digests())
-	replaced := n.root.At
-	for v := n.root.Version; v > 1; v-- {
-		p, err := n.committer.past(ctx, v-1)
+	c.markLive(c.root.Digests())
+	replaced := c.root.At
+	for v := c.root.Version; v > 1; v-- {
+		p, err := c.committer.record(ctx, v-1)
 		if err != nil {
 			return err
 		}
 		if p.Trimmed {
 			return nil
 		}
-		if replaced.Before(n.before) {
-			n.roots = append(n.roots, p)
+		if replaced.Before(c.cutoff) {
+			c.expiredRoots = append(c.expiredRoots, p)
 		} else {
-			n.mark(p.Root.Digests())
+			c.markLive(p.Root.Digests())
 		}
 		replaced = p.Root.At
 	}
 	return nil
 }
 
-func (n *collection) readIntents(ctx context.Context) error {
+func (c *collection) readIntents(ctx context.Context) error {
 	var err error
-	n.ledger, n.entered, err = n.committer.readLedger(ctx)
+	c.ledger, c.ledgerRevision, err = c.committer.readLedger(ctx)
 	if err != nil {
 		return err
 	}
-	for _, id := range slices.Sorted(maps.Keys(n.ledger.Intents)) {
-		i, _, err := n.committer.readIntent(ctx, id)
+	for _, id := range slices.Sorted(maps.Keys(c.ledger.Intents)) {
+		i, _, err := c.committer.readIntent(ctx, id)
 		if err != nil && !errors.Is(err, kqstore.ErrNotFound) {
 			return err
 		}
-		if !n.ledger.Intents[id].Before(n.before) {
-			n.mark(i.Objects)
+		if !c.ledger.Intents[id].Before(c.cutoff) {
+			c.markLive(i.Objects)
 			continue
 		}
-		n.intents = append(n.intents, id)
-		n.add(i.Objects)
+		c.expiredIntents = append(c.expiredIntents, id)
+		c.addCandidates(i.Objects)
 	}
-	for _, p := range n.roots {
-		n.add(p.Root.Digests())
+	for _, p := range c.expiredRoots {
+		c.addCandidates(p.Root.Digests())
 	}
 	return nil
 }
 
-func (n *collection) mark(list []kqresource.Digest) {
+func (c *collection) markLive(list []kqresource.Digest) {
 	for _, d := range list {
-		n.live[d] = true
+		c.live[d] = true
 	}
 }
 
-func (n *collection) add(list []kqresource.Digest) {
+func (c *collection) addCandidates(list []kqresource.Digest) {
 	for _, d := range list {
-		n.old[d] = kqstore.Absent
+		c.candidates[d] = kqstore.Absent
 	}
 }
 
-func (n *collection) readOld(ctx context.Context) error {
-	for _, d := range slices.SortedFunc(maps.Keys(n.old), kqresource.Digest.Compare) {
-		if n.live[d] {
-			delete(n.old, d)
+func (c *collection) readCandidates(ctx context.Context) error {
+	for _, d := range slices.SortedFunc(maps.Keys(c.candidates), kqresource.Digest.Compare) {
+		if c.live[d] {
+			delete(c.candidates, d)
 			continue
 		}
-		e, err := n.committer.store.Get(ctx, ObjectKey(d))
+		e, err := c.committer.store.Get(ctx, ObjectKey(d))
 		if errors.Is(err, kqstore.ErrNotFound) {
-			delete(n.old, d)
+			delete(c.candidates, d)
 			continue
 		}
 		if err != nil {
 			return err
 		}
-		n.old[d] = e.Revision
+		c.candidates[d] = e.Revision
 	}
 	return nil
 }
 
-func (n *collection) fence(ctx context.Context) error {
-	if len(n.intents) == 0 && len(n.roots) == 0 {
+// fenceCommits makes commits in flight fail or write their objects again; see
+// Collect.
+func (c *collection) fenceCommits(ctx context.Context) error {
+	if len(c.expiredIntents) == 0 && len(c.expiredRoots) == 0 {
 		return nil
 	}
-	if err := n.committer.writeLedger(ctx, n.ledger, n.entered); err != nil {
+	if err := c.committer.writeLedger(ctx, c.ledger, c.ledgerRevision); err != nil {
 		return err
 	}
-	if n.root.Version == 0 {
+	if c.root.Version == 0 {
 		return nil
 	}
-	data, err := kqresource.Encode(n.root)
+	data, err := kqresource.Encode(c.root)
 	if err != nil {
 		return err
 	}
-	if _, err := n.committer.store.Swap(ctx, RootKey, n.revision, data, kqstore.NoLease); err != nil {
+	if _, err := c.committer.store.Swap(ctx, RootKey, c.rootRevision, data, kqstore.NoLease); err != nil {
 		return fmt.Errorf("renew root: %w", err)
 	}
 	return nil
 }
 
-// sweep deletes the old objects, then forgets what named them: whatever is cut
-// short is found again by the next collection.
-func (n *collection) sweep(ctx context.Context) error {
-	for _, d := range slices.SortedFunc(maps.Keys(n.old), kqresource.Digest.Compare) {
-		err := n.deleter.Delete(ctx, ObjectKey(d), n.old[d])
+// sweep deletes the old objects and then trims the roots and intents that
+// referenced them. In this order, the next collection finds again whatever an
+// interrupted one left.
+func (c *collection) sweep(ctx context.Context) error {
+	for _, d := range slices.SortedFunc(maps.Keys(c.candidates), kqresource.Digest.Compare) {
+		err := c.deleter.Delete(ctx, ObjectKey(d), c.candidates[d])
 		switch {
 		case err == nil, errors.Is(err, kqstore.ErrNotFound):
-			n.done.Objects++
+			c.stats.Objects++
 		case errors.Is(err, kqstore.ErrConflict):
-			n.done.Kept++
+			c.stats.Kept++
 		default:
 			return err
 		}
 	}
-	if err := n.trim(ctx); err != nil {
+	if err := c.trimRoots(ctx); err != nil {
 		return err
 	}
-	return n.forget(ctx)
+	return c.trimIntents(ctx)
 }
 
-// trim keeps who and why of old roots. The oldest is trimmed first, since the
-// walk back ends at the first trimmed one.
-func (n *collection) trim(ctx context.Context) error {
-	for i := len(n.roots) - 1; i >= 0; i-- {
-		p := n.roots[i]
+// trimRoots reduces old roots to their metadata, such as author and reason. It
+// goes from the oldest to the newest, because readRoots stops at the first
+// trimmed root.
+func (c *collection) trimRoots(ctx context.Context) error {
+	for i := len(c.expiredRoots) - 1; i >= 0; i-- {
+		p := c.expiredRoots[i]
 		p.Trimmed = true
 		p.Root.Hosts, p.Root.Services, p.Root.Ownership = nil, nil, kqresource.Digest{}
 		data, err := kqresource.Encode(p)
 		if err != nil {
 			return err
 		}
-		if _, err := n.committer.store.Put(ctx, HistoryKey(p.Root.Version), data, kqstore.NoLease); err != nil {
+		if _, err := c.committer.store.Put(ctx, HistoryKey(p.Root.Version), data, kqstore.NoLease); err != nil {
 			return fmt.Errorf("trim version %d: %w", p.Root.Version, err)
 		}
-		n.done.Roots++
+		c.stats.Roots++
 	}
 	return nil
 }
 
-// forget takes old intents out of the ledger. Their records stay, without the
-// objects, so that a used request id is known for good.
-func (n *collection) forget(ctx context.Context) error {
-	if len(n.intents) == 0 {
+// trimIntents removes old intents from the ledger. Their records stay, without
+// the objects, so that a used request ID is recognized forever.
+func (c *collection) trimIntents(ctx context.Context) error {
+	if len(c.expiredIntents) == 0 {
 		return nil
 	}
-	for _, id := range n.intents {
-		i, revision, err := n.committer.readIntent(ctx, id)
-		if errors.Is(err, kqstore.ErrNotFound) || err == nil && !i.At.Before(n.before) {
+	for _, id := range c.expiredIntents {
+		i, revision, err := c.committer.readIntent(ctx, id)
+		if errors.Is(err, kqstore.ErrNotFound) || err == nil && !i.At.Before(c.cutoff) {
 			continue
 		}
 		if err != nil {
@@ -231,19 +239,19 @@
 		if err != nil {
 			return err
 		}
-		if _, err := n.committer.store.Swap(ctx, intentPrefix+id, revision, data, kqstore.NoLease); err != nil {
+		if _, err := c.committer.store.Swap(ctx, intentPrefix+id, revision, data, kqstore.NoLease); err != nil {
 			return fmt.Errorf("trim intent %s: %w", id, err)
 		}
 	}
-	l, revision, err := n.committer.readLedger(ctx)
+	l, revision, err := c.committer.readLedger(ctx)
 	if err != nil {
 		return err
 	}
-	for _, id := range n.intents {
-		if at, ok := l.Intents[id]; ok && at.Before(n.before) {
+	for _, id := range c.expiredIntents {
+		if at, ok := l.Intents[id]; ok && at.Before(c.cutoff) {
 			delete(l.Intents, id)
-			n.done.Intents++
+			c.stats.Intents++
 		}
 	}
-	return n.committer.writeLedger(ctx, l, revision)
+	return c.committer.writeLedger(ctx, l, revision)
 }
--- a/internal/config/kqcommit/collect_test.go
+++ b/internal/config/kqcommit/collect_test.go
@@ -13,14 +13,15 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
-// A commit writes its objects and then loses the race, again and again. A day
-// later its objects and those of replaced versions are gone; what is in force
-// can be read, and who and why still stand.
-func TestCollectTakesOrphansAndKeepsWhatIsInUse(t *testing.T) {
+// A commit writes its objects and then loses the race for the root. Once they
+// are old enough, collection must delete its objects and those of replaced
+// versions, while the current document stays readable and the history keeps its
+// authors and reasons.
+func TestCollectDeletesOrphansAndKeepsLiveObjects(t *testing.T) {
 	platform := kqstandin.New()
 	mustCommit(t, platform, request("first", 0, document("store")))
 	raced := false
-	store := &hooked{Standin: platform, before: func(write int) {
+	store := &hookedStore{Standin: platform, before: func(write int) {
 		if write == 3 && !raced {
 			raced = true
 			mustCommit(t, platform, request("second", 1, document("store", "yard")))
@@ -46,17 +47,17 @@
 	before := count()
 	got, err := committer(platform).Collect(t.Context(), platform, start)
 	if err != nil || got.Objects != 0 || count() != before {
-		t.Errorf("young objects: %+v, %v", got, err)
+		t.Errorf("collected recent objects: %+v, %v", got, err)
 	}
 	got, err = committer(platform).Collect(t.Context(), platform, start.Add(90*time.Minute))
 	if err != nil || got.Objects == 0 || got.Roots != 1 || count() >= before {
-		t.Errorf("old objects: %+v, %v, %d left of %d", got, err, count(), before)
+		t.Errorf("collection of old objects: %+v, %v, %d left of %d", got, err, count(), before)
 	}
 	if d, _, err := committer(platform).Document(t.Context()); err != nil || len(d.Services) != 3 {
-		t.Errorf("document in force: %d services, %v", len(d.Services), err)
+		t.Errorf("current document: %d services, %v, want 3", len(d.Services), err)
 	}
 	if _, err := committer(platform).DocumentAt(t.Context(), 1); !errors.Is(err, kqcommit.ErrCollected) {
-		t.Errorf("collected version: %v", err)
+		t.Errorf("read of a collected version: %v, want ErrCollected", err)
 	}
 	history, err := committer(platform).History(t.Context(), 10)
 	if err != nil || len(history) != 3 || history[2].Root.Reason != "because first" {
@@ -67,29 +68,29 @@
 	}
 }
 
-// forgetful answers reads of intents as they were before each was written.
-type forgetful struct{ *kqstandin.Standin }
+// staleIntentStore returns stale reads of intents, from before they were written.
+type staleIntentStore struct{ *kqstandin.Standin }
 
-func (f forgetful) Get(ctx context.Context, key string) (kqstore.Entry, error) {
+func (f staleIntentStore) Get(ctx context.Context, key string) (kqstore.Entry, error) {
 	if strings.HasPrefix(key, "kumquatgw/intent/") {
 		return kqstore.Entry{}, kqstore.ErrNotFound
 	}
 	return f.Standin.Get(ctx, key)
 }
 
-// A commit has written its objects and is about to swap, while the collector's
-// read of its intent is stale, so that it takes the objects for unused. The
-// commit notices by the renewed root and writes them again; the version would
-// else come into force without them.
-func TestCollectWithAStaleRead(t *testing.T) {
+// A commit has written its objects and is about to swap the root when a
+// collector, whose read of the intent is stale, deletes them as unused. The
+// commit must detect the rewritten root and write them again; otherwise the new
+// version would take effect without its objects.
+func TestCommitRewritesObjectsAfterStaleCollection(t *testing.T) {
 	platform := kqstandin.New()
 	old := request("old", 0, document("attic"))
 	mustCommit(t, platform, old)
 	mustCommit(t, platform, request("next", 1, document("store")))
-	var collected kqcommit.Collected
-	store := &hooked{Standin: platform, before: func(write int) {
+	var collected kqcommit.CollectStats
+	store := &hookedStore{Standin: platform, before: func(write int) {
 		if write == 6 {
-			collected, _ = committer(forgetful{platform}).Collect(t.Context(), platform, start.Add(90*time.Minute))
+			collected, _ = committer(staleIntentStore{platform}).Collect(t.Context(), platform, start.Add(90*time.Minute))
 		}
 	}}
 	o, err := committer(store).Commit(t.Context(), request("again", 2, document("attic")))
@@ -97,6 +98,6 @@
 		t.Fatalf("got %+v, %v", o, err)
 	}
 	if _, _, err := committer(platform).Document(t.Context()); err != nil || collected.Objects == 0 {
-		t.Errorf("document in force: %v; collected %+v, want some objects", err, collected)
+		t.Errorf("current document: %v; collected %+v, want some objects", err, collected)
 	}
 }
--- a/internal/config/kqcommit/commit.go
+++ b/internal/config/kqcommit/commit.go
@@ -18,56 +18,56 @@
 	// RootKey is the key of the root in force.
 	RootKey = "kumquatgw/root"
 
-	// Committed tells that the document came into force as Outcome.Version.
+	// Committed means that the document took effect as Outcome.Version.
 	Committed Status = "committed"
-	// Conflict tells that another commit came first and this one will never
-	// take effect; Outcome.Difference is what changed since the base.
+	// Conflict means that another commit won and this one will never take
+	// effect; Outcome.Difference holds the changes since the base.
 	Conflict Status = "conflict"
-	// Unknown tells that answers were lost and could not be settled; Settle, or
-	// the same commit with the same id, asks again.
+	// Unknown means that answers were lost and the result could not be
+	// determined; call Settle, or repeat the commit with the same ID.
 	Unknown Status = "unknown"
 
 	objectPrefix = "kumquatgw/object/"
 
-	commitTries  = 3
-	swapTries    = 4
-	defaultPause = 50 * time.Millisecond
-	maxText      = 1024
+	maxCommitAttempts = 3
+	maxSwapAttempts   = 4
+	defaultBackoff    = 50 * time.Millisecond
+	maxTextBytes      = 1024
 )
 
 var (
-	// namespace holds the package's error types; its errors are made once and carry
-	// no stack.
+	// namespace holds the package's error types. The errors are package-level
+	// sentinels, so they carry no stack trace.
 	namespace = errorx.NewNamespace("kqcommit").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-	// ErrInvalid tells that the document has problems; see Outcome.Problems.
+	// ErrInvalid means that the document failed validation; see Outcome.Problems.
 	ErrInvalid = namespace.NewType("invalid").New("document is invalid")
-	// ErrRequest tells that a request's id, author or reason is unfit.
+	// ErrRequest means that a request's ID, author or reason is not allowed.
 	ErrRequest = namespace.NewType("request").New("request is invalid")
-	// ErrReused tells that a request id was used before with another document.
+	// ErrReused means that a request ID was used before with another document.
 	ErrReused = namespace.NewType("reused").New("request id was used with another document")
-	// ErrNotBegun tells that nobody has begun a commit under a request id.
+	// ErrNotBegun means that no commit has been started with a request ID.
 	ErrNotBegun = namespace.NewType("not_begun").New("no commit was begun under this request id")
 
-	errRenewed = errors.New("root was renewed meanwhile")
+	errRootRenewed = errors.New("root revision was renewed during the commit")
 )
 
 type (
-	// Status is how a commit ended.
+	// Status is the result of a commit.
 	Status string
 
-	// Store is the part of the platform's service that commits use.
+	// Store is the subset of the platform's key-value API that commits use.
 	Store interface {
 		Get(ctx context.Context, key string) (kqstore.Entry, error)
 		Put(ctx context.Context, key string, value []byte, lease kqstore.Lease) (kqstore.Revision, error)
 		Swap(ctx context.Context, key string, expected kqstore.Revision, value []byte, lease kqstore.Lease) (kqstore.Revision, error)
 	}
 
-	// Request is one operator's change.
+	// Request is one change of the document by an operator.
 	Request struct {
-		// ID names the change; the same ID is committed at most once.
+		// ID is the idempotency key; each ID is committed at most once.
 		ID string
-		// Base is the version that the operator edited; 0 is the empty one.
+		// Base is the version that the operator edited; 0 is the empty document.
 		Base     kqname.ConfigVersion
 		Author   string
 		Reason   string
@@ -75,26 +75,26 @@
 		Document kqdocument.Document
 	}
 
-	// Outcome is what the operator is told.
+	// Outcome is the result of a commit as reported to the operator.
 	Outcome struct {
 		Status    Status `json:"status"`
 		RequestID string `json:"request_id"`
-		// Version is the committed one, or with Conflict the one in force.
+		// Version is the committed version or, with Conflict, the current one.
 		Version    kqname.ConfigVersion `json:"version"`
 		Problems   []kqdocument.Problem `json:"problems,omitempty"`
 		Difference []kqdocument.Change  `json:"difference,omitempty"`
 	}
 
-	// Committer commits documents. It keeps nothing between calls.
+	// Committer commits documents. It keeps no state between calls.
 	Committer struct {
-		store Store
-		pause time.Duration
+		store   Store
+		backoff time.Duration
 	}
 
-	// Option sets up a Committer.
+	// Option configures a Committer.
 	Option func(*Committer)
 
-	// attempt is one request on its way to the swap.
+	// attempt is the state of one try to commit a request.
 	attempt struct {
 		request  Request
 		intent   intent
@@ -105,25 +105,25 @@
 	}
 )
 
-// WithPause sets the wait before a lost answer is asked after again; it grows
-// with each try.
-func WithPause(d time.Duration) Option { return func(c *Committer) { c.pause = d } }
+// WithBackoff sets the delay before the first retry after a lost answer or a
+// lost race; it grows linearly with each retry.
+func WithBackoff(d time.Duration) Option { return func(c *Committer) { c.backoff = d } }
 
-// New returns a committer on the platform's service.
+// New returns a Committer that uses store.
 func New(store Store, options ...Option) *Committer {
-	c := &Committer{store: store, pause: defaultPause}
+	c := &Committer{store: store, backoff: defaultBackoff}
 	for _, o := range options {
 		o(c)
 	}
 	return c
 }
 
-// ObjectKey returns the platform's key of an object.
+// ObjectKey returns the store key of an object.
 func ObjectKey(d kqresource.Digest) string { return objectPrefix + d.String() }
 
-// Commit validates the document and puts it in force. Its errors, ErrInvalid,
-// ErrRequest, ErrReused and kqstore's, mean that this call has put nothing in
-// force; otherwise the outcome is certain or Unknown.
+// Commit validates the document and makes it the current version. An error
+// (ErrInvalid, ErrRequest, ErrReused or one of kqstore's) means that this call
+// has committed nothing; otherwise the outcome is final or Unknown.
 func (c *Committer) Commit(ctx context.Context, q Request) (Outcome, error) {
 	if err := q.check(); err != nil {
 		return Outcome{RequestID: q.ID}, err
@@ -136,9 +136,9 @@
 		return Outcome{RequestID: q.ID}, fmt.Errorf("commit %s: %w", q.ID, err)
 	}
 	var o Outcome
-	for range commitTries {
-		o, err = c.try(ctx, &attempt{request: q, content: content, objects: objects})
-		if !errors.Is(err, errRenewed) {
+	for range maxCommitAttempts {
+		o, err = c.commitOnce(ctx, &attempt{request: q, content: content, objects: objects})
+		if !errors.Is(err, errRootRenewed) {
 			break
 		}
 	}
@@ -152,19 +152,19 @@
 	switch {
 	case !kqname.Valid(q.ID):
 		return fmt.Errorf("id %q is not a plain name: %w", q.ID, ErrRequest)
-	case len(q.Author) > maxText || len(q.Reason) > maxText:
-		return fmt.Errorf("author or reason is over %d bytes: %w", maxText, ErrRequest)
+	case len(q.Author) > maxTextBytes || len(q.Reason) > maxTextBytes:
+		return fmt.Errorf("author or reason is longer than %d bytes: %w", maxTextBytes, ErrRequest)
 	default:
 		return nil
 	}
 }
 
-func (c *Committer) try(ctx context.Context, a *attempt) (Outcome, error) {
+func (c *Committer) commitOnce(ctx context.Context, a *attempt) (Outcome, error) {
 	content, err := contentDigest(a.content)
 	if err != nil {
 		return Outcome{}, err
 	}
-	known, found, err := c.begun(ctx, a.request.ID, content)
+	known, found, err := c.lookupRequest(ctx, a.request.ID, content)
 	if err != nil {
 		return Outcome{}, err
 	}
@@ -178,19 +178,19 @@
 	if a.base.Version != a.request.Base {
 		return c.conflict(ctx, a), nil
 	}
-	a.intent = known.extended(a.request, content, a.objects)
-	if err := c.register(ctx, a.intent); err != nil {
+	a.intent = known.withBase(a.request, content, a.objects)
+	if err := c.registerIntent(ctx, a.intent); err != nil {
 		return Outcome{}, err
 	}
-	if err := c.write(ctx, a.base, a.objects); err != nil {
+	if err := c.writeObjectsAndHistory(ctx, a.base, a.objects); err != nil {
 		return Outcome{}, err
 	}
-	return c.swap(ctx, a)
+	return c.swapRoot(ctx, a)
 }
 
-// write puts the objects that the current root does not name, and the current
-// root into the history.
-func (c *Committer) write(ctx context.Context, current kqresource.Root, objects kqresource.Objects) error {
+// writeObjectsAndHistory writes the objects that the current root does not
+// reference, and the current root's history record.
+func (c *Committer) writeObjectsAndHistory(ctx context.Context, current kqresource.Root, objects kqresource.Objects) error {
 	held := make(map[kqresource.Digest]bool)
 	for _, d := range current.Digests() {
 		held[d] = true
@@ -206,15 +206,16 @@
 	if current.Version == 0 {
 		return nil
 	}
-	return c.remember(ctx, current)
+	return c.writeHistory(ctx, current)
 }
 
 func (a *attempt) committed(v kqname.ConfigVersion) Outcome {
 	return Outcome{Status: Committed, RequestID: a.request.ID, Version: v}
 }
 
-// conflict tells what changed since the operator's base, or, where the base
-// cannot be read any more, what the operator's document would have changed.
+// conflict returns an outcome with the changes since the operator's base or, if
+// the base can no longer be read, with those that the operator's document would
+// have made.
 func (c *Committer) conflict(ctx context.Context, a *attempt) Outcome {
 	o := Outcome{Status: Conflict, RequestID: a.request.ID, Version: a.base.Version}
 	current, root, err := c.Document(ctx)
--- a/internal/config/kqcommit/commit_test.go
+++ b/internal/config/kqcommit/commit_test.go
@@ -16,26 +16,26 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// hooked calls before ahead of each write, so that a test can bring a fault
-// about at exactly that one.
-type hooked struct {
+// hookedStore calls before and after around each write with its number, so that
+// a test can inject a fault at exactly that write.
+type hookedStore struct {
 	*kqstandin.Standin
 	writes int
 	before func(write int)
 	after  func(write int)
 }
 
-func (h *hooked) Put(ctx context.Context, key string, value []byte, l kqstore.Lease) (kqstore.Revision, error) {
+func (h *hookedStore) Put(ctx context.Context, key string, value []byte, l kqstore.Lease) (kqstore.Revision, error) {
 	defer h.step()()
 	return h.Standin.Put(ctx, key, value, l)
 }
 
-func (h *hooked) Swap(ctx context.Context, key string, e kqstore.Revision, value []byte, l kqstore.Lease) (kqstore.Revision, error) {
+func (h *hookedStore) Swap(ctx context.Context, key string, e kqstore.Revision, value []byte, l kqstore.Lease) (kqstore.Revision, error) {
 	defer h.step()()
 	return h.Standin.Swap(ctx, key, e, value, l)
 }
 
-func (h *hooked) step() func() {
+func (h *hookedStore) step() func() {
 	h.writes++
 	n := h.writes
 	if h.before != nil {
@@ -61,7 +61,7 @@
 	return kqcommit.Request{ID: id, Base: base, Author: "ana", Reason: "because " + id, At: start.Add(time.Duration(base) * time.Hour), Document: d}
 }
 
-func committer(s kqcommit.Store) *kqcommit.Committer { return kqcommit.New(s, kqcommit.WithPause(0)) }
+func committer(s kqcommit.Store) *kqcommit.Committer { return kqcommit.New(s, kqcommit.WithBackoff(0)) }
 
 func mustCommit(t *testing.T, s kqcommit.Store, q kqcommit.Request) {
 	t.Helper()
@@ -71,14 +71,14 @@
 	}
 }
 
-// The platform takes a write and its answer is lost on the way, at each write
-// of a commit in turn. The operator asks again under the same id and hears that
-// the change is in force; it is there once, not twice.
+// The platform applies a write but its answer is lost, for each write of a
+// commit in turn. A retry with the same ID must report the change as committed,
+// and the history must hold it once, not twice.
 func TestAnswerLostAtEachWrite(t *testing.T) {
 	for n := 1; ; n++ {
 		platform := kqstandin.New()
 		mustCommit(t, platform, request("first", 0, document("store")))
-		store := &hooked{Standin: platform, before: func(write int) {
+		store := &hookedStore{Standin: platform, before: func(write int) {
 			if write == n {
 				platform.SetFaults(kqstandin.Faults{LoseAnswers: 1})
 			}
@@ -86,43 +86,43 @@
 		q := request("second", 1, document("store", "yard"))
 		o, err := committer(store).Commit(t.Context(), q)
 		if err == nil && o.Status != kqcommit.Committed {
-			t.Errorf("write %d lost: %+v", n, o)
+			t.Errorf("answer to write %d lost: %+v, want committed", n, o)
 		}
 		again, err := committer(platform).Commit(t.Context(), q)
 		if err != nil || again.Status != kqcommit.Committed || again.Version != 2 {
-			t.Errorf("write %d lost, asked again: %+v, %v", n, again, err)
+			t.Errorf("answer to write %d lost, retried: %+v, %v, want committed as 2", n, again, err)
 		}
 		if history, err := committer(platform).History(t.Context(), 10); err != nil || len(history) != 2 {
-			t.Errorf("write %d lost: %d versions, %v, want 2", n, len(history), err)
+			t.Errorf("answer to write %d lost: %d versions, %v, want 2", n, len(history), err)
 		}
 		if store.writes < n {
 			if n < 5 {
-				t.Fatalf("only %d writes were tried", n)
+				t.Fatalf("commit made fewer than %d writes, want at least 5", n)
 			}
 			return
 		}
 	}
 }
 
-// The swap's answer is lost and the platform then stays down, so that the
-// operator hears unknown; before they ask again, others commit twice. The
-// operator still hears that their change is in force as the version it got.
-func TestUnknownIsSettledAfterLaterCommits(t *testing.T) {
+// The answer of the root swap is lost and the platform stays down, so the
+// outcome is unknown. After two later commits by others, Settle and a repeated
+// commit must still report the change as committed, with its own version.
+func TestUnknownOutcomeIsSettledAfterLaterCommits(t *testing.T) {
 	platform := kqstandin.New()
 	mustCommit(t, platform, request("first", 0, document("store")))
-	dark := false
-	store := &hooked{Standin: platform, before: func(int) {
-		if dark {
+	down := false
+	store := &hookedStore{Standin: platform, before: func(int) {
+		if down {
 			platform.SetFaults(kqstandin.Faults{Down: true})
 		}
 	}}
 	store.after = func(int) {
 		root, _, err := committer(platform).Root(t.Context())
-		if dark = dark || err == nil && root.Version == 2; dark {
+		if down = down || err == nil && root.Version == 2; down {
 			platform.SetFaults(kqstandin.Faults{Down: true})
 		}
 	}
-	lossy := loseSwap{store}
+	lossy := lostSwapStore{store}
 	q := request("mine", 1, document("store", "yard"))
 	o, err := committer(lossy).Commit(t.Context(), q)
 	if err != nil || o.Status != kqcommit.Unknown || o.RequestID != "mine" {
@@ -140,24 +140,24 @@
 		}
 	}
 	if _, err := committer(platform).Settle(t.Context(), "nobody"); !errors.Is(err, kqcommit.ErrNotBegun) {
-		t.Errorf("settle of an unused id: %v", err)
+		t.Errorf("settle of an unused ID: %v, want ErrNotBegun", err)
 	}
 }
 
-// loseSwap loses the answer of each swap of the root.
-type loseSwap struct{ *hooked }
+// lostSwapStore loses the answer of each successful swap of the root.
+type lostSwapStore struct{ *hookedStore }
 
-func (l loseSwap) Swap(ctx context.Context, key string, e kqstore.Revision, value []byte, lease kqstore.Lease) (kqstore.Revision, error) {
-	r, err := l.hooked.Swap(ctx, key, e, value, lease)
+func (l lostSwapStore) Swap(ctx context.Context, key string, e kqstore.Revision, value []byte, lease kqstore.Lease) (kqstore.Revision, error) {
+	r, err := l.hookedStore.Swap(ctx, key, e, value, lease)
 	if key == kqcommit.RootKey && err == nil {
 		return 0, fmt.Errorf("lost: %w", kqstore.ErrUnavailable)
 	}
 	return r, err
 }
 
-// A script sends one id twice with different documents. The second is refused;
-// taking it for a repetition would drop an operator's change without a word.
-func TestOneIDNamesOneDocument(t *testing.T) {
+// A script uses one ID for two different documents. The second must be refused;
+// treating it as a retry would silently drop an operator's change.
+func TestRequestIDReusedWithAnotherDocumentIsRefused(t *testing.T) {
 	platform := kqstandin.New()
 	mustCommit(t, platform, request("first", 0, document("store")))
 	for _, base := range []kqname.ConfigVersion{0, 1} {
@@ -167,9 +167,9 @@
 	}
 }
 
-// Two operators edit one version. The second hears conflict and what the first
-// has changed, and nothing of the second's change is in force.
-func TestConflictTellsTheDifference(t *testing.T) {
+// Two operators edit the same version. The second must get a conflict with the
+// changes that the first has committed.
+func TestConflictReturnsTheDifference(t *testing.T) {
 	platform := kqstandin.New()
 	mustCommit(t, platform, request("first", 0, document("store")))
 	mustCommit(t, platform, request("second", 1, document("store", "yard")))
@@ -182,13 +182,13 @@
 		items = append(items, string(c.Kind)+" "+c.Item)
 	}
 	if got := fmt.Sprint(items); got != "[added services.yard added routes.yard]" {
-		t.Errorf("difference %s", got)
+		t.Errorf("difference %s, want service and route yard added", got)
 	}
 }
 
-// The platform answers reads with what stood before the last write, after the
-// swap's own answer was lost. Whatever the operator hears, it is not wrong.
-func TestStaleReadsDoNotMislead(t *testing.T) {
+// The platform returns stale reads, from before the last write, after the answer
+// of a write was lost. The outcome may be unknown but must never be wrong.
+func TestOutcomeIsCorrectDespiteStaleReads(t *testing.T) {
 	platform := kqstandin.New()
 	mustCommit(t, platform, request("first", 0, document("store")))
 	mustCommit(t, platform, request("second", 1, document("store", "yard")))
@@ -198,7 +198,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		store := &hooked{Standin: platform, before: func(write int) {
+		store := &hookedStore{Standin: platform, before: func(write int) {
 			if write == n {
 				platform.SetFaults(kqstandin.Faults{StaleReads: true, LoseAnswers: 1})
 			}
@@ -210,15 +210,15 @@
 		if rootErr != nil {
 			t.Fatal(rootErr)
 		}
-		inForce := now.RequestID == id
-		if (o.Status == kqcommit.Committed) != inForce && o.Status != kqcommit.Unknown || err != nil && inForce {
-			t.Errorf("stale from write %d: %+v, %v, in force %v", n, o, err, inForce)
+		isCommitted := now.RequestID == id
+		if (o.Status == kqcommit.Committed) != isCommitted && o.Status != kqcommit.Unknown || err != nil && isCommitted {
+			t.Errorf("stale reads from write %d: %+v, %v, committed is %v", n, o, err, isCommitted)
 		}
 	}
 }
 
-// The platform refuses every call. The operator gets an error and nothing is
-// written.
+// The platform is down and refuses every call. Commit must return
+// ErrUnavailable.
 func TestPlatformDown(t *testing.T) {
 	platform := kqstandin.New()
 	platform.SetFaults(kqstandin.Faults{Down: true})
--- a/internal/config/kqcommit/doc.go
+++ b/internal/config/kqcommit/doc.go
@@ -1,10 +1,10 @@
-// Package kqcommit writes the operators' document to the platform's service
-// and reads it back.
+// Package kqcommit commits the operators' document to the platform's key-value
+// service and reads it back.
 //
-// A commit first leaves an intent, which names the request id, its content and
-// every object that it may write; then it writes the objects, which are
-// immutable and named by digest, and the root in force into the history; and
-// last it swaps the root. The swap alone commits. The platform has no verb that
-// lists keys, so whatever is to be found again is named by the root, the
-// history (one record a version) or the ledger of intents.
+// A commit first writes an intent, which names the request ID, the digest of
+// its content and every object that it may write. It then writes the objects,
+// which are immutable and keyed by digest, and a history record of the current
+// root. Last it replaces the root by compare-and-swap, which is the commit
+// point. The platform cannot list keys, so every key must be reachable from the
+// root, the history (one record per version) or the ledger of intents.
 package kqcommit
--- a/internal/config/kqcommit/history.go
+++ b/internal/config/kqcommit/history.go
@@ -11,52 +11,54 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-const rootPrefix = "kumquatgw/history/"
+const historyPrefix = "kumquatgw/history/"
 
 var (
-	// ErrChain tells that a past root is not the one that its successor names.
-	ErrChain = namespace.NewType("chain").New("history is broken")
-	// ErrCollected tells that a past version's objects are no longer kept.
-	ErrCollected = namespace.NewType("collected").New("version has been collected")
+	// ErrChain means that a history record does not match its version or digest,
+	// or the parent digest in its successor.
+	ErrChain = namespace.NewType("chain").New("history record does not match its digest or version")
+	// ErrCollected means that the objects of a past version have been deleted.
+	ErrCollected = namespace.NewType("collected").New("objects of the version have been deleted by collection")
 )
 
-// Past is a root that was in force before the current one.
+// Past is the history record of a root. History also returns one for the
+// current root.
 type Past struct {
 	Root kqresource.Root `cbor:"1,keyasint"`
-	// Digest names the whole root, trimmed or not.
+	// Digest is that of the complete root, also when Root has been trimmed.
 	Digest kqresource.Digest `cbor:"2,keyasint"`
-	// Trimmed tells that the version's objects have been collected and only
-	// who and why are kept.
+	// Trimmed is set once the version's objects have been collected; Root then
+	// keeps only the metadata, such as author and reason.
 	Trimmed bool `cbor:"3,keyasint"`
 }
 
-// HistoryKey returns the platform's key of a past root.
-func HistoryKey(v kqname.ConfigVersion) string { return fmt.Sprintf("%s%020d", rootPrefix, v) }
+// HistoryKey returns the store key of a version's history record.
+func HistoryKey(v kqname.ConfigVersion) string { return fmt.Sprintf("%s%020d", historyPrefix, v) }
 
-// Root returns the root in force and its revision; before the first commit it
-// is the empty root at kqstore.Absent.
+// Root returns the current root and its revision; before the first commit these
+// are the empty root and kqstore.Absent.
 func (c *Committer) Root(ctx context.Context) (kqresource.Root, kqstore.Revision, error) {
 	var root kqresource.Root
-	revision, err := c.read(ctx, RootKey, &root)
+	revision, err := c.readValue(ctx, RootKey, &root)
 	if err != nil && !errors.Is(err, kqstore.ErrNotFound) {
 		return kqresource.Root{}, 0, fmt.Errorf("read root: %w", err)
 	}
 	return root, revision, nil
 }
 
-// Document returns the document in force and its root.
+// Document returns the current document and its root.
 func (c *Committer) Document(ctx context.Context) (kqdocument.Document, kqresource.Root, error) {
 	root, _, err := c.Root(ctx)
 	if err != nil || root.Version == 0 {
 		return kqdocument.Document{}, root, err
 	}
-	d, err := c.join(ctx, root)
+	d, err := c.joinDocument(ctx, root)
 	return d, root, err
 }
 
-// DocumentAt returns the document of one version, past or in force. It returns
-// kqstore.ErrNotFound for a version that never was and ErrCollected for one
-// that is no longer kept.
+// DocumentAt returns the document of a past version or the current one. It
+// returns kqstore.ErrNotFound for a version that never existed and ErrCollected
+// for one whose objects have been deleted.
 func (c *Committer) DocumentAt(ctx context.Context, v kqname.ConfigVersion) (kqdocument.Document, error) {
 	current, _, err := c.Root(ctx)
 	if err != nil {
@@ -66,37 +68,37 @@
 		return kqdocument.Document{}, nil
 	}
 	if v == current.Version {
-		return c.join(ctx, current)
+		return c.joinDocument(ctx, current)
 	}
-	past, err := c.past(ctx, v)
+	record, err := c.record(ctx, v)
 	if err != nil {
 		return kqdocument.Document{}, err
 	}
-	if past.Trimmed {
+	if record.Trimmed {
 		return kqdocument.Document{}, fmt.Errorf("read document %d: %w", v, ErrCollected)
 	}
-	return c.join(ctx, past.Root)
+	return c.joinDocument(ctx, record.Root)
 }
 
-// History returns up to most versions, the newest first, from the one in force
-// back. It returns ErrChain, and what came before it, where a root is not the
-// one that its successor names.
-func (c *Committer) History(ctx context.Context, most int) ([]Past, error) {
+// History returns up to limit versions, from the current one backwards. If a
+// record does not match the parent digest in its successor, it returns ErrChain
+// and the newer records.
+func (c *Committer) History(ctx context.Context, limit int) ([]Past, error) {
 	root, _, err := c.Root(ctx)
 	if err != nil || root.Version == 0 {
 		return nil, err
 	}
-	first, err := pastOf(root)
+	first, err := newPast(root)
 	if err != nil {
 		return nil, err
 	}
 	list := []Past{first}
-	for len(list) < most {
+	for len(list) < limit {
 		last := list[len(list)-1].Root
 		if last.Version <= 1 {
 			break
 		}
-		p, err := c.past(ctx, last.Version-1)
+		p, err := c.record(ctx, last.Version-1)
 		if err != nil {
 			return list, err
 		}
@@ -108,7 +110,7 @@
 	return list, nil
 }
 
-// Fetch reads objects from the platform's service.
+// Fetch reads objects from the store.
 func (c *Committer) Fetch(ctx context.Context, wanted []kqresource.Digest) (kqresource.Objects, error) {
 	objects := make(kqresource.Objects, len(wanted))
 	for _, d := range wanted {
@@ -121,7 +123,7 @@
 	return objects, nil
 }
 
-func (c *Committer) join(ctx context.Context, root kqresource.Root) (kqdocument.Document, error) {
+func (c *Committer) joinDocument(ctx context.Context, root kqresource.Root) (kqdocument.Document, error) {
 	if root.Version == 0 {
 		return kqdocument.Document{}, nil
 	}
@@ -136,12 +138,13 @@
 	return d, nil
 }
 
-func (c *Committer) past(ctx context.Context, v kqname.ConfigVersion) (Past, error) {
+// record reads the history record of a version and verifies it.
+func (c *Committer) record(ctx context.Context, v kqname.ConfigVersion) (Past, error) {
 	var p Past
-	if _, err := c.read(ctx, HistoryKey(v), &p); err != nil {
+	if _, err := c.readValue(ctx, HistoryKey(v), &p); err != nil {
 		return Past{}, fmt.Errorf("read version %d: %w", v, err)
 	}
-	whole, err := pastOf(p.Root)
+	whole, err := newPast(p.Root)
 	if err != nil {
 		return Past{}, fmt.Errorf("read version %d: %w", v, err)
 	}
@@ -151,10 +154,10 @@
 	return p, nil
 }
 
-// remember puts a root into the history. Whoever replaces it does so first, so
-// that each version but the one in force is there.
-func (c *Committer) remember(ctx context.Context, root kqresource.Root) error {
-	p, err := pastOf(root)
+// writeHistory writes the history record of a root. Each commit does so before
+// it replaces the root, so that every version but the current one has a record.
+func (c *Committer) writeHistory(ctx context.Context, root kqresource.Root) error {
+	p, err := newPast(root)
 	if err != nil {
 		return fmt.Errorf("write history: %w", err)
 	}
@@ -168,7 +171,7 @@
 	return nil
 }
 
-func pastOf(root kqresource.Root) (Past, error) {
+func newPast(root kqresource.Root) (Past, error) {
 	data, err := kqresource.Encode(root)
 	if err != nil {
 		return Past{}, err
@@ -176,7 +179,7 @@
 	return Past{Root: root, Digest: kqresource.DigestOf(data)}, nil
 }
 
-func (c *Committer) read(ctx context.Context, key string, value any) (kqstore.Revision, error) {
+func (c *Committer) readValue(ctx context.Context, key string, value any) (kqstore.Revision, error) {
 	e, err := c.store.Get(ctx, key)
 	if err != nil {
 		return kqstore.Absent, err
--- a/internal/config/kqcommit/intent.go
+++ b/internal/config/kqcommit/intent.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	intentPrefix = "kumquatgw/intent/"
-	ledgerKey    = "kumquatgw/intents"
-	ledgerTries  = 20
+	intentPrefix      = "kumquatgw/intent/"
+	ledgerKey         = "kumquatgw/intents"
+	maxLedgerAttempts = 20
 )
 
 type (
-	// intent says what a request is about to write. It binds the request's id
-	// to its content, and names objects that no root may ever name.
+	// intent records what a request is about to write. It binds the request ID
+	// to its content, and lists objects that no root may ever reference, so that
+	// the collector can find them.
 	intent struct {
 		ID      string                 `cbor:"1,keyasint"`
 		Content kqresource.Digest      `cbor:"2,keyasint"`
@@ -29,15 +30,16 @@
 		Objects []kqresource.Digest    `cbor:"5,keyasint"`
 	}
 
-	// ledger lists the intents, since the platform lists no keys.
+	// ledger indexes the intents by request ID, with the time of the request,
+	// because the platform cannot list keys.
 	ledger struct {
 		Intents map[string]time.Time `cbor:"1,keyasint"`
 	}
 )
 
-// begun returns what is known of a request's id, and the version that it was
-// committed as, or 0.
-func (c *Committer) begun(ctx context.Context, id string, content kqresource.Digest) (intent, kqname.ConfigVersion, error) {
+// lookupRequest returns the intent of a request ID, empty if there is none, and
+// the version that it was committed as, or 0.
+func (c *Committer) lookupRequest(ctx context.Context, id string, content kqresource.Digest) (intent, kqname.ConfigVersion, error) {
 	known, _, err := c.readIntent(ctx, id)
 	if errors.Is(err, kqstore.ErrNotFound) {
 		return intent{}, 0, nil
@@ -52,21 +54,21 @@
 	if err != nil {
 		return intent{}, 0, err
 	}
-	found, err := c.find(ctx, known, current)
+	found, err := c.findVersion(ctx, known, current)
 	return known, found, err
 }
 
 func (c *Committer) readIntent(ctx context.Context, id string) (intent, kqstore.Revision, error) {
 	var i intent
-	revision, err := c.read(ctx, intentPrefix+id, &i)
+	revision, err := c.readValue(ctx, intentPrefix+id, &i)
 	if err != nil {
 		return intent{}, 0, fmt.Errorf("read intent: %w", err)
 	}
 	return i, revision, nil
 }
 
-// extended returns the intent with one more base to be tried upon.
-func (i intent) extended(q Request, content kqresource.Digest, objects kqresource.Objects) intent {
+// withBase returns the intent for a new attempt, with q.Base added to the bases.
+func (i intent) withBase(q Request, content kqresource.Digest, objects kqresource.Objects) intent {
 	next := intent{ID: q.ID, Content: content, At: q.At.UTC(), Bases: slices.Clone(i.Bases)}
 	if !slices.Contains(next.Bases, q.Base) {
 		next.Bases = append(next.Bases, q.Base)
@@ -75,22 +77,22 @@
 	return next
 }
 
-// mayTake reports whether a swap over the version may still be under way.
-func (i intent) mayTake(v kqname.ConfigVersion) bool { return slices.Contains(i.Bases, v) }
+// canReplace reports whether a swap that replaces version v may be in flight.
+func (i intent) canReplace(v kqname.ConfigVersion) bool { return slices.Contains(i.Bases, v) }
 
-// register writes an intent and enters it in the ledger. Both come before the
-// first object: an object that nothing names could never be found again.
-func (c *Committer) register(ctx context.Context, i intent) error {
+// registerIntent writes an intent and adds it to the ledger. Both must precede
+// the first object: an unreferenced object could never be found and deleted.
+func (c *Committer) registerIntent(ctx context.Context, i intent) error {
 	data, err := kqresource.Encode(i)
 	if err != nil {
-		return fmt.Errorf("register: %w", err)
+		return fmt.Errorf("encode intent: %w", err)
 	}
 	known, revision, err := c.readIntent(ctx, i.ID)
 	if errors.Is(err, kqstore.ErrNotFound) {
 		known, revision, err = i, kqstore.Absent, nil
 	}
 	if err != nil {
-		return fmt.Errorf("register: %w", err)
+		return fmt.Errorf("register intent: %w", err)
 	}
 	if known.Content != i.Content {
 		return ErrReused
@@ -98,15 +100,15 @@
 	if _, err := c.store.Swap(ctx, intentPrefix+i.ID, revision, data, kqstore.NoLease); err != nil {
 		return fmt.Errorf("write intent: %w", err)
 	}
-	return c.enter(ctx, i)
+	return c.addToLedger(ctx, i)
 }
 
-// enter puts the intent into the ledger, however many other operators do the
-// same at the time.
-func (c *Committer) enter(ctx context.Context, i intent) error {
+// addToLedger adds the intent to the ledger. It retries on conflicts, since
+// other operators may update the ledger concurrently.
+func (c *Committer) addToLedger(ctx context.Context, i intent) error {
 	var err error
-	for n := range ledgerTries {
-		c.wait(ctx, min(n, 4))
+	for n := range maxLedgerAttempts {
+		c.waitBeforeRetry(ctx, min(n, 4))
 		var l ledger
 		var revision kqstore.Revision
 		l, revision, err = c.readLedger(ctx)
@@ -123,7 +125,7 @@
 
 func (c *Committer) readLedger(ctx context.Context) (ledger, kqstore.Revision, error) {
 	l := ledger{}
-	revision, err := c.read(ctx, ledgerKey, &l)
+	revision, err := c.readValue(ctx, ledgerKey, &l)
 	if err != nil && !errors.Is(err, kqstore.ErrNotFound) {
 		return ledger{}, 0, fmt.Errorf("read ledger: %w", err)
 	}
@@ -144,11 +146,12 @@
 	return nil
 }
 
-// contentDigest names a document's content, whoever commits it and when.
+// contentDigest returns the digest of a document's content, independent of the
+// author and time of the commit.
 func contentDigest(r kqresource.Root) (kqresource.Digest, error) {
 	data, err := kqresource.Encode(kqresource.Root{Hosts: r.Hosts, Services: r.Services, Ownership: r.Ownership})
 	if err != nil {
-		return kqresource.Digest{}, fmt.Errorf("digest of content: %w", err)
+		return kqresource.Digest{}, fmt.Errorf("encode content: %w", err)
 	}
 	return kqresource.DigestOf(data), nil
 }
--- a/internal/config/kqcommit/race_test.go
+++ b/internal/config/kqcommit/race_test.go
@@ -27,14 +27,15 @@
 	os.Exit(m.Run())
 }
 
-// taking lets one participant make a single call each time it is its turn.
-type taking struct {
+// turnStore lets one participant make a single store call per turn, so that the
+// test controls how the calls interleave.
+type turnStore struct {
 	*kqstandin.Standin
 	turn, done chan struct{}
 	lose       *bool
 }
 
-func (p *taking) take() func() {
+func (p *turnStore) awaitTurn() func() {
 	<-p.turn
 	if *p.lose {
 		p.SetFaults(kqstandin.Faults{LoseAnswers: 1})
@@ -45,30 +46,31 @@
 	}
 }
 
-func (p *taking) Get(ctx context.Context, key string) (kqstore.Entry, error) {
-	defer p.take()()
+func (p *turnStore) Get(ctx context.Context, key string) (kqstore.Entry, error) {
+	defer p.awaitTurn()()
 	return p.Standin.Get(ctx, key)
 }
 
-func (p *taking) Put(ctx context.Context, key string, v []byte, l kqstore.Lease) (kqstore.Revision, error) {
-	defer p.take()()
+func (p *turnStore) Put(ctx context.Context, key string, v []byte, l kqstore.Lease) (kqstore.Revision, error) {
+	defer p.awaitTurn()()
 	return p.Standin.Put(ctx, key, v, l)
 }
 
-func (p *taking) Swap(ctx context.Context, key string, e kqstore.Revision, v []byte, l kqstore.Lease) (kqstore.Revision, error) {
-	defer p.take()()
+func (p *turnStore) Swap(ctx context.Context, key string, e kqstore.Revision, v []byte, l kqstore.Lease) (kqstore.Revision, error) {
+	defer p.awaitTurn()()
 	return p.Standin.Swap(ctx, key, e, v, l)
 }
 
-func (p *taking) Delete(ctx context.Context, key string, e kqstore.Revision) error {
-	defer p.take()()
+func (p *turnStore) Delete(ctx context.Context, key string, e kqstore.Revision) error {
+	defer p.awaitTurn()()
 	return p.Standin.Delete(ctx, key, e)
 }
 
-// Two operators commit over one version, their calls in any order, answers lost
-// here and there, and a collector runs between them whose age is so short that
-// an operator who pauses counts as gone. Each operator hears the truth, each
-// change is in force at most once, and every version can be read whole.
+// Two operators commit on top of one version, with their store calls
+// interleaved at random and some answers lost, while a collector runs whose
+// cutoff treats even the commits in flight as abandoned. Each outcome must be
+// correct, each change committed at most once, and the current document and the
+// history readable.
 func TestRacingOperatorsAndCollector(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		platform := kqstandin.New()
@@ -82,22 +84,22 @@
 		lose := false
 		outcomes := make([]kqcommit.Outcome, 2)
 		errs := make([]error, 2)
-		store := func() *taking {
-			return &taking{Standin: platform, turn: make(chan struct{}), done: make(chan struct{}), lose: &lose}
+		store := func() *turnStore {
+			return &turnStore{Standin: platform, turn: make(chan struct{}), done: make(chan struct{}), lose: &lose}
 		}
-		players := []*taking{store(), store(), store()}
+		stores := []*turnStore{store(), store(), store()}
 		ended := []chan struct{}{make(chan struct{}), make(chan struct{}), make(chan struct{})}
 		for i, d := range [][]string{{"store", "attic"}, {"store", "attic", "yard"}} {
 			go func() {
 				defer close(ended[i])
-				outcomes[i], errs[i] = committer(players[i]).Commit(ctx, request(fmt.Sprintf("op-%d", i), 2, document(d...)))
+				outcomes[i], errs[i] = committer(stores[i]).Commit(ctx, request(fmt.Sprintf("op-%d", i), 2, document(d...)))
 			}()
 		}
 		go func() {
 			defer close(ended[2])
-			// The error says that it came between; it is then simply called again.
+			// An error means that a commit interfered; the collection is retried.
 			for range 2 {
-				_, _ = committer(players[2]).Collect(ctx, players[2], start.Add(time.Hour*24))
+				_, _ = committer(stores[2]).Collect(ctx, stores[2], start.Add(time.Hour*24))
 			}
 		}()
 		running := []int{0, 1, 2}
@@ -105,8 +107,8 @@
 			at := rapid.IntRange(0, len(running)-1).Draw(t, "turn")
 			lose = rapid.IntRange(0, 9).Draw(t, "lose") == 0
 			select {
-			case players[running[at]].turn <- struct{}{}:
-				<-players[running[at]].done
+			case stores[running[at]].turn <- struct{}{}:
+				<-stores[running[at]].done
 			case <-ended[running[at]]:
 				running = append(running[:at:at], running[at+1:]...)
 			}
@@ -118,7 +120,7 @@
 func check(t *rapid.T, platform *kqstandin.Standin, outcomes []kqcommit.Outcome, errs []error) {
 	ctx := context.Background()
 	if _, root, err := committer(platform).Document(ctx); err != nil {
-		t.Fatalf("version %d in force cannot be read: %v", root.Version, err)
+		t.Fatalf("current version %d cannot be read: %v", root.Version, err)
 	}
 	history, err := committer(platform).History(ctx, 100)
 	if err != nil {
@@ -134,10 +136,10 @@
 		wrong = wrong || errs[i] == nil && o.Status == kqcommit.Committed && n != 1
 		wrong = wrong || errs[i] == nil && o.Status == kqcommit.Conflict && n != 0
 		if wrong {
-			t.Fatalf("operator %d heard %+v, %v; in force %d times", i, o, errs[i], n)
+			t.Fatalf("operator %d got %+v, %v; committed %d times", i, o, errs[i], n)
 		}
 		if errs[i] != nil && !errors.Is(errs[i], kqstore.ErrUnavailable) && !errors.Is(errs[i], kqstore.ErrConflict) {
-			t.Fatalf("operator %d: %v", i, errs[i])
+			t.Fatalf("operator %d: unexpected error %v", i, errs[i])
 		}
 	}
 }
