--- a/internal/config/kqreplica/doc.go
+++ b/internal/config/kqreplica/doc.go
@@ -1,3 +1,3 @@
-// Package kqreplica holds the configuration that one node's traffic needs:
-// always one whole version, whose number only grows.
+// Package kqreplica holds the configuration that one node's traffic needs. It
+// always holds one complete version, and the version number never decreases.
 package kqreplica
--- a/internal/config/kqreplica/hold.go
+++ b/internal/config/kqreplica/hold.go
@@ -9,24 +9,25 @@
 	"github.com/kumquatgw/kumquatgw/internal/config/kqsnapshot"
 )
 
-// HoldAll lets the replica hold every object of the version in force, whatever
-// the node's own traffic needs; readers do so for the others. Objects that are
-// held only for others are not decoded.
+// HoldAll sets whether the replica holds every object of the current version,
+// regardless of the node's own traffic; readers do so to serve other nodes.
+// Objects that are held only for other nodes are not decoded.
 func (r *Replica) HoldAll(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all = on
+	r.holdAll = on
 }
 
-// Fill fetches what HoldAll asks for and is not held yet.
+// Fill fetches the objects that are missing while HoldAll is on.
 func (r *Replica) Fill(ctx context.Context) error {
 	if root := r.Current().Root(); root.Version > 0 && r.holdsAll() {
-		return r.fill(ctx, root)
+		return r.fetchAll(ctx, root)
 	}
 	return nil
 }
 
-// Object returns the bytes of an object that the replica holds, for peers.
+// Object returns the encoded bytes of an object that the replica holds, to serve
+// it to peers.
 func (r *Replica) Object(d kqresource.Digest) ([]byte, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -34,13 +35,13 @@
 	return data, ok
 }
 
-// Sweep drops interests that have been idle since before, and shrinks the
-// snapshot to those that are left.
+// Sweep drops the hosts last used before the given time from the interests and
+// the snapshot, and returns how many it dropped.
 func (r *Replica) Sweep(before time.Time) int {
 	dropped := r.interests.Sweep(before)
 	if dropped > 0 {
-		// All that is left is at hand, so nothing can be missing.
-		_, _ = r.swap(r.Current().Root(), interest{}, nil)
+		// The objects of the remaining hosts are all held, so none is missing.
+		_, _ = r.apply(r.Current().Root(), hostInterest{}, nil)
 	}
 	return dropped
 }
@@ -48,10 +49,10 @@
 func (r *Replica) holdsAll() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.all
+	return r.holdAll
 }
 
-func (r *Replica) fill(ctx context.Context, root kqresource.Root) error {
+func (r *Replica) fetchAll(ctx context.Context, root kqresource.Root) error {
 	var missing []kqresource.Digest
 	for _, d := range root.Digests() {
 		if _, ok := r.Object(d); !ok {
@@ -61,10 +62,10 @@
 	if len(missing) == 0 {
 		return nil
 	}
-	// What has come is kept, also when some has not.
+	// On an error, the objects that were fetched are still kept.
 	fetched, err := r.source.Fetch(ctx, missing)
 	if err != nil {
-		err = fmt.Errorf("fill version %d: %w", root.Version, err)
+		err = fmt.Errorf("fetch all objects of version %d: %w", root.Version, err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,8 +77,8 @@
 		if kqresource.DigestOf(data) != d {
 			continue
 		}
-		if size += len(data); size > r.memory {
-			r.bound()
+		if size += len(data); size > r.memoryBudget {
+			r.onLimit()
 			return nil
 		}
 		r.objects[d] = data
@@ -85,20 +86,20 @@
 	return err
 }
 
-// keep stores the objects that the snapshot was made from, or all that the root
-// still names while all are to be held, and lets the others go.
-func (r *Replica) keep(root kqresource.Root, snapshot *kqsnapshot.Snapshot, objects kqresource.Objects) {
-	named := make(kqresource.Objects)
+// retainObjects keeps the given objects that the snapshot was built from or, if
+// all are to be held, those that the root names. It drops all others.
+func (r *Replica) retainObjects(root kqresource.Root, snapshot *kqsnapshot.Snapshot, objects kqresource.Objects) {
+	retained := make(kqresource.Objects)
 	wanted := snapshot.Digests()
 	if r.holdsAll() {
 		wanted = root.Digests()
 	}
 	for _, d := range wanted {
 		if data, ok := objects[d]; ok {
-			named[d] = data
+			retained[d] = data
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.objects = named
+	r.objects = retained
 }
--- a/internal/config/kqreplica/replica.go
+++ b/internal/config/kqreplica/replica.go
@@ -18,102 +18,104 @@
 )
 
 const (
-	// fetchRounds bounds how often one version asks for missing objects: the
-	// first round brings the hosts, the second the services that their routes
-	// name, and the third what an interest that came meanwhile lacks.
-	fetchRounds = 4
-	// flightTimeout bounds the fetch of a host, whoever waits for it.
-	flightTimeout = 10 * time.Second
+	// maxFetchRounds bounds how often missing objects are fetched for one
+	// version: the first round fetches the hosts, the second the services that
+	// their routes name, and the third what a host added meanwhile needs.
+	maxFetchRounds = 4
+	// hostFetchTimeout bounds the shared fetch of a host, independent of the
+	// deadlines of the callers that wait for it.
+	hostFetchTimeout = 10 * time.Second
 	// defaultMemory is the memory budget in bytes.
-	defaultMemory = 64 << 20
-	// decodedFactor is how many bytes an object takes in memory for each byte
-	// of its canonical form, decoded and indexed beside the bytes themselves.
+	defaultMemoryBudget = 64 << 20
+	// decodedFactor is the memory that a decoded and indexed object takes, as a
+	// multiple of its encoded size and in addition to the encoded bytes.
 	decodedFactor = 4
 )
 
-// errPanicked ends the fetch of a host that a fault in this program ended.
-var errPanicked = errors.New("fetch panicked")
+// errPanicked is the result of a host's fetch that panicked.
+var errPanicked = errors.New("fetch of host panicked")
 
 type (
-	// Source brings objects that the replica lacks.
+	// Source fetches objects that the replica lacks.
 	Source interface {
 		Fetch(ctx context.Context, wanted []kqresource.Digest) (kqresource.Objects, error)
 	}
 
-	// Replica keeps the current snapshot. It is safe for concurrent use.
+	// Replica holds the current snapshot. It is safe for concurrent use.
 	//
-	// Fetching goes on beside the swap and holds no lock, so that a slow source
-	// cannot keep a newer version, or another host, from coming into force.
+	// Fetches hold no lock, so that a slow source cannot delay a newer version or
+	// another host.
 	Replica struct {
-		source    Source
-		current   atomic.Pointer[kqsnapshot.Snapshot]
-		interests *kqinterest.Interests
-		changed   []func(*kqsnapshot.Snapshot)
-		refused   func(reason string)
-		bound     func()
-		memory    int
-		keeper    *kqkeeper.Keeper
-		// fresh takes the whole document anew for each version.
-		fresh bool
-
-		// swapping is held while a snapshot whose objects are all at hand is
-		// built and put in force; the version is compared under it.
-		swapping sync.Mutex
-
-		mu       sync.RWMutex
-		objects  kqresource.Objects
-		services map[kqname.Service]bool
-		all      bool
-		flights  map[kqname.Host]*flight
-		group    conc.WaitGroup
+		source       Source
+		current      atomic.Pointer[kqsnapshot.Snapshot]
+		interests    *kqinterest.Interests
+		onChange     []func(*kqsnapshot.Snapshot)
+		onRefused    func(reason string)
+		onLimit      func()
+		memoryBudget int
+		keeper       *kqkeeper.Keeper
+		// wholeDocument makes each version fetch all its objects again.
+		wholeDocument bool
+
+		// applyMu is held while a snapshot is built and made current; it makes
+		// the comparison of versions and the replacement atomic.
+		applyMu sync.Mutex
+
+		mu          sync.RWMutex
+		objects     kqresource.Objects
+		services    map[kqname.Service]bool
+		holdAll     bool
+		hostFetches map[kqname.Host]*hostFetch
+		group       conc.WaitGroup
 	}
 
-	// flight is the fetch of a host that all who want it wait for.
-	flight struct {
+	// hostFetch is a fetch in flight of a host, shared by all waiting callers.
+	hostFetch struct {
 		done chan struct{}
 		err  error
 	}
 
-	// Option sets up a Replica.
+	// Option configures a Replica.
 	Option func(*Replica)
 )
 
-// WithService keeps a service whether or not calls need it; a node keeps its
-// own upstream's.
+// WithService always holds a service, even if no held route names it; a node
+// does so for the service of its own upstream.
 func WithService(s kqname.Service) Option { return func(r *Replica) { r.services[s] = true } }
 
-// WithChanged calls f with each snapshot that comes into force.
+// WithChanged calls f with each snapshot that becomes current.
 func WithChanged(f func(*kqsnapshot.Snapshot)) Option {
-	return func(r *Replica) { r.changed = append(r.changed, f) }
+	return func(r *Replica) { r.onChange = append(r.onChange, f) }
 }
 
-// WithKeeper has a fetch that panics end alone.
+// WithKeeper recovers panics of host fetches by k, so that a panic ends only the
+// fetch.
 func WithKeeper(k *kqkeeper.Keeper) Option { return func(r *Replica) { r.keeper = k } }
 
-// WithRefused calls f with the reason of each version that is refused.
-func WithRefused(f func(reason string)) Option { return func(r *Replica) { r.refused = f } }
+// WithRefused calls f with the reason for each version that cannot be applied.
+func WithRefused(f func(reason string)) Option { return func(r *Replica) { r.onRefused = f } }
 
-// WithMemory bounds the bytes of configuration that are held; bound is told
-// each time that a host is dropped for it.
-func WithMemory(bytes int, bound func()) Option {
-	return func(r *Replica) { r.memory, r.bound = bytes, bound }
+// WithMemory limits the bytes of configuration that are held; onLimit is called
+// for each host dropped, and each fetch of all objects cut short, because of it.
+func WithMemory(bytes int, onLimit func()) Option {
+	return func(r *Replica) { r.memoryBudget, r.onLimit = bytes, onLimit }
 }
 
-// WithWholeDocument takes every object anew for each version, whatever the
-// traffic needs. It is the baseline that closures are measured against.
-func WithWholeDocument() Option { return func(r *Replica) { r.fresh = true } }
+// WithWholeDocument fetches every object again for each version, regardless of
+// the node's traffic. It is the baseline for measuring partial replication.
+func WithWholeDocument() Option { return func(r *Replica) { r.wholeDocument = true } }
 
-// New returns a replica that holds the empty version 0.
+// New returns a Replica that holds the empty version 0.
 func New(source Source, options ...Option) *Replica {
 	r := &Replica{
-		source:    source,
-		interests: kqinterest.New(),
-		objects:   make(kqresource.Objects),
-		services:  make(map[kqname.Service]bool),
-		flights:   make(map[kqname.Host]*flight),
-		refused:   func(string) {},
-		bound:     func() {},
-		memory:    defaultMemory,
+		source:       source,
+		interests:    kqinterest.New(),
+		objects:      make(kqresource.Objects),
+		services:     make(map[kqname.Service]bool),
+		hostFetches:  make(map[kqname.Host]*hostFetch),
+		onRefused:    func(string) {},
+		onLimit:      func() {},
+		memoryBudget: defaultMemoryBudget,
 	}
 	for _, o := range options {
 		o(r)
@@ -122,31 +124,31 @@
 	return r
 }
 
-// Current returns the snapshot in force. A call keeps the one it began with.
+// Current returns the current snapshot. A call uses one snapshot throughout.
 func (r *Replica) Current() *kqsnapshot.Snapshot { return r.current.Load() }
 
-// Offer takes in a root that was heard of. It returns nil without a change for
-// a version that is not above the current one, and an error, with the current
-// version kept whole, for one that cannot be fetched or is invalid.
+// Offer applies a newer root. It ignores an older version, and for the current
+// one calls Fill. If the version is invalid or cannot be fetched, it returns an
+// error and keeps the current version.
 func (r *Replica) Offer(ctx context.Context, root kqresource.Root) error {
 	if v := r.Current().Version(); root.Version < v {
 		return nil
 	} else if root.Version == v {
 		return r.Fill(ctx)
 	}
-	if err := r.stage(ctx, root, interest{}); err != nil {
-		r.refuse(ctx, err)
+	if err := r.fetchAndApply(ctx, root, hostInterest{}); err != nil {
+		r.reportRefusal(ctx, err)
 		return fmt.Errorf("apply version %d: %w", root.Version, err)
 	}
-	if r.holdsAll() && !r.fresh {
-		return r.fill(ctx, root)
+	if r.holdsAll() && !r.wholeDocument {
+		return r.fetchAll(ctx, root)
 	}
 	return nil
 }
 
-// Want makes sure that the snapshot holds a host's routes, if the version in
-// force has any, and returns that snapshot. All who wait for one host share one
-// fetch, which goes on when ctx ends the wait. now renews the interest.
+// Want returns a snapshot that holds a host's routes, if the current version has
+// any, and fetches them if necessary. Concurrent calls for a host share one
+// fetch, which continues when ctx ends. now becomes the host's time of last use.
 func (r *Replica) Want(ctx context.Context, host kqname.Host, now time.Time) (*kqsnapshot.Snapshot, error) {
 	current := r.Current()
 	if exists, held := current.Knows(host); held || !exists {
@@ -155,7 +157,7 @@
 		}
 		return current, nil
 	}
-	f := r.fly(ctx, host, now)
+	f := r.startHostFetch(ctx, host, now)
 	select {
 	case <-f.done:
 	case <-ctx.Done():
@@ -167,39 +169,42 @@
 	return r.Current(), nil
 }
 
-// Hosts returns the hosts that the node's traffic uses, the last used first.
+// Hosts returns the hosts that the node's traffic uses, the most recently used
+// first.
 func (r *Replica) Hosts() []kqname.Host { return r.interests.Hosts() }
 
-func (r *Replica) fly(ctx context.Context, host kqname.Host, now time.Time) *flight {
+// startHostFetch returns the fetch in flight of a host, or starts one.
+func (r *Replica) startHostFetch(ctx context.Context, host kqname.Host, now time.Time) *hostFetch {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if f, ok := r.flights[host]; ok {
+	if f, ok := r.hostFetches[host]; ok {
 		return f
 	}
-	f := &flight{done: make(chan struct{})}
-	r.flights[host] = f
+	f := &hostFetch{done: make(chan struct{})}
+	r.hostFetches[host] = f
 	r.group.Go(func() {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), flightTimeout)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), hostFetchTimeout)
 		defer cancel()
 		f.err = errPanicked
-		// Done also when it panics: all who wait for the host, now or later, would
-		// wait for this flight.
+		// Deferred to run even after a panic; otherwise all present and later
+		// callers for the host would wait for this fetch forever.
 		defer func() {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			delete(r.flights, host)
+			delete(r.hostFetches, host)
 			close(f.done)
 		}()
-		r.keeper.Try("fetch", func() { f.err = r.land(ctx, host, now) })
+		r.keeper.Try("fetch", func() { f.err = r.fetchHost(ctx, host, now) })
 	})
 	return f
 }
 
-// land fetches a host into whichever version is in force when it is there.
-func (r *Replica) land(ctx context.Context, host kqname.Host, now time.Time) error {
+// fetchHost adds a host to the current version, and starts over if a newer
+// version becomes current during the fetch.
+func (r *Replica) fetchHost(ctx context.Context, host kqname.Host, now time.Time) error {
 	for {
 		root := r.Current().Root()
-		err := r.stage(ctx, root, interest{host, now})
+		err := r.fetchAndApply(ctx, root, hostInterest{host, now})
 		if _, held := r.Current().Knows(host); held || ctx.Err() != nil {
 			return err
 		}
--- a/internal/config/kqreplica/replica_test.go
+++ b/internal/config/kqreplica/replica_test.go
@@ -29,19 +29,20 @@
 	os.Exit(m.Run())
 }
 
-// source serves the objects of all versions; gate, if set, holds fetches back.
+// source serves the objects of all versions except the unavailable ones;
+// beforeFetch, if set, can block or fail a fetch.
 type source struct {
-	mu      sync.Mutex
-	objects kqresource.Objects
-	lost    map[kqresource.Digest]bool
-	gate    func(ctx context.Context, wanted []kqresource.Digest) error
-	fetches atomic.Int64
+	mu          sync.Mutex
+	objects     kqresource.Objects
+	unavailable map[kqresource.Digest]bool
+	beforeFetch func(ctx context.Context, wanted []kqresource.Digest) error
+	fetches     atomic.Int64
 }
 
 func (s *source) Fetch(ctx context.Context, wanted []kqresource.Digest) (kqresource.Objects, error) {
 	s.fetches.Add(1)
-	if s.gate != nil {
-		if err := s.gate(ctx, wanted); err != nil {
+	if s.beforeFetch != nil {
+		if err := s.beforeFetch(ctx, wanted); err != nil {
 			return nil, err
 		}
 	}
@@ -50,8 +51,8 @@
 	found := make(kqresource.Objects)
 	for _, d := range wanted {
 		data, ok := s.objects[d]
-		if !ok || s.lost[d] {
-			return nil, errors.New("lost")
+		if !ok || s.unavailable[d] {
+			return nil, errors.New("object unavailable")
 		}
 		found[d] = data
 	}
@@ -60,9 +61,10 @@
 
 func host(i int) kqname.Host { return kqname.Host(fmt.Sprintf("host-%d", i)) }
 
-// version makes a root whose every host leads to a service of its own and one
-// that it shares with the next; mark makes its objects differ.
-func version(t interface{ Fatal(...any) }, s *source, number, mark int) kqresource.Root {
+// newRoot adds a version's objects to the source and returns its root. Each host
+// routes to a service of its own and to that of the next host; mark makes the
+// objects of versions differ.
+func newRoot(t interface{ Fatal(...any) }, s *source, number, mark int) kqresource.Root {
 	d := kqdocument.Document{Teams: []kqdocument.Team{{Name: "lab"}}}
 	for i := range hosts {
 		name := kqname.Service(fmt.Sprintf("service-%d", i))
@@ -90,11 +92,12 @@
 }
 
 func newSource() *source {
-	return &source{objects: make(kqresource.Objects), lost: make(map[kqresource.Digest]bool)}
+	return &source{objects: make(kqresource.Objects), unavailable: make(map[kqresource.Digest]bool)}
 }
 
-// closed reports the first route whose service the snapshot does not hold.
-func closed(s *kqsnapshot.Snapshot) error {
+// checkComplete returns an error if a held host lacks a route, or a route's
+// service is not held.
+func checkComplete(s *kqsnapshot.Snapshot) error {
 	for i := range hosts {
 		if _, held := s.Knows(host(i)); !held {
 			continue
@@ -102,32 +105,32 @@
 		for _, path := range []string{"/", "/1/", "/2/", "/3/"} {
 			r, ok := s.Match(kqsnapshot.Request{Host: host(i), Path: path, Header: func(string) string { return "" }})
 			if !ok {
-				return fmt.Errorf("host %d held without its route for %s", i, path)
+				return fmt.Errorf("host %d is held without its route for %s", i, path)
 			}
 			if _, ok := s.Service(r.Service); !ok {
-				return fmt.Errorf("route %s without its service", r.Name)
+				return fmt.Errorf("route %s is held without its service", r.Name)
 			}
 		}
 	}
 	return nil
 }
 
-// Roots arrive in any order, some twice, some whose objects are lost and some
-// that are bad, between calls for hosts. Whatever the order, callers must never
-// see an older version than before, a route without its service, or a part of a
-// bad version.
+// Roots arrive in random order and interleaved with requests for hosts; some
+// arrive twice, some lack objects and some are invalid. The current version must
+// never decrease, and no snapshot may hold a route without its service or a part
+// of an invalid version.
 func TestVersionNeverFallsAndStaysWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSource()
 		var roots []kqresource.Root
-		bad := make(map[kqname.ConfigVersion]bool)
+		invalid := make(map[kqname.ConfigVersion]bool)
 		for i := range 6 {
-			root := version(t, s, i+1, rapid.IntRange(1, 3).Draw(t, "mark"))
+			root := newRoot(t, s, i+1, rapid.IntRange(1, 3).Draw(t, "mark"))
 			switch rapid.IntRange(0, 4).Draw(t, "fault") {
 			case 0:
-				s.lost[root.Hosts[host(i%hosts)][0]] = true
+				s.unavailable[root.Hosts[host(i%hosts)][0]] = true
 			case 1:
-				bad[root.Version] = true
+				invalid[root.Version] = true
 				delete(root.Services, "service-1")
 			}
 			roots = append(roots, root)
@@ -143,25 +146,25 @@
 			}
 			now := r.Current()
 			if now.Version() < highest {
-				t.Fatalf("version %d after %d", now.Version(), highest)
+				t.Fatalf("current version fell to %d from %d", now.Version(), highest)
 			}
 			highest = now.Version()
-			if err := closed(now); err != nil {
+			if err := checkComplete(now); err != nil {
 				t.Fatalf("version %d: %v", highest, err)
 			}
-			if _, held := now.Knows(host(0)); held && bad[highest] {
-				t.Fatalf("host of bad version %d is held", highest)
+			if _, held := now.Knows(host(0)); held && invalid[highest] {
+				t.Fatalf("host of invalid version %d is held", highest)
 			}
 		}
 	})
 }
 
-// One of the objects of version 2 does not come, and version 3 is already there.
-// If version 2 held up the apply, callers would be served from version 1 for as
-// long as the fetch takes.
-func TestSlowFetchDoesNotHoldUpANewerVersion(t *testing.T) {
+// The fetch of an object of version 2 blocks while version 3 is available. If
+// version 2 blocked version 3, callers would be served from version 1 for as long
+// as the fetch takes.
+func TestSlowFetchDoesNotDelayNewerVersion(t *testing.T) {
 	s := newSource()
-	first, second, third := version(t, s, 1, 1), version(t, s, 2, 2), version(t, s, 3, 3)
+	first, second, third := newRoot(t, s, 1, 1), newRoot(t, s, 2, 2), newRoot(t, s, 3, 3)
 	r := kqreplica.New(s)
 	if err := r.Offer(t.Context(), first); err != nil {
 		t.Fatal(err)
@@ -170,7 +173,7 @@
 		t.Fatal(err)
 	}
 	slow, release := make(chan struct{}), make(chan struct{})
-	s.gate = func(_ context.Context, wanted []kqresource.Digest) error {
+	s.beforeFetch = func(_ context.Context, wanted []kqresource.Digest) error {
 		if wanted[0] == second.Hosts[host(0)][0] {
 			close(slow)
 			<-release
@@ -184,39 +187,38 @@
 		t.Fatal(err)
 	}
 	if v := r.Current().Version(); v != 3 {
-		t.Fatalf("version %d in force while 2 is fetched", v)
+		t.Fatalf("version %d is current while 2 is fetched, want 3", v)
 	}
 	close(release)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 	if v := r.Current().Version(); v != 3 {
-		t.Fatalf("version %d in force after 2 has come", v)
+		t.Fatalf("version %d is current after 2 was fetched, want 3", v)
 	}
 }
 
-// Many callers come at once for a host that is not held, and its fetch is slow.
-// Each of them waits as long as its own deadline and no longer, and the source
-// is asked once.
-func TestAllWhoWantAHostShareOneFetch(t *testing.T) {
+// Many callers request a host that is not held, and its fetch is slow. Each must
+// wait at most until its own deadline, and all must share one fetch.
+func TestConcurrentRequestsForHostShareOneFetch(t *testing.T) {
 	s := newSource()
-	root := version(t, s, 1, 1)
+	root := newRoot(t, s, 1, 1)
 	r := kqreplica.New(s)
 	if err := r.Offer(t.Context(), root); err != nil {
 		t.Fatal(err)
 	}
 	before := s.fetches.Load()
 	release := make(chan struct{})
-	s.gate = func(context.Context, []kqresource.Digest) error { <-release; return nil }
+	s.beforeFetch = func(context.Context, []kqresource.Digest) error { <-release; return nil }
 	late, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := r.Want(late, host(2), time.Unix(1, 0)); !errors.Is(err, context.Canceled) {
-		t.Fatalf("caller without time left: %v", err)
+		t.Fatalf("caller with an ended context: %v, want context.Canceled", err)
 	}
 	var group sync.WaitGroup
 	for range 20 {
 		group.Go(func() {
-			if got, err := r.Want(t.Context(), host(2), time.Unix(1, 0)); err != nil || closed(got) != nil {
+			if got, err := r.Want(t.Context(), host(2), time.Unix(1, 0)); err != nil || checkComplete(got) != nil {
 				t.Errorf("want: %v", err)
 			}
 		})
@@ -225,13 +227,14 @@
 	group.Wait()
 	// One for the host and one for the services that its routes name.
 	if n := s.fetches.Load() - before; n > 2 {
-		t.Fatalf("%d fetches", n)
+		t.Fatalf("%d fetches, want at most 2", n)
 	}
 }
 
+// Sweep must drop idle hosts and their objects, and keep the host in use.
 func TestIdleInterestsShrinkTheSnapshot(t *testing.T) {
 	s := newSource()
-	root := version(t, s, 1, 1)
+	root := newRoot(t, s, 1, 1)
 	r := kqreplica.New(s, kqreplica.WithService("service-0"))
 	if err := r.Offer(t.Context(), root); err != nil {
 		t.Fatal(err)
@@ -242,7 +245,7 @@
 		}
 	}
 	if n := r.Sweep(time.Unix(25, 0)); n != 3 {
-		t.Fatalf("dropped %d hosts", n)
+		t.Fatalf("dropped %d hosts, want 3", n)
 	}
 	if _, held := r.Current().Knows(host(0)); held {
 		t.Fatal("idle host is still held")
@@ -250,19 +253,19 @@
 	if _, ok := r.Object(root.Hosts[host(0)][0]); ok {
 		t.Fatal("object of an idle host is still held")
 	}
-	if _, held := r.Current().Knows(host(3)); !held || closed(r.Current()) != nil {
-		t.Fatal("host in use was dropped")
+	if _, held := r.Current().Knows(host(3)); !held || checkComplete(r.Current()) != nil {
+		t.Fatal("host in use was dropped or is incomplete")
 	}
 }
 
-// A caller walks through every host of a fleet whose routes do not fit into the
-// node's memory. The node keeps the ones used last and goes on serving.
-func TestMemoryBudgetDropsTheHostsUsedLeast(t *testing.T) {
+// A caller requests every host of a fleet whose routes do not fit into the node's
+// memory budget. The node must keep the most recently used ones.
+func TestMemoryBudgetDropsLeastRecentlyUsedHosts(t *testing.T) {
 	s := newSource()
-	root := version(t, s, 1, 1)
-	bound := 0
+	root := newRoot(t, s, 1, 1)
+	limitHits := 0
 	size := len(s.objects[root.Hosts[host(0)][0]])
-	r := kqreplica.New(s, kqreplica.WithMemory(12*size, func() { bound++ }))
+	r := kqreplica.New(s, kqreplica.WithMemory(12*size, func() { limitHits++ }))
 	if err := r.Offer(t.Context(), root); err != nil {
 		t.Fatal(err)
 	}
@@ -271,10 +274,10 @@
 			t.Fatal(err)
 		}
 	}
-	if _, held := r.Current().Knows(host(0)); held || bound == 0 {
-		t.Fatalf("host 0 held is %v, budget bound %d times", held, bound)
+	if _, held := r.Current().Knows(host(0)); held || limitHits == 0 {
+		t.Fatalf("host 0 held is %v, memory limit reported %d times", held, limitHits)
 	}
 	if _, held := r.Current().Knows(host(3)); !held {
-		t.Fatal("host used last was dropped")
+		t.Fatal("most recently used host was dropped")
 	}
 }
--- a/internal/config/kqreplica/stage.go
+++ b/internal/config/kqreplica/stage.go
@@ -13,18 +13,18 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// interest is a host that is wanted beside those held.
-type interest struct {
+// hostInterest is a host to hold in addition to the current ones.
+type hostInterest struct {
 	host kqname.Host
 	used time.Time
 }
 
-// stage fetches what the snapshot of a root lacks and then swaps it in, unless
-// a newer version came into force meanwhile.
-func (r *Replica) stage(ctx context.Context, root kqresource.Root, extra interest) error {
-	staged := make(kqresource.Objects)
-	for range fetchRounds {
-		missing, err := r.swap(root, extra, staged)
+// fetchAndApply fetches the objects that the snapshot of a root lacks and makes
+// the snapshot current, unless a newer version has become current meanwhile.
+func (r *Replica) fetchAndApply(ctx context.Context, root kqresource.Root, added hostInterest) error {
+	fetchedObjects := make(kqresource.Objects)
+	for range maxFetchRounds {
+		missing, err := r.apply(root, added, fetchedObjects)
 		if !errors.Is(err, kqsnapshot.ErrIncomplete) {
 			return err
 		}
@@ -36,84 +36,88 @@
 			if kqresource.DigestOf(data) != digest {
 				return fmt.Errorf("object %s: %w", digest, kqresource.ErrDigest)
 			}
-			staged[digest] = data
+			fetchedObjects[digest] = data
 		}
 	}
 	return kqsnapshot.ErrIncomplete
 }
 
-// swap builds the snapshot off to the side from the objects at hand and then
-// exchanges one pointer, so that no call ever sees a part of it. It returns what
-// is missing, with kqsnapshot.ErrIncomplete, where not all are at hand.
-func (r *Replica) swap(root kqresource.Root, extra interest, staged kqresource.Objects) ([]kqresource.Digest, error) {
-	r.swapping.Lock()
-	defer r.swapping.Unlock()
+// apply builds a snapshot from the objects available and then replaces one
+// pointer, so that no call ever sees a partial version. If objects are missing,
+// it returns them with kqsnapshot.ErrIncomplete.
+func (r *Replica) apply(root kqresource.Root, added hostInterest, fetchedObjects kqresource.Objects) ([]kqresource.Digest, error) {
+	r.applyMu.Lock()
+	defer r.applyMu.Unlock()
 	current := r.Current()
 	if root.Version < current.Version() {
 		return nil, nil
 	}
-	hosts, services, objects := r.needs(root, extra, staged)
+	hosts, services, objects := r.selectNeeded(root, added, fetchedObjects)
 	snapshot, missing, err := kqsnapshot.Build(root, objects, hosts, services, kqsnapshot.WithPrevious(current))
 	if err != nil {
 		return missing, err
 	}
-	if _, held := snapshot.Knows(extra.host); held {
-		r.interests.Add(extra.host, extra.used)
+	if _, held := snapshot.Knows(added.host); held {
+		r.interests.Add(added.host, added.used)
 	}
-	r.keep(root, snapshot, objects)
+	r.retainObjects(root, snapshot, objects)
 	r.current.Store(snapshot)
-	for _, f := range r.changed {
+	for _, f := range r.onChange {
 		f(snapshot)
 	}
 	return nil, nil
 }
 
-func (r *Replica) refuse(ctx context.Context, err error) {
+// reportRefusal calls onRefused with the reason for err.
+func (r *Replica) reportRefusal(ctx context.Context, err error) {
 	switch {
 	case errors.Is(err, kqsnapshot.ErrInvalid):
-		r.refused("invalid")
+		r.onRefused("invalid")
 	case errors.Is(err, kqresource.ErrDigest):
-		r.refused("wrong_digest")
+		r.onRefused("wrong_digest")
 	case errors.Is(err, kqsnapshot.ErrIncomplete):
-		r.refused("incomplete")
+		r.onRefused("incomplete")
 	case ctx.Err() != nil:
-		r.refused("superseded")
+		r.onRefused("superseded")
 	default:
-		r.refused("fetch_failed")
+		r.onRefused("fetch_failed")
 	}
 }
 
-func (r *Replica) needs(root kqresource.Root, extra interest, staged kqresource.Objects) ([]kqname.Host, []kqname.Service, kqresource.Objects) {
-	if r.fresh {
-		return slices.Collect(maps.Keys(root.Hosts)), slices.Collect(maps.Keys(root.Services)), staged
+// selectNeeded returns the hosts and services to hold and the objects available to
+// build them from.
+func (r *Replica) selectNeeded(root kqresource.Root, added hostInterest, fetchedObjects kqresource.Objects) ([]kqname.Host, []kqname.Service, kqresource.Objects) {
+	if r.wholeDocument {
+		return slices.Collect(maps.Keys(root.Hosts)), slices.Collect(maps.Keys(root.Services)), fetchedObjects
 	}
 	hosts := r.interests.Hosts()
-	if extra.host != "" && !slices.Contains(hosts, extra.host) {
-		hosts = append([]kqname.Host{extra.host}, hosts...)
+	if added.host != "" && !slices.Contains(hosts, added.host) {
+		hosts = append([]kqname.Host{added.host}, hosts...)
 	}
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	services := slices.Collect(maps.Keys(r.services))
 	objects := maps.Clone(r.objects)
-	maps.Copy(objects, staged)
-	return r.within(root, hosts, objects), services, objects
+	maps.Copy(objects, fetchedObjects)
+	return r.limitToMemory(root, hosts, objects), services, objects
 }
 
-// within cuts the hosts to the memory budget; those used last stay. Without it,
-// a caller who walks through every host of a large fleet could fill a server's
-// memory with routes that nobody uses again.
-func (r *Replica) within(root kqresource.Root, hosts []kqname.Host, objects kqresource.Objects) []kqname.Host {
+// limitToMemory drops the least recently used hosts until the rest fit into the
+// memory budget; the first always stays. Otherwise a caller that requests every
+// host of a large fleet could fill a server's memory with routes that are never
+// used again.
+func (r *Replica) limitToMemory(root kqresource.Root, hosts []kqname.Host, objects kqresource.Objects) []kqname.Host {
 	size := 0
 	for i, h := range hosts {
 		for _, part := range root.Hosts[h] {
 			size += len(objects[part]) * (1 + decodedFactor)
 		}
-		if size <= r.memory || i == 0 {
+		if size <= r.memoryBudget || i == 0 {
 			continue
 		}
 		for _, dropped := range hosts[i:] {
 			r.interests.Drop(dropped)
-			r.bound()
+			r.onLimit()
 		}
 		return hosts[:i]
 	}
