--- a/internal/config/kqfetch/doc.go
+++ b/internal/config/kqfetch/doc.go
@@ -1,3 +1,3 @@
-// Package kqfetch brings objects to a node: from the readers, from peers of the
-// same service, and from the platform as the last resort.
+// Package kqfetch fetches configuration objects for a node: from the readers,
+// from peers of the same service and, as the last resort, from the platform.
 package kqfetch
--- a/internal/config/kqfetch/fetch.go
+++ b/internal/config/kqfetch/fetch.go
@@ -23,92 +23,96 @@
 	methodObjects = "c.o"
 
 	peerTimeout = 2 * time.Second
-	// hedgeAfter is how long one peer is waited for before the next is asked beside
-	// it, and ownerTimeout how long a reader waits for the other readers before it
-	// reads itself. A peer that is cut off is not known to be for some seconds: asked
-	// one after the other, two of them would keep a node on an old version for twice
-	// peerTimeout. An answer takes 2 to 200 ms, the longest over a link of 10 Mbit/s.
-	hedgeAfter   = 250 * time.Millisecond
+	// hedgeDelay is the time after which a hedged call to the next peer is started,
+	// and ownerTimeout how long a reader waits for the other readers before it reads
+	// from the platform itself. A partitioned peer is detected only after some
+	// seconds: called one after the other, two of them would keep a node on an old
+	// version for twice peerTimeout. An answer takes 2 to 200 ms, the longest over a
+	// link of 10 Mbit/s.
+	hedgeDelay   = 250 * time.Millisecond
 	ownerTimeout = 500 * time.Millisecond
 	readTimeout  = 5 * time.Second
-	// passes is how often the list of peers is gone through while some of them
-	// are busy, before the platform is asked.
-	passes = 3
-	// answerBytes bounds the objects of one answer; the rest is asked for again.
-	answerBytes = 256 << 10
-	// readerBurst and burst are how many objects a reader and any other node may
-	// take from the platform at once.
+	// maxPeerPasses bounds how often the list of peers is tried while some of them
+	// are busy, before the platform is called.
+	maxPeerPasses = 3
+	// maxAnswerBytes bounds the objects of one answer, which has at least one; the
+	// caller requests the rest again.
+	maxAnswerBytes = 256 << 10
+	// readerBurst and burst are the token bucket sizes, in platform calls, of a
+	// reader and of any other node.
 	readerBurst = 32
 	burst       = 4
-	// assumedReaders is the number of readers that a reader reckons with until
-	// it knows more: after a herd has restarted, none knows any other, and each
-	// would otherwise take the whole rate for itself.
+	// assumedReaders is the least number of readers that a reader divides the rate
+	// by. After many nodes restart together, no reader knows of any other, and each
+	// would otherwise use the readers' whole rate.
 	assumedReaders = 8
-	// recent is how many objects that were just read from the platform are kept
-	// for others who are about to ask, until the replica holds them.
+	// recent is the number of objects last read from the platform that are cached,
+	// to serve peers before the replica holds them.
 	recent = 32
-	// peersOfService is how many peers beside the readers are asked.
-	peersOfService = 2
+	// maxOtherPeers bounds how many readers of other failure domains and how many
+	// peers of the same service are called.
+	maxOtherPeers = 2
 )
 
 var (
-	// errMissing tells that nobody asked had an object.
-	errMissing = errors.New("object is nowhere to be had")
-	// errPanicked tells that a fault in this program ended a reading.
-	errPanicked = errors.New("reading panicked")
+	// errMissing means that the platform, too, did not return an object.
+	errMissing = errors.New("object not found")
+	// errPanicked is the result of a platform read that panicked.
+	errPanicked = errors.New("read from the platform panicked")
 )
 
 type (
-	// Platform reads objects from the platform's service.
+	// Platform reads objects from the platform's key-value service.
 	Platform interface {
 		Fetch(ctx context.Context, wanted []kqresource.Digest) (kqresource.Objects, error)
 	}
 
-	// Held gives the objects and the hosts that this node holds.
-	Held interface {
+	// LocalConfig gives the objects and the hosts that this node holds.
+	LocalConfig interface {
 		Object(d kqresource.Digest) ([]byte, bool)
 		Hosts() []kqname.Host
 	}
 
-	// Maker gives objects that this node has made itself of what it read from the
-	// platform. It makes no calls.
+	// Maker returns objects that this node has built from what it read from the
+	// platform. It makes no network calls.
 	Maker interface {
 		Made(wanted []kqresource.Digest) kqresource.Objects
 	}
 
-	// Budget says how long bulk must wait; 0 sends it now.
+	// Budget limits bulk transfers. Allow returns how long one must wait, 0 if it
+	// may be sent now.
 	Budget interface {
 		Allow(now time.Time) time.Duration
 	}
 
-	// Fetcher brings objects. It is safe for concurrent use.
+	// Fetcher fetches objects. It is safe for concurrent use.
 	//
-	// The platform's rate is bounded for the fleet and not for a node: readers
-	// share out half of the rate by their number, all others the other half by
-	// the number of members, so that neither a storm of new nodes nor a growing
-	// fleet can go over it.
+	// The rate of platform calls is limited for the whole fleet: the readers divide
+	// half of it by their number, and all other nodes the other half by the number
+	// of members, so that neither many new nodes at once nor a growing fleet can
+	// exceed it.
 	Fetcher struct {
-		client   *kqpeer.Client
-		table    *kqmember.Table
-		platform Platform
-		budget   Budget
-		total    float64
-		expected int
-		limiter  *rate.Limiter
-		// maker is set where the platform brings all objects of a version in one call.
-		maker Maker
+		client        *kqpeer.Client
+		table         *kqmember.Table
+		platform      Platform
+		budget        Budget
+		fleetRate     float64
+		expectedNodes int
+		limiter       *rate.Limiter
+		// builder is set if the platform returns all objects of a version in one call.
+		builder Maker
 
-		mu   sync.Mutex
-		held Held
-		// reading is the reading of all objects that is under way.
-		reading *flight
-		flights map[kqresource.Digest]*flight
-		recent  map[kqresource.Digest][]byte
-		order   []kqresource.Digest
+		mu    sync.Mutex
+		local LocalConfig
+		// wholeRead is the read in flight of all objects of a version.
+		wholeRead   *sharedRead
+		reads       map[kqresource.Digest]*sharedRead
+		recent      map[kqresource.Digest][]byte
+		recentOrder []kqresource.Digest
 	}
 
-	// flight is a fetch that others wait for too.
-	flight struct {
+	// sharedRead is a platform read in flight that several callers wait for.
+	sharedRead struct {
 		done chan struct{}
 		data []byte
 		err  error
@@ -119,21 +123,21 @@
 	}
 
 	answer struct {
-		// Objects are found ones; their digests name them.
+		// Objects are the objects found; the caller identifies them by digest.
 		Objects [][]byte `cbor:"1,keyasint"`
-		// Busy is how long to stay away, in milliseconds; nothing else is set.
-		Busy int64 `cbor:"2,keyasint,omitempty"`
+		// RetryAfterMS is set instead of Objects if the peer is over its send budget.
+		RetryAfterMS int64 `cbor:"2,keyasint,omitempty"`
 	}
 )
 
-// New returns a fetcher that answers on server. The platform is read at most
-// perSecond times a second by the whole fleet, which is taken to have expected
-// nodes until more are known.
-func New(server *kqpeer.Server, client *kqpeer.Client, table *kqmember.Table, platform Platform, budget Budget, perSecond, expected int) *Fetcher {
+// New returns a Fetcher that serves peers on server. The whole fleet, assumed to
+// have at least the expected number of nodes, reads from the platform at most
+// perSecond times a second.
+func New(server *kqpeer.Server, client *kqpeer.Client, table *kqmember.Table, platform Platform, budget Budget, perSecond, expectedNodes int) *Fetcher {
 	f := &Fetcher{
 		client: client, table: table, platform: platform, budget: budget,
-		total: float64(perSecond), expected: expected,
-		limiter: rate.NewLimiter(1, burst), flights: make(map[kqresource.Digest]*flight),
+		fleetRate: float64(perSecond), expectedNodes: expectedNodes,
+		limiter: rate.NewLimiter(1, burst), reads: make(map[kqresource.Digest]*sharedRead),
 		recent: make(map[kqresource.Digest][]byte),
 	}
 	kqpeer.Handle(server, methodObjects, f.answer)
@@ -141,19 +145,19 @@
 	return f
 }
 
-// TakeWhole tells that the platform brings all objects of a version in one call, so
-// that a node which finds them nowhere else need not ask for each object apart. What
-// the maker has is neither asked for nor counted against the platform's rate: a node
-// that reads versions for others would otherwise use up its rate on objects which it
-// holds, and stay on an old version for seconds while it hands out newer ones.
-func (f *Fetcher) TakeWhole(m Maker) { f.maker = m }
+// TakeWhole declares that the platform returns all objects of a version in one call, so
+// that objects which no peer has are not read one by one. Objects that m returns are
+// neither fetched nor counted against the platform's rate: a node that reads
+// versions for others would otherwise spend its rate on objects which it has, and
+// stay on an old version for seconds while it serves newer ones.
+func (f *Fetcher) TakeWhole(m Maker) { f.builder = m }
 
-// Serve sets what is given to peers.
-func (f *Fetcher) Serve(h Held) { f.held = h }
+// Serve sets the local configuration that is served to peers.
+func (f *Fetcher) Serve(h LocalConfig) { f.local = h }
 
-// Fetch returns the objects, all of them, or an error.
+// Fetch returns all wanted objects, or those found and an error.
 func (f *Fetcher) Fetch(ctx context.Context, wanted []kqresource.Digest) (kqresource.Objects, error) {
-	found := f.made(wanted)
+	found := f.builtObjects(wanted)
 	if wanted = missing(wanted, found); len(wanted) == 0 {
 		return found, nil
 	}
@@ -161,21 +165,22 @@
 	if self.Reader {
 		return found, f.fetchAsReader(ctx, self.Node, wanted, found)
 	}
-	for pass := range passes {
-		wait := f.askEach(ctx, f.peers(self), wanted, found)
+	for pass := range maxPeerPasses {
+		wait := f.fetchFromPeers(ctx, f.peers(self), wanted, found)
 		if wanted = missing(wanted, found); len(wanted) == 0 {
 			return found, nil
 		}
-		if wait == 0 || pass == passes-1 {
+		if wait == 0 || pass == maxPeerPasses-1 {
 			break
 		}
 		kqpause.For(ctx, rand.N(wait)+time.Millisecond)
 	}
-	return found, f.fromPlatform(ctx, missing(wanted, found), found)
+	return found, f.fetchFromPlatform(ctx, missing(wanted, found), found)
 }
 
-// fetchAsReader asks the reader that owns each object, by a hash of both, so
-// that all readers together take each object from the platform about once.
+// fetchAsReader fetches each object from the reader that owns it by rendezvous
+// hashing, so that all readers together read each object from the platform about
+// once.
 func (f *Fetcher) fetchAsReader(ctx context.Context, self kqname.Node, wanted []kqresource.Digest, found kqresource.Objects) error {
 	readers := f.readers()
 	owned := make(map[kqname.Address][]kqresource.Digest)
@@ -198,7 +203,7 @@
 			ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 			defer cancel()
 			part := make(kqresource.Objects)
-			f.ask(ctx, to, digests, part)
+			f.fetchFromPeer(ctx, to, digests, part)
 			mu.Lock()
 			defer mu.Unlock()
 			for d, data := range part {
@@ -207,24 +212,25 @@
 		})
 	}
 	group.Wait()
-	return f.fromPlatform(ctx, missing(wanted, found), found)
+	return f.fetchFromPlatform(ctx, missing(wanted, found), found)
 }
 
-// answer gives a peer the objects held; a reader fetches those that it lacks.
+// answer returns the requested objects that this node holds; a reader also fetches
+// missing ones from the platform.
 func (f *Fetcher) answer(ctx context.Context, _ kqname.Node, q request) (answer, error) {
 	if wait := f.budget.Allow(time.Now()); wait > 0 {
-		return answer{Busy: wait.Milliseconds() + 1}, nil
+		return answer{RetryAfterMS: wait.Milliseconds() + 1}, nil
 	}
 	var a answer
 	var lacking []kqresource.Digest
 	bytes := 0
 	for _, d := range q.Digests {
-		data, ok := f.held.Object(d)
+		data, ok := f.local.Object(d)
 		if !ok {
 			lacking = append(lacking, d)
 			continue
 		}
-		if bytes += len(data); bytes > answerBytes && len(a.Objects) > 0 {
+		if bytes += len(data); bytes > maxAnswerBytes && len(a.Objects) > 0 {
 			return a, nil
 		}
 		a.Objects = append(a.Objects, data)
@@ -233,10 +239,10 @@
 		return a, nil
 	}
 	found := make(kqresource.Objects)
-	// What the platform does not have either is missing from the answer.
-	_ = f.fromPlatform(ctx, lacking, found)
+	// On an error, the answer lacks the objects that were not read.
+	_ = f.fetchFromPlatform(ctx, lacking, found)
 	for _, data := range found {
-		if bytes += len(data); bytes > answerBytes && len(a.Objects) > 0 {
+		if bytes += len(data); bytes > maxAnswerBytes && len(a.Objects) > 0 {
 			break
 		}
 		a.Objects = append(a.Objects, data)
@@ -244,12 +250,13 @@
 	return a, nil
 }
 
-func (f *Fetcher) fromPlatform(ctx context.Context, wanted []kqresource.Digest, found kqresource.Objects) error {
-	if f.maker != nil {
-		return f.allAtOnce(ctx, wanted, found)
+// fetchFromPlatform adds the wanted objects to found, or returns an error.
+func (f *Fetcher) fetchFromPlatform(ctx context.Context, wanted []kqresource.Digest, found kqresource.Objects) error {
+	if f.builder != nil {
+		return f.fetchWholeVersion(ctx, wanted, found)
 	}
 	for _, d := range wanted {
-		data, err := f.one(ctx, d)
+		data, err := f.fetchObject(ctx, d)
 		if err != nil {
 			return fmt.Errorf("fetch %d objects: %w", len(wanted), err)
 		}
@@ -258,14 +265,14 @@
 	return nil
 }
 
-// one reads an object from the platform, once for all who want it now.
-func (f *Fetcher) one(ctx context.Context, d kqresource.Digest) ([]byte, error) {
+// fetchObject reads an object from the platform; concurrent callers share one read.
+func (f *Fetcher) fetchObject(ctx context.Context, d kqresource.Digest) ([]byte, error) {
 	f.mu.Lock()
 	if data, ok := f.recent[d]; ok {
 		f.mu.Unlock()
 		return data, nil
 	}
-	if other, ok := f.flights[d]; ok {
+	if other, ok := f.reads[d]; ok {
 		f.mu.Unlock()
 		select {
 		case <-other.done:
@@ -274,44 +281,46 @@
 			return nil, fmt.Errorf("wait for object %s: %w", d, ctx.Err())
 		}
 	}
-	own := &flight{done: make(chan struct{})}
-	f.flights[d] = own
+	own := &sharedRead{done: make(chan struct{})}
+	f.reads[d] = own
 	f.mu.Unlock()
-	// Whoever came first may give up; the others still wait for this.
-	reading, cancel := context.WithTimeout(context.WithoutCancel(ctx), readTimeout)
+	// The read outlives ctx, because other callers may wait for it.
+	readCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readTimeout)
 	defer cancel()
 	own.err = errPanicked
-	defer f.land(d, own)
-	own.data, own.err = f.read(reading, d)
+	defer f.finishRead(d, own)
+	own.data, own.err = f.readObject(readCtx, d)
 	return own.data, own.err
 }
 
-// land ends a reading for all who wait for it, also where it panics: they would
-// wait for good, and so would all who want the object later.
-func (f *Fetcher) land(d kqresource.Digest, own *flight) {
+// finishRead ends a read for all who wait for it. It must run even after a panic;
+// otherwise all present and later callers for the object would wait forever.
+func (f *Fetcher) finishRead(d kqresource.Digest, own *sharedRead) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.flights, d)
+	delete(f.reads, d)
 	if own.err == nil {
-		f.keep(d, own.data)
+		f.addRecent(d, own.data)
 	}
 	close(own.done)
 }
 
-func (f *Fetcher) keep(d kqresource.Digest, data []byte) {
+// addRecent caches an object and evicts the oldest one over the limit.
+func (f *Fetcher) addRecent(d kqresource.Digest, data []byte) {
 	f.recent[d] = data
-	if f.order = append(f.order, d); len(f.order) > recent {
-		delete(f.recent, f.order[0])
-		f.order = f.order[1:]
+	if f.recentOrder = append(f.recentOrder, d); len(f.recentOrder) > recent {
+		delete(f.recent, f.recentOrder[0])
+		f.recentOrder = f.recentOrder[1:]
 	}
 }
 
-func (f *Fetcher) read(ctx context.Context, d kqresource.Digest) ([]byte, error) {
-	perSecond, most := f.share()
+// readObject reads one object from the platform within the rate limit.
+func (f *Fetcher) readObject(ctx context.Context, d kqresource.Digest) ([]byte, error) {
+	perSecond, burstSize := f.platformShare()
 	f.limiter.SetLimit(rate.Limit(perSecond))
-	f.limiter.SetBurst(most)
+	f.limiter.SetBurst(burstSize)
 	if err := f.limiter.Wait(ctx); err != nil {
-		return nil, fmt.Errorf("keep to the platform's rate: %w", err)
+		return nil, fmt.Errorf("wait for the platform's rate limit: %w", err)
 	}
 	objects, err := f.platform.Fetch(ctx, []kqresource.Digest{d})
 	if err != nil {
@@ -324,11 +333,11 @@
 	return data, nil
 }
 
-// share is this node's part of the platform's rate, in calls per second, and how
-// many calls it may save up.
-func (f *Fetcher) share() (perSecond float64, most int) {
+// platformShare returns this node's share of the platform's rate, in calls per
+// second, and its burst.
+func (f *Fetcher) platformShare() (perSecond float64, burstSize int) {
 	if f.table.Self().Reader {
-		return f.total / 2 / float64(max(len(f.readers()), assumedReaders)), readerBurst
+		return f.fleetRate / 2 / float64(max(len(f.readers()), assumedReaders)), readerBurst
 	}
-	return f.total / 2 / float64(max(len(f.table.Members()), f.expected)), burst
+	return f.fleetRate / 2 / float64(max(len(f.table.Members()), f.expectedNodes)), burst
 }
--- a/internal/config/kqfetch/cut_test.go
+++ b/internal/config/kqfetch/hedge_test.go
@@ -18,33 +18,34 @@
 )
 
 type (
-	// shelf holds one object and tells when it is asked for.
-	shelf struct {
-		digest kqresource.Digest
-		data   []byte
-		once   sync.Once
-		asked  chan struct{}
+	// objectHolder holds one object and closes requested when it is first
+	// requested.
+	objectHolder struct {
+		digest    kqresource.Digest
+		data      []byte
+		once      sync.Once
+		requested chan struct{}
 	}
 
-	// away is a platform that never answers.
-	away struct{}
+	// silentPlatform never answers. It also serves as an unlimited budget.
+	silentPlatform struct{}
 )
 
-func (s *shelf) Object(d kqresource.Digest) ([]byte, bool) {
-	s.once.Do(func() { close(s.asked) })
+func (s *objectHolder) Object(d kqresource.Digest) ([]byte, bool) {
+	s.once.Do(func() { close(s.requested) })
 	return s.data, d == s.digest
 }
 
-func (*shelf) Hosts() []kqname.Host { return nil }
+func (*objectHolder) Hosts() []kqname.Host { return nil }
 
-func (away) Fetch(ctx context.Context, _ []kqresource.Digest) (kqresource.Objects, error) {
+func (silentPlatform) Fetch(ctx context.Context, _ []kqresource.Digest) (kqresource.Objects, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-func (away) Allow(time.Time) time.Duration { return 0 }
+func (silentPlatform) Allow(time.Time) time.Duration { return 0 }
 
-// listen serves until the test ends.
+// listen runs serve on a new listener until the test ends, and returns its address.
 func listen(t *testing.T, serve func(ctx context.Context, l net.Listener)) kqname.Address {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,13 +63,13 @@
 	return kqname.Address(l.Addr().String())
 }
 
-// The readers of a failure domain are cut off, and their peers do not know yet: a
-// connection to them is silent. A node that waited for one after the other would
-// stay on an old version for seconds, and answer callers by routes long gone. The
-// next peer must be asked while the first are still waited for.
-func TestSilentPeersDoNotHoldUpAVersion(t *testing.T) {
+// The readers of a failure domain are partitioned but not yet detected as dead, so
+// connections to them are silent. A node that called one after the other would
+// stay on an old version for seconds and route calls by outdated routes. The next
+// peer must be called while the earlier calls are still in flight.
+func TestSilentPeersDoNotDelayAVersion(t *testing.T) {
 	data := []byte("routes")
-	good := &shelf{digest: kqresource.DigestOf(data), data: data, asked: make(chan struct{})}
+	objects := &objectHolder{digest: kqresource.DigestOf(data), data: data, requested: make(chan struct{})}
 	silent := func(ctx context.Context, l net.Listener) {
 		conn, err := l.Accept()
 		if err != nil {
@@ -79,17 +80,17 @@
 		defer stop()
 		_, _ = io.Copy(io.Discard, conn)
 		select {
-		case <-good.asked:
+		case <-objects.requested:
 		case <-ctx.Done():
 		default:
-			t.Error("a silent peer was given up before the next one was asked")
+			t.Error("the call to a silent peer ended before the next peer was called")
 		}
 	}
 	holder := listen(t, func(ctx context.Context, l net.Listener) {
 		server, client := kqpeer.NewServer(nil), kqpeer.NewClient("holder", nil)
 		defer client.Close()
 		table := kqmember.NewTable(kqmember.Member{Node: "holder", Domain: "d", Service: "s"})
-		kqfetch.New(server, client, table, away{}, away{}, 1000, 1).Serve(good)
+		kqfetch.New(server, client, table, silentPlatform{}, silentPlatform{}, 1000, 1).Serve(objects)
 		_ = server.Serve(ctx, l)
 	})
 	client := kqpeer.NewClient("self", nil)
@@ -98,9 +99,9 @@
 	table.Merge(kqmember.Member{Node: "r1", Domain: "d", Reader: true, Control: listen(t, silent), Incarnation: 1})
 	table.Merge(kqmember.Member{Node: "r2", Domain: "d", Reader: true, Control: listen(t, silent), Incarnation: 1})
 	table.Merge(kqmember.Member{Node: "holder", Domain: "d", Service: "s", Control: holder, Incarnation: 1})
-	f := kqfetch.New(kqpeer.NewServer(nil), client, table, away{}, away{}, 1000, 1)
-	found, err := f.Fetch(t.Context(), []kqresource.Digest{good.digest})
-	if err != nil || string(found[good.digest]) != string(data) {
+	f := kqfetch.New(kqpeer.NewServer(nil), client, table, silentPlatform{}, silentPlatform{}, 1000, 1)
+	found, err := f.Fetch(t.Context(), []kqresource.Digest{objects.digest})
+	if err != nil || string(found[objects.digest]) != string(data) {
 		t.Errorf("got %d objects, %v", len(found), err)
 	}
 }
--- a/internal/config/kqfetch/hosts.go
+++ b/internal/config/kqfetch/hosts.go
@@ -11,9 +11,10 @@
 
 const (
 	methodHosts = "c.h"
-	// hostsAsked peers tell their hosts, and at most mostHosts are taken over.
-	hostsAsked = 2
-	mostHosts  = 64
+	// A starting node requests the hosts of up to maxHostPeers peers and adopts at
+	// most maxHosts of them.
+	maxHostPeers = 2
+	maxHosts     = 64
 )
 
 type (
@@ -24,28 +25,28 @@
 	}
 )
 
-// PeerHosts returns the hosts that peers of the same service hold, the last used
-// first, for a starting node whose traffic will need the same.
+// PeerHosts returns the hosts that peers of the same service hold, the most recently
+// used first, so that a starting node can prefetch what its traffic will likely need.
 func (f *Fetcher) PeerHosts(ctx context.Context) []kqname.Host {
 	self := f.table.Self()
 	var peers []kqname.Address
 	for _, m := range f.table.Members() {
-		if m.Node != self.Node && m.State == kqmember.Alive && shares(self, m) {
+		if m.Node != self.Node && m.State == kqmember.Alive && haveCommonService(self, m) {
 			peers = append(peers, m.Control)
 		}
 	}
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	var hosts []kqname.Host
 	seen := make(map[kqname.Host]bool)
-	for _, to := range peers[:min(hostsAsked, len(peers))] {
-		asking, cancel := context.WithTimeout(ctx, peerTimeout)
-		a, err := kqpeer.Call[hostsRequest, hostsAnswer](asking, f.client, to, methodHosts, hostsRequest{})
+	for _, to := range peers[:min(maxHostPeers, len(peers))] {
+		callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
+		a, err := kqpeer.Call[hostsRequest, hostsAnswer](callCtx, f.client, to, methodHosts, hostsRequest{})
 		cancel()
 		if err != nil {
 			continue
 		}
 		for _, h := range a.Hosts {
-			if !seen[h] && len(hosts) < mostHosts {
+			if !seen[h] && len(hosts) < maxHosts {
 				seen[h] = true
 				hosts = append(hosts, h)
 			}
@@ -54,7 +55,8 @@
 	return hosts
 }
 
+// answerHosts returns the hosts that this node holds, at most maxHosts.
 func (f *Fetcher) answerHosts(context.Context, kqname.Node, hostsRequest) (hostsAnswer, error) {
-	hosts := f.held.Hosts()
-	return hostsAnswer{Hosts: hosts[:min(len(hosts), mostHosts)]}, nil
+	hosts := f.local.Hosts()
+	return hostsAnswer{Hosts: hosts[:min(len(hosts), maxHosts)]}, nil
 }
--- a/internal/config/kqfetch/peers.go
+++ b/internal/config/kqfetch/peers.go
@@ -9,27 +9,29 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// peers returns whom to ask, in turn: the own domain's readers, the others'
-// readers, and a few peers in random order, which may hold the same hosts.
+// peers returns the addresses to call, in this order: the readers of this node's
+// failure domain, some readers of other domains, and some peers of the same service,
+// which may hold the same hosts. Each group is in random order.
 func (f *Fetcher) peers(self kqmember.Member) []kqname.Address {
-	var near, others, peers []kqname.Address
+	var localReaders, remoteReaders, peers []kqname.Address
 	for _, m := range f.table.Members() {
 		switch {
 		case m.Node == self.Node || m.State == kqmember.Dead:
 		case m.Reader && m.Domain == self.Domain:
-			near = append(near, m.Control)
+			localReaders = append(localReaders, m.Control)
 		case m.Reader:
-			others = append(others, m.Control)
-		case shares(self, m):
+			remoteReaders = append(remoteReaders, m.Control)
+		case haveCommonService(self, m):
 			peers = append(peers, m.Control)
 		}
 	}
-	for _, list := range [][]kqname.Address{near, others, peers} {
+	for _, list := range [][]kqname.Address{localReaders, remoteReaders, peers} {
 		rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	}
-	return slices.Concat(near, others[:min(len(others), peersOfService)], peers[:min(len(peers), peersOfService)])
+	return slices.Concat(localReaders, remoteReaders[:min(len(remoteReaders), maxOtherPeers)], peers[:min(len(peers), maxOtherPeers)])
 }
 
+// readers returns the readers, this node included, that are not dead.
 func (f *Fetcher) readers() []kqmember.Member {
 	var list []kqmember.Member
 	for _, m := range f.table.Members() {
@@ -40,14 +42,15 @@
 	return list
 }
 
-// shares reports whether two nodes stand beside upstreams of one service, and so
-// are likely to need the same hosts.
-func shares(a, b kqmember.Member) bool {
+// haveCommonService reports whether two nodes have upstreams of a common service, and
+// so are likely to need the same hosts.
+func haveCommonService(a, b kqmember.Member) bool {
 	return a.Service != "" && a.Service == b.Service || slices.ContainsFunc(a.Upstreams, func(u kqmember.Upstream) bool {
 		return slices.ContainsFunc(b.Upstreams, func(v kqmember.Upstream) bool { return u.Service == v.Service })
 	})
 }
 
+// missing returns the wanted digests that are not among the objects found.
 func missing(wanted []kqresource.Digest, found kqresource.Objects) []kqresource.Digest {
 	var list []kqresource.Digest
 	for _, d := range wanted {
--- a/internal/config/kqfetch/whole.go
+++ b/internal/config/kqfetch/whole.go
@@ -10,22 +10,23 @@
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
 )
 
-// made returns what this node has made itself.
-func (f *Fetcher) made(wanted []kqresource.Digest) kqresource.Objects {
-	if f.maker == nil {
+// builtObjects returns the wanted objects that this node has built itself.
+func (f *Fetcher) builtObjects(wanted []kqresource.Digest) kqresource.Objects {
+	if f.builder == nil {
 		return make(kqresource.Objects, len(wanted))
 	}
-	return f.maker.Made(wanted)
+	return f.builder.Made(wanted)
 }
 
-// allAtOnce takes all objects in one call.
-func (f *Fetcher) allAtOnce(ctx context.Context, wanted []kqresource.Digest, found kqresource.Objects) error {
+// fetchWholeVersion reads all objects from the platform in one call, shared with
+// concurrent callers.
+func (f *Fetcher) fetchWholeVersion(ctx context.Context, wanted []kqresource.Digest, found kqresource.Objects) error {
 	for {
-		maps.Copy(found, f.made(wanted))
+		maps.Copy(found, f.builtObjects(wanted))
 		if wanted = missing(wanted, found); len(wanted) == 0 {
 			return nil
 		}
-		own, other := f.join()
+		own, other := f.joinWholeRead()
 		if own == nil {
 			select {
 			case <-other.done:
@@ -34,47 +35,47 @@
 				return fmt.Errorf("wait for %d objects: %w", len(wanted), ctx.Err())
 			}
 		}
-		defer f.landAll(own)
-		own.err = f.readAll(ctx, wanted, found)
+		defer f.finishWholeRead(own)
+		own.err = f.readWholeVersion(ctx, wanted, found)
 		return own.err
 	}
 }
 
-// landAll ends a reading of all objects, also where it panics.
-func (f *Fetcher) landAll(own *flight) {
+// finishWholeRead ends a read of all objects; it must run even after a panic.
+func (f *Fetcher) finishWholeRead(own *sharedRead) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reading = nil
+	f.wholeRead = nil
 	close(own.done)
 }
 
-// join begins a reading of all objects, or returns the one that is under way. Many
-// peers ask a reader for a new version at once: one reading serves them all, where
-// one each would cost the platform as many calls as the domain has nodes.
-func (f *Fetcher) join() (own, other *flight) {
+// joinWholeRead starts a read of all objects as own, or returns the one in flight as
+// other. Many peers request a new version from a reader at once: one read serves them
+// all, whereas one each would cost as many platform calls as the domain has nodes.
+func (f *Fetcher) joinWholeRead() (own, other *sharedRead) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.reading != nil {
-		return nil, f.reading
+	if f.wholeRead != nil {
+		return nil, f.wholeRead
 	}
-	f.reading = &flight{done: make(chan struct{})}
-	return f.reading, nil
+	f.wholeRead = &sharedRead{done: make(chan struct{})}
+	return f.wholeRead, nil
 }
 
-// readAll reads all objects from the platform once.
-func (f *Fetcher) readAll(ctx context.Context, wanted []kqresource.Digest, found kqresource.Objects) error {
-	perSecond, most := f.share()
+// readWholeVersion reads all objects with a single platform call.
+func (f *Fetcher) readWholeVersion(ctx context.Context, wanted []kqresource.Digest, found kqresource.Objects) error {
+	perSecond, burstSize := f.platformShare()
 	f.limiter.SetLimit(rate.Limit(perSecond))
-	f.limiter.SetBurst(most)
+	f.limiter.SetBurst(burstSize)
 	if err := f.limiter.Wait(ctx); err != nil {
-		return fmt.Errorf("keep to the platform's rate: %w", err)
+		return fmt.Errorf("wait for the platform's rate limit: %w", err)
 	}
-	// A newer version ends the wait for this one. What is read all the same serves
-	// the newer one; given up each time, a slow server would never have any while
-	// versions come faster than it can read one.
-	reading, cancel := context.WithTimeout(context.WithoutCancel(ctx), readTimeout)
+	// A newer version cancels ctx, but the read continues, since its result also
+	// serves the newer version. If each read were cancelled, a slow server would
+	// never finish one while versions come faster than it can read them.
+	readCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readTimeout)
 	defer cancel()
-	objects, err := f.platform.Fetch(reading, wanted)
+	objects, err := f.platform.Fetch(readCtx, wanted)
 	if err != nil {
 		return fmt.Errorf("fetch %d objects: %w", len(wanted), err)
 	}
--- a/internal/config/kqfetch/shared_test.go
+++ b/internal/config/kqfetch/whole_test.go
@@ -15,50 +15,51 @@
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
 )
 
-// reading is a platform that brings all objects in one call, and what was made of them.
-type reading struct {
+// countingPlatform returns all objects in one call and counts the calls. It also
+// serves as the Maker of the objects returned.
+type countingPlatform struct {
 	objects kqresource.Objects
 	calls   atomic.Int64
 
-	mu   sync.Mutex
-	made kqresource.Objects
+	mu    sync.Mutex
+	built kqresource.Objects
 }
 
-func (r *reading) Fetch(_ context.Context, _ []kqresource.Digest) (kqresource.Objects, error) {
+func (r *countingPlatform) Fetch(_ context.Context, _ []kqresource.Digest) (kqresource.Objects, error) {
 	r.calls.Add(1)
 	time.Sleep(20 * time.Millisecond)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.made = r.objects
+	r.built = r.objects
 	return r.objects, nil
 }
 
-func (r *reading) Made(wanted []kqresource.Digest) kqresource.Objects {
+func (r *countingPlatform) Made(wanted []kqresource.Digest) kqresource.Objects {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	found := make(kqresource.Objects)
 	for _, d := range wanted {
-		if data, ok := r.made[d]; ok {
+		if data, ok := r.built[d]; ok {
 			found[d] = data
 		}
 	}
 	return found
 }
 
-// Operators write a version, and all nodes of a failure domain ask the node that reads
-// for them at once, just before it has read it. One call to the store is enough for
-// all; one for each would use up the store's rate as the fleet grows.
-func TestOneReadingServesAllWhoWait(t *testing.T) {
+// All nodes of a failure domain request a new version from their reader just before it
+// has read it. All must share one platform call; one call each would exceed the
+// platform's rate as the fleet grows.
+func TestConcurrentFetchesShareOnePlatformRead(t *testing.T) {
 	objects := make(kqresource.Objects)
 	digest, err := objects.Add(kqresource.Host{Name: "h"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	platform := &reading{objects: objects}
+	platform := &countingPlatform{objects: objects}
 	client := kqpeer.NewClient("self", nil)
 	defer client.Close()
 	table := kqmember.NewTable(kqmember.Member{Node: "self", Domain: "d", Reader: true})
-	f := kqfetch.New(kqpeer.NewServer(nil), client, table, platform, away{}, 1000, 1)
+	f := kqfetch.New(kqpeer.NewServer(nil), client, table, platform, silentPlatform{}, 1000, 1)
 	f.TakeWhole(platform)
 	var group conc.WaitGroup
 	for range 20 {
