--- a/internal/config/kqdistribute/apply.go
+++ b/internal/config/kqdistribute/apply.go
@@ -12,71 +12,75 @@
 )
 
 const (
-	backoffBase = 50 * time.Millisecond
-	backoffMost = 5 * time.Second
-	// startPoll looks again whether a starting node may serve.
-	startPoll = 100 * time.Millisecond
-	// finishWithin is how long the fetch of a version may still take once a newer one
-	// is known. Without it, versions that come faster than a node can fetch one would
-	// each end the fetch of the one before, and the node would stay on an old version
-	// for as long as they come; a fetch takes some 10 to 200 ms. A longer time would
-	// let one silent peer keep the node from the newer version.
-	finishWithin = 500 * time.Millisecond
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 5 * time.Second
+	// startPollInterval is how often a starting node checks whether it may apply its
+	// first version.
+	startPollInterval = 100 * time.Millisecond
+	// supersedeGrace is how long the fetch of a version may continue once a newer one
+	// is known. Without it, versions that arrive faster than a node can fetch one would
+	// each cancel the previous fetch, and the node would stay on an old version for as
+	// long as they arrive; a fetch takes some 10 to 200 ms. A longer time would let one
+	// silent peer keep the node from the newer version.
+	supersedeGrace = 500 * time.Millisecond
 )
 
-// applying puts the newest root in force. A newer root ends the fetch of the
-// one before, after a grace: a slow fetch would otherwise keep the node from a
-// version that the rest of the fleet has long been serving.
-func (d *Distributor) applying(ctx context.Context) {
+// applyLoop applies the newest root until ctx ends. A newer root cancels the fetch of
+// the previous one after supersedeGrace; otherwise a slow fetch would keep the node
+// from a version that the rest of the fleet already serves.
+func (d *Distributor) applyLoop(ctx context.Context) {
 	var applied kqname.ConfigVersion
-	backoff := backoffBase
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		if d.starting() {
-			d.rest(ctx, startPoll)
+		if d.isStarting() {
+			d.waitForApply(ctx, startPollInterval)
 			continue
 		}
-		inner, r := d.supersede(ctx)
+		applyCtx, r := d.beginApply(ctx)
 		if r.root.Version <= applied {
-			d.rest(ctx, 0)
+			d.waitForApply(ctx, 0)
 			continue
 		}
-		err := d.replica.Offer(inner, r.root)
+		err := d.replica.Offer(applyCtx, r.root)
 		switch {
 		case err == nil:
-			applied, backoff = r.root.Version, backoffBase
-		case inner.Err() != nil:
-			// A newer root is there.
+			applied, backoff = r.root.Version, minBackoff
+		case applyCtx.Err() != nil:
+			// A newer root has superseded this one.
 		case errors.Is(err, kqsnapshot.ErrInvalid):
-			// The same bytes will not become valid; the next version may be.
-			d.failed(r.root.Version, err)
+			// A retry cannot succeed; the next version may be valid.
+			d.onFailure(r.root.Version, err)
 			applied = r.root.Version
 		default:
-			d.failed(r.root.Version, err)
-			d.rest(ctx, rand.N(backoff)+time.Millisecond)
-			backoff = min(2*backoff, backoffMost)
+			d.onFailure(r.root.Version, err)
+			d.waitForApply(ctx, rand.N(backoff)+time.Millisecond)
+			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 }
 
-func (d *Distributor) supersede(ctx context.Context) (context.Context, record) {
+// beginApply cancels the previous apply and returns the newest root, with a context
+// that ends when a newer root supersedes it.
+func (d *Distributor) beginApply(ctx context.Context) (context.Context, rootRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.release()
-	inner, cancel := context.WithCancel(ctx)
-	d.release = cancel
-	d.superseded = sync.OnceFunc(func() { time.AfterFunc(finishWithin, cancel) })
-	return inner, d.newest()
+	d.cancelApply()
+	applyCtx, cancel := context.WithCancel(ctx)
+	d.cancelApply = cancel
+	d.supersedeApply = sync.OnceFunc(func() { time.AfterFunc(supersedeGrace, cancel) })
+	return applyCtx, d.newest()
 }
 
-// rest waits for something to apply, at most for most unless that is 0.
-func (d *Distributor) rest(ctx context.Context, most time.Duration) {
+// waitForApply waits until there may be a root to apply, for at most maxWait unless
+// that is 0.
+func (d *Distributor) waitForApply(ctx context.Context, maxWait time.Duration) {
 	var timeout <-chan time.Time
-	if most > 0 {
-		timeout = time.After(most)
+	if maxWait > 0 {
+		timeout = time.After(maxWait)
 	}
 	select {
 	case <-ctx.Done():
-	case <-d.apply:
+	case <-d.applyWake:
 	case <-timeout:
 	}
 }
--- a/internal/config/kqdistribute/storm_test.go
+++ b/internal/config/kqdistribute/apply_test.go
@@ -16,16 +16,17 @@
 )
 
 type (
-	// slow is a replica whose fetches take longer than the time between versions.
-	slow struct {
+	// slowReplica takes longer to apply a version than the time between versions.
+	slowReplica struct {
 		fetch   time.Duration
 		applied atomic.Int64
 	}
 
-	alone struct{}
+	// loneNode is an overlay without neighbours and a budget without limit.
+	loneNode struct{}
 )
 
-func (s *slow) Offer(ctx context.Context, _ kqresource.Root) error {
+func (s *slowReplica) Offer(ctx context.Context, _ kqresource.Root) error {
 	select {
 	case <-time.After(s.fetch):
 		s.applied.Add(1)
@@ -35,19 +36,18 @@
 	}
 }
 
-func (alone) Neighbours() []kqmember.Member { return nil }
+func (loneNode) Neighbours() []kqmember.Member { return nil }
 
-func (alone) Allow(time.Time) time.Duration { return 0 }
+func (loneNode) Allow(time.Time) time.Duration { return 0 }
 
-// Operators change the configuration several times a second, and a node with a slow
-// link needs longer for the objects of one version than until the next one. Were each
-// fetch given up for the next, the node would stay on the version from before the
-// changes until they end, and its callers would be answered by routes long gone.
-func TestVersionsInQuickSuccessionComeIntoForce(t *testing.T) {
-	replica := &slow{fetch: 60 * time.Millisecond}
+// Versions follow each other faster than a node with a slow link can fetch the objects
+// of one. If each version cancelled the previous fetch, the node would stay on the
+// version from before the changes until they end, and route calls by outdated routes.
+func TestFrequentVersionsAreStillApplied(t *testing.T) {
+	replica := &slowReplica{fetch: 60 * time.Millisecond}
 	table := kqmember.NewTable(kqmember.Member{Node: "a", Domain: "d"})
-	failed := func(v kqname.ConfigVersion, err error) { t.Errorf("version %d: %v", v, err) }
-	d := kqdistribute.New(kqpeer.NewServer(nil), kqpeer.NewClient("a", nil), table, alone{}, alone{}, replica, failed)
+	onFailure := func(v kqname.ConfigVersion, err error) { t.Errorf("version %d failed: %v", v, err) }
+	d := kqdistribute.New(kqpeer.NewServer(nil), kqpeer.NewClient("a", nil), table, loneNode{}, loneNode{}, replica, onFailure)
 	ctx, cancel := context.WithCancel(t.Context())
 	var group conc.WaitGroup
 	defer group.Wait()
@@ -59,6 +59,6 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if n := replica.applied.Load(); n < 5 {
-		t.Errorf("%d versions came into force during %d changes, want at least 5", n, versions)
+		t.Errorf("%d versions were applied during %d changes, want at least 5", n, versions)
 	}
 }
--- a/internal/config/kqdistribute/distribute.go
+++ b/internal/config/kqdistribute/distribute.go
@@ -21,96 +21,102 @@
 	methodRoot = "c.r"
 
 	pushTimeout = time.Second
-	// pullTimeout is how long one peer is waited for with a root, or what has changed
-	// of it, some KB: one that is cut off must not keep the node from asking another.
+	// pullTimeout bounds the pull of a root or delta of some KB from one peer, so that
+	// a partitioned peer does not keep the node from calling another.
 	pullTimeout = 500 * time.Millisecond
-	// history is how many roots are kept to make deltas from: a node that is
-	// that many versions behind takes the whole root.
-	history = 16
+	// maxRoots is how many roots are kept to compute deltas from; a node that is that
+	// many versions behind pulls the whole root.
+	maxRoots = 16
 )
 
 type (
-	// Replica puts versions in force.
+	// Replica applies versions.
 	Replica interface {
 		Offer(ctx context.Context, root kqresource.Root) error
 	}
 
-	// Overlay gives the peers to push to.
+	// Overlay returns the peers to push to.
 	Overlay interface {
 		Neighbours() []kqmember.Member
 	}
 
-	// Budget says how long bulk must wait; 0 sends it now.
+	// Budget limits bulk transfers. Allow returns how long one must wait, 0 if it
+	// may be sent now.
 	Budget interface {
 		Allow(now time.Time) time.Duration
 	}
 
-	// Distributor holds the newest root and spreads it. It is safe for
+	// Distributor holds the newest roots and distributes them. It is safe for
 	// concurrent use.
 	Distributor struct {
-		client  *kqpeer.Client
-		table   *kqmember.Table
-		overlay Overlay
-		budget  Budget
-		replica Replica
-		failed  func(version kqname.ConfigVersion, err error)
-		group   conc.WaitGroup
-
-		mu       sync.Mutex
-		held     []record
-		hints    map[kqname.Address]hint
-		answered map[kqname.Node]kqname.Domain
-		platform bool
-		started  bool
-		pull     chan struct{}
-		apply    chan struct{}
-		// release ends the apply that is under way, superseded after a grace.
-		release, superseded func()
-	}
-
-	record struct {
+		client    *kqpeer.Client
+		table     *kqmember.Table
+		overlay   Overlay
+		budget    Budget
+		replica   Replica
+		onFailure func(version kqname.ConfigVersion, err error)
+		group     conc.WaitGroup
+
+		mu               sync.Mutex
+		roots            []rootRecord
+		hints            map[kqname.Address]hint
+		answeredPeers    map[kqname.Node]kqname.Domain
+		platformAnswered bool
+		started          bool
+		pullWake         chan struct{}
+		applyWake        chan struct{}
+		// cancelApply cancels the apply in flight at once, and supersedeApply after
+		// supersedeGrace.
+		cancelApply, supersedeApply func()
+	}
+
+	// rootRecord is a root with its digest and encoded bytes.
+	rootRecord struct {
 		root   kqresource.Root
 		digest kqresource.Digest
 		data   []byte
 	}
 
+	// hint is the version that a peer reported to hold and, if it was busy, the time
+	// after which it may be called again.
 	hint struct {
-		version kqname.ConfigVersion
-		after   time.Time
+		version    kqname.ConfigVersion
+		retryAfter time.Time
 	}
 )
 
-// New returns a distributor that answers on server and sends through client;
-// failed is told of each version that could not be put in force.
+// New returns a Distributor that serves peers on server and calls them through
+// client. onFailure is called for each version that could not be applied.
 func New(server *kqpeer.Server, client *kqpeer.Client, table *kqmember.Table, overlay Overlay, budget Budget,
-	replica Replica, failed func(kqname.ConfigVersion, error),
+	replica Replica, onFailure func(kqname.ConfigVersion, error),
 ) *Distributor {
 	d := &Distributor{
-		client: client, table: table, overlay: overlay, budget: budget, replica: replica, failed: failed,
-		hints: make(map[kqname.Address]hint), answered: make(map[kqname.Node]kqname.Domain),
-		pull: make(chan struct{}, 1), apply: make(chan struct{}, 1), release: func() {}, superseded: func() {},
+		client: client, table: table, overlay: overlay, budget: budget, replica: replica, onFailure: onFailure,
+		hints: make(map[kqname.Address]hint), answeredPeers: make(map[kqname.Node]kqname.Domain),
+		pullWake: make(chan struct{}, 1), applyWake: make(chan struct{}, 1), cancelApply: func() {}, supersedeApply: func() {},
 	}
-	kqpeer.Handle(server, methodPush, d.answerPush)
-	kqpeer.Handle(server, methodRoot, d.answerRoot)
+	kqpeer.Handle(server, methodPush, d.handlePush)
+	kqpeer.Handle(server, methodRoot, d.handleRoot)
 	return d
 }
 
-// Run pulls and applies until ctx ends.
+// Run pulls and applies versions until ctx ends.
 func (d *Distributor) Run(ctx context.Context) {
 	defer d.group.Wait()
 	kept := kqkeeper.From(ctx)
-	d.group.Go(func() { kept.Keep(ctx, "pull", func() { d.pulling(ctx) }) })
-	kept.Keep(ctx, "apply", func() { d.applying(ctx) })
+	d.group.Go(func() { kept.Keep(ctx, "pull", func() { d.pullLoop(ctx) }) })
+	kept.Keep(ctx, "apply", func() { d.applyLoop(ctx) })
 }
 
-// Newest returns the highest version whose root is held.
+// Newest returns the highest version whose root this node holds.
 func (d *Distributor) Newest() kqname.ConfigVersion {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.newest().root.Version
 }
 
-// Heard notes that a peer says it holds a version.
+// Heard records that a peer reports to hold a version, and triggers a pull if the
+// version is newer than this node's.
 func (d *Distributor) Heard(v kqname.ConfigVersion, from kqname.Address) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -118,12 +124,13 @@
 		return
 	}
 	if h := d.hints[from]; v > h.version {
-		d.hints[from] = hint{version: v, after: h.after}
+		d.hints[from] = hint{version: v, retryAfter: h.retryAfter}
 	}
-	wake(d.pull)
+	wake(d.pullWake)
 }
 
-// Answered notes a peer's answer for the start of this node.
+// Answered records that a peer has answered; a starting node needs such answers
+// before it applies its first version.
 func (d *Distributor) Answered(n kqname.Node, _ kqname.ConfigVersion) {
 	m, ok := d.table.Find(n)
 	if !ok {
@@ -132,57 +139,58 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.started {
-		d.answered[n] = m.Domain
-		wake(d.apply)
+		d.answeredPeers[n] = m.Domain
+		wake(d.applyWake)
 	}
 }
 
-// Take takes in the root that the platform answered with.
+// Take adds a root that was read from the platform.
 func (d *Distributor) Take(ctx context.Context, root kqresource.Root) {
 	data, err := kqresource.Encode(root)
 	if err != nil {
-		d.failed(root.Version, fmt.Errorf("take root: %w", err))
+		d.onFailure(root.Version, fmt.Errorf("encode root from the platform: %w", err))
 		return
 	}
 	d.mu.Lock()
-	d.platform = true
+	d.platformAnswered = true
 	d.mu.Unlock()
-	wake(d.apply)
-	d.hold(ctx, record{root: root, digest: kqresource.DigestOf(data), data: data}, "")
+	wake(d.applyWake)
+	d.addRoot(ctx, rootRecord{root: root, digest: kqresource.DigestOf(data), data: data}, "")
 }
 
-// hold keeps a root that is newer than all held before, and passes it on at
-// once: neighbours need not wait for this node's own objects.
-func (d *Distributor) hold(ctx context.Context, r record, from kqname.Address) {
+// addRoot adds a root that is newer than all held, and pushes it at once, so that
+// neighbours need not wait until this node has fetched its objects.
+func (d *Distributor) addRoot(ctx context.Context, r rootRecord, from kqname.Address) {
 	d.mu.Lock()
 	if r.root.Version <= d.newest().root.Version {
 		d.mu.Unlock()
 		return
 	}
-	d.held = append(d.held, r)
-	if len(d.held) > history {
-		d.held = append([]record(nil), d.held[len(d.held)-history:]...)
+	d.roots = append(d.roots, r)
+	if len(d.roots) > maxRoots {
+		d.roots = append([]rootRecord(nil), d.roots[len(d.roots)-maxRoots:]...)
 	}
 	for to, h := range d.hints {
 		if h.version <= r.root.Version {
 			delete(d.hints, to)
 		}
 	}
-	d.superseded()
+	d.supersedeApply()
 	d.mu.Unlock()
-	wake(d.apply)
+	wake(d.applyWake)
 	d.push(ctx, r, from)
 }
 
-func (d *Distributor) newest() record {
-	if len(d.held) == 0 {
-		return record{}
+// newest returns the newest root held, or an empty record. It requires d.mu.
+func (d *Distributor) newest() rootRecord {
+	if len(d.roots) == 0 {
+		return rootRecord{}
 	}
-	return d.held[len(d.held)-1]
+	return d.roots[len(d.roots)-1]
 }
 
-// starting reports whether the first version must still be held back.
-func (d *Distributor) starting() bool {
+// isStarting reports whether the node must not apply its first version yet.
+func (d *Distributor) isStarting() bool {
 	known := make(map[kqname.Node]kqname.Domain)
 	self := d.table.Self().Node
 	for _, m := range d.table.Members() {
@@ -195,9 +203,9 @@
 	if d.started {
 		return false
 	}
-	e := kqstart.Evidence{Platform: d.platform, Answered: d.answered, Known: known}
+	e := kqstart.Evidence{Platform: d.platformAnswered, Answered: d.answeredPeers, Known: known}
 	for _, h := range d.hints {
-		if h.version > d.newest().root.Version && h.after.IsZero() {
+		if h.version > d.newest().root.Version && h.retryAfter.IsZero() {
 			return true
 		}
 	}
@@ -205,6 +213,7 @@
 	return !d.started
 }
 
+// wake signals c without blocking; a signal that is pending already is enough.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/config/kqdistribute/doc.go
+++ b/internal/config/kqdistribute/doc.go
@@ -1,4 +1,4 @@
-// Package kqdistribute spreads configuration versions over the overlay: a push
-// of version and digest to the neighbours, and a pull of the root by whoever
-// lacks it. What it holds only ever grows in version.
+// Package kqdistribute distributes configuration versions over the overlay: a node
+// pushes the version and digest to its neighbours, and a node that lacks the version
+// pulls its root. The newest version that a node holds never decreases.
 package kqdistribute
--- /dev/null
+++ b/internal/config/kqdistribute/exchange.go
@@ -0,0 +1,183 @@
+package kqdistribute
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/kumquatgw/kumquatgw/internal/config/kqdelta"
+	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/pkg/kqname"
+)
+
+var (
+	errBusy   = errors.New("peer is over its send budget")
+	errNoRoot = errors.New("peer holds no root")
+)
+
+type (
+	push struct {
+		Version kqname.ConfigVersion `cbor:"1,keyasint"`
+		Digest  kqresource.Digest    `cbor:"2,keyasint"`
+	}
+
+	// rootRequest requests the newest root, if possible as a delta from the root with
+	// the digest Held.
+	rootRequest struct {
+		Held kqresource.Digest `cbor:"1,keyasint"`
+	}
+
+	rootAnswer struct {
+		Version kqname.ConfigVersion `cbor:"1,keyasint"`
+		// Whole is the encoded root; alternatively, Delta is its difference from the
+		// root that the caller holds.
+		Whole []byte         `cbor:"2,keyasint,omitempty"`
+		Delta *kqdelta.Delta `cbor:"3,keyasint,omitempty"`
+		// RetryAfterMS is set, and nothing else, if the peer is over its send budget.
+		RetryAfterMS int64 `cbor:"4,keyasint,omitempty"`
+	}
+
+	empty struct{}
+)
+
+// push sends the version to the neighbours that lack it, except the one it came from.
+func (d *Distributor) push(ctx context.Context, r rootRecord, from kqname.Address) {
+	if ctx.Err() != nil {
+		return
+	}
+	message := push{Version: r.root.Version, Digest: r.digest}
+	for _, m := range d.overlay.Neighbours() {
+		if m.Control == from || m.Config >= r.root.Version {
+			continue
+		}
+		d.group.Go(func() {
+			ctx, cancel := context.WithTimeout(ctx, pushTimeout)
+			defer cancel()
+			// On failure, the peer learns of the version from a heartbeat.
+			_, _ = kqpeer.Call[push, empty](ctx, d.client, m.Control, methodPush, message)
+		})
+	}
+}
+
+func (d *Distributor) handlePush(_ context.Context, from kqname.Node, q push) (empty, error) {
+	if m, ok := d.table.Find(from); ok {
+		d.Heard(q.Version, m.Control)
+	}
+	return empty{}, nil
+}
+
+func (d *Distributor) handleRoot(_ context.Context, _ kqname.Node, q rootRequest) (rootAnswer, error) {
+	d.mu.Lock()
+	roots := d.roots
+	d.mu.Unlock()
+	if len(roots) == 0 {
+		return rootAnswer{}, nil
+	}
+	next := roots[len(roots)-1]
+	for _, old := range roots {
+		if old.digest == q.Held {
+			delta := kqdelta.Between(old.root, next.root, old.digest, next.digest)
+			return rootAnswer{Version: next.root.Version, Delta: &delta}, nil
+		}
+	}
+	if wait := d.budget.Allow(time.Now()); wait > 0 {
+		return rootAnswer{RetryAfterMS: wait.Milliseconds() + 1}, nil
+	}
+	return rootAnswer{Version: next.root.Version, Whole: next.data}, nil
+}
+
+// pullLoop pulls from the peers that reported a newer version, the highest first.
+func (d *Distributor) pullLoop(ctx context.Context) {
+	for ctx.Err() == nil {
+		from, wait, ok := d.choosePeer(time.Now())
+		if ok {
+			d.pullFrom(ctx, from)
+			continue
+		}
+		var timeout <-chan time.Time
+		if wait > 0 {
+			timeout = time.After(wait)
+		}
+		select {
+		case <-ctx.Done():
+		case <-d.pullWake:
+		case <-timeout:
+		}
+	}
+}
+
+// choosePeer returns the peer with the highest version above this node's; if there is
+// none, ok is false and wait is the time until a busy one may be called again.
+func (d *Distributor) choosePeer(now time.Time) (from kqname.Address, wait time.Duration, ok bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	var best kqname.ConfigVersion
+	for to, h := range d.hints {
+		switch {
+		case h.version <= d.newest().root.Version:
+			delete(d.hints, to)
+		case h.retryAfter.After(now):
+			if left := h.retryAfter.Sub(now); wait == 0 || left < wait {
+				wait = left
+			}
+		case h.version > best:
+			from, best, ok = to, h.version, true
+		}
+	}
+	return from, wait, ok
+}
+
+// pullFrom pulls the newest root of a peer.
+func (d *Distributor) pullFrom(ctx context.Context, from kqname.Address) {
+	d.mu.Lock()
+	old := d.newest()
+	d.mu.Unlock()
+	callCtx, cancel := context.WithTimeout(ctx, pullTimeout)
+	defer cancel()
+	a, err := kqpeer.Call[rootRequest, rootAnswer](callCtx, d.client, from, methodRoot, rootRequest{Held: old.digest})
+	var r rootRecord
+	if err == nil {
+		r, err = a.rootRecord(old)
+	}
+	if a.Delta != nil && err != nil {
+		// The delta does not produce the stated root, so the whole root is pulled.
+		d.onFailure(a.Version, err)
+		if a, err = kqpeer.Call[rootRequest, rootAnswer](callCtx, d.client, from, methodRoot, rootRequest{}); err == nil {
+			r, err = a.rootRecord(rootRecord{})
+		}
+	}
+	d.mu.Lock()
+	h := d.hints[from]
+	delete(d.hints, from)
+	if errors.Is(err, errBusy) {
+		h.retryAfter = time.Now().Add(time.Duration(a.RetryAfterMS) * time.Millisecond)
+		d.hints[from] = h
+	}
+	d.mu.Unlock()
+	if err == nil {
+		d.addRoot(ctx, r, from)
+	}
+}
+
+// rootRecord returns the root of the answer, where old is the root that the request named.
+func (a rootAnswer) rootRecord(old rootRecord) (rootRecord, error) {
+	switch {
+	case a.RetryAfterMS > 0:
+		return rootRecord{}, errBusy
+	case a.Delta != nil:
+		root, data, err := a.Delta.Apply(old.root, old.digest)
+		if err != nil {
+			return rootRecord{}, fmt.Errorf("apply root delta: %w", err)
+		}
+		return rootRecord{root: root, data: data, digest: a.Delta.Result}, nil
+	case len(a.Whole) == 0:
+		return rootRecord{}, errNoRoot
+	}
+	var root kqresource.Root
+	if err := kqresource.Decode(a.Whole, &root); err != nil {
+		return rootRecord{}, fmt.Errorf("decode root: %w", err)
+	}
+	return rootRecord{root: root, data: a.Whole, digest: kqresource.DigestOf(a.Whole)}, nil
+}
