--- a/internal/config/kqsnapshot/build.go
+++ b/internal/config/kqsnapshot/build.go
@@ -12,7 +12,7 @@
 )
 
 type (
-	// BuildOption sets up a Build.
+	// BuildOption configures a Build.
 	BuildOption func(*builder)
 
 	builder struct {
@@ -23,15 +23,15 @@
 	}
 )
 
-// WithPrevious takes over what another snapshot has decoded of objects that are
-// the same in both.
+// WithPrevious reuses the decoded objects that s has in common with the new
+// snapshot.
 func WithPrevious(s *Snapshot) BuildOption { return func(b *builder) { b.previous = s } }
 
-// Build makes the snapshot of a root for the given hosts and services. It
-// returns ErrIncomplete, and the digests that are missing, unless the objects
-// hold the whole closure, and ErrInvalid if what they hold is not valid by the
-// rules of kqdocument.Validate; hosts that the root does not name are passed
-// over.
+// Build builds the snapshot of a root for the given hosts and services, and the
+// services that the hosts' routes name. If objects are missing, it returns
+// ErrIncomplete and their digests; if the content violates the rules of
+// kqdocument.Validate, ErrInvalid. Hosts and services that the root does not name
+// are skipped.
 func Build(root kqresource.Root, objects kqresource.Objects, hosts []kqname.Host, services []kqname.Service, options ...BuildOption) (*Snapshot, []kqresource.Digest, error) {
 	b := &builder{
 		objects:  objects,
@@ -46,7 +46,7 @@
 		o(b)
 	}
 	for _, h := range hosts {
-		if err := b.host(h); err != nil {
+		if err := b.addHost(h); err != nil {
 			return nil, nil, fmt.Errorf("build version %d: %w", root.Version, err)
 		}
 	}
@@ -54,32 +54,33 @@
 		if _, ok := root.Services[s]; !ok {
 			continue
 		}
-		if err := b.service(s); err != nil {
+		if err := b.addService(s); err != nil {
 			return nil, nil, fmt.Errorf("build version %d: %w", root.Version, err)
 		}
 	}
 	if len(b.missing) > 0 {
 		return nil, b.missing, fmt.Errorf("build version %d, %d objects missing: %w", root.Version, len(b.missing), ErrIncomplete)
 	}
-	if err := b.snapshot.check(); err != nil {
+	if err := b.snapshot.validate(); err != nil {
 		return nil, nil, fmt.Errorf("build version %d: %w", root.Version, err)
 	}
 	return b.snapshot, nil, nil
 }
 
-func (b *builder) host(name kqname.Host) error {
+// addHost adds a host's index, or the digests of its missing objects to b.missing.
+func (b *builder) addHost(name kqname.Host) error {
 	parts, ok := b.snapshot.root.Hosts[name]
 	if !ok {
 		return nil
 	}
-	before := b.previous.hosts[name]
-	if before != nil && slices.Equal(b.previous.root.Hosts[name], parts) {
-		return b.index(name, before)
+	previousIndex := b.previous.hosts[name]
+	if previousIndex != nil && slices.Equal(b.previous.root.Hosts[name], parts) {
+		return b.index(name, previousIndex)
 	}
 	decoded := make(map[kqresource.Digest][]kqdocument.Route, len(parts))
 	for _, digest := range parts {
-		if before != nil && before.parts[digest] != nil {
-			decoded[digest] = before.parts[digest]
+		if previousIndex != nil && previousIndex.parts[digest] != nil {
+			decoded[digest] = previousIndex.parts[digest]
 			continue
 		}
 		data, ok := b.objects[digest]
@@ -99,27 +100,29 @@
 	return b.index(name, newIndex(decoded))
 }
 
+// decodePart decodes the object of a host's part and checks that it is for that host.
 func decodePart(name kqname.Host, data []byte) ([]kqdocument.Route, error) {
 	var h kqresource.Host
 	if err := kqresource.Decode(data, &h); err != nil {
 		return nil, fmt.Errorf("host %s: %w", name, errors.Join(ErrInvalid, err))
 	}
 	if h.Name != name {
-		return nil, fmt.Errorf("host %s is called %s: %w", name, h.Name, ErrInvalid)
+		return nil, fmt.Errorf("object of host %s holds host %s: %w", name, h.Name, ErrInvalid)
 	}
 	for _, r := range h.Routes {
 		if r.Host != name {
-			return nil, fmt.Errorf("route %s of host %s is in host %s: %w", r.Name, r.Host, name, ErrInvalid)
+			return nil, fmt.Errorf("route %s of host %s is in the object of host %s: %w", r.Name, r.Host, name, ErrInvalid)
 		}
 	}
 	return h.Routes, nil
 }
 
+// index adds a host's index and the services that its routes name.
 func (b *builder) index(name kqname.Host, x *index) error {
 	for _, routes := range x.prefixes {
 		for _, r := range routes {
 			for _, s := range r.Services() {
-				if err := b.service(s); err != nil {
+				if err := b.addService(s); err != nil {
 					return fmt.Errorf("route %s: %w", r.Name, err)
 				}
 			}
@@ -129,7 +132,8 @@
 	return nil
 }
 
-func (b *builder) service(name kqname.Service) error {
+// addService adds a service, or the digest of its missing object to b.missing.
+func (b *builder) addService(name kqname.Service) error {
 	if _, ok := b.snapshot.services[name]; ok {
 		return nil
 	}
@@ -153,14 +157,15 @@
 		return fmt.Errorf("service %s: %w", name, errors.Join(ErrInvalid, err))
 	}
 	if s.Service.Name != name {
-		return fmt.Errorf("service %s is called %s: %w", name, s.Service.Name, ErrInvalid)
+		return fmt.Errorf("object of service %s holds service %s: %w", name, s.Service.Name, ErrInvalid)
 	}
 	b.snapshot.services[name] = s
 	return nil
 }
 
-// precedence puts the more exact route first.
-func precedence(a, b kqdocument.Route) int {
+// compareRoutes orders the more specific route first: by the length of the prefix,
+// the number of headers, a method, and last the name.
+func compareRoutes(a, b kqdocument.Route) int {
 	return cmp.Or(
 		cmp.Compare(len(b.PathPrefix), len(a.PathPrefix)),
 		cmp.Compare(len(b.Headers), len(a.Headers)),
--- a/internal/config/kqsnapshot/doc.go
+++ b/internal/config/kqsnapshot/doc.go
@@ -1,4 +1,4 @@
-// Package kqsnapshot holds one whole, immutable configuration version as a
-// node's traffic needs it: the routes of some hosts and every service that
+// Package kqsnapshot holds an immutable view of one configuration version, reduced
+// to what a node's traffic needs: the routes of some hosts and every service that
 // those routes name.
 package kqsnapshot
--- a/internal/config/kqsnapshot/index.go
+++ b/internal/config/kqsnapshot/index.go
@@ -8,23 +8,23 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 )
 
-// index finds a host's routes by their path prefix. A host with hundreds of
-// routes would otherwise have each call compared with all of them; here a call
-// costs one look-up for each length that a prefix of the host has.
+// index finds a host's routes by path prefix. Instead of a comparison with each of
+// possibly hundreds of routes, a call costs one map lookup per distinct prefix
+// length.
 type index struct {
-	// parts holds the decoded routes by the object that they came with: the next
-	// version shares most of them.
+	// parts holds the decoded routes by the object that contains them; the next
+	// version reuses most of them.
 	parts map[kqresource.Digest][]kqdocument.Route
 	// lengths are those of the prefixes, longest first.
 	lengths  []int
 	prefixes map[string][]kqdocument.Route
 }
 
-// newIndex makes the index of a host's parts.
+// newIndex returns the index of a host's parts.
 func newIndex(parts map[kqresource.Digest][]kqdocument.Route) *index {
 	x := &index{parts: parts, prefixes: make(map[string][]kqdocument.Route)}
 	routes := slices.Concat(slices.Collect(maps.Values(parts))...)
-	slices.SortFunc(routes, precedence)
+	slices.SortFunc(routes, compareRoutes)
 	for _, r := range routes {
 		x.prefixes[r.PathPrefix] = append(x.prefixes[r.PathPrefix], r)
 		if !slices.Contains(x.lengths, len(r.PathPrefix)) {
@@ -35,13 +35,14 @@
 	return x
 }
 
+// match returns the most specific route that matches the request.
 func (x *index) match(r Request) (kqdocument.Route, bool) {
 	for _, n := range x.lengths {
 		if n > len(r.Path) {
 			continue
 		}
 		for i := range x.prefixes[r.Path[:n]] {
-			if route := &x.prefixes[r.Path[:n]][i]; fits(route, r) {
+			if route := &x.prefixes[r.Path[:n]][i]; matchesRequest(route, r) {
 				return *route, true
 			}
 		}
@@ -49,7 +50,8 @@
 	return kqdocument.Route{}, false
 }
 
-func fits(route *kqdocument.Route, r Request) bool {
+// matchesRequest reports whether a route's method and headers match a request.
+func matchesRequest(route *kqdocument.Route, r Request) bool {
 	if route.Method != "" && route.Method != r.Method {
 		return false
 	}
--- a/internal/config/kqsnapshot/index_test.go
+++ b/internal/config/kqsnapshot/index_test.go
@@ -41,9 +41,9 @@
 	return kqdocument.Route{Name: kqname.Route(name), Host: host, PathPrefix: prefix, Method: method, Headers: headers, Service: "store", Team: "makers"}
 }
 
-// Several routes fit a call and the wrong one is taken: orders reach the
-// catalogue's upstream. The longest prefix wins, then headers, then a method.
-func TestMostExactRouteWins(t *testing.T) {
+// If several routes match a call, the longest prefix must win, then the most
+// headers, then a method; otherwise calls reach the wrong service.
+func TestMostSpecificRouteWins(t *testing.T) {
 	s := build(t, []kqdocument.Route{
 		route("all", "/", "", nil), route("orders", "/orders", "", nil), route("post", "/orders", "POST", nil),
 		route("trial", "/orders", "", map[string]string{"Trial": "yes"}), route("one", "/orders/1", "GET", nil),
@@ -59,15 +59,15 @@
 	} {
 		got, ok := s.Match(kqsnapshot.Request{Host: host, Path: c.path, Method: c.method, Header: func(string) string { return c.trial }})
 		if !ok || string(got.Name) != c.want {
-			t.Errorf("%s %s trial %q goes to %q, want %q", c.method, c.path, c.trial, got.Name, c.want)
+			t.Errorf("%s %s with trial %q matches route %q, want %q", c.method, c.path, c.trial, got.Name, c.want)
 		}
 	}
 	if _, ok := s.Match(kqsnapshot.Request{Host: "other", Path: "/"}); ok {
-		t.Error("a route fits a host that has none")
+		t.Error("a route matches for a host without routes")
 	}
 }
 
-// BenchmarkMatch has all 2,000 routes of 89 services on one host, the worst case.
+// BenchmarkMatch measures the worst case: all 2,000 routes of 89 services on one host.
 func BenchmarkMatch(b *testing.B) {
 	var routes []kqdocument.Route
 	for i := range 2000 {
--- a/internal/config/kqsnapshot/snapshot.go
+++ b/internal/config/kqsnapshot/snapshot.go
@@ -9,41 +9,43 @@
 )
 
 var (
-	// namespace holds the package's error types; its errors are made once and carry
-	// no stack.
+	// namespace holds the package's error types. The errors are package-level
+	// sentinels, so they carry no stack trace.
 	namespace = errorx.NewNamespace("kqsnapshot").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-	// ErrIncomplete tells that a named object is not at hand.
+	// ErrIncomplete means that objects of the configuration are missing.
 	ErrIncomplete = namespace.NewType("incomplete").New("configuration is incomplete")
-	// ErrInvalid tells that the objects at hand contradict each other.
+	// ErrInvalid means that the objects are malformed, inconsistent or violate the
+	// rules for documents.
 	ErrInvalid = namespace.NewType("invalid").New("configuration is invalid")
 )
 
 type (
-	// Snapshot is one whole configuration version, cut to some hosts.
+	// Snapshot is one configuration version, reduced to some hosts and services. It
+	// is immutable.
 	Snapshot struct {
 		root     kqresource.Root
 		hosts    map[kqname.Host]*index
 		services map[kqname.Service]kqresource.Service
 	}
 
-	// Request is what a call is matched by.
+	// Request holds the properties of a call that routes are matched against.
 	Request struct {
 		Host   kqname.Host
 		Path   string
 		Method string
-		// Header returns a header's value, or "" where there is none.
+		// Header returns a header's value, or "" if the call has none.
 		Header func(name string) string
 	}
 )
 
-// Version returns the snapshot's configuration version; 0 is the empty one.
+// Version returns the snapshot's configuration version; the empty one is 0.
 func (s *Snapshot) Version() kqname.ConfigVersion { return s.root.Version }
 
 // Root returns the root that the snapshot was built from.
 func (s *Snapshot) Root() kqresource.Root { return s.root }
 
-// Digests returns the digests of the objects that the snapshot was made from.
+// Digests returns the digests of the objects that the snapshot was built from.
 func (s *Snapshot) Digests() []kqresource.Digest {
 	list := make([]kqresource.Digest, 0, len(s.hosts)+len(s.services))
 	for h := range s.hosts {
@@ -55,8 +57,8 @@
 	return list
 }
 
-// Knows reports whether the configuration version has routes for the host at
-// all, and whether this snapshot holds them.
+// Knows reports whether the configuration version has routes for the host, and
+// whether this snapshot holds them.
 func (s *Snapshot) Knows(host kqname.Host) (exists, held bool) {
 	_, exists = s.root.Hosts[host]
 	_, held = s.hosts[host]
@@ -69,10 +71,11 @@
 	return service, ok
 }
 
-// Services returns the services that the snapshot holds, by name.
+// Services returns the services that the snapshot holds, by name. The caller must
+// not change the map.
 func (s *Snapshot) Services() map[kqname.Service]kqresource.Service { return s.services }
 
-// Match returns the first route that fits the request.
+// Match returns the most specific route that matches the request.
 func (s *Snapshot) Match(r Request) (kqdocument.Route, bool) {
 	x, ok := s.hosts[r.Host]
 	if !ok {
--- a/internal/config/kqsnapshot/check.go
+++ b/internal/config/kqsnapshot/validate.go
@@ -7,11 +7,11 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// check validates what the snapshot holds by the rules of the whole document.
-// The commit did so before, but a node does not take another process's word: a
-// commit by an older program, or by none of ours, could let calls run astray.
-// Teams stand only in the whole document; those that are named are taken as is.
-func (s *Snapshot) check() error {
+// validate applies the rules for whole documents to the snapshot's content. The
+// commit validates too, but a node does not rely on it: an older or foreign program
+// could commit a document that misroutes calls. Teams are not part of a snapshot, so
+// every team that is named is assumed to exist.
+func (s *Snapshot) validate() error {
 	var d kqdocument.Document
 	teams := make(map[kqname.Team]bool)
 	policies := make(map[kqname.Policy]bool)
@@ -41,7 +41,7 @@
 		d.Teams = append(d.Teams, kqdocument.Team{Name: t})
 	}
 	if problems := kqdocument.Validate(d); len(problems) > 0 {
-		return fmt.Errorf("%d problems, the first at %w: %w", len(problems), problems[0], ErrInvalid)
+		return fmt.Errorf("%d validation problems, first %w: %w", len(problems), problems[0], ErrInvalid)
 	}
 	return nil
 }
