--- a/internal/config/kqresource/fuzz_test.go
+++ b/internal/config/kqresource/fuzz_test.go
@@ -7,9 +7,9 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 )
 
-// FuzzDecode feeds roots and objects as a broken peer or platform could give
-// them. What is accepted must have one canonical form, or two nodes could hold
-// different bytes under one meaning.
+// FuzzDecode decodes bytes as a faulty peer or platform could send them. A value that
+// is accepted must have one canonical encoding; otherwise two nodes could hold
+// different bytes for the same content.
 func FuzzDecode(f *testing.F) {
 	root, objects, err := kqresource.Split(kqdocument.Document{
 		Teams:    []kqdocument.Team{{Name: "lab"}},
@@ -31,14 +31,16 @@
 	f.Add([]byte{0xa1, 0x01, 0xbf, 0xff})
 	f.Add([]byte{0xbb, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		again(t, data, &kqresource.Root{}, &kqresource.Root{})
-		again(t, data, &kqresource.Host{}, &kqresource.Host{})
-		again(t, data, &kqresource.Service{}, &kqresource.Service{})
-		again(t, data, &kqresource.Ownership{}, &kqresource.Ownership{})
+		checkCanonical(t, data, &kqresource.Root{}, &kqresource.Root{})
+		checkCanonical(t, data, &kqresource.Host{}, &kqresource.Host{})
+		checkCanonical(t, data, &kqresource.Service{}, &kqresource.Service{})
+		checkCanonical(t, data, &kqresource.Ownership{}, &kqresource.Ownership{})
 	})
 }
 
-func again(t *testing.T, data []byte, first, second any) {
+// checkCanonical checks that a value decoded from data keeps its encoding when it is
+// encoded, decoded and encoded again.
+func checkCanonical(t *testing.T, data []byte, first, second any) {
 	t.Helper()
 	if kqresource.Decode(data, first) != nil {
 		return
@@ -48,9 +50,9 @@
 		return
 	}
 	if err := kqresource.Decode(canonical, second); err != nil {
-		t.Fatalf("own bytes of %T: %v", first, err)
+		t.Fatalf("canonical encoding of %T cannot be decoded: %v", first, err)
 	}
-	if twice, err := kqresource.Encode(second); err != nil || string(twice) != string(canonical) {
-		t.Fatalf("%T has two canonical forms, %v", first, err)
+	if reencoded, err := kqresource.Encode(second); err != nil || string(reencoded) != string(canonical) {
+		t.Fatalf("%T has two canonical encodings, %v", first, err)
 	}
 }
--- a/internal/config/kqresource/parts_test.go
+++ b/internal/config/kqresource/parts_test.go
@@ -10,10 +10,10 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Operators add one route after the other to a host that has 800 of them. Were all
-// of them sent again for each, nodes with slow links would fall behind, and callers
-// would be told that a route which was just added does not exist.
-func TestOneRouteOfManyCostsLittle(t *testing.T) {
+// A route is added to a host that has 800 of them. If all routes were sent again,
+// nodes with slow links would fall behind, and callers would get errors for a route
+// that was just added.
+func TestAddingOneRouteSendsFewBytes(t *testing.T) {
 	document := func(routes int) kqdocument.Document {
 		d := kqdocument.Document{Services: []kqdocument.Service{{Name: "s", Version: "v1"}}}
 		for i := range routes {
@@ -44,6 +44,6 @@
 		t.Fatal(err)
 	}
 	if want := kqresource.Sorted(document(800)); !reflect.DeepEqual(joined, want) {
-		t.Error("the parts do not make up the document")
+		t.Error("the joined parts differ from the document")
 	}
 }
--- a/internal/config/kqresource/resource.go
+++ b/internal/config/kqresource/resource.go
@@ -17,36 +17,37 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// MaxObjectBytes bounds one object, in bytes; the platform's service holds
-// values up to 1 MB.
+// MaxObjectBytes limits the size of one object; the platform's service stores values
+// of up to 1 MB.
 const MaxObjectBytes = 1 << 20
 
 var (
-	// namespace holds the package's error types; its errors are made once and carry
-	// no stack.
+	// namespace holds the package's error types. The errors are package-level
+	// sentinels, so they carry no stack trace.
 	namespace = errorx.NewNamespace("kqresource").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-	// ErrTooLarge tells that an object is over MaxObjectBytes.
-	ErrTooLarge = namespace.NewType("too_large").New("object is over 1 MB")
-	// ErrDigest tells that bytes are not those that their digest names.
-	ErrDigest = namespace.NewType("digest").New("bytes do not have the stated digest")
+	// ErrTooLarge means that an object is larger than MaxObjectBytes.
+	ErrTooLarge = namespace.NewType("too_large").New("object is larger than 1 MB")
+	// ErrDigest means that an object is missing, that its bytes do not match its
+	// digest, or that a digest is malformed.
+	ErrDigest = namespace.NewType("digest").New("bytes do not match the digest")
 
 	encoder = mustEncoder()
 	decoder = mustDecoder()
 )
 
 type (
-	// Digest is the SHA-256 of an object's canonical bytes.
+	// Digest is the SHA-256 of an object's canonical encoding.
 	Digest [sha256.Size]byte
 
-	// Objects holds objects' canonical bytes by digest.
+	// Objects maps digests to the canonical encodings of objects.
 	Objects map[Digest][]byte
 
-	// Parts names the objects that together hold one host's routes.
+	// Parts lists the digests of the objects that together hold one host's routes.
 	Parts []Digest
 
-	// Root is the record that a commit swaps in. It names every object of one
-	// configuration version.
+	// Root names every object of one configuration version. A commit replaces the
+	// current root.
 	Root struct {
 		Version   kqname.ConfigVersion      `cbor:"1,keyasint"`
 		Parent    Digest                    `cbor:"2,keyasint"`
@@ -59,20 +60,20 @@
 		Ownership Digest                    `cbor:"9,keyasint"`
 	}
 
-	// Host holds routes of one host name: all of them, or one part.
+	// Host holds one part of a host's routes, or all of them.
 	Host struct {
 		Name   kqname.Host        `cbor:"1,keyasint"`
 		Routes []kqdocument.Route `cbor:"2,keyasint"`
 	}
 
-	// Service holds one service, its rollouts and the policies they name.
+	// Service holds one service, its rollouts and the policies that they name.
 	Service struct {
 		Service  kqdocument.Service   `cbor:"1,keyasint"`
 		Rollouts []kqdocument.Rollout `cbor:"2,keyasint"`
 		Policies []kqdocument.Policy  `cbor:"3,keyasint"`
 	}
 
-	// Ownership holds what only operators need: teams and all policies.
+	// Ownership holds what only operators need: all teams and policies.
 	Ownership struct {
 		Teams    []kqdocument.Team   `cbor:"1,keyasint"`
 		Policies []kqdocument.Policy `cbor:"2,keyasint"`
@@ -82,25 +83,25 @@
 // String returns the digest in lower-case hex.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Compare orders digests by their bytes.
+// Compare compares two digests by their bytes.
 func (d Digest) Compare(other Digest) int { return bytes.Compare(d[:], other[:]) }
 
-// IsZero reports whether the digest names nothing.
+// IsZero reports whether the digest is unset.
 func (d Digest) IsZero() bool { return d == Digest{} }
 
-// DigestOf returns the digest that names the given bytes.
+// DigestOf returns the digest of the given bytes.
 func DigestOf(data []byte) Digest { return sha256.Sum256(data) }
 
-// ParseDigest reads a digest in hex.
+// ParseDigest parses a digest in hex.
 func ParseDigest(text string) (Digest, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != sha256.Size {
-		return Digest{}, fmt.Errorf("read digest %q: %w", text, ErrDigest)
+		return Digest{}, fmt.Errorf("parse digest %q: %w", text, ErrDigest)
 	}
 	return Digest(raw), nil
 }
 
-// Encode returns the canonical bytes of a root or an object.
+// Encode returns the canonical encoding of a root or an object.
 func Encode(value any) ([]byte, error) {
 	data, err := encoder.Marshal(value)
 	if err != nil {
@@ -112,8 +113,8 @@
 	return data, nil
 }
 
-// Decode reads the canonical bytes of a root or an object into value, and
-// refuses unknown fields, duplicate keys and trailing bytes.
+// Decode decodes a root or an object into value. It rejects unknown fields, duplicate
+// keys and trailing bytes.
 func Decode(data []byte, value any) error {
 	if len(data) > MaxObjectBytes {
 		return fmt.Errorf("decode %T of %d bytes: %w", value, len(data), ErrTooLarge)
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// Add encodes value, stores its bytes and returns their digest.
+// Add encodes value, adds the bytes and returns their digest.
 func (o Objects) Add(value any) (Digest, error) {
 	data, err := Encode(value)
 	if err != nil {
@@ -135,7 +136,7 @@
 	return d, nil
 }
 
-// Digests returns the objects' digests in their order.
+// Digests returns the objects' digests in ascending order.
 func (o Objects) Digests() []Digest { return slices.SortedFunc(maps.Keys(o), Digest.Compare) }
 
 func mustEncoder() cbor.EncMode {
--- a/internal/config/kqresource/split.go
+++ b/internal/config/kqresource/split.go
@@ -10,9 +10,9 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Split turns a document into a root and its objects. Equal documents, up to
-// the order of their items, give equal digests. The root's version, parent and
-// authorship are left for the commit to fill in.
+// Split turns a document into a root and its objects. Documents that are equal up to
+// the order of their items give equal digests. The commit sets the root's version,
+// parent, request ID, author, reason and time.
 func Split(d kqdocument.Document) (Root, Objects, error) {
 	d = Sorted(d)
 	root := Root{
@@ -32,7 +32,7 @@
 		digest, err := objects.Add(Service{
 			Service:  s,
 			Rollouts: rollouts[s.Name],
-			Policies: policiesOf(d.Policies, rollouts[s.Name]),
+			Policies: referencedPolicies(d.Policies, rollouts[s.Name]),
 		})
 		if err != nil {
 			return Root{}, nil, fmt.Errorf("split service %s: %w", s.Name, err)
@@ -47,13 +47,13 @@
 	return root, objects, nil
 }
 
-// Join gives back the document that a root and all its objects stand for.
+// Join returns the document that was split into a root and its objects.
 func Join(root Root, objects Objects) (kqdocument.Document, error) {
 	var d kqdocument.Document
 	for _, name := range slices.Sorted(maps.Keys(root.Hosts)) {
 		for _, part := range root.Hosts[name] {
 			var h Host
-			if err := objects.read(part, &h); err != nil {
+			if err := objects.decode(part, &h); err != nil {
 				return d, fmt.Errorf("join host %s: %w", name, err)
 			}
 			d.Routes = append(d.Routes, h.Routes...)
@@ -61,39 +61,40 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(root.Services)) {
 		var s Service
-		if err := objects.read(root.Services[name], &s); err != nil {
+		if err := objects.decode(root.Services[name], &s); err != nil {
 			return d, fmt.Errorf("join service %s: %w", name, err)
 		}
 		d.Services = append(d.Services, s.Service)
 		d.Rollouts = append(d.Rollouts, s.Rollouts...)
 	}
 	var o Ownership
-	if err := objects.read(root.Ownership, &o); err != nil {
+	if err := objects.decode(root.Ownership, &o); err != nil {
 		return d, fmt.Errorf("join ownership: %w", err)
 	}
 	d.Teams, d.Policies = o.Teams, o.Policies
 	return Sorted(d), nil
 }
 
-// Digests returns the digest of every object that the root names, each once.
+// Digests returns the digest of every object that the root names, without duplicates
+// and in ascending order.
 func (r Root) Digests() []Digest {
-	seen := make(map[Digest]bool, len(r.Hosts)+len(r.Services)+1)
+	digests := make(map[Digest]bool, len(r.Hosts)+len(r.Services)+1)
 	if !r.Ownership.IsZero() {
-		seen[r.Ownership] = true
+		digests[r.Ownership] = true
 	}
 	for _, parts := range r.Hosts {
 		for _, d := range parts {
-			seen[d] = true
+			digests[d] = true
 		}
 	}
 	for _, d := range r.Services {
-		seen[d] = true
+		digests[d] = true
 	}
-	return slices.SortedFunc(maps.Keys(seen), Digest.Compare)
+	return slices.SortedFunc(maps.Keys(digests), Digest.Compare)
 }
 
-// Sorted returns the document with its items in the order of their names and
-// its times in UTC; the items themselves are shared with d.
+// Sorted returns a copy of the document with its items sorted by name and the times of
+// its rollouts in UTC. The copy is shallow.
 func Sorted(d kqdocument.Document) kqdocument.Document {
 	d.Teams = sortedBy(d.Teams, func(t kqdocument.Team) kqname.Team { return t.Name })
 	d.Policies = sortedBy(d.Policies, func(p kqdocument.Policy) kqname.Policy { return p.Name })
@@ -106,7 +107,8 @@
 	return d
 }
 
-func (o Objects) read(d Digest, value any) error {
+// decode decodes the object with the given digest into value.
+func (o Objects) decode(d Digest, value any) error {
 	data, ok := o[d]
 	if !ok {
 		return fmt.Errorf("object %s is missing: %w", d, ErrDigest)
@@ -114,7 +116,8 @@
 	return Decode(data, value)
 }
 
-func policiesOf(all []kqdocument.Policy, rollouts []kqdocument.Rollout) []kqdocument.Policy {
+// referencedPolicies returns the policies that the rollouts name.
+func referencedPolicies(all []kqdocument.Policy, rollouts []kqdocument.Rollout) []kqdocument.Policy {
 	var used []kqdocument.Policy
 	for _, p := range all {
 		if slices.ContainsFunc(rollouts, func(r kqdocument.Rollout) bool { return r.Policy == p.Name }) {
--- a/internal/config/kqresource/split_test.go
+++ b/internal/config/kqresource/split_test.go
@@ -26,13 +26,12 @@
 	os.Exit(m.Run())
 }
 
-// Two consoles write the same configuration in another order, another time zone
-// and with an empty list of headers instead of none. Its digests must be the
-// same, or every node would fetch all of it again; and what is read back must
-// be the very document.
+// A document is written again in another order, with another time zone and with empty
+// instead of nil header maps. Its digests must be the same, or every node would fetch
+// all objects again; and joining the objects must return the document.
 func TestEqualDocumentsHaveEqualDigests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := draw(t)
+		d := drawDocument(t)
 		root, objects, err := kqresource.Split(d)
 		if err != nil {
 			t.Fatal(err)
@@ -44,7 +43,7 @@
 		if want := kqresource.Sorted(d); !reflect.DeepEqual(joined, want) {
 			t.Fatalf("joined %+v, want %+v", joined, want)
 		}
-		other, _, err := kqresource.Split(rewritten(t, d))
+		other, _, err := kqresource.Split(rewrite(t, d))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,7 +53,8 @@
 	})
 }
 
-func draw(t *rapid.T) kqdocument.Document {
+// drawDocument returns a random document.
+func drawDocument(t *rapid.T) kqdocument.Document {
 	d := kqdocument.Document{Teams: []kqdocument.Team{{Name: "a"}, {Name: "b"}}, Policies: []kqdocument.Policy{{Name: "p", SmallShare: 0.01}}}
 	start := time.Date(2026, 1, 2, 3, 4, 5, 600, time.UTC)
 	for i := range rapid.IntRange(1, 5).Draw(t, "services") {
@@ -76,7 +76,8 @@
 	return d
 }
 
-func rewritten(t *rapid.T, d kqdocument.Document) kqdocument.Document {
+// rewrite returns an equal document in another order, time zone and form of headers.
+func rewrite(t *rapid.T, d kqdocument.Document) kqdocument.Document {
 	d.Teams = rapid.Permutation(d.Teams).Draw(t, "teams")
 	d.Services = rapid.Permutation(d.Services).Draw(t, "services")
 	d.Routes = slices.Clone(d.Routes)
