--- a/internal/config/kqorigin/origin.go
+++ b/internal/config/kqorigin/origin.go
@@ -22,61 +22,63 @@
 
 const (
 	watchWait = 20 * time.Second
-	// pollEvery is the mean pause between two polls of one follower, and pollSpread
-	// how far one is off it at most. A store can leave all watches silent for
-	// seconds at a time; even then one of three followers that reach it has polled
-	// within two seconds, but for one time in a hundred. It costs the store 0.4
-	// calls a second for each follower, however large the fleet is.
-	pollEvery   = 2500 * time.Millisecond
-	pollSpread  = 500 * time.Millisecond
-	backoffBase = 100 * time.Millisecond
-	backoffMost = time.Second
-	// keptRoots is how many versions' objects are kept for peers that are behind.
-	keptRoots = 4
+	// pollInterval is the mean pause between two polls of one follower, and pollJitter
+	// the largest deviation from it. A store can leave all watches silent for seconds;
+	// even then, in 99 of 100 cases, at least one of three followers that reach the
+	// store polls within two seconds. The store gets 0.4 calls per second and
+	// follower, regardless of the size of the fleet.
+	pollInterval = 2500 * time.Millisecond
+	pollJitter   = 500 * time.Millisecond
+	minBackoff   = 100 * time.Millisecond
+	maxBackoff   = time.Second
+	// maxKeptVersions is the number of versions whose objects are kept for peers that
+	// lag behind.
+	maxKeptVersions = 4
 )
 
 type (
-	// Decoder reads what operators write.
+	// Decoder decodes the entries that operators write.
 	Decoder interface {
-		// Prefix is what all of the operators' keys begin with.
+		// Prefix returns the common prefix of the operators' keys.
 		Prefix() string
-		// Document reads an entry that holds the document, and reports false for
-		// other entries.
+		// Document decodes an entry that holds the document and its version. It
+		// returns false for other entries.
 		Document(e kqstore.Entry) (kqdocument.Document, kqname.ConfigVersion, bool, error)
-		// Order reads an entry that holds an order, and reports false for others.
+		// Order decodes an entry that holds a rollout order. It returns false for
+		// other entries.
 		Order(e kqstore.Entry) (kqdocument.Rollout, bool, error)
 	}
 
-	// Origin follows the operators' keys and makes versions of them. It is safe
+	// Origin follows the operators' keys and builds versions from them. It is safe
 	// for concurrent use.
 	Origin struct {
-		store   kqstore.Lister
-		decoder Decoder
-		receive func(context.Context, kqresource.Root)
-		refused func(key string, err error)
-		failed  func(error)
+		store     kqstore.Lister
+		decoder   Decoder
+		onRoot    func(context.Context, kqresource.Root)
+		onRefused func(key string, err error)
+		onFailure func(error)
 
-		mu       sync.Mutex
-		document kqdocument.Document
-		number   kqname.ConfigVersion
-		orders   map[string]kqdocument.Rollout
-		// seen is the revision of each key that was looked at last.
-		seen     map[string]kqstore.Revision
-		revision kqstore.Revision
-		root     kqresource.Root
-		objects  []kqresource.Objects
+		mu              sync.Mutex
+		document        kqdocument.Document
+		documentVersion kqname.ConfigVersion
+		orders          map[string]kqdocument.Rollout
+		// seenRevisions maps each key to the revision that was processed last.
+		seenRevisions map[string]kqstore.Revision
+		revision      kqstore.Revision
+		root          kqresource.Root
+		objects       []kqresource.Objects
 	}
 )
 
-// New returns an origin. Receive gets each version's root; refused is told once
-// of each entry that is not taken over, and failed of each call to the store
-// that went wrong.
-func New(store kqstore.Lister, decoder Decoder, receive func(context.Context, kqresource.Root),
-	refused func(key string, err error), failed func(error),
+// New returns an Origin. onRoot is called with the root of each version, onRefused
+// once for each entry or combination of entries that is rejected, and onFailure for
+// each failed call to the store.
+func New(store kqstore.Lister, decoder Decoder, onRoot func(context.Context, kqresource.Root),
+	onRefused func(key string, err error), onFailure func(error),
 ) *Origin {
 	return &Origin{
-		store: store, decoder: decoder, receive: receive, refused: refused, failed: failed,
-		orders: make(map[string]kqdocument.Rollout), seen: make(map[string]kqstore.Revision),
+		store: store, decoder: decoder, onRoot: onRoot, onRefused: onRefused, onFailure: onFailure,
+		orders: make(map[string]kqdocument.Rollout), seenRevisions: make(map[string]kqstore.Revision),
 	}
 }
 
@@ -84,25 +86,25 @@
 func (o *Origin) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	kept := kqkeeper.From(ctx)
-	group.Go(func() { kept.Keep(ctx, "watch", func() { o.follow(ctx) }) })
-	group.Go(func() { kept.Keep(ctx, "poll", func() { o.poll(ctx) }) })
+	group.Go(func() { kept.Keep(ctx, "watch", func() { o.watchLoop(ctx) }) })
+	group.Go(func() { kept.Keep(ctx, "poll", func() { o.pollLoop(ctx) }) })
 	group.Wait()
 }
 
-// Fetch returns objects of a recent version. It lists the keys anew for what it
-// does not hold.
+// Fetch returns objects of recent versions. If it does not hold all of them, it lists
+// the keys again.
 func (o *Origin) Fetch(ctx context.Context, wanted []kqresource.Digest) (kqresource.Objects, error) {
 	if found := o.Made(wanted); len(found) == len(wanted) {
 		return found, nil
 	}
-	if err := o.list(ctx); err != nil {
+	if err := o.refresh(ctx); err != nil {
 		return nil, fmt.Errorf("fetch %d objects: %w", len(wanted), err)
 	}
 	return o.Made(wanted), nil
 }
 
-// Made returns those of the wanted objects that belong to a recent version. It makes
-// no calls.
+// Made returns the wanted objects that belong to a recent version. It makes no calls
+// to the store.
 func (o *Origin) Made(wanted []kqresource.Digest) kqresource.Objects {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -117,31 +119,33 @@
 	return found
 }
 
-func (o *Origin) follow(ctx context.Context) {
-	backoff := backoffBase
+// watchLoop lists the keys and then watches them until ctx ends.
+func (o *Origin) watchLoop(ctx context.Context) {
+	backoff := minBackoff
 	var after kqstore.Revision
 	for ctx.Err() == nil {
 		var err error
 		if after == 0 {
-			after, err = o.listAll(ctx)
+			after, err = o.listAndApply(ctx)
 		} else {
-			after, err = o.wait(ctx, after)
+			after, err = o.watchOnce(ctx, after)
 		}
 		if err == nil {
-			backoff = backoffBase
+			backoff = minBackoff
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		o.failed(err)
+		o.onFailure(err)
 		kqpause.For(ctx, rand.N(backoff)+time.Millisecond)
-		backoff = min(2*backoff, backoffMost)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// wait takes in the next change and returns where to go on from, 0 to list anew.
-func (o *Origin) wait(ctx context.Context, after kqstore.Revision) (kqstore.Revision, error) {
+// watchOnce applies the next change and returns the revision to watch from, or 0 if
+// the keys must be listed again.
+func (o *Origin) watchOnce(ctx context.Context, after kqstore.Revision) (kqstore.Revision, error) {
 	l, err := o.store.Follow(ctx, o.decoder.Prefix(), after, watchWait)
 	switch {
 	case errors.Is(err, kqstore.ErrNotFound):
@@ -149,102 +153,106 @@
 	case errors.Is(err, kqstore.ErrCompacted):
 		return 0, nil
 	case err != nil:
-		// What changed meanwhile may be more than the next watch tells of.
+		// The next watch may not report everything that changed meanwhile.
 		return 0, err
 	}
-	o.take(ctx, l, false)
+	o.apply(ctx, l, false)
 	return max(l.Revision, after), nil
 }
 
-func (o *Origin) poll(ctx context.Context) {
+// pollLoop lists the keys at random intervals until ctx ends.
+func (o *Origin) pollLoop(ctx context.Context) {
 	for {
-		kqpause.For(ctx, pollEvery-pollSpread+rand.N(2*pollSpread))
+		kqpause.For(ctx, pollInterval-pollJitter+rand.N(2*pollJitter))
 		if ctx.Err() != nil {
 			return
 		}
-		if err := o.list(ctx); err != nil && ctx.Err() == nil {
-			o.failed(err)
+		if err := o.refresh(ctx); err != nil && ctx.Err() == nil {
+			o.onFailure(err)
 		}
 	}
 }
 
-func (o *Origin) list(ctx context.Context) error {
-	_, err := o.listAll(ctx)
+// refresh lists and applies all entries.
+func (o *Origin) refresh(ctx context.Context) error {
+	_, err := o.listAndApply(ctx)
 	return err
 }
 
-func (o *Origin) listAll(ctx context.Context) (kqstore.Revision, error) {
+// listAndApply applies all entries and returns the revision to watch from.
+func (o *Origin) listAndApply(ctx context.Context) (kqstore.Revision, error) {
 	l, err := o.store.List(ctx, o.decoder.Prefix())
 	if err != nil {
 		return 0, err
 	}
-	o.take(ctx, l, true)
+	o.apply(ctx, l, true)
 	return max(l.Revision, 1), nil
 }
 
-// take takes in entries; whole tells that they are all there are, so that
-// orders which are not among them are gone.
-func (o *Origin) take(ctx context.Context, l kqstore.Listing, whole bool) {
-	if root, changed := o.takeIn(l, whole); changed {
-		o.receive(ctx, root)
+// apply merges a listing and publishes the resulting version, if there is a new one.
+// complete means that the listing holds all entries, so that orders which it lacks
+// have been deleted.
+func (o *Origin) apply(ctx context.Context, l kqstore.Listing, complete bool) {
+	if root, changed := o.merge(l, complete); changed {
+		o.onRoot(ctx, root)
 	}
 }
 
-// takeIn takes in entries, and returns the root of the version that they make, if
-// there is one.
-func (o *Origin) takeIn(l kqstore.Listing, whole bool) (kqresource.Root, bool) {
+// merge merges a listing and returns the root of the resulting version, if there is a
+// new one.
+func (o *Origin) merge(l kqstore.Listing, complete bool) (kqresource.Root, bool) {
 	o.mu.Lock()
-	// A panic while an entry is read must not leave the lock held for good.
+	// Deferred, so that a panic in the decoder does not leave the lock held forever.
 	defer o.mu.Unlock()
 	changed := false
 	for _, e := range l.Entries {
-		if o.seen[e.Key] >= e.Revision {
+		if o.seenRevisions[e.Key] >= e.Revision {
 			continue
 		}
-		o.seen[e.Key] = e.Revision
-		if o.accept(e) {
+		o.seenRevisions[e.Key] = e.Revision
+		if o.acceptEntry(e) {
 			changed = true
 			o.revision = max(o.revision, e.Revision)
 		}
 	}
 	for key := range o.orders {
-		gone := slices.Contains(l.Deleted, key)
-		if whole && l.Revision > o.seen[key] {
-			gone = !slices.ContainsFunc(l.Entries, func(e kqstore.Entry) bool { return e.Key == key })
+		removed := slices.Contains(l.Deleted, key)
+		if complete && l.Revision > o.seenRevisions[key] {
+			removed = !slices.ContainsFunc(l.Entries, func(e kqstore.Entry) bool { return e.Key == key })
 		}
-		if gone {
+		if removed {
 			delete(o.orders, key)
 			changed = true
 			o.revision = max(o.revision, l.Revision)
 		}
 	}
-	if !changed || o.number == 0 || !o.build() {
+	if !changed || o.documentVersion == 0 || !o.buildVersion() {
 		return kqresource.Root{}, false
 	}
 	return o.root, o.root.Version > 0
 }
 
-// accept takes over one entry, or refuses it whole: what was in force before
-// stays so.
-func (o *Origin) accept(e kqstore.Entry) bool {
-	d, number, ok, err := o.decoder.Document(e)
+// acceptEntry applies one entry and reports whether it did. An entry that is rejected
+// leaves the current document and orders unchanged.
+func (o *Origin) acceptEntry(e kqstore.Entry) bool {
+	d, documentVersion, ok, err := o.decoder.Document(e)
 	if ok {
-		if err == nil && number <= o.number {
-			err = fmt.Errorf("version %d after %d: %w", number, o.number, errOld)
+		if err == nil && documentVersion <= o.documentVersion {
+			err = fmt.Errorf("document version %d, current version %d: %w", documentVersion, o.documentVersion, errNotNewer)
 		}
 		if err == nil {
-			err = sound(d)
+			err = validate(d)
 		}
 		if err != nil {
-			o.refused(e.Key, err)
+			o.onRefused(e.Key, err)
 			return false
 		}
-		o.document, o.number = d, number
+		o.document, o.documentVersion = d, documentVersion
 		return true
 	}
 	r, ok, err := o.decoder.Order(e)
 	if err != nil {
-		o.refused(e.Key, err)
+		o.onRefused(e.Key, err)
 		return false
 	}
 	if ok {
@@ -253,37 +261,39 @@
 	return ok
 }
 
-// build makes the root and the objects of what is in force.
-func (o *Origin) build() bool {
+// buildVersion builds the root and the objects of the current document and orders. It
+// returns false if they are invalid together.
+func (o *Origin) buildVersion() bool {
 	d := o.document
 	known := make(map[kqname.Service]bool, len(d.Services))
 	for _, s := range d.Services {
 		known[s.Name] = true
 	}
 	for _, key := range slices.Sorted(maps.Keys(o.orders)) {
-		// An order for a service that the document does not name waits for it.
+		// An order for a service that the document lacks is left out until the
+		// document has the service.
 		if known[o.orders[key].Service] {
 			d.Rollouts = append(slices.Clone(d.Rollouts), o.orders[key])
 		}
 	}
-	if err := sound(d); err != nil {
-		o.refused(o.decoder.Prefix(), err)
+	if err := validate(d); err != nil {
+		o.onRefused(o.decoder.Prefix(), err)
 		return false
 	}
 	root, objects, err := kqresource.Split(d)
 	if err != nil {
-		o.refused(o.decoder.Prefix(), err)
+		o.onRefused(o.decoder.Prefix(), err)
 		return false
 	}
 	root.Version = kqname.ConfigVersion(o.revision)
 	o.root = root
-	o.objects = append([]kqresource.Objects{objects}, o.objects[:min(len(o.objects), keptRoots-1)]...)
+	o.objects = append([]kqresource.Objects{objects}, o.objects[:min(len(o.objects), maxKeptVersions-1)]...)
 	return true
 }
 
-func sound(d kqdocument.Document) error {
+func validate(d kqdocument.Document) error {
 	if problems := kqdocument.Validate(d); len(problems) > 0 {
-		return fmt.Errorf("%d problems, the first at %w: %w", len(problems), problems[0], errInvalid)
+		return fmt.Errorf("%d validation problems, first %w: %w", len(problems), problems[0], errInvalid)
 	}
 	return nil
 }
--- a/internal/config/kqorigin/origin_test.go
+++ b/internal/config/kqorigin/origin_test.go
@@ -18,20 +18,21 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 type (
-	// own reads this program's own document, with its number, under "o/document",
-	// and rollouts under "o/order/".
-	own struct{}
+	// jsonDecoder decodes a versionedDocument under "o/document" and rollouts under
+	// "o/order/".
+	jsonDecoder struct{}
 
-	numbered struct {
+	versionedDocument struct {
 		Number   kqname.ConfigVersion
 		Document kqdocument.Document
 	}
 
-	// seat is an origin over a stand-in, and what it gave out and refused.
-	seat struct {
+	// testOrigin is an Origin on a stand-in store, with the roots that it published and
+	// the keys that it refused.
+	testOrigin struct {
 		*kqorigin.Origin
 		store   *kqstandin.Standin
 		mu      sync.Mutex
@@ -40,10 +41,10 @@
 	}
 )
 
-func (own) Prefix() string { return "o/" }
+func (jsonDecoder) Prefix() string { return "o/" }
 
-func (own) Document(e kqstore.Entry) (kqdocument.Document, kqname.ConfigVersion, bool, error) {
-	var n numbered
+func (jsonDecoder) Document(e kqstore.Entry) (kqdocument.Document, kqname.ConfigVersion, bool, error) {
+	var n versionedDocument
 	if e.Key != "o/document" {
 		return n.Document, 0, false, nil
 	}
@@ -51,7 +52,7 @@
 	return n.Document, n.Number, true, err
 }
 
-func (own) Order(e kqstore.Entry) (kqdocument.Rollout, bool, error) {
+func (jsonDecoder) Order(e kqstore.Entry) (kqdocument.Rollout, bool, error) {
 	var r kqdocument.Rollout
 	if !strings.HasPrefix(e.Key, "o/order/") {
 		return r, false, nil
@@ -60,10 +61,10 @@
 	return r, true, err
 }
 
-func start(t *testing.T) *seat {
+func start(t *testing.T) *testOrigin {
 	t.Helper()
-	s := &seat{store: kqstandin.New()}
-	s.Origin = kqorigin.New(s.store, own{}, func(_ context.Context, r kqresource.Root) {
+	s := &testOrigin{store: kqstandin.New()}
+	s.Origin = kqorigin.New(s.store, jsonDecoder{}, func(_ context.Context, r kqresource.Root) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.roots = append(s.roots, r)
@@ -82,7 +83,7 @@
 	return s
 }
 
-func (s *seat) write(t *testing.T, key string, value any) {
+func (s *testOrigin) write(t *testing.T, key string, value any) {
 	t.Helper()
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -93,77 +94,78 @@
 	}
 }
 
-func (s *seat) count() (roots, refused int) {
+func (s *testOrigin) count() (roots, refused int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.roots), len(s.refused)
 }
 
+// await waits until done returns true; what describes the condition.
 func await(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	t.Fatalf("waited %s until %s", patience, what)
+	t.Fatalf("after %s, condition does not hold: %s", waitTimeout, what)
 }
 
-func document(number kqname.ConfigVersion, service kqname.Service) numbered {
-	return numbered{number, kqdocument.Document{
+func document(number kqname.ConfigVersion, service kqname.Service) versionedDocument {
+	return versionedDocument{number, kqdocument.Document{
 		Teams: []kqdocument.Team{{Name: "t"}}, Policies: []kqdocument.Policy{{Name: "p", Prefer: kqdocument.PreferFinishing}},
 		Services: []kqdocument.Service{{Name: service, Team: "t"}},
 		Routes:   []kqdocument.Route{{Name: "r", Team: "t", Host: "h", PathPrefix: "/", Service: service}},
 	}}
 }
 
-// Operators write a document, then an older one, one that is not valid, and a
-// newer one. The bad ones must be refused whole and once each, and versions must
-// only grow, or proxies would go back to what they have left.
-func TestVersionsOnlyGrow(t *testing.T) {
+// A document is followed by an older, an invalid and a newer one. The older and the
+// invalid one must each be refused once, as a whole, and versions must only increase;
+// otherwise proxies would revert to an earlier configuration.
+func TestVersionsOnlyIncrease(t *testing.T) {
 	s := start(t)
 	s.write(t, "o/document", document(5, "a"))
-	await(t, "the first is out", func() bool { n, _ := s.count(); return n == 1 })
+	await(t, "first document is published", func() bool { n, _ := s.count(); return n == 1 })
 	s.write(t, "o/document", document(4, "b"))
-	broken := document(6, "b")
-	broken.Document.Routes[0].Service = "nobody"
-	await(t, "the older is refused", func() bool { _, n := s.count(); return n == 1 })
-	s.write(t, "o/document", broken)
-	await(t, "the broken is refused", func() bool { _, n := s.count(); return n == 2 })
+	invalid := document(6, "b")
+	invalid.Document.Routes[0].Service = "nobody"
+	await(t, "older document is refused", func() bool { _, n := s.count(); return n == 1 })
+	s.write(t, "o/document", invalid)
+	await(t, "invalid document is refused", func() bool { _, n := s.count(); return n == 2 })
 	s.write(t, "o/document", document(7, "b"))
-	await(t, "the newer is out", func() bool { n, _ := s.count(); return n == 2 })
+	await(t, "newer document is published", func() bool { n, _ := s.count(); return n == 2 })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.roots[1].Version <= s.roots[0].Version {
-		t.Errorf("version %d after %d", s.roots[1].Version, s.roots[0].Version)
+		t.Errorf("version %d published after %d", s.roots[1].Version, s.roots[0].Version)
 	}
 	if _, ok := s.roots[1].Services["b"]; !ok || len(s.refused) != 2 {
-		t.Errorf("services %v, refused %v", s.roots[1].Services, s.refused)
+		t.Errorf("services %v, refused keys %v, want service b and 2 refused", s.roots[1].Services, s.refused)
 	}
 }
 
-// The store drops its history while a watch is cut, and a document was written in
-// between. The follower must find it by listing anew, or the fleet would keep an
-// old version until the next change.
-func TestHistoryIsGone(t *testing.T) {
+// The store compacts its history while a watch is interrupted, after a document was
+// written. The origin must find the document by listing again; otherwise the fleet
+// would keep an old version until the next change.
+func TestDocumentIsFoundAfterCompaction(t *testing.T) {
 	s := start(t)
 	s.write(t, "o/document", document(1, "a"))
-	await(t, "the first is out", func() bool { n, _ := s.count(); return n == 1 })
+	await(t, "first document is published", func() bool { n, _ := s.count(); return n == 1 })
 	s.store.SetFaults(kqstandin.Faults{Down: true})
 	s.store.SetFaults(kqstandin.Faults{SilentWatch: true})
 	s.write(t, "o/document", document(2, "b"))
 	s.store.Compact()
 	s.store.SetFaults(kqstandin.Faults{})
-	await(t, "the second is out", func() bool { n, _ := s.count(); return n == 2 })
+	await(t, "second document is published", func() bool { n, _ := s.count(); return n == 2 })
 }
 
-// An order comes before the document names its service, and is taken back later.
-// It must wait for its service, and be gone once operators have deleted it.
-func TestOrderBesideTheDocument(t *testing.T) {
+// An order is written before the document has its service, and deleted later. It must
+// take effect once the document has the service, and disappear after its deletion.
+func TestOrderWaitsForItsService(t *testing.T) {
 	s := start(t)
 	s.write(t, "o/order/b", kqdocument.Rollout{Name: "x", Team: "t", Service: "b", To: "v2", Policy: "p", DurationMS: 5000})
 	s.write(t, "o/document", document(1, "a"))
-	await(t, "the first is out", func() bool { n, _ := s.count(); return n >= 1 })
+	await(t, "first document is published", func() bool { n, _ := s.count(); return n >= 1 })
 	s.write(t, "o/document", document(2, "b"))
 	rollouts := func() int {
 		s.mu.Lock()
@@ -179,7 +181,7 @@
 		}
 		return len(d.Rollouts)
 	}
-	await(t, "the order is in the version", func() bool { return rollouts() == 1 })
+	await(t, "version contains the order", func() bool { return rollouts() == 1 })
 	e, err := s.store.Get(t.Context(), "o/order/b")
 	if err != nil {
 		t.Fatal(err)
@@ -187,18 +189,17 @@
 	if err := s.store.Delete(t.Context(), e.Key, e.Revision); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the order is gone", func() bool { return rollouts() == 0 })
+	await(t, "version no longer contains the order", func() bool { return rollouts() == 0 })
 }
 
-// The store's watches fall silent: they wait on, and tell of nothing, while it
-// answers all other calls. A document that was written meanwhile must be found by
-// polling within a few seconds, or proxies would serve an old one until the watch
-// ends.
-func TestWatchFallsSilent(t *testing.T) {
+// The store's watches stay open but report nothing, while it answers all other calls.
+// Polling must find a document written meanwhile within a few seconds; otherwise
+// proxies would use an old one until the watch ends.
+func TestPollFindsDocumentWhenWatchIsSilent(t *testing.T) {
 	s := start(t)
 	s.write(t, "o/document", document(1, "a"))
-	await(t, "the first is out", func() bool { n, _ := s.count(); return n == 1 })
+	await(t, "first document is published", func() bool { n, _ := s.count(); return n == 1 })
 	s.store.SetFaults(kqstandin.Faults{SilentWatch: true})
 	s.write(t, "o/document", document(2, "b"))
-	await(t, "the second is out", func() bool { n, _ := s.count(); return n == 2 })
+	await(t, "second document is published", func() bool { n, _ := s.count(); return n == 2 })
 }
