--- a/internal/config/kqreader/close_test.go
+++ b/internal/config/kqreader/close_test.go
@@ -15,35 +15,34 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// frozen is a platform that takes requests and answers none.
-type frozen struct {
+// frozenPlatform accepts requests and never answers.
+type frozenPlatform struct {
 	*kqstandin.Standin
-	asked chan struct{}
-	ended atomic.Bool
+	requested    chan struct{}
+	requestEnded atomic.Bool
 }
 
-func (f *frozen) Get(ctx context.Context, _ string) (kqstore.Entry, error) {
+func (f *frozenPlatform) Get(ctx context.Context, _ string) (kqstore.Entry, error) {
 	select {
-	case f.asked <- struct{}{}:
+	case f.requested <- struct{}{}:
 	default:
 	}
 	<-ctx.Done()
-	f.ended.Store(true)
+	f.requestEnded.Store(true)
 	return kqstore.Entry{}, ctx.Err()
 }
 
-// A node that was told to stop was killed before it had written its end: its process went
-// on for longer than the platform lets it. Its calls were over and it had said goodbye;
-// then it gave back its slot as a reader, for which it waited until the platform, which was
-// frozen, had answered what the node had asked before. The wait had no bound of the leave's.
+// A stopping node was killed because its shutdown took too long: Close waited, without
+// a bound, for an earlier request to a frozen platform before it released the slot. Close
+// must cancel the request in flight.
 func TestCloseDoesNotWaitForAFrozenPlatform(t *testing.T) {
-	f := &frozen{Standin: kqstandin.New(), asked: make(chan struct{}, 1)}
+	f := &frozenPlatform{Standin: kqstandin.New(), requested: make(chan struct{}, 1)}
 	table := kqmember.NewTable(kqmember.Member{Node: "a", Domain: "one", Control: "127.0.0.1:1"})
-	r := kqreader.New(f, table, idle{new(atomic.Int64)}, 0, func(context.Context, kqname.Address) {}, func(context.Context, bool) {}, func(error) {})
+	r := kqreader.New(f, table, countingWatcher{new(atomic.Int64)}, 0, func(context.Context, kqname.Address) {}, func(context.Context, bool) {}, func(error) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	var group conc.WaitGroup
 	group.Go(func() { r.Run(ctx) })
-	<-f.asked
+	<-f.requested
 	closed := make(chan struct{})
 	group.Go(func() {
 		r.Close(t.Context())
@@ -51,8 +50,8 @@
 	})
 	select {
 	case <-closed:
-		if !f.ended.Load() {
-			t.Error("the request to the platform goes on")
+		if !f.requestEnded.Load() {
+			t.Error("the request to the platform is still in flight after Close")
 		}
 	case <-time.After(5 * time.Second):
 		t.Error("Close still waits for the platform after 5 s")
--- a/internal/config/kqreader/doc.go
+++ b/internal/config/kqreader/doc.go
@@ -1,12 +1,12 @@
-// Package kqreader makes a few nodes the readers of the platform's service for
-// all others, by leases on two slots in each failure domain.
+// Package kqreader elects, by leases on two slots in each failure domain, a few nodes
+// that read from the platform's service for all others.
 //
-// The platform's load in the steady state is, per second, with d failure
-// domains, 2 slots each, a renewal every 2 s, a waiting watch of 20 s and a poll
-// every 10 s:
+// With d failure domains, 2 slots each, a lease renewal every 2 s, a long-polling
+// watch of 20 s and a poll every 10 s, the platform's load in the steady state is, per
+// second:
 //
-//	2*d * (1/2 + 1/20 + 1/10) = 1.3*d calls, and 2*d watch answers a change
+//	2*d * (1/2 + 1/20 + 1/10) = 1.3*d calls, and 2*d watch answers per change
 //
-// The number of nodes does not occur in it. A starting node reads the slots of
-// its own domain, 2 calls, once or until it has found a peer.
+// The load does not depend on the number of nodes. In addition, a starting node reads
+// the 2 slots of its failure domain once, or repeatedly until it has found a peer.
 package kqreader
--- a/internal/config/kqreader/reader.go
+++ b/internal/config/kqreader/reader.go
@@ -19,17 +19,18 @@
 )
 
 const (
-	slotPrefix = "kumquatgw/reader/"
-	stepEvery  = 200 * time.Millisecond
-	// strangers is how many looks a node that knows nobody may make before it
-	// takes the slot of a holder that does not answer.
-	strangers    = 2
-	lonelyPause  = 2 * time.Second
-	closeTimeout = time.Second
+	slotPrefix   = "kumquatgw/reader/"
+	stepInterval = 200 * time.Millisecond
+	// maxUnknownLooks is how often a node may find that a slot's holder is unknown or
+	// dead; the next time, it takes the slot over.
+	maxUnknownLooks = 2
+	// maxIsolatedDelay bounds the random delay of a node that knows no other member.
+	maxIsolatedDelay = 2 * time.Second
+	closeTimeout     = time.Second
 )
 
 type (
-	// Store is the part of the platform's service that readers use.
+	// Store is the subset of the platform's key-value API that readers use.
 	Store interface {
 		Get(ctx context.Context, key string) (kqstore.Entry, error)
 		Swap(ctx context.Context, key string, expected kqstore.Revision, value []byte, lease kqstore.Lease) (kqstore.Revision, error)
@@ -43,53 +44,56 @@
 		Run(ctx context.Context)
 	}
 
-	// Reader takes, keeps and gives up a slot.
+	// Reader acquires, renews and releases a reader slot.
 	Reader struct {
 		store   Store
 		table   *kqmember.Table
 		watcher Watcher
-		// contact is given the control address of each reader that is found.
+		// contact is called with the control address of each slot holder that is
+		// unknown or dead.
 		contact func(ctx context.Context, to kqname.Address)
-		// reads is told when this node starts and stops reading.
-		reads  func(ctx context.Context, on bool)
-		failed func(error)
-		spread time.Duration
-		// halt ends Run and its requests to the platform, which hold mu.
+		// onReading is called when this node starts and stops to hold the whole
+		// document for its peers.
+		onReading     func(ctx context.Context, on bool)
+		onFailure     func(error)
+		maxStartDelay time.Duration
+		// halt ends Run and its requests to the platform, which are made under mu.
 		halt   func()
 		halted chan struct{}
 
 		mu     sync.Mutex
 		closed bool
-		// serves tells that peers are told to come here for objects.
-		serves   bool
-		holder   kqlease.Holder
-		lease    kqstore.Lease
-		key      string
-		revision kqstore.Revision
-		stop     context.CancelFunc
-		lonely   map[string]int
-		group    conc.WaitGroup
+		// servesPeers is set from onReading(true) to onReading(false); it may outlast
+		// the lease.
+		servesPeers  bool
+		holder       kqlease.Holder
+		lease        kqstore.Lease
+		key          string
+		revision     kqstore.Revision
+		stopWatch    context.CancelFunc
+		unknownLooks map[string]int
+		group        conc.WaitGroup
 	}
 )
 
-// New returns a reader. Its first look is at random within spread, so that a
-// herd of starting nodes does not ask the platform all at once.
-func New(store Store, table *kqmember.Table, watcher Watcher, spread time.Duration,
-	contact func(context.Context, kqname.Address), reads func(context.Context, bool), failed func(error),
+// New returns a Reader. Its first step is delayed at random by up to maxStartDelay, so
+// that nodes which start together do not call the platform all at once.
+func New(store Store, table *kqmember.Table, watcher Watcher, maxStartDelay time.Duration,
+	contact func(context.Context, kqname.Address), onReading func(context.Context, bool), onFailure func(error),
 ) *Reader {
 	halted := make(chan struct{})
 	return &Reader{
 		halt: sync.OnceFunc(func() { close(halted) }), halted: halted,
-		store: store, table: table, watcher: watcher, spread: spread, contact: contact, reads: reads, failed: failed,
-		lonely: make(map[string]int), stop: func() {},
+		store: store, table: table, watcher: watcher, maxStartDelay: maxStartDelay, contact: contact, onReading: onReading, onFailure: onFailure,
+		unknownLooks: make(map[string]int), stopWatch: func() {},
 	}
 }
 
-// SlotKey returns the platform's key of a reader slot; its value is the control
-// address of the reader.
+// SlotKey returns the store key of a reader slot; its value is the control address of
+// the reader.
 func SlotKey(d kqname.Domain, slot int) string { return fmt.Sprintf("%s%s/%d", slotPrefix, d, slot) }
 
-// Run takes part until ctx ends or the reader is closed.
+// Run takes part in the election until ctx ends or the reader is closed.
 func (r *Reader) Run(ctx context.Context) {
 	defer r.group.Wait()
 	ctx, cancel := context.WithCancel(ctx)
@@ -101,17 +105,17 @@
 		case <-ctx.Done():
 		}
 	})
-	kqpause.For(ctx, rand.N(r.spread+1))
+	kqpause.For(ctx, rand.N(r.maxStartDelay+1))
 	for ctx.Err() == nil {
 		kqkeeper.From(ctx).Try("reader", func() { r.step(ctx) })
-		kqpause.For(ctx, stepEvery/2+rand.N(stepEvery))
+		kqpause.For(ctx, stepInterval/2+rand.N(stepInterval))
 	}
-	r.stop()
+	r.stopWatch()
 }
 
-// Close frees the slot, so that the next reader need not wait for its lease to
-// lapse, and takes none again. A request that is under way is ended: the platform may
-// take longer for it than the node has.
+// Close releases the slot, so that the next reader need not wait until its lease
+// expires, and prevents further acquisitions. It cancels a request in flight, since the
+// platform may take longer to answer than the node may take to stop.
 func (r *Reader) Close(ctx context.Context) {
 	r.halt()
 	r.mu.Lock()
@@ -120,14 +124,15 @@
 	if !r.holder.Holds() {
 		return
 	}
-	r.stop()
+	r.stopWatch()
 	r.holder.Lost()
 	ctx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
-	// A slot that cannot be freed lapses.
+	// If the deletion fails, the slot is free once its lease expires.
 	_ = r.store.Delete(ctx, r.key, r.revision)
 }
 
+// step performs the next action that the lease requires.
 func (r *Reader) step(ctx context.Context) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,30 +140,32 @@
 		return
 	}
 	situation, known := r.situation()
-	if r.serves && !r.holder.Holds() && situation.Readers >= kqlease.Slots {
-		r.serves = false
-		r.reads(ctx, false)
+	if r.servesPeers && !r.holder.Holds() && situation.Readers >= kqlease.Slots {
+		r.servesPeers = false
+		r.onReading(ctx, false)
 	}
 	switch r.holder.Next(situation, time.Now()) {
 	case kqlease.Look:
 		if !known {
-			// Everybody who knows nobody ranks first; chance ranks them instead.
-			kqpause.For(ctx, rand.N(lonelyPause))
+			// All nodes that know no other member have rank 0, so a random delay
+			// orders them instead.
+			kqpause.For(ctx, rand.N(maxIsolatedDelay))
 		}
-		r.look(ctx)
+		r.lookForSlot(ctx)
 	case kqlease.Renew:
-		if situation.Readers >= kqlease.Slots && r.replaced(ctx) {
-			r.giveUp()
+		if situation.Readers >= kqlease.Slots && r.hasLostSlot(ctx) {
+			r.stopWatching()
 			return
 		}
-		r.renew(ctx)
+		r.renewLease(ctx)
 	case kqlease.GiveUp:
-		r.giveUp()
+		r.stopWatching()
 	}
 }
 
-// situation tells how many readers the own domain has, this node's rank among
-// those that may become one, and whether any other member is known.
+// situation returns the number of other readers in this failure domain, this node's
+// rank among the candidates, and whether any other member
+// that is not dead is known.
 func (r *Reader) situation() (kqlease.Situation, bool) {
 	var s kqlease.Situation
 	self := r.table.Self()
@@ -174,15 +181,17 @@
 		case m.Reader:
 			s.Readers++
 		case m.Incarnation < self.Incarnation:
-			// The longest running members come first: they have the connections.
+			// Members that have run longer rank first, since they have open
+			// connections.
 			s.Rank++
 		}
 	}
 	return s, known
 }
 
-// look reads the slots and takes the first that is free.
-func (r *Reader) look(ctx context.Context) {
+// lookForSlot reads the slots, in random order, and takes the first that is free or
+// whose holder was found unknown or dead more than maxUnknownLooks times.
+func (r *Reader) lookForSlot(ctx context.Context) {
 	self := r.table.Self()
 	first := rand.IntN(kqlease.Slots)
 	for i := range kqlease.Slots {
@@ -190,26 +199,26 @@
 		e, err := r.store.Get(ctx, key)
 		switch {
 		case errors.Is(err, kqstore.ErrNotFound):
-			if r.take(ctx, key, kqstore.Absent) {
+			if r.takeSlot(ctx, key, kqstore.Absent) {
 				return
 			}
 		case err != nil:
-			r.failed(err)
+			r.onFailure(err)
 			return
-		case r.answers(kqname.Address(e.Value)):
-			delete(r.lonely, key)
+		case r.isKnownMember(kqname.Address(e.Value)):
+			delete(r.unknownLooks, key)
 		default:
 			r.contact(ctx, kqname.Address(e.Value))
-			r.lonely[key+string(e.Value)]++
-			if r.lonely[key+string(e.Value)] > strangers && r.take(ctx, key, e.Revision) {
+			r.unknownLooks[key+string(e.Value)]++
+			if r.unknownLooks[key+string(e.Value)] > maxUnknownLooks && r.takeSlot(ctx, key, e.Revision) {
 				return
 			}
 		}
 	}
 }
 
-// answers reports whether the holder of a slot is a member that is alive.
-func (r *Reader) answers(holder kqname.Address) bool {
+// isKnownMember reports whether the holder of a slot is a member that is not dead.
+func (r *Reader) isKnownMember(holder kqname.Address) bool {
 	for _, m := range r.table.Members() {
 		if m.Control == holder && m.State != kqmember.Dead {
 			return true
@@ -218,36 +227,37 @@
 	return false
 }
 
-// take takes a slot. A slot whose holder does not answer is taken before its
-// lease has lapsed: two readers at once do no harm, but a herd that lost all its
-// readers together would wait for the leases.
-func (r *Reader) take(ctx context.Context, key string, expected kqstore.Revision) bool {
+// takeSlot acquires a slot and starts reading. The slot of an unknown holder is taken
+// over before its lease expires: two readers at once do no harm, whereas nodes that
+// lost all their readers together would have to wait for the leases.
+func (r *Reader) takeSlot(ctx context.Context, key string, expected kqstore.Revision) bool {
 	sent := time.Now()
 	lease, err := r.store.Grant(ctx, kqlease.TTL)
 	if err != nil {
-		r.failed(err)
+		r.onFailure(err)
 		return false
 	}
 	revision, err := r.store.Swap(ctx, key, expected, []byte(r.table.Self().Control), lease)
 	if err != nil {
 		if !errors.Is(err, kqstore.ErrConflict) {
-			r.failed(err)
+			r.onFailure(err)
 		}
 		return false
 	}
 	r.holder.Renewed(sent)
 	r.lease, r.key, r.revision = lease, key, revision
-	clear(r.lonely)
-	reading, stop := context.WithCancel(ctx)
-	r.stop = stop
-	r.serves = true
+	clear(r.unknownLooks)
+	watchCtx, stopWatch := context.WithCancel(ctx)
+	r.stopWatch = stopWatch
+	r.servesPeers = true
 	kept := kqkeeper.From(ctx)
-	r.group.Go(func() { kept.Keep(ctx, "hold", func() { r.reads(ctx, true) }) })
-	r.group.Go(func() { kept.Keep(reading, "watch", func() { r.watcher.Run(reading) }) })
+	r.group.Go(func() { kept.Keep(ctx, "hold", func() { r.onReading(ctx, true) }) })
+	r.group.Go(func() { kept.Keep(watchCtx, "watch", func() { r.watcher.Run(watchCtx) }) })
 	return true
 }
 
-func (r *Reader) renew(ctx context.Context) {
+// renewLease renews the lease, and stops watching if it has expired.
+func (r *Reader) renewLease(ctx context.Context) {
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, kqlease.TTL/3)
 	defer cancel()
@@ -255,32 +265,32 @@
 	case err == nil:
 		r.holder.Renewed(sent)
 	case errors.Is(err, kqstore.ErrLeaseLapsed):
-		r.giveUp()
+		r.stopWatching()
 	default:
-		r.failed(err)
+		r.onFailure(err)
 	}
 }
 
-// replaced reports whether somebody else holds the slot. In a storm a reader that
-// did not answer loses its slot while its lease can still be renewed; were it not
-// to look, it would read on for good, and the platform's load would grow with
-// every storm. It looks only while its domain has a reader too many.
-func (r *Reader) replaced(ctx context.Context) bool {
+// hasLostSlot reports whether another node holds the slot. When many nodes start at
+// once, a reader that they do not know loses its slot although its lease can still be
+// renewed. Without this check it would read forever, and the platform's load would grow
+// with every such event. It is called only if the domain has more readers than slots.
+func (r *Reader) hasLostSlot(ctx context.Context) bool {
 	e, err := r.store.Get(ctx, r.key)
 	if errors.Is(err, kqstore.ErrNotFound) {
 		return true
 	}
 	if err != nil {
-		r.failed(err)
+		r.onFailure(err)
 		return false
 	}
 	return e.Revision != r.revision
 }
 
-// giveUp stops the calls to the platform. The node goes on holding the whole
-// document for its peers until others do: while the platform is down no reader
-// can keep its lease, and nobody could get a host that is not held elsewhere.
-func (r *Reader) giveUp() {
-	r.stop()
+// stopWatching stops the calls to the platform. The node continues to hold the whole
+// document for its peers until other nodes do: while the platform is down, no reader can
+// keep its lease, and a host held by no other node would be unavailable.
+func (r *Reader) stopWatching() {
+	r.stopWatch()
 	r.holder.Lost()
 }
--- a/internal/config/kqreader/reader_test.go
+++ b/internal/config/kqreader/reader_test.go
@@ -14,32 +14,32 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// idle is a watcher that counts how many run.
-type idle struct{ running *atomic.Int64 }
+// countingWatcher counts its calls of Run in progress.
+type countingWatcher struct{ running *atomic.Int64 }
 
-func (i idle) Run(ctx context.Context) {
+func (i countingWatcher) Run(ctx context.Context) {
 	i.running.Add(1)
 	defer i.running.Add(-1)
 	<-ctx.Done()
 }
 
-// domain is a failure domain with one node, which has become a reader.
-type domain struct {
-	platform *kqstandin.Standin
-	table    *kqmember.Table
-	reader   *kqreader.Reader
-	running  atomic.Int64
-	reads    atomic.Bool
+// readerFixture is a failure domain with one node, which has become a reader.
+type readerFixture struct {
+	platform  *kqstandin.Standin
+	table     *kqmember.Table
+	reader    *kqreader.Reader
+	running   atomic.Int64
+	isReading atomic.Bool
 }
 
-func start(t *testing.T) *domain {
+func start(t *testing.T) *readerFixture {
 	t.Helper()
-	d := &domain{
+	d := &readerFixture{
 		platform: kqstandin.New(),
 		table:    kqmember.NewTable(kqmember.Member{Node: "a", Domain: "one", Control: "127.0.0.1:1"}),
 	}
-	d.reader = kqreader.New(d.platform, d.table, idle{&d.running}, 0, func(context.Context, kqname.Address) {},
-		func(_ context.Context, on bool) { d.reads.Store(on) }, func(error) {})
+	d.reader = kqreader.New(d.platform, d.table, countingWatcher{&d.running}, 0, func(context.Context, kqname.Address) {},
+		func(_ context.Context, on bool) { d.isReading.Store(on) }, func(error) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	var group conc.WaitGroup
 	group.Go(func() { d.reader.Run(ctx) })
@@ -47,32 +47,32 @@
 		cancel()
 		group.Wait()
 	})
-	await(t, "it reads", func() bool { return d.reads.Load() && d.running.Load() == 1 })
+	await(t, "reader watches and holds the whole document", func() bool { return d.isReading.Load() && d.running.Load() == 1 })
 	return d
 }
 
-// A reader is paused for longer than its lease, somebody else takes its slot,
-// and it wakes. It must notice by the platform's refusal and stop watching, or
+// A reader is paused for longer than its lease lasts, and other nodes take the slots.
+// When it resumes, the platform rejects its renewal and it must stop watching; otherwise
 // the platform's load would grow with every pause.
-func TestReaderThatWokeAfterItsLeaseGivesUp(t *testing.T) {
+func TestReaderStopsWatchingAfterLeaseExpires(t *testing.T) {
 	d := start(t)
 
 	d.platform.SetFaults(kqstandin.Faults{LapseLeases: true})
 	for slot := range 2 {
-		// Others hold both slots now.
+		// Other nodes now hold both slots.
 		if _, err := d.platform.Swap(t.Context(), kqreader.SlotKey("one", slot), 0, []byte("127.0.0.1:2"), ""); err != nil {
 			t.Fatal(err)
 		}
 	}
 	d.table.Merge(kqmember.Member{Node: "b", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
 	d.table.Merge(kqmember.Member{Node: "c", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
-	await(t, "it gives up", func() bool { return !d.reads.Load() && d.running.Load() == 0 })
+	await(t, "reader stops watching and holding the whole document", func() bool { return !d.isReading.Load() && d.running.Load() == 0 })
 }
 
-// In a storm of starting nodes a reader does not answer in time, and others take
-// its slot while its lease is still good. It must notice and stop, or each storm
-// would leave readers behind, and the platform's calls would grow for good.
-func TestReaderWhoseSlotWasTakenGivesUp(t *testing.T) {
+// Many nodes start at once, and some take a reader's slot although its lease is still
+// valid. It must detect this and stop watching; otherwise each such event would leave
+// surplus readers, and the platform's load would keep growing.
+func TestReaderStopsWatchingAfterSlotIsTaken(t *testing.T) {
 	d := start(t)
 	for slot := range 2 {
 		if _, err := d.platform.Put(t.Context(), kqreader.SlotKey("one", slot), []byte("127.0.0.1:2"), ""); err != nil {
@@ -81,40 +81,41 @@
 	}
 	d.table.Merge(kqmember.Member{Node: "b", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
 	d.table.Merge(kqmember.Member{Node: "c", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
-	await(t, "it gives up", func() bool { return !d.reads.Load() && d.running.Load() == 0 })
+	await(t, "reader stops watching and holding the whole document", func() bool { return !d.isReading.Load() && d.running.Load() == 0 })
 }
 
-// The platform is down for longer than the leases last, so every reader gives
-// up. A server that is replaced meanwhile needs hosts that only readers hold; its
-// callers would get no answer if the readers stopped serving their peers too.
+// The platform is down for longer than the leases last, so every reader stops watching.
+// A server that is replaced meanwhile needs hosts that only readers hold, so the readers
+// must continue to serve their peers; otherwise calls to these hosts would fail.
 func TestReadersServePeersWhileThePlatformIsDown(t *testing.T) {
 	d := start(t)
 	d.platform.SetFaults(kqstandin.Faults{Down: true})
-	await(t, "it stops its watch", func() bool { return d.running.Load() == 0 })
-	if !d.reads.Load() {
-		t.Fatal("nobody holds the whole document any more")
+	await(t, "reader stops watching", func() bool { return d.running.Load() == 0 })
+	if !d.isReading.Load() {
+		t.Fatal("the reader no longer holds the whole document")
 	}
 	d.platform.SetFaults(kqstandin.Faults{})
-	await(t, "it reads again", func() bool { return d.running.Load() == 1 })
+	await(t, "reader watches again", func() bool { return d.running.Load() == 1 })
 }
 
-// A domain's reader is shut down. It frees its slot, so that its stand-by need
-// not wait for the lease to lapse.
+// A reader that shuts down must release its slot, so that its successor need not wait
+// until the lease expires.
 func TestLeavingReaderFreesItsSlot(t *testing.T) {
 	d := start(t)
 	d.reader.Close(t.Context())
 	for slot := range 2 {
 		if e, err := d.platform.Get(t.Context(), kqreader.SlotKey("one", slot)); err == nil {
-			t.Errorf("slot %d is still %s's", slot, e.Value)
+			t.Errorf("slot %d is still held by %s", slot, e.Value)
 		}
 	}
 }
 
+// await waits until done returns true; what describes the condition.
 func await(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("not within 30 s: %s", what)
 		}
 	}
 }
