--- a/internal/config/kqfollower/doc.go
+++ b/internal/config/kqfollower/doc.go
@@ -1,8 +1,9 @@
-// Package kqfollower decides which nodes follow the store for all others. It is a
-// pure function of the members: those of each failure domain with the widest links,
-// among equals the first in the order of a hash of their names. No lease is taken for it: two views of the members
-// differ for seconds at most, and a follower too many costs a few calls, while one
-// too few is made up for by the other domains'. The store's load is therefore
-// independent of the fleet's size, and a store that comes back finds its followers
-// at once, instead of after leases have lapsed and been taken anew.
+// Package kqfollower decides which nodes follow the store for all others. The choice is
+// a pure function of the members: in each failure domain, those with the fastest links,
+// then the most cores, and among equals those with the lowest hash of the name. It needs
+// no leases: nodes' views of the members differ for seconds at most, a surplus follower
+// costs a few calls, and the followers of other domains compensate for a missing one.
+// The store's load is therefore independent of the fleet's size, and after an outage the
+// store has its followers at once, without waiting for leases to expire and be acquired
+// again.
 package kqfollower
--- a/internal/config/kqfollower/follower.go
+++ b/internal/config/kqfollower/follower.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// PerDomain is how many nodes of a failure domain follow: one may be restarted,
-	// or turned away by the store unseen by its peers, and each change costs the
-	// store a call for each follower.
+	// PerDomain is how many nodes of a failure domain follow. One alone might be
+	// restarting, or be rejected by the store without its peers noticing; more would
+	// cost the store one more call each per change.
 	PerDomain = 2
 
-	checkEvery  = 250 * time.Millisecond
-	settleCheck = 20 * time.Millisecond
-	// lingers is how long a node goes on after others have come before it. It
-	// keeps nodes that come and go from starting and ending watches.
-	lingers = 2 * time.Second
-	// settles is how long a starting node that knows nobody waits for its peers, who
-	// follow already: it finds them within about half that. Following at once, each
-	// replaced server would read the whole document some 20 times in its first
-	// seconds, and slow ones would be asked for it by their peers.
-	settles = 400 * time.Millisecond
+	checkInterval     = 250 * time.Millisecond
+	peerCheckInterval = 20 * time.Millisecond
+	// stopDelay is how long a follower continues after it is no longer chosen, so that
+	// a changing membership does not start and stop watches.
+	stopDelay = 2 * time.Second
+	// maxPeerWait is how long a starting node that knows no other member waits until it
+	// finds its peers, which takes about half that time. If it followed at once, each
+	// replaced server would read the whole document some 20 times in its first seconds,
+	// and peers would request it from slow servers.
+	maxPeerWait = 400 * time.Millisecond
 )
 
 type (
-	// Members gives the members that are known, this node included.
+	// Members returns the known members, this node included.
 	Members interface {
 		Self() kqmember.Member
 		Members() []kqmember.Member
@@ -44,48 +44,48 @@
 		Run(ctx context.Context)
 	}
 
-	// Follower runs the watcher while this node is among the first of its domain.
+	// Follower runs the watcher while this node is chosen in its failure domain.
 	Follower struct {
 		members Members
 		watcher Watcher
-		// follows is told when this node starts and stops.
-		follows func(ctx context.Context, on bool)
-		// following is the spell that runs, nil while none does, and chosen when this
-		// node was last among the first. Only Run uses them.
-		following *run
-		chosen    time.Time
+		// onFollow is called when this node starts and stops following.
+		onFollow func(ctx context.Context, on bool)
+		// activeRun is the run in progress, or nil, and lastChosen is when this node was
+		// last chosen. Only Run uses them.
+		activeRun  *run
+		lastChosen time.Time
 	}
 
-	// run is one spell of following.
+	// run is one period of following.
 	run struct{ stop context.CancelFunc }
 )
 
-// New returns a follower.
-func New(members Members, watcher Watcher, follows func(ctx context.Context, on bool)) *Follower {
-	return &Follower{members: members, watcher: watcher, follows: follows}
+// New returns a Follower.
+func New(members Members, watcher Watcher, onFollow func(ctx context.Context, on bool)) *Follower {
+	return &Follower{members: members, watcher: watcher, onFollow: onFollow}
 }
 
-// Chosen reports whether the node is one of the first of its domain among the
-// members that are alive. A node that knows nobody is.
-func Chosen(self kqmember.Member, members []kqmember.Member) bool {
+// IsChosen reports whether the node is among the first PerDomain live members of its
+// failure domain. A node that knows no other member is chosen.
+func IsChosen(self kqmember.Member, members []kqmember.Member) bool {
 	before := 0
 	for _, m := range members {
-		if m.Node != self.Node && m.Domain == self.Domain && m.State == kqmember.Alive && compare(m, self) < 0 {
+		if m.Node != self.Node && m.Domain == self.Domain && m.State == kqmember.Alive && compareCandidates(m, self) < 0 {
 			before++
 		}
 	}
 	return before < PerDomain
 }
 
-// Run takes part until ctx ends.
+// Run follows the store whenever this node is chosen, until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	f.settle(ctx)
+	f.waitForPeers(ctx)
 	var group conc.WaitGroup
 	defer group.Wait()
-	ticker := time.NewTicker(checkEvery)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for now := time.Now(); ; {
-		kqkeeper.From(ctx).Try("follow", func() { f.step(ctx, &group, now) })
+		kqkeeper.From(ctx).Try("follow", func() { f.update(ctx, &group, now) })
 		select {
 		case <-ctx.Done():
 			return
@@ -94,49 +94,51 @@
 	}
 }
 
-// step starts a spell, or ends it.
-func (f *Follower) step(ctx context.Context, group *conc.WaitGroup, now time.Time) {
-	if Chosen(f.members.Self(), f.members.Members()) {
-		f.chosen = now
+// update starts or stops following, as required.
+func (f *Follower) update(ctx context.Context, group *conc.WaitGroup, now time.Time) {
+	if IsChosen(f.members.Self(), f.members.Members()) {
+		f.lastChosen = now
 	}
-	switch wanted := now.Sub(f.chosen) < lingers; {
-	case wanted && f.following == nil:
-		f.following = f.start(ctx, group)
-	case !wanted && f.following != nil:
-		f.following.stop()
-		f.following = nil
-		f.follows(ctx, false)
+	switch shouldFollow := now.Sub(f.lastChosen) < stopDelay; {
+	case shouldFollow && f.activeRun == nil:
+		f.activeRun = f.start(ctx, group)
+	case !shouldFollow && f.activeRun != nil:
+		f.activeRun.stop()
+		f.activeRun = nil
+		f.onFollow(ctx, false)
 	}
 }
 
-// settle waits until a peer is known, at most for settles.
-func (f *Follower) settle(ctx context.Context) {
-	for waited := time.Duration(0); waited < settles && ctx.Err() == nil; waited += settleCheck {
+// waitForPeers waits until another member is known, for at most maxPeerWait.
+func (f *Follower) waitForPeers(ctx context.Context) {
+	for waited := time.Duration(0); waited < maxPeerWait && ctx.Err() == nil; waited += peerCheckInterval {
 		if peers := len(f.members.Members()) - 1; peers > 0 {
 			return
 		}
-		kqpause.For(ctx, settleCheck)
+		kqpause.For(ctx, peerCheckInterval)
 	}
 }
 
+// start starts a run of the watcher.
 func (f *Follower) start(ctx context.Context, group *conc.WaitGroup) *run {
 	kept := kqkeeper.From(ctx)
-	following, stop := context.WithCancel(ctx)
-	group.Go(func() { kept.Keep(following, "hold", func() { f.follows(following, true) }) })
-	group.Go(func() { kept.Keep(following, "watch", func() { f.watcher.Run(following) }) })
+	runCtx, stop := context.WithCancel(ctx)
+	group.Go(func() { kept.Keep(runCtx, "hold", func() { f.onFollow(runCtx, true) }) })
+	group.Go(func() { kept.Keep(runCtx, "watch", func() { f.watcher.Run(runCtx) }) })
 	return &run{stop: stop}
 }
 
-// compare puts the wider link first, then the larger share of cores, then the lower
-// hash. Each version costs a follower the whole document: some 220 KB for 800 routes,
-// a fifth of a second of a link of 10 Mbit/s that carries callers' answers too. A
-// follower that cannot keep up keeps its whole domain on old versions.
-func compare(a, b kqmember.Member) int {
+// compareCandidates orders the faster link first, then the larger share of cores, then
+// the lower hash. A follower reads the whole document for each version: some 220 KB for
+// 800 routes, which takes a fifth of a second on a link of 10 Mbit/s that also carries
+// callers' traffic. A follower that cannot keep up keeps its whole domain on old
+// versions.
+func compareCandidates(a, b kqmember.Member) int {
 	return cmp.Or(
 		cmp.Compare(b.Link, a.Link),
 		cmp.Compare(b.Cores, a.Cores),
-		cmp.Compare(order(a.Node), order(b.Node)),
+		cmp.Compare(nameHash(a.Node), nameHash(b.Node)),
 	)
 }
 
-func order(n kqname.Node) uint64 { return xxhash.Sum64String(string(n)) }
+func nameHash(n kqname.Node) uint64 { return xxhash.Sum64String(string(n)) }
--- a/internal/config/kqfollower/follower_test.go
+++ b/internal/config/kqfollower/follower_test.go
@@ -11,11 +11,11 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Some servers of a domain have links of 10 Mbit/s, two have 200. Versions of hundreds
-// of routes come several times a second: were one of the slow ones to read them all,
-// it would fall behind, and all nodes of its domain with it, so that callers are told
-// of routes long gone. Once the fast ones are dead, a slow one must serve.
-func TestWideLinksFollowFirst(t *testing.T) {
+// Most servers of a failure domain have links of 10 Mbit/s, two have 200. Versions with
+// hundreds of routes arrive several times a second: if a slow server followed, it and all
+// nodes of its domain would fall behind and route calls by outdated routes. Once the fast
+// servers are dead, slow ones must follow.
+func TestNodesWithFastLinksFollowFirst(t *testing.T) {
 	var members []kqmember.Member
 	for i := range 20 {
 		m := kqmember.Member{Node: kqname.Node(fmt.Sprint("n", i)), Domain: "d", Link: 10, Cores: 0.16}
@@ -25,26 +25,26 @@
 		members = append(members, m)
 	}
 	for i, m := range members {
-		if kqfollower.Chosen(m, members) != (i%10 == 7) {
-			t.Errorf("node %d with a link of %v Mbit/s: follows %v", i, m.Link, i%10 != 7)
+		if kqfollower.IsChosen(m, members) != (i%10 == 7) {
+			t.Errorf("node %d with a link of %v Mbit/s: chosen is %v", i, m.Link, i%10 != 7)
 		}
 	}
 	members[7].State, members[17].State = kqmember.Dead, kqmember.Dead
 	followers := 0
 	for _, m := range members {
-		if m.State == kqmember.Alive && kqfollower.Chosen(m, members) {
+		if m.State == kqmember.Alive && kqfollower.IsChosen(m, members) {
 			followers++
 		}
 	}
 	if followers != kqfollower.PerDomain {
-		t.Errorf("%d nodes follow once the fast ones are dead, want %d", followers, kqfollower.PerDomain)
+		t.Errorf("%d followers after the fast servers died, want %d", followers, kqfollower.PerDomain)
 	}
 }
 
-// Nodes of a domain die, also those that followed the store for the others. Others
-// must follow in their place at once, and never more than a few of a domain, or
-// the store's load would grow with the fleet.
-func TestFollowersOfADomain(t *testing.T) {
+// Nodes die, followers among them. Other nodes must replace the followers at once, and a
+// failure domain must never have more than PerDomain; otherwise the store's load would
+// grow with the fleet.
+func TestDeadFollowersAreReplaced(t *testing.T) {
 	var members []kqmember.Member
 	for i := range 40 {
 		members = append(members, kqmember.Member{Node: kqname.Node(fmt.Sprint("n", i)), Domain: kqname.Domain(fmt.Sprint("d", i%4))})
@@ -57,7 +57,7 @@
 				continue
 			}
 			alive[members[i].Domain]++
-			if kqfollower.Chosen(members[i], members) {
+			if kqfollower.IsChosen(members[i], members) {
 				followers[members[i].Domain]++
 			}
 		}
@@ -68,28 +68,29 @@
 		}
 		members[killed].State = kqmember.Dead
 	}
-	if !kqfollower.Chosen(kqmember.Member{Node: "alone", Domain: "d"}, nil) {
-		t.Error("a node that knows nobody does not follow")
+	if !kqfollower.IsChosen(kqmember.Member{Node: "alone", Domain: "d"}, nil) {
+		t.Error("a node that knows no other member is not chosen")
 	}
 }
 
 type (
-	// arriving is the members of a node that finds its peers a moment after its start.
-	arriving struct {
+	// lateMembers returns only the node itself at first, then its peers too, and calls
+	// done after the eighth call.
+	lateMembers struct {
 		self  kqmember.Member
 		peers []kqmember.Member
-		asked atomic.Int64
+		calls atomic.Int64
 		done  context.CancelFunc
 	}
 
-	// counted is a watcher that counts how often it is run.
-	counted struct{ runs atomic.Int64 }
+	// countingWatcher counts its calls of Run.
+	countingWatcher struct{ runs atomic.Int64 }
 )
 
-func (a *arriving) Self() kqmember.Member { return a.self }
+func (a *lateMembers) Self() kqmember.Member { return a.self }
 
-func (a *arriving) Members() []kqmember.Member {
-	switch n := a.asked.Add(1); {
+func (a *lateMembers) Members() []kqmember.Member {
+	switch n := a.calls.Add(1); {
 	case n <= 3:
 		return []kqmember.Member{a.self}
 	case n > 8:
@@ -98,25 +99,25 @@
 	return append([]kqmember.Member{a.self}, a.peers...)
 }
 
-func (c *counted) Run(ctx context.Context) {
+func (c *countingWatcher) Run(ctx context.Context) {
 	c.runs.Add(1)
 	<-ctx.Done()
 }
 
-// A server is replaced, and its node knows nobody in its first moments. Its peers
-// follow the store already: if it did so too, each replaced server would read the whole
-// document again and again, over a link that its callers need.
-func TestStartingNodeFindsItsPeersFirst(t *testing.T) {
+// The node of a replaced server knows no other member at first, while its peers follow the
+// store already. It must find them before it follows; otherwise each replaced server would
+// read the whole document repeatedly, over a link that its callers need.
+func TestStartingNodeWaitsForItsPeers(t *testing.T) {
 	ctx, done := context.WithCancel(t.Context())
 	defer done()
-	members := &arriving{
+	members := &lateMembers{
 		self:  kqmember.Member{Node: "new", Domain: "d", Link: 10},
 		peers: []kqmember.Member{{Node: "a", Domain: "d", Link: 200}, {Node: "b", Domain: "d", Link: 200}},
 		done:  done,
 	}
-	watcher := &counted{}
+	watcher := &countingWatcher{}
 	kqfollower.New(members, watcher, func(context.Context, bool) {}).Run(ctx)
 	if n := watcher.runs.Load(); n != 0 {
-		t.Errorf("the starting node followed the store %d times, want none beside its peers", n)
+		t.Errorf("the starting node followed the store %d times, want 0", n)
 	}
 }
