--- a/internal/config/kqwatch/doc.go
+++ b/internal/config/kqwatch/doc.go
@@ -1,3 +1,3 @@
-// Package kqwatch follows the root on the platform's service: one waiting
-// watch, and a slow poll beside it, since a watch can go silent.
+// Package kqwatch follows the root on the platform's service by a long-polling watch
+// and, since a watch can stop reporting changes, a slow poll.
 package kqwatch
--- a/internal/config/kqwatch/watch.go
+++ b/internal/config/kqwatch/watch.go
@@ -15,38 +15,39 @@
 )
 
 const (
-	watchWait   = 20 * time.Second
-	pollEvery   = 10 * time.Second
-	backoffBase = 100 * time.Millisecond
-	backoffMost = 5 * time.Second
+	watchWait           = 20 * time.Second
+	defaultPollInterval = 10 * time.Second
+	minBackoff          = 100 * time.Millisecond
+	maxBackoff          = 5 * time.Second
 )
 
 type (
-	// Store is the part of the platform's service that a watcher uses.
+	// Store is the subset of the platform's key-value API that a Watcher uses.
 	Store interface {
 		Get(ctx context.Context, key string) (kqstore.Entry, error)
 		Watch(ctx context.Context, key string, after kqstore.Revision, wait time.Duration) (kqstore.Entry, error)
 	}
 
-	// Watcher hands each root that it sees to its receiver.
+	// Watcher passes each root that it reads to onRoot.
 	Watcher struct {
-		poll    time.Duration
-		store   Store
-		receive func(context.Context, kqresource.Root)
-		failed  func(error)
+		pollInterval time.Duration
+		store        Store
+		onRoot       func(context.Context, kqresource.Root)
+		onFailure    func(error)
 	}
 
-	// Option sets up a Watcher.
+	// Option configures a Watcher.
 	Option func(*Watcher)
 )
 
-// WithPoll sets how often the root is read beside the watch. It bounds how long
-// a watch that went silent can keep a version from the fleet.
-func WithPoll(every time.Duration) Option { return func(w *Watcher) { w.poll = every } }
+// WithPoll sets the interval of the poll. It bounds how long a silent watch can delay a
+// version.
+func WithPoll(every time.Duration) Option { return func(w *Watcher) { w.pollInterval = every } }
 
-// New returns a watcher; failed is told of each call that went wrong.
-func New(store Store, receive func(context.Context, kqresource.Root), failed func(error), options ...Option) *Watcher {
-	w := &Watcher{store: store, receive: receive, failed: failed, poll: pollEvery}
+// New returns a Watcher. onRoot is called with each root read, also repeatedly with the
+// same one, and onFailure with the error of each failed call.
+func New(store Store, onRoot func(context.Context, kqresource.Root), onFailure func(error), options ...Option) *Watcher {
+	w := &Watcher{store: store, onRoot: onRoot, onFailure: onFailure, pollInterval: defaultPollInterval}
 	for _, o := range options {
 		o(w)
 	}
@@ -58,61 +59,62 @@
 	var group conc.WaitGroup
 	kept := kqkeeper.From(ctx)
 	group.Go(func() {
-		var seen kqstore.Revision
+		var lastRevision kqstore.Revision
 		kept.Keep(ctx, "watch", func() {
 			w.repeat(ctx, 0, func() error {
-				e, err := w.store.Watch(ctx, kqcommit.RootKey, seen, watchWait)
+				e, err := w.store.Watch(ctx, kqcommit.RootKey, lastRevision, watchWait)
 				if err != nil {
 					return err
 				}
-				seen = e.Revision
-				return w.take(ctx, e)
+				lastRevision = e.Revision
+				return w.deliver(ctx, e)
 			})
 		})
 	})
 	group.Go(func() {
 		kept.Keep(ctx, "poll", func() {
-			w.repeat(ctx, w.poll, func() error {
+			w.repeat(ctx, w.pollInterval, func() error {
 				e, err := w.store.Get(ctx, kqcommit.RootKey)
 				if err != nil {
 					return err
 				}
-				return w.take(ctx, e)
+				return w.deliver(ctx, e)
 			})
 		})
 	})
 	group.Wait()
 }
 
-func (w *Watcher) take(ctx context.Context, e kqstore.Entry) error {
+// deliver decodes a root and passes it to onRoot.
+func (w *Watcher) deliver(ctx context.Context, e kqstore.Entry) error {
 	var root kqresource.Root
 	if err := kqresource.Decode(e.Value, &root); err != nil {
 		return err
 	}
-	w.receive(ctx, root)
+	w.onRoot(ctx, root)
 	return nil
 }
 
-// repeat calls step until ctx ends, with a pause after each success and a
-// growing, fully jittered one after failures, so that nodes which lost the
-// platform together do not come back to it together.
+// repeat calls step until ctx ends, with a pause after each success and an exponential
+// backoff with full jitter after failures, so that nodes which lost the platform together
+// do not retry together.
 func (w *Watcher) repeat(ctx context.Context, pause time.Duration, step func() error) {
-	backoff := backoffBase
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		wait := pause
 		err := step()
 		if err != nil && !errors.Is(err, kqstore.ErrNotFound) {
 			if ctx.Err() == nil {
-				w.failed(err)
+				w.onFailure(err)
 			}
 			wait = rand.N(backoff)
-			backoff = min(backoff*2, backoffMost)
+			backoff = min(backoff*2, maxBackoff)
 		} else {
-			backoff = backoffBase
+			backoff = minBackoff
 			if err != nil {
-				// A service that answers at once that nothing changed would
-				// otherwise be asked as fast as it can answer.
-				wait = max(wait, backoffBase)
+				// Otherwise a service that answers at once that nothing has changed
+				// would be called in a busy loop.
+				wait = max(wait, minBackoff)
 			}
 		}
 		if wait > 0 {
--- a/internal/config/kqwatch/watch_test.go
+++ b/internal/config/kqwatch/watch_test.go
@@ -13,9 +13,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// The platform answers, but the waiting watch never does, though the root has
-// changed. Without the poll beside it, an operator's change would be accepted
-// and never come into force.
+// The platform answers other calls, but its watch never reports a changed root. Without
+// the poll, an operator's change would be accepted but never take effect.
 func TestVersionComesThroughWhenTheWatchIsSilent(t *testing.T) {
 	platform := kqstandin.New()
 	platform.SetFaults(kqstandin.Faults{SilentWatch: true})
@@ -37,7 +36,7 @@
 			select {
 			case got = <-seen:
 			case <-time.After(20 * time.Second):
-				t.Fatalf("version %d never came", v)
+				t.Fatalf("version %d was not delivered within 20 s", v)
 			}
 		}
 	}
