--- a/internal/config/kqinterest/doc.go
+++ b/internal/config/kqinterest/doc.go
@@ -1,3 +1,3 @@
-// Package kqinterest remembers which hosts a node's traffic uses, and when each
-// was last used.
+// Package kqinterest records which hosts a node's traffic uses, and when each was last
+// used.
 package kqinterest
--- a/internal/config/kqinterest/interest.go
+++ b/internal/config/kqinterest/interest.go
@@ -13,71 +13,71 @@
 
 const (
 	shards = 16
-	// grain is how exact the time of last use is. Calls of one host then seldom
-	// write, and processors need not pass the same line of memory around.
-	grain = time.Second
+	// timeResolution is the resolution of the time of last use. With it, calls for the
+	// same host rarely write, which avoids contention for the cache line.
+	timeResolution = time.Second
 )
 
 type (
-	// Interests are a node's. They are safe for concurrent use, and renewing one
-	// takes a shared lock of one shard only.
+	// Interests holds the hosts that a node's traffic uses. It is safe for concurrent
+	// use, and Renew takes only the read lock of one shard.
 	Interests struct {
 		shards [shards]shard
 	}
 
 	shard struct {
-		mu   sync.RWMutex
-		used map[kqname.Host]*atomic.Int64
+		mu       sync.RWMutex
+		lastUsed map[kqname.Host]*atomic.Int64
 	}
 )
 
-// New returns interests without any.
+// New returns an empty Interests.
 func New() *Interests {
 	i := &Interests{}
 	for n := range i.shards {
-		i.shards[n].used = make(map[kqname.Host]*atomic.Int64)
+		i.shards[n].lastUsed = make(map[kqname.Host]*atomic.Int64)
 	}
 	return i
 }
 
-// Renew notes a use of a host that is held already; it adds none.
+// Renew updates the time of last use of a host. It does not add a host.
 func (i *Interests) Renew(host kqname.Host, now time.Time) {
 	s := i.shard(host)
 	s.mu.RLock()
-	used := s.used[host]
+	lastUsed := s.lastUsed[host]
 	s.mu.RUnlock()
-	if at := now.UnixNano(); used != nil && at-used.Load() > int64(grain) {
-		used.Store(at)
+	if at := now.UnixNano(); lastUsed != nil && at-lastUsed.Load() > int64(timeResolution) {
+		lastUsed.Store(at)
 	}
 }
 
-// Add begins or renews an interest.
+// Add adds a host, or updates its time of last use.
 func (i *Interests) Add(host kqname.Host, now time.Time) {
 	s := i.shard(host)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.used[host] == nil {
-		s.used[host] = &atomic.Int64{}
+	if s.lastUsed[host] == nil {
+		s.lastUsed[host] = &atomic.Int64{}
 	}
-	s.used[host].Store(now.UnixNano())
+	s.lastUsed[host].Store(now.UnixNano())
 }
 
-// Hosts returns all hosts, the one used last first.
+// Hosts returns all hosts, the most recently used first.
 func (i *Interests) Hosts() []kqname.Host {
 	type entry struct {
-		host kqname.Host
-		used int64
+		host     kqname.Host
+		lastUsed int64
 	}
 	var all []entry
 	for n := range i.shards {
 		s := &i.shards[n]
 		s.mu.RLock()
-		for h, used := range s.used {
-			all = append(all, entry{h, used.Load()})
+		for h, lastUsed := range s.lastUsed {
+			all = append(all, entry{h, lastUsed.Load()})
 		}
 		s.mu.RUnlock()
 	}
-	slices.SortFunc(all, func(a, b entry) int { return int(min(max(b.used-a.used, -1), 1)) })
+	slices.SortFunc(all, func(a, b entry) int { return int(min(max(b.lastUsed-a.lastUsed, -1), 1)) })
 	hosts := make([]kqname.Host, 0, len(all))
 	for _, e := range all {
 		hosts = append(hosts, e.host)
@@ -85,10 +85,10 @@
 	return hosts
 }
 
-// Sweep drops the hosts that were last used before the given time, and returns
-// how many they were.
+// Sweep drops the hosts that were last used before the given time, and returns their
+// number.
 func (i *Interests) Sweep(before time.Time) int {
-	return i.drop(func(_ kqname.Host, used int64) bool { return used < before.UnixNano() })
+	return i.drop(func(_ kqname.Host, lastUsed int64) bool { return lastUsed < before.UnixNano() })
 }
 
 // Drop drops one host.
@@ -96,14 +96,15 @@
 	i.drop(func(h kqname.Host, _ int64) bool { return h == host })
 }
 
-func (i *Interests) drop(chosen func(kqname.Host, int64) bool) int {
+// drop drops the hosts for which shouldDrop returns true, and returns their number.
+func (i *Interests) drop(shouldDrop func(kqname.Host, int64) bool) int {
 	dropped := 0
 	for n := range i.shards {
 		s := &i.shards[n]
 		s.mu.Lock()
-		for h, used := range s.used {
-			if chosen(h, used.Load()) {
-				delete(s.used, h)
+		for h, lastUsed := range s.lastUsed {
+			if shouldDrop(h, lastUsed.Load()) {
+				delete(s.lastUsed, h)
 				dropped++
 			}
 		}
