--- a/internal/config/kqdelta/delta.go
+++ b/internal/config/kqdelta/delta.go
@@ -10,38 +10,39 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// ErrBase tells that a delta was made from another root.
-var ErrBase = errors.New("delta is from another root")
+// ErrWrongBase means that a delta was computed from another root.
+var ErrWrongBase = errors.New("delta was computed from another root")
 
-// Delta leads from one root to a newer one.
+// Delta is the difference between a root and a newer one.
 type Delta struct {
-	// Base and Result are the digests of the two roots.
+	// Base and Result are the digests of the older and the newer root.
 	Base   kqresource.Digest `cbor:"1,keyasint"`
 	Result kqresource.Digest `cbor:"2,keyasint"`
-	// Changed is the newer root with only the hosts and services that differ.
-	Changed      kqresource.Root  `cbor:"3,keyasint"`
-	GoneHosts    []kqname.Host    `cbor:"4,keyasint,omitempty"`
-	GoneServices []kqname.Service `cbor:"5,keyasint,omitempty"`
+	// Changed is the newer root, reduced to the hosts and services that were added or
+	// changed.
+	Changed         kqresource.Root  `cbor:"3,keyasint"`
+	RemovedHosts    []kqname.Host    `cbor:"4,keyasint,omitempty"`
+	RemovedServices []kqname.Service `cbor:"5,keyasint,omitempty"`
 }
 
-// Between returns the delta from old to next, whose digests are given.
+// Between returns the delta from old to next. The digests are those of the two roots.
 func Between(old, next kqresource.Root, oldDigest, nextDigest kqresource.Digest) Delta {
 	d := Delta{Base: oldDigest, Result: nextDigest, Changed: next}
-	d.Changed.Hosts, d.GoneHosts = difference(old.Hosts, next.Hosts, sameParts)
-	d.Changed.Services, d.GoneServices = difference(old.Services, next.Services, sameDigest)
+	d.Changed.Hosts, d.RemovedHosts = diffMaps(old.Hosts, next.Hosts, equalParts)
+	d.Changed.Services, d.RemovedServices = diffMaps(old.Services, next.Services, equalDigests)
 	return d
 }
 
-// Apply returns the newer root and its bytes. It returns ErrBase if old is not
-// the root that the delta was made from, and kqresource.ErrDigest if the result
-// is not the root that was meant, so that no node can end up with a mixture.
+// Apply returns the newer root and its encoding. digest is that of old. Apply returns
+// ErrWrongBase if the delta was computed from another root, and kqresource.ErrDigest if
+// the result does not have the digest Result, so that no node can hold a mixture of roots.
 func (d Delta) Apply(old kqresource.Root, digest kqresource.Digest) (kqresource.Root, []byte, error) {
 	if digest != d.Base {
-		return kqresource.Root{}, nil, fmt.Errorf("apply delta to version %d: %w", d.Changed.Version, ErrBase)
+		return kqresource.Root{}, nil, fmt.Errorf("apply delta to version %d: %w", d.Changed.Version, ErrWrongBase)
 	}
 	next := d.Changed
-	next.Hosts = merged(old.Hosts, d.Changed.Hosts, d.GoneHosts)
-	next.Services = merged(old.Services, d.Changed.Services, d.GoneServices)
+	next.Hosts = mergeMaps(old.Hosts, d.Changed.Hosts, d.RemovedHosts)
+	next.Services = mergeMaps(old.Services, d.Changed.Services, d.RemovedServices)
 	data, err := kqresource.Encode(next)
 	if err != nil {
 		return kqresource.Root{}, nil, fmt.Errorf("apply delta to version %d: %w", next.Version, err)
@@ -52,11 +53,13 @@
 	return next, data, nil
 }
 
-func sameParts(a, b kqresource.Parts) bool { return slices.Equal(a, b) }
+func equalParts(a, b kqresource.Parts) bool { return slices.Equal(a, b) }
 
-func sameDigest(a, b kqresource.Digest) bool { return a == b }
+func equalDigests(a, b kqresource.Digest) bool { return a == b }
 
-func difference[K comparable, V any](old, next map[K]V, same func(a, b V) bool) (changed map[K]V, gone []K) {
+// diffMaps returns the entries of next that are new or changed, and the keys of old that
+// next lacks.
+func diffMaps[K comparable, V any](old, next map[K]V, same func(a, b V) bool) (changed map[K]V, removed []K) {
 	changed = make(map[K]V)
 	for k, d := range next {
 		if !same(old[k], d) {
@@ -65,16 +68,17 @@
 	}
 	for k := range old {
 		if _, ok := next[k]; !ok {
-			gone = append(gone, k)
+			removed = append(removed, k)
 		}
 	}
-	return changed, gone
+	return changed, removed
 }
 
-func merged[K comparable, V any](old, changed map[K]V, gone []K) map[K]V {
+// mergeMaps returns old without the removed keys and with the changed entries.
+func mergeMaps[K comparable, V any](old, changed map[K]V, removed []K) map[K]V {
 	result := make(map[K]V, len(old)+len(changed))
 	maps.Copy(result, old)
-	for _, k := range gone {
+	for _, k := range removed {
 		delete(result, k)
 	}
 	maps.Copy(result, changed)
--- a/internal/config/kqdelta/delta_test.go
+++ b/internal/config/kqdelta/delta_test.go
@@ -11,7 +11,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// root makes a root with an object for each given number.
+// root returns a root with a host and a service for each given mark, which determines
+// their digests.
 func root(t testing.TB, version int, marks ...int) (kqresource.Root, kqresource.Digest, []byte) {
 	t.Helper()
 	r := kqresource.Root{
@@ -29,19 +30,19 @@
 	return r, kqresource.DigestOf(data), data
 }
 
-func TestDeltaLeadsToTheNewerRoot(t *testing.T) {
+func TestAppliedDeltaGivesNewerRoot(t *testing.T) {
 	old, oldDigest, _ := root(t, 3, 1, 2, 3, 4)
 	for _, marks := range [][]int{{1, 2, 3, 4}, {1, 9, 3, 4}, {1, 2}, {1, 2, 3, 4, 5, 6}, nil} {
 		next, nextDigest, want := root(t, 7, marks...)
 		got, data, err := kqdelta.Between(old, next, oldDigest, nextDigest).Apply(old, oldDigest)
 		if err != nil || string(data) != string(want) || got.Version != 7 {
-			t.Errorf("%v: version %d, %v", marks, got.Version, err)
+			t.Errorf("marks %v: got version %d, %v, want the newer root", marks, got.Version, err)
 		}
 	}
 }
 
-// FuzzApply feeds deltas as a broken peer could send them. Whatever comes out of
-// one is the root that the delta named, or an error.
+// FuzzApply applies deltas as a faulty peer could send them. The result must be the root
+// that the delta names, or an error.
 func FuzzApply(f *testing.F) {
 	old, oldDigest, _ := root(f, 3, 1, 2, 3)
 	for _, marks := range [][]int{{1, 2}, {4, 5, 6}, {1, 2, 3, 4}} {
@@ -61,7 +62,7 @@
 			return
 		}
 		if _, got, err := d.Apply(old, oldDigest); err == nil && kqresource.DigestOf(got) != d.Result {
-			t.Fatal("applied to another root than the delta named")
+			t.Fatal("the result is not the root that the delta names")
 		}
 	})
 }
--- a/internal/config/kqdelta/doc.go
+++ b/internal/config/kqdelta/doc.go
@@ -1,4 +1,3 @@
-// Package kqdelta states a root as its difference from an older one, which for
-// a change of one service is some hundred bytes in place of the whole root's
-// ten thousand.
+// Package kqdelta encodes a root as its difference from an older one. For a change of one
+// service, that is some hundred bytes instead of ten thousand for the whole root.
 package kqdelta
