--- a/internal/config/kqreader/reader.go
+++ b/internal/config/kqreader/reader.go
@@ -164,8 +164,7 @@
 }
 
 // situation returns the number of other readers in this failure domain, this node's
-// rank among the candidates, and whether any other member
-// that is not dead is known.
+// rank among the candidates, and whether any other member that is not dead is known.
 func (r *Reader) situation() (kqlease.Situation, bool) {
 	var s kqlease.Situation
 	self := r.table.Self()
