--- a/internal/config/kqcommit/commit.go
+++ b/internal/config/kqcommit/commit.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// RootKey is the key of the root in force.
+	// RootKey is the store key of the current root.
 	RootKey = "kumquatgw/root"
 
 	// Committed means that the document took effect as Outcome.Version.
--- a/internal/config/kqcommit/race_test.go
+++ b/internal/config/kqcommit/race_test.go
@@ -97,7 +97,7 @@
 		}
 		go func() {
 			defer close(ended[2])
-			// An error means that a commit interfered; the collection is retried.
+			// Errors are expected: a commit may interfere, or an answer be lost.
 			for range 2 {
 				_, _ = committer(stores[2]).Collect(ctx, stores[2], start.Add(time.Hour*24))
 			}
@@ -117,6 +117,7 @@
 	})
 }
 
+// check checks the current document, the history and each outcome against it.
 func check(t *rapid.T, platform *kqstandin.Standin, outcomes []kqcommit.Outcome, errs []error) {
 	ctx := context.Background()
 	if _, root, err := committer(platform).Document(ctx); err != nil {
--- a/internal/config/kqdistribute/apply.go
+++ b/internal/config/kqdistribute/apply.go
@@ -60,7 +60,7 @@
 }
 
 // beginApply cancels the previous apply and returns the newest root, with a context
-// that ends when a newer root supersedes it.
+// that ends supersedeGrace after a newer root arrives.
 func (d *Distributor) beginApply(ctx context.Context) (context.Context, rootRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/config/kqdistribute/exchange.go
+++ b/internal/config/kqdistribute/exchange.go
@@ -35,7 +35,8 @@
 		// root that the caller holds.
 		Whole []byte         `cbor:"2,keyasint,omitempty"`
 		Delta *kqdelta.Delta `cbor:"3,keyasint,omitempty"`
-		// RetryAfterMS is set, and nothing else, if the peer is over its send budget.
+		// RetryAfterMS is set, and nothing else, if the peer is over its send budget: the
+		// time in milliseconds after which to call it again.
 		RetryAfterMS int64 `cbor:"4,keyasint,omitempty"`
 	}
 
--- a/internal/config/kqfetch/fetch.go
+++ b/internal/config/kqfetch/fetch.go
@@ -125,7 +125,8 @@
 	answer struct {
 		// Objects are the objects found; the caller identifies them by digest.
 		Objects [][]byte `cbor:"1,keyasint"`
-		// RetryAfterMS is set instead of Objects if the peer is over its send budget.
+		// RetryAfterMS is set instead of Objects if the peer is over its send budget: the
+		// time in milliseconds after which to call it again.
 		RetryAfterMS int64 `cbor:"2,keyasint,omitempty"`
 	}
 )
--- a/internal/config/kqreplica/hold.go
+++ b/internal/config/kqreplica/hold.go
@@ -18,7 +18,7 @@
 	r.holdAll = on
 }
 
-// Fill fetches the objects that are missing while HoldAll is on.
+// Fill fetches the missing objects of the current version if HoldAll is on.
 func (r *Replica) Fill(ctx context.Context) error {
 	if root := r.Current().Root(); root.Version > 0 && r.holdsAll() {
 		return r.fetchAll(ctx, root)
--- a/internal/config/kqreplica/replica.go
+++ b/internal/config/kqreplica/replica.go
@@ -25,7 +25,7 @@
 	// hostFetchTimeout bounds the shared fetch of a host, independent of the
 	// deadlines of the callers that wait for it.
 	hostFetchTimeout = 10 * time.Second
-	// defaultMemory is the memory budget in bytes.
+	// defaultMemoryBudget is in bytes.
 	defaultMemoryBudget = 64 << 20
 	// decodedFactor is the memory that a decoded and indexed object takes, as a
 	// multiple of its encoded size and in addition to the encoded bytes.
--- a/internal/config/kqwatch/watch.go
+++ b/internal/config/kqwatch/watch.go
@@ -40,9 +40,9 @@
 	Option func(*Watcher)
 )
 
-// WithPoll sets the interval of the poll. It bounds how long a silent watch can delay a
+// WithPollInterval sets the interval of the poll. It bounds how long a silent watch can delay a
 // version.
-func WithPoll(every time.Duration) Option { return func(w *Watcher) { w.pollInterval = every } }
+func WithPollInterval(every time.Duration) Option { return func(w *Watcher) { w.pollInterval = every } }
 
 // New returns a Watcher. onRoot is called with each root read, also repeatedly with the
 // same one, and onFailure with the error of each failed call.
--- a/internal/config/kqwatch/watch_test.go
+++ b/internal/config/kqwatch/watch_test.go
@@ -22,7 +22,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	w := kqwatch.New(platform, func(_ context.Context, r kqresource.Root) { seen <- r.Version },
-		func(err error) { t.Errorf("platform failed: %v", err) }, kqwatch.WithPoll(5*time.Millisecond))
+		func(err error) { t.Errorf("platform failed: %v", err) }, kqwatch.WithPollInterval(5*time.Millisecond))
 	go func() { defer close(done); w.Run(ctx) }()
 	for v := kqname.ConfigVersion(1); v <= 3; v++ {
 		data, err := kqresource.Encode(kqresource.Root{Version: v})
