--- a/internal/config/kqfollower/follower.go
+++ b/internal/config/kqfollower/follower.go
@@ -25,10 +25,10 @@
 	// stopDelay is how long a follower continues after it is no longer chosen, so that
 	// a changing membership does not start and stop watches.
 	stopDelay = 2 * time.Second
-	// maxPeerWait is how long a starting node that knows no other member waits until it
-	// finds its peers, which takes about half that time. If it followed at once, each
-	// replaced server would read the whole document some 20 times in its first seconds,
-	// and peers would request it from slow servers.
+	// maxPeerWait bounds how long a starting node that knows no other member waits for
+	// its peers, which follow already; it finds them within about half that time. If it
+	// followed at once, each replaced server would read the whole document some 20 times
+	// in its first seconds, and peers would request it from slow servers.
 	maxPeerWait = 400 * time.Millisecond
 )
 
--- a/internal/config/kqreader/reader.go
+++ b/internal/config/kqreader/reader.go
@@ -188,7 +188,7 @@
 	return s, known
 }
 
-// lookForSlot reads the slots, in random order, and takes the first that is free or
+// lookForSlot reads the slots, from a random one on, and takes the first that is free or
 // whose holder was found unknown or dead more than maxUnknownLooks times.
 func (r *Reader) lookForSlot(ctx context.Context) {
 	self := r.table.Self()
--- a/internal/config/kqwatch/watch.go
+++ b/internal/config/kqwatch/watch.go
@@ -40,8 +40,8 @@
 	Option func(*Watcher)
 )
 
-// WithPollInterval sets the interval of the poll. It bounds how long a silent watch can delay a
-// version.
+// WithPollInterval sets the interval of the poll. It bounds how long a silent watch can
+// delay a version.
 func WithPollInterval(every time.Duration) Option { return func(w *Watcher) { w.pollInterval = every } }
 
 // New returns a Watcher. onRoot is called with each root read, also repeatedly with the
