--- a/internal/rollout/kqboard/status.go
+++ b/internal/rollout/kqboard/status.go
@@ -93,7 +93,7 @@
 		Rollout: p.Name, Service: p.Service, From: p.From, To: p.To, Policy: p.Policy, Start: p.Start,
 		Deadline: p.Deadline, State: Running, Step: e.progress.Step, Why: e.last.Why, Evidence: e.totals, Owner: e.owner,
 	}
-	s.Evidence.Metric, s.Evidence.Where = e.finding.What, e.finding.Where
+	s.Evidence.Metric, s.Evidence.Where = e.finding.WorstMetric, e.finding.Where
 	if nats := max(e.finding.Total, e.finding.Recent); !math.IsInf(nats, 0) {
 		s.Evidence.Nats = nats
 	}
--- a/internal/rollout/kqstep/step.go
+++ b/internal/rollout/kqstep/step.go
@@ -165,7 +165,7 @@
 
 // Words tells a finding in a sentence's part.
 func Words(f kqverdict.Finding) string {
-	return fmt.Sprintf("%s on %s, odds e^%.1f after %d calls", f.What, f.Where, max(f.Total, f.Recent), f.Calls)
+	return fmt.Sprintf("%s on %s, odds e^%.1f after %d calls", f.WorstMetric, f.Where, max(f.Total, f.Recent), f.Calls)
 }
 
 func begin(now time.Time, s State) Decision {
@@ -187,7 +187,7 @@
 	switch {
 	case elapsed < stageOf(s.Plan, to).due:
 		return Decision{Hold, "the next step is not due"}
-	case s.Progress.Step == Small && elapsed < waits && s.Plan.Duration == 0 && max(s.Finding.Total, -s.Finding.Cleared) > 0:
+	case s.Progress.Step == Small && elapsed < waits && s.Plan.Duration == 0 && max(s.Finding.Total, -s.Finding.InFavor) > 0:
 		return Decision{Hold, "the small share goes on, since the evidence is not clear: " + Words(s.Finding)}
 	case s.Plan.Duration > 0 && to <= Last && s.Finding.Calls < orderedCalls && elapsed < awaits(s, to):
 		return Decision{Hold, fmt.Sprintf("%d calls are too few to go on by", s.Finding.Calls)}
@@ -237,7 +237,7 @@
 
 func leans(s State) bool {
 	w := weightsOf(s.Plan)
-	return s.Finding.Total >= w.lean || -s.Finding.Cleared >= w.doubt
+	return s.Finding.Total >= w.lean || -s.Finding.InFavor >= w.doubt
 }
 
 // fits reports whether the upstreams of the new version can carry the share.
--- a/internal/rollout/kqstep/step_test.go
+++ b/internal/rollout/kqstep/step_test.go
@@ -69,7 +69,7 @@
 // for so little, they would stand idle beside overloaded old ones.
 func TestGoodOrderIsDoneInTime(t *testing.T) {
 	plan := kqplan.Plan{Duration: 12 * time.Second, Prefer: kqdocument.PreferFinishing, SmallShare: 0.05}.Begin(start)
-	s := kqstep.State{Plan: plan, OldSlots: 36, NewSlots: 60, Finding: kqverdict.Finding{Calls: 133, Total: 1.1, Cleared: -3}}
+	s := kqstep.State{Plan: plan, OldSlots: 36, NewSlots: 60, Finding: kqverdict.Finding{Calls: 133, Total: 1.1, InFavor: -3}}
 	if !step(t, s, plan.Start.Add(plan.Duration), func(now time.Time, s *kqstep.State) {
 		if now.Sub(start) > 6*time.Second && s.Progress.Step < 2 {
 			t.Fatalf("still at step %d after half of the time", s.Progress.Step)
@@ -158,7 +158,7 @@
 	plan := kqplan.Plan{Duration: 15 * time.Second, Prefer: kqdocument.PreferFinishing}.Begin(start)
 	s := kqstep.State{
 		Plan: plan, Progress: kqprogress.Progress{Step: kqstep.Last}, OldSlots: 60, NewSlots: 48,
-		Finding: kqverdict.Finding{Calls: 1300, Total: -3, Cleared: 8},
+		Finding: kqverdict.Finding{Calls: 1300, Total: -3, InFavor: 8},
 	}
 	at := func(part float64) time.Time { return start.Add(time.Duration(part * float64(plan.Window()))) }
 	for _, c := range []struct {
--- /dev/null
+++ b/internal/rollout/kqverdict/sequential.go
@@ -0,0 +1,278 @@
+package kqverdict
+
+import "math"
+
+const (
+	// maxTickGain bounds what one tick may add to a test, in nats. When many
+	// upstreams crash with calls in flight, many calls fail in one tick, whatever
+	// the version; three bad ticks are stronger evidence than one.
+	maxTickGain = 4.2
+	// maxSpanGain bounds what a span of several ticks may add. Within the span
+	// each tick's failures are limited by burstRate, so that upstreams that crash
+	// together in one tick do not decide the whole span.
+	maxSpanGain = 7
+	// maxUnpairedGain bounds a tick in which the old version has no calls: a fault that
+	// affects both versions cannot be recognized then. Such faults usually end within
+	// about a second.
+	maxUnpairedGain = 0.9
+	// maxBacklogGain bounds what was counted before this node began to evaluate, and
+	// maxCrashFailures is how many failures of it are ignored: upstreams that crashed with
+	// calls in flight may have caused them, and the times of the failures are not known.
+	maxBacklogGain   = 2 * maxSpanGain
+	maxCrashFailures = 25
+	burstRate        = 0.06
+	// minTotal bounds the evidence for the new version, so that a test that has favored
+	// it for long does not have to make up for all of it before it can alarm.
+	minTotal = -30
+)
+
+type (
+	// sequentialTest is one betting test on one metric of one route. Its gain in a
+	// tick is the log of the likelihood ratio of a version that is bad in the way
+	// tested to one that is good.
+	sequentialTest struct {
+		metric string
+		gain   func(o *observation) float64
+		// span is how many ticks are evaluated together; pending sums up the ticks
+		// of the current span. A small difference does not stand out from the noise
+		// of one tick; a large one must be detected without delay.
+		span, ticks int
+		pending     observation
+		// usesUnpaired is set if the test also compares calls of different seconds.
+		usesUnpaired bool
+		// total is the log of the test's wealth since the start, in nats.
+		total float64
+		// recent is the log of the wealth since the best starting point so far (as in
+		// CUSUM), and restarts counts the starting points.
+		recent   float64
+		restarts int
+	}
+
+	// observation is one tick of one route with the old version's baseline.
+	observation struct {
+		errors, slow eventCounts
+		// slowWithoutMargin counts the very slow calls without the margin for the
+		// new version's servers that slow allows for.
+		slowWithoutMargin eventCounts
+		// shift is the mean log latency of the new version less that of the old one
+		// and the margin, and variance is the variance of shift. hasLatencies is set
+		// if both versions have enough latencies in the tick.
+		hasLatencies    bool
+		shift, variance float64
+	}
+
+	// eventCounts are the calls of both versions in one tick and how many of them
+	// failed, or were slower than a threshold.
+	eventCounts struct {
+		oldCalls, oldEvents, newCalls, newEvents float64
+		// overallRate is the old version's rate since the start, recentRate its rate
+		// over the last seconds.
+		overallRate, recentRate float64
+		// tailBucket is the latency bucket of the threshold.
+		tailBucket int
+	}
+)
+
+// newErrorRiseTest bets that the failure rate is higher by points.
+func newErrorRiseTest(metric string, points float64, span int) *sequentialTest {
+	return &sequentialTest{metric: metric, span: span, gain: func(o *observation) float64 {
+		return o.errors.logLikelihoodRatio(
+			func(p float64) float64 { return p + toleratedErrorRise },
+			func(p float64) float64 { return p + points })
+	}}
+}
+
+// withUnpairedTicks makes the test also compare calls of different seconds.
+func (t *sequentialTest) withUnpairedTicks() *sequentialTest {
+	t.usesUnpaired = true
+	return t
+}
+
+// newTailFactorTest bets that factor times as many calls exceed the old version's 99.5th percentile.
+func newTailFactorTest(metric string, factor float64, span int) *sequentialTest {
+	return &sequentialTest{metric: metric, span: span, gain: func(o *observation) float64 {
+		return o.slow.logLikelihoodRatio(
+			func(p float64) float64 { return toleratedTailFactor * p },
+			func(p float64) float64 { return factor * p })
+	}}
+}
+
+// newTailRiseTest bets that the share of calls over the old version's 99.5th percentile is
+// higher by points. Where servers differ, a version that is many times slower for only
+// some of its calls, on a fast server, may have the same mean as the old version on a
+// slow one. It shows here, since the percentile includes the old version's calls on slow
+// servers.
+func newTailRiseTest(metric string, points float64) *sequentialTest {
+	return &sequentialTest{metric: metric, span: 1, gain: func(o *observation) float64 {
+		return o.slowWithoutMargin.logLikelihoodRatio(
+			func(p float64) float64 { return p + toleratedTailRise },
+			func(p float64) float64 { return p + points })
+	}}
+}
+
+// newSlowdownTest bets that latencies are longer by factor. It compares the logs of the
+// latencies within the tick, so that a slowdown of both versions cancels out.
+func newSlowdownTest(metric string, tolerated, factor float64) *sequentialTest {
+	good, bad := math.Log(tolerated), math.Log(factor)
+	return &sequentialTest{metric: metric, span: 1, gain: func(o *observation) float64 {
+		if !o.hasLatencies {
+			return 0
+		}
+		return (bad - good) * (o.shift - (good+bad)/2) / o.variance
+	}}
+}
+
+func (t *sequentialTest) observe(o *observation) {
+	if t.ticks > 0 && t.pending.slow.tailBucket != o.slow.tailBucket {
+		t.evaluatePending()
+	}
+	errors, slow := o.errors, o.slow
+	if t.span > 1 {
+		errors, slow = errors.withBurstLimit(), slow.withBurstLimit()
+	}
+	if t.ticks == 0 {
+		t.pending = *o
+		t.pending.errors, t.pending.slow = errors, slow
+	} else {
+		t.pending.errors.add(errors)
+		t.pending.slow.add(slow)
+	}
+	t.ticks++
+	if t.ticks >= t.span {
+		t.evaluatePending()
+	}
+}
+
+// evaluatePending adds the gain of the pending ticks and starts a new span.
+func (t *sequentialTest) evaluatePending() {
+	t.ticks = 0
+	t.add(t.gain(&t.pending), t.maxGain())
+}
+
+// add adds the gain of a span of ticks, limited to maxGain.
+func (t *sequentialTest) add(gain, maxGain float64) {
+	if math.IsNaN(gain) {
+		return
+	}
+	gain = min(gain, maxGain)
+	t.total = max(t.total+gain, minTotal)
+	if t.recent <= 0 && gain > 0 {
+		t.restarts++
+	}
+	t.recent = max(t.recent+gain, 0)
+}
+
+func (t *sequentialTest) maxGain() float64 {
+	if t.span > 1 {
+		return maxSpanGain
+	}
+	return maxTickGain
+}
+
+// add adds another tick's counts. The rates stay those from before the span.
+func (c *eventCounts) add(o eventCounts) {
+	c.oldCalls += o.oldCalls
+	c.oldEvents += o.oldEvents
+	c.newCalls += o.newCalls
+	c.newEvents += o.newEvents
+}
+
+// withBurstLimit limits the new version's events to what a burst of moderate
+// failures causes.
+func (c eventCounts) withBurstLimit() eventCounts {
+	c.newEvents = min(c.newEvents, 1+(burstRate+3*c.recentRate)*c.newCalls)
+	return c
+}
+
+// withoutCrashFailures leaves out the failures that crashed upstreams may have caused.
+func (c eventCounts) withoutCrashFailures() eventCounts {
+	ignored := min(c.newEvents, maxCrashFailures)
+	c.newCalls -= ignored
+	c.newEvents -= ignored
+	return c
+}
+
+// adjustedRecent returns the recent evidence, corrected for the number of starting
+// points: the j-th of them gets 1/j of the false-alarm probability.
+func (t *sequentialTest) adjustedRecent() float64 {
+	return t.recent - math.Log(float64(max(t.restarts, 1)))
+}
+
+// logLikelihoodRatio returns the log of the likelihood ratio of the tick's counts
+// between a new version with rate bad(p) and one with rate good(p). The old version's
+// true rate p in this second is not known. Both likelihoods are averaged over its
+// possible values, so that a burst of failures of both versions is evidence for
+// neither hypothesis.
+func (c *eventCounts) logLikelihoodRatio(good, bad func(p float64) float64) float64 {
+	if c.newCalls == 0 || c.oldCalls == 0 {
+		return 0
+	}
+	var sumGood, sumBad logSum
+	for i, factor := range candidateRates {
+		p := clampRate(factor * c.overallRate)
+		if i == 0 {
+			p = clampRate(c.recentRate)
+		}
+		if i >= len(candidateRates)-absoluteRates {
+			p = factor
+		}
+		own := logCandidateWeights[i] + logLikelihood(c.oldEvents, c.oldCalls, p)
+		sumGood.add(own + logLikelihood(c.newEvents, c.newCalls, clampRate(good(p))))
+		sumBad.add(own + logLikelihood(c.newEvents, c.newCalls, clampRate(bad(p))))
+	}
+	// The rate that fits both versions best counts for the good hypothesis only:
+	// otherwise a shared burst whose rate lies between two candidates would look
+	// like evidence of a bad version.
+	fitted := clampRate((c.oldEvents + c.newEvents) / (c.oldCalls + c.newCalls))
+	sumGood.add(logFittedWeight + logLikelihood(c.oldEvents, c.oldCalls, fitted) + logLikelihood(c.newEvents, c.newCalls, fitted))
+	return sumBad.log() - sumGood.log()
+}
+
+// logSum adds up numbers that are given by their logs, without overflow.
+type logSum struct {
+	maxLog, scaled float64
+	hasAny         bool
+}
+
+func (s *logSum) add(log float64) {
+	switch {
+	case !s.hasAny:
+		s.maxLog, s.scaled, s.hasAny = log, 1, true
+	case log > s.maxLog:
+		s.scaled = s.scaled*math.Exp(s.maxLog-log) + 1
+		s.maxLog = log
+	default:
+		s.scaled += math.Exp(log - s.maxLog)
+	}
+}
+
+func (s *logSum) log() float64 { return s.maxLog + math.Log(s.scaled) }
+
+// logLikelihood returns the log of the binomial probability without its coefficient,
+// which cancels out in the ratio.
+func logLikelihood(events, calls, p float64) float64 {
+	return events*math.Log(p) + (calls-events)*math.Log1p(-p)
+}
+
+func clampRate(p float64) float64 { return min(max(p, 1e-6), 0.999) }
+
+// absoluteRates is how many entries at the end of candidateRates are rates by themselves
+// and not factors of the overall rate.
+const absoluteRates = 4
+
+var (
+	// candidateRates are the rates that the old version may have in one second:
+	// its recent rate (the first entry), its overall rate, multiples of that, and
+	// absolute rates that occur only in a burst. The weights, as logs, are their
+	// prior probabilities.
+	candidateRates      = [...]float64{0, 1, 0.4, 2.5, 6, 15, 0.02, 0.06, 0.2, 0.6}
+	logFittedWeight     = math.Log(0.1)
+	logCandidateWeights = logsOf([...]float64{0.35, 0.35, 0.08, 0.08, 0.04, 0.02, 0.02, 0.02, 0.02, 0.02})
+)
+
+func logsOf(weights [10]float64) [10]float64 {
+	for i, w := range weights {
+		weights[i] = math.Log(w)
+	}
+	return weights
+}
--- a/internal/rollout/kqverdict/verdict.go
+++ b/internal/rollout/kqverdict/verdict.go
@@ -8,138 +8,143 @@
 )
 
 const (
-	// toleratedPoints and toleratedFactor are how much worse than the old
-	// version a good one may be: upstreams differ by that much among
-	// themselves.
-	toleratedPoints = 0.0005
-	toleratedFactor = 1.07
-	// toleratedTail is how many times as many very slow calls a tolerated
-	// factor makes where latencies have little spread.
-	toleratedTail = 1.6
-	// toleratedFar is how many more very slow calls, in points, a slow server may
-	// make: it has them all where a tenth of the old version's calls run on such ones.
-	toleratedFar = 0.05
-	// toleratedCold is how much slower an upstream may be that has just
-	// started.
-	toleratedCold = 4
+	// toleratedErrorRise and toleratedSlowdown are how much worse than the old
+	// version a good version may be: upstreams of one version differ by that much
+	// among themselves.
+	toleratedErrorRise = 0.0005
+	toleratedSlowdown  = 1.07
+	// toleratedTailFactor is how many times as many very slow calls
+	// toleratedSlowdown causes where latencies have little spread.
+	toleratedTailFactor = 1.6
+	// toleratedTailRise is the rise in the share of very slow calls that a slow
+	// server may cause: if a tenth of the old version's calls run on slow servers
+	// and all of its very slow calls, 0.5% of the total, are among them, then 5% of
+	// the calls on slow servers are very slow.
+	toleratedTailRise = 0.05
+	// toleratedColdSlowdown is how many times slower an upstream may be that has
+	// just started.
+	toleratedColdSlowdown = 4
 
-	// pooledPart is the share of the starting wealth that the tests of all
-	// routes together have; the routes' share the rest. Most badness shows on
-	// all routes, where the calls are most.
-	pooledPart = 0.5
-	// youngPart is that of the test of upstreams that have just started.
-	youngPart = 0.05
+	// pooledWealth is the share of the initial wealth of the tests over all
+	// routes; the tests of single routes divide the rest. Most faults affect all
+	// routes, and the pooled tests have the most calls.
+	pooledWealth = 0.5
+	// coldWealth is the share of the test of upstreams that have just started.
+	coldWealth = 0.05
 )
 
 type (
-	// Judge weighs the evidence of one rollout.
+	// Judge evaluates the evidence of one rollout.
 	Judge struct {
-		pooled *lane
-		young  *lane
-		routes []*lane
-		byName map[kqname.Route]*lane
+		pooled *routeTests
+		cold   *routeTests
+		routes []*routeTests
+		byName map[kqname.Route]*routeTests
 		calls  uint64
 	}
 
-	// Finding is what the evidence says so far.
+	// Finding is the result of the tests so far.
 	Finding struct {
 		// Total is the evidence against the new version since the start, in
 		// nats: e^Total is the wealth of all tests together.
 		Total float64
-		// Recent is the same since the best moment to have begun; it finds a
-		// version that has turned bad after a good start.
+		// Recent is the evidence since the starting point that maximizes it. It
+		// detects a version that turned bad after a good start.
 		Recent float64
-		// Cleared is the evidence for the new version over all routes: that
-		// none of the greater badnesses is there.
-		Cleared float64
-		// Calls is how many calls of the new version were weighed.
+		// InFavor is the evidence for the new version over all routes: the least
+		// evidence, over the pooled tests, that the test's fault is absent.
+		InFavor float64
+		// Calls is the number of the new version's calls that were evaluated.
 		Calls uint64
-		// Where and What name the route and the metric with most evidence.
-		Where, What string
+		// Where and WorstMetric name the calls and the metric with the most evidence
+		// against the new version.
+		Where, WorstMetric string
 	}
 )
 
 // New returns a judge without evidence.
 func New() *Judge {
-	return &Judge{pooled: newLane(""), young: newYoungLane(), byName: make(map[kqname.Route]*lane)}
+	return &Judge{pooled: newRouteTests(""), cold: newColdTests(), byName: make(map[kqname.Route]*routeTests)}
 }
 
-// Observe takes in what both versions did in one tick.
+// Observe adds the calls of both versions in one tick.
 func (j *Judge) Observe(s kqevidence.Sample) {
 	var all kqevidence.Pair
-	var young kqevidence.Pair
+	var cold kqevidence.Pair
 	for i := range s {
 		p := &s[i]
 		if p.Route == kqevidence.Young {
-			young = *p
+			cold = *p
 			continue
 		}
 		all.Old.Add(&p.Old)
 		all.New.Add(&p.New)
 		all.Margin = p.Margin
-		j.lane(p.Route).observe(p)
+		j.routeTests(p.Route).observe(p)
 	}
 	j.pooled.observe(&all)
-	// The old version may have just started as a whole, as after a herd; its
-	// cold calls then stand in, and only make the new version look better.
-	young.Old.Add(&all.Old)
-	j.young.observe(&young)
+	// All upstreams of the old version may have just started, for example after
+	// they crashed together. Its cold calls are then included in the comparison,
+	// which only makes the new version look better.
+	cold.Old.Add(&all.Old)
+	j.cold.observe(&cold)
 	j.calls += uint64(all.New.Calls)
 }
 
-// Finding returns what the evidence says so far.
+// Finding returns the result of the tests so far.
 func (j *Judge) Finding() Finding {
-	f := Finding{Calls: j.calls, Cleared: math.Inf(1)}
+	f := Finding{Calls: j.calls, InFavor: math.Inf(1)}
 	if len(j.routes) == 0 {
 		return f
 	}
-	var total, recent sum
+	var total, recent logSum
 	best := math.Inf(-1)
-	for _, l := range j.lanes() {
-		share := math.Log(j.part(l) / float64(len(l.streams)))
-		for _, s := range l.streams {
-			total.add(share + s.total)
-			recent.add(share + s.late())
-			if weight := share + max(s.total, s.late()); weight > best {
-				best, f.Where, f.What = weight, l.name(), s.metric
+	for _, r := range j.activeTests() {
+		share := math.Log(j.wealthShare(r) / float64(len(r.tests)))
+		for _, t := range r.tests {
+			total.add(share + t.total)
+			recent.add(share + t.adjustedRecent())
+			if weight := share + max(t.total, t.adjustedRecent()); weight > best {
+				best, f.Where, f.WorstMetric = weight, r.scope(), t.metric
 			}
 		}
 	}
-	for _, s := range j.pooled.streams {
-		f.Cleared = min(f.Cleared, -s.total)
+	for _, t := range j.pooled.tests {
+		f.InFavor = min(f.InFavor, -t.total)
 	}
 	f.Total, f.Recent = total.log(), recent.log()
 	return f
 }
 
-// part returns a lane's part of the starting wealth.
-func (j *Judge) part(l *lane) float64 {
+// wealthShare returns the share of the initial wealth that a route's tests get.
+func (j *Judge) wealthShare(r *routeTests) float64 {
 	switch {
-	case l == j.young:
-		return youngPart
+	case r == j.cold:
+		return coldWealth
 	case len(j.routes) < 2:
-		return 1 - youngPart
-	case l == j.pooled:
-		return pooledPart
+		return 1 - coldWealth
+	case r == j.pooled:
+		return pooledWealth
 	default:
-		return (1 - pooledPart - youngPart) / float64(len(j.routes))
+		return (1 - pooledWealth - coldWealth) / float64(len(j.routes))
 	}
 }
 
-func (j *Judge) lanes() []*lane {
-	// One route alone is all routes: testing it twice would only cost.
+func (j *Judge) activeTests() []*routeTests {
+	// With a single route the pooled tests cover the same calls, and testing them
+	// twice would only divide the wealth.
 	if len(j.routes) < 2 {
-		return []*lane{j.pooled, j.young}
+		return []*routeTests{j.pooled, j.cold}
 	}
-	return append([]*lane{j.pooled, j.young}, j.routes...)
+	return append([]*routeTests{j.pooled, j.cold}, j.routes...)
 }
 
-func (j *Judge) lane(route kqname.Route) *lane {
-	l, ok := j.byName[route]
+func (j *Judge) routeTests(route kqname.Route) *routeTests {
+	r, ok := j.byName[route]
 	if !ok {
-		l = newLane(route)
-		j.byName[route] = l
-		j.routes = append(j.routes, l)
+		r = newRouteTests(route)
+		j.byName[route] = r
+		j.routes = append(j.routes, r)
 	}
-	return l
+	return r
 }
