--- a/internal/rollout/kqboard/board.go
+++ b/internal/rollout/kqboard/board.go
@@ -155,7 +155,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := kqstep.State{Plan: e.plan, Progress: e.progress, Finding: e.finding, Busy: e.busy}
+	s := kqstep.State{Plan: e.plan, Progress: e.progress, Finding: e.finding, BusySlots: e.busy}
 	for _, c := range b.directory.Upstreams(e.plan.Service) {
 		switch {
 		case e.plan.Old(c.Version):
--- a/internal/rollout/kqboard/entry.go
+++ b/internal/rollout/kqboard/entry.go
@@ -107,8 +107,8 @@
 		}
 		e.totals.add(&sample[i])
 	}
-	if e.progress.Open() && !e.progress.RolledBack && kqstep.Bad(e.plan, e.finding) {
-		e.rollback(kqstep.Words(e.finding))
+	if e.progress.Open() && !e.progress.RolledBack && kqstep.IsBad(e.plan, e.finding) {
+		e.rollback(kqstep.Describe(e.finding))
 	}
 }
 
--- a/internal/rollout/kqboard/traffic.go
+++ b/internal/rollout/kqboard/traffic.go
@@ -68,7 +68,7 @@
 	}
 	if e.splitFor != k {
 		e.splitFor, e.splitting = k, burst(kqshare.Share{
-			From: e.plan.From, To: e.plan.To, Of: kqstep.Share(e.plan, step), Small: step <= kqstep.Small, Grow: kqstep.Grows(e.plan, step), Not: taken,
+			From: e.plan.From, To: e.plan.To, Of: kqstep.Share(e.plan, step), Small: step <= kqstep.Small, Grow: kqstep.MayExceedShare(e.plan, step), Not: taken,
 		}, all)
 	}
 	return e.splitting
--- a/internal/rollout/kqverdict/slow_server_test.go
+++ b/internal/rollout/kqverdict/slow_server_test.go
@@ -98,7 +98,7 @@
 func (f *fleet) runSmallShare() (kqverdict.Finding, bool) {
 	plan := kqplan.Plan{Duration: 15 * time.Second}
 	for range smallShareTicks {
-		if finding := f.tick(); kqstep.Bad(plan, finding) {
+		if finding := f.tick(); kqstep.IsBad(plan, finding) {
 			return finding, true
 		}
 	}
@@ -121,7 +121,7 @@
 		}
 	}
 	if rollbacks > runs/50 {
-		t.Errorf("%d of %d good versions were rolled back, such as: %s", rollbacks, runs, kqstep.Words(last))
+		t.Errorf("%d of %d good versions were rolled back, such as: %s", rollbacks, runs, kqstep.Describe(last))
 	}
 }
 
--- a/internal/rollout/kqverdict/unpaired_test.go
+++ b/internal/rollout/kqverdict/unpaired_test.go
@@ -46,10 +46,10 @@
 			detected := false
 			for range 3 * ticksPerSecond {
 				judge.Observe(pair(kqevidence.Cell{}, randomCell(random, callsPerTick, failureRate)))
-				detected = detected || kqstep.Bad(plan, judge.Finding())
+				detected = detected || kqstep.IsBad(plan, judge.Finding())
 			}
 			if !detected {
-				t.Errorf("failure rate %.0f%%, seed %d: not rolled back, %s", 100*failureRate, seed, kqstep.Words(judge.Finding()))
+				t.Errorf("failure rate %.0f%%, seed %d: not rolled back, %s", 100*failureRate, seed, kqstep.Describe(judge.Finding()))
 			}
 		}
 	}
@@ -71,8 +71,8 @@
 				failureRate = 0.5
 			}
 			judge.Observe(pair(kqevidence.Cell{}, randomCell(random, callsPerTick, failureRate)))
-			if kqstep.Bad(plan, judge.Finding()) {
-				t.Fatalf("seed %d: rolled back after %d ticks, %s", seed, i, kqstep.Words(judge.Finding()))
+			if kqstep.IsBad(plan, judge.Finding()) {
+				t.Fatalf("seed %d: rolled back after %d ticks, %s", seed, i, kqstep.Describe(judge.Finding()))
 			}
 		}
 	}
@@ -90,8 +90,8 @@
 	}{{0.5, true}, {0.01, false}, {0.1, false}} {
 		judge := kqverdict.New()
 		judge.Observe(pair(randomCell(random, 300, 0.01), randomCell(random, 200, c.failureRate)))
-		if f := judge.Finding(); kqstep.Bad(plan, f) != c.bad {
-			t.Errorf("%.0f%% of 200 calls failed, and 1%% of 300 of the old version's: %s", 100*c.failureRate, kqstep.Words(f))
+		if f := judge.Finding(); kqstep.IsBad(plan, f) != c.bad {
+			t.Errorf("%.0f%% of 200 calls failed, and 1%% of 300 of the old version's: %s", 100*c.failureRate, kqstep.Describe(f))
 		}
 	}
 }
