--- a/internal/rollout/kqboard/board.go
+++ b/internal/rollout/kqboard/board.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	removed = "an operator removed or replaced the plan"
-	// kept is how long a plan that is gone from the document stays known, so
-	// that its final state can still be settled and read.
-	kept = time.Hour
+	removedReason = "an operator removed or replaced the plan"
+	// removedRetention is how long a plan that was removed from the document is
+	// kept, so that its final state can still be stored and read.
+	removedRetention = time.Hour
 )
 
 type (
-	// Directory gives the upstreams of a service that take new work.
+	// Directory returns the upstreams of a service that accept new calls.
 	Directory interface {
 		Upstreams(service kqname.Service) []kqmember.Candidate
 	}
 
-	// Board is one node's view of the rollouts. It is safe for concurrent use.
+	// Board is a node's view of the rollouts. It is safe for concurrent use.
 	Board struct {
 		self      kqledger.Source
 		directory Directory
@@ -42,13 +42,14 @@
 	service struct {
 		version kqname.UpstreamVersion
 		entries []*entry
-		// taken are the versions that an order brought in which is gone from the
-		// document and did not end as done. Their upstreams may run on for a while.
-		taken map[kqname.UpstreamVersion]bool
+		// rolledBackVersions are the new versions of ordered rollouts (those with a
+		// duration) that were removed from the document and did not end as done.
+		// Their upstreams may still be running.
+		rolledBackVersions map[kqname.UpstreamVersion]bool
 	}
 )
 
-// New returns a board that knows no rollout.
+// New returns a board without rollouts.
 func New(self kqledger.Source, directory Directory) *Board {
 	return &Board{
 		self: self, directory: directory,
@@ -56,15 +57,15 @@
 	}
 }
 
-// Adopt takes in the services of the configuration in force. A plan that has
-// gone from a service, or was replaced, is rolled back unless it has ended.
+// Adopt applies the services of the current configuration. A plan that was removed
+// from its service, or replaced, is rolled back unless it has ended.
 func (b *Board) Adopt(all map[kqname.Service]kqresource.Service, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for name, s := range all {
-		next := service{version: s.Service.Version, taken: maps.Clone(b.services[name].taken)}
+		next := service{version: s.Service.Version, rolledBackVersions: maps.Clone(b.services[name].rolledBackVersions)}
 		for _, p := range kqplan.Of(s) {
-			next.entries = append(next.entries, b.adopt(p, now))
+			next.entries = append(next.entries, b.entryFor(p, now))
 		}
 		slices.SortStableFunc(next.entries, func(x, y *entry) int {
 			return cmp.Or(x.plan.Start.Compare(y.plan.Start), cmp.Compare(x.plan.Name, y.plan.Name))
@@ -72,22 +73,23 @@
 		for _, e := range b.services[name].entries {
 			if !slices.Contains(next.entries, e) {
 				e.remove(now)
-				next.take(e)
+				next.addRolledBack(e)
 			}
 		}
 		for _, e := range next.entries {
-			delete(next.taken, e.plan.To)
+			delete(next.rolledBackVersions, e.plan.To)
 		}
 		b.services[name] = next
 	}
 	for id, e := range b.entries {
-		if e.forgettable(now) {
+		if e.isExpired(now) {
 			delete(b.entries, id)
 		}
 	}
 }
 
-func (b *Board) adopt(p kqplan.Plan, now time.Time) *entry {
+// entryFor returns the entry of a plan and creates it if the plan is new.
+func (b *Board) entryFor(p kqplan.Plan, now time.Time) *entry {
 	e, ok := b.entries[p.ID]
 	if !ok {
 		e = newEntry(p.Begin(now), b.self, now)
@@ -98,43 +100,44 @@
 	if p.Duration == 0 {
 		e.plan = p
 	}
-	e.gone = time.Time{}
+	e.removedAt = time.Time{}
 	return e
 }
 
-// take notes the version of an order that is gone.
-func (s *service) take(e *entry) {
+// addRolledBack records the new version of an ordered rollout that was removed, unless the
+// rollout ended as done.
+func (s *service) addRolledBack(e *entry) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.plan.Duration == 0 || e.progress.Final == kqprogress.Done {
 		return
 	}
-	if s.taken == nil {
-		s.taken = make(map[kqname.UpstreamVersion]bool)
+	if s.rolledBackVersions == nil {
+		s.rolledBackVersions = make(map[kqname.UpstreamVersion]bool)
 	}
-	s.taken[e.plan.To] = true
+	s.rolledBackVersions[e.plan.To] = true
 }
 
 func (e *entry) remove(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.gone = now
+	e.removedAt = now
 	if e.progress.Open() && !e.progress.RolledBack {
-		e.rollback(removed)
+		e.rollback(removedReason)
 	}
 }
 
-// forgettable reports whether the plan has been gone for long enough. Nodes run
-// for months, and each plan holds its evidence.
-func (e *entry) forgettable(now time.Time) bool {
+// isExpired reports whether the plan was removed long enough ago to be deleted. Nodes
+// run for months, and each plan holds its evidence.
+func (e *entry) isExpired(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.gone.IsZero() && now.Sub(e.gone) >= kept
+	return !e.removedAt.IsZero() && now.Sub(e.removedAt) >= removedRetention
 }
 
-// Weigh takes in the evidence that has come together for a plan. It is for nodes
-// that get all gates' reports: one that knows only its own gate's would compare
-// two versions by the calls of one.
+// Weigh evaluates the evidence collected for a plan. It is only for nodes that receive
+// the reports of all gates: with the reports of its own gate alone, a node has the calls
+// of only one of the two versions.
 func (b *Board) Weigh(id kqplan.ID, now time.Time) {
 	e, ok := b.entry(id)
 	if !ok {
@@ -142,12 +145,12 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.started(now) {
-		e.weigh(now)
+	if e.hasStarted(now) {
+		e.evaluate(now)
 	}
 }
 
-// Step decides a plan's next step and applies it.
+// Step decides on a plan's next step and applies the decision.
 func (b *Board) Step(id kqplan.ID, now time.Time) kqstep.Decision {
 	e, ok := b.entry(id)
 	if !ok {
@@ -155,7 +158,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := kqstep.State{Plan: e.plan, Progress: e.progress, Finding: e.finding, BusySlots: e.busy}
+	s := kqstep.State{Plan: e.plan, Progress: e.progress, Finding: e.finding, BusySlots: e.busySlots}
 	for _, c := range b.directory.Upstreams(e.plan.Service) {
 		switch {
 		case e.plan.Old(c.Version):
@@ -166,19 +169,20 @@
 			s.ColdSlots += c.Slots
 		}
 	}
-	e.slots = s.OldSlots + s.NewSlots + s.ColdSlots
+	e.totalSlots = s.OldSlots + s.NewSlots + s.ColdSlots
 	d := kqstep.Decide(now, s)
-	if e.listening(now) && (d.Action == kqstep.Advance || d.Action == kqstep.Done) {
-		// A node that has just become the owner knows nothing yet that speaks against it.
+	if e.isCollecting(now) && (d.Action == kqstep.Advance || d.Action == kqstep.Done) {
+		// A node that has just become the owner may not have received the evidence
+		// against the version yet.
 		d = kqstep.Decision{Action: kqstep.Hold, Why: "what gates have counted is being collected"}
 	}
 	e.apply(d)
 	return d
 }
 
-// Join takes in progress heard of from a peer or the platform, and reports
-// whether it was news and whether the sender lacks something.
-func (b *Board) Join(id kqplan.ID, p kqprogress.Progress) (news, stale bool) {
+// Join merges progress received from a peer or the platform. It reports whether the
+// node's own progress changed and whether the sender's was stale.
+func (b *Board) Join(id kqplan.ID, p kqprogress.Progress) (changed, senderStale bool) {
 	e, ok := b.entry(id)
 	if !ok {
 		return false, false
@@ -186,27 +190,27 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	joined := kqprogress.Join(e.progress, p)
-	news, stale = joined != e.progress, joined != p
+	changed, senderStale = joined != e.progress, joined != p
 	e.progress = joined
 	if joined.RolledBack {
-		e.wish = kqprogress.TakenBack
+		e.dueFinal = kqprogress.TakenBack
 	}
-	return news, stale
+	return changed, senderStale
 }
 
-// Merge takes in another gate's report.
+// Merge adds another gate's report.
 func (b *Board) Merge(id kqplan.ID, r kqledger.Report) {
 	if e, ok := b.entry(id); ok {
 		e.ledger.Merge(r)
 	}
 }
 
-// Owned notes that a node said to own the plan.
+// Owned records that a node announced itself as the owner of the plan.
 func (b *Board) Owned(id kqplan.ID, owner kqname.Node, now time.Time) {
 	if e, ok := b.entry(id); ok {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.owner, e.heard = owner, now
+		e.owner, e.ownerSeen = owner, now
 	}
 }
 
@@ -217,7 +221,7 @@
 	return e, ok
 }
 
-func (b *Board) all() []*entry {
+func (b *Board) allEntries() []*entry {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	list := make([]*entry, 0, len(b.entries))
--- a/internal/rollout/kqboard/board_test.go
+++ b/internal/rollout/kqboard/board_test.go
@@ -37,42 +37,41 @@
 	return b
 }
 
-// A version was taken back, and an entry that has not heard of it still sends
-// calls. Its gate must not let them through, or callers keep meeting the bad
-// version for as long as one entry lags behind; and a later plan that tries the
-// version again must not be refused for its predecessor.
-func TestGateRefusesWhatWasTakenBack(t *testing.T) {
+// Guards against calls for a version that was rolled back, from entries that do not know of the
+// rollback yet: the gate must refuse them. A later plan that tries the version again must not
+// be refused because of the earlier one.
+func TestGateRefusesRolledBackVersion(t *testing.T) {
 	plan := kqdocument.Rollout{Name: "move", Service: "shed", From: "v1", To: "v2", Policy: "first", Start: start, Deadline: start.Add(time.Minute)}
 	b := board(service(plan))
 	id := b.Views(start)[0].Plan.ID
 	b.Join(id, kqprogress.Progress{Step: 4})
 	if b.Refuses("shed", "v2") {
-		t.Error("a version under way is refused")
+		t.Error("the new version of a running rollout is refused")
 	}
 	b.Join(id, kqprogress.Progress{RolledBack: true, Why: "errors"})
 	random := rand.New(rand.NewPCG(1, 1))
 	if target := b.Split(service(plan), start.Add(time.Second), random); !b.Refuses("shed", "v2") || b.Refuses("shed", "v1") || target.Version != "v1" {
-		t.Errorf("after it was taken back, calls go to %+v", target)
+		t.Errorf("after the rollback, calls go to %+v", target)
 	}
 	again := plan
 	again.Name, again.Start, again.Deadline = "again", start.Add(time.Hour), start.Add(2*time.Hour)
 	b.Adopt(map[kqname.Service]kqresource.Service{"shed": service(plan, again)}, start.Add(time.Hour))
 	if b.Refuses("shed", "v2") {
-		t.Error("a new plan's version is refused for the old plan")
+		t.Error("the version of a new plan is refused because of the old plan")
 	}
 }
 
-// Operators plan moves every day, and nodes run for months. A node that kept all
-// of them would outgrow its memory.
-func TestRemovedPlansAreForgotten(t *testing.T) {
+// Guards against unbounded memory: operators plan rollouts every day, and nodes run for
+// months.
+func TestRemovedPlansAreDeleted(t *testing.T) {
 	plan := kqdocument.Rollout{Name: "move", Service: "shed", From: "v1", To: "v2", Policy: "first", Start: start, Deadline: start.Add(time.Minute)}
 	b := board(service(plan))
 	b.Adopt(map[kqname.Service]kqresource.Service{"shed": service()}, start.Add(time.Minute))
 	if list := b.Statuses(start.Add(time.Minute)); len(list) != 1 || list[0].Share != 0 {
-		t.Errorf("a removed plan must be settled first: %+v", list)
+		t.Errorf("a removed plan must be kept until it is settled: %+v", list)
 	}
 	b.Adopt(map[kqname.Service]kqresource.Service{"shed": service()}, start.Add(2*time.Hour))
 	if list := b.Statuses(start.Add(2 * time.Hour)); len(list) != 0 {
-		t.Errorf("still known: %+v", list)
+		t.Errorf("the removed plan is still listed: %+v", list)
 	}
 }
--- /dev/null
+++ b/internal/rollout/kqboard/capacity_test.go
@@ -0,0 +1,72 @@
+package kqboard_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqledger"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqprogress"
+	"github.com/kumquatgw/kumquatgw/pkg/kqname"
+)
+
+const slotsPerUpstream = 12
+
+// warmUpstreams returns the upstreams of the fixture's gates.
+func warmUpstreams() upstreams {
+	var list upstreams
+	for i := range oldGates + newGates {
+		version := kqname.UpstreamVersion("v1")
+		if i >= oldGates {
+			version = "v2"
+		}
+		list = append(list, kqmember.Candidate{
+			Upstream: kqmember.Upstream{Service: "shed", Version: version, Slots: slotsPerUpstream, Started: start.Add(-time.Minute), Warm: start.Add(-time.Minute)},
+			Node:     kqname.Node(fmt.Sprintf("n%d", i)),
+		})
+	}
+	return list
+}
+
+// runToEnd runs an ordered rollout with the given number of slots in use, and returns its
+// final state and the reason. Only the given number of the new version's upstreams remain.
+func runToEnd(busySlots, remaining int) (kqprogress.Final, string) {
+	f := newFixture(6)
+	directory := warmUpstreams()[:oldGates+remaining]
+	f.collector = kqboard.New(kqledger.Source{Node: "collector"}, directory)
+	f.collector.Adopt(map[kqname.Service]kqresource.Service{"shed": orderedService()}, start)
+	calls := busySlots * int(tickInterval) / int(typicalLatency) / (oldGates + remaining)
+	for f.now.Before(start.Add(15 * time.Second)) {
+		for g := range oldGates + remaining {
+			f.countSuccesses(g, calls)
+		}
+		f.endTick()
+		f.collector.Step(f.plan, f.now)
+		if v := f.collector.Views(f.now)[0]; v.Wish != kqprogress.Open {
+			return v.Wish, v.Why
+		}
+	}
+	return kqprogress.Open, ""
+}
+
+// Guards against a rollout that ends as done although the traffic does not fit on the new
+// version: two of its six upstreams left, through no fault of the version, while all old ones
+// stayed and were busy. At the deadline it ended as done, since its slots were over a third of
+// the old version's. The old upstreams were stopped, and two thirds of the calls of the lowest
+// class were shed or late from then on, where hardly any had been.
+func TestRolloutIsNotDoneIfTrafficDoesNotFit(t *testing.T) {
+	if final, reason := runToEnd(43, 2); final != kqprogress.TakenBack {
+		t.Errorf("with 43 slots in use and 24 slots of the new version the rollout ended as %q: %s", final, reason)
+	}
+}
+
+// Checks that the same few upstreams are enough for a service with little traffic. A rollback
+// would make a good version miss its deadline for nothing.
+func TestRolloutIsDoneIfTrafficFitsFewUpstreams(t *testing.T) {
+	if final, reason := runToEnd(15, 2); final != kqprogress.Done {
+		t.Errorf("with 15 slots in use and 24 slots of the new version the rollout ended as %q: %s", final, reason)
+	}
+}
--- a/internal/rollout/kqboard/owner_test.go
+++ b/internal/rollout/kqboard/collecting_test.go
@@ -9,8 +9,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 )
 
-// Guards against a version that ends as done because the node that has just become the
-// rollout's owner has collected nothing yet.
+// Guards against a rollout that ends as done because the node that has just become its owner
+// has not collected any reports yet.
 func TestNewOwnerCollectsBeforeItSteps(t *testing.T) {
 	const window, tick = time.Minute, 600 * time.Millisecond
 	plan := kqdocument.Rollout{Name: "move", Service: "shed", From: "v1", To: "v2", Policy: "first", Start: start, Deadline: start.Add(window)}
@@ -20,11 +20,11 @@
 	now := start.Add(window * 98 / 100)
 	b.Weigh(id, now)
 	if d := b.Step(id, now); d.Action != kqstep.Hold {
-		t.Errorf("at once: %s, %s; want hold", d.Action, d.Why)
+		t.Errorf("before collecting: %s, %s; want hold", d.Action, d.Why)
 	}
 	now = now.Add(5 * tick)
 	b.Weigh(id, now)
 	if d := b.Step(id, now); d.Action != kqstep.Done {
-		t.Errorf("once it has collected: %s, %s; want done", d.Action, d.Why)
+		t.Errorf("after collecting: %s, %s; want done", d.Action, d.Why)
 	}
 }
--- a/internal/rollout/kqboard/doc.go
+++ b/internal/rollout/kqboard/doc.go
@@ -1,6 +1,6 @@
-// Package kqboard holds what one node knows of the rollouts in its
-// configuration, and applies it to calls: which version each may go to, and
-// which the gate still lets in. Any node that sees a version fail stops sending
-// to it at once, whoever owns the rollout and whether or not the platform
-// answers.
+// Package kqboard holds a node's view of the rollouts in its configuration and
+// applies it to calls: which version a call may go to, and which versions the
+// gate still accepts calls for. Any node that detects a bad version stops
+// sending calls to it at once, whether or not it owns the rollout and whether
+// or not the platform answers.
 package kqboard
--- a/internal/rollout/kqboard/entry.go
+++ b/internal/rollout/kqboard/entry.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	shortestTick = 100 * time.Millisecond
-	longestTick  = time.Second
-	// ticks is how many ticks a short window is cut into at least.
-	ticks = 100
-	// listens is how many ticks a node collects before it weighs: gates report all that
-	// they have counted, and what comes later would pass for one tick's calls.
-	listens = 4
-	// busyOver is the time over which the slots in use are averaged: calls come in
-	// clumps of a second.
-	busyOver = 3 * time.Second
-	// firstPause is how long an upstream that could not be connected to is not
-	// counted as such again: all nodes have heard of it or left it out by then.
-	// Three such counts take a version back that listens to nobody, well before it
-	// would get all traffic.
-	firstPause, longestPause = time.Second, 2 * time.Second
+	minTick = 100 * time.Millisecond
+	maxTick = time.Second
+	// ticksPerWindow is the number of ticks in a window, unless minTick or maxTick applies.
+	ticksPerWindow = 100
+	// collectingTicks is how many ticks a node collects reports before it evaluates them:
+	// gates report everything counted so far, and reports that came later would be taken
+	// for the calls of a single tick.
+	collectingTicks = 4
+	// busyAveraging is the time over which the number of busy slots is averaged, since
+	// calls arrive in bursts of about a second.
+	busyAveraging = 3 * time.Second
+	// minUnreachablePause and maxUnreachablePause bound the time after a failed connection
+	// in which further ones to the same upstream are not counted: by then all nodes know of
+	// the failure or have ejected the upstream. Three counted failures roll back a version
+	// none of whose upstreams accepts connections, well before it would get all traffic.
+	minUnreachablePause, maxUnreachablePause = time.Second, 2 * time.Second
 )
 
-// entry is one plan as this node knows it.
+// entry is the state of one plan on this node.
 type entry struct {
 	ledger *kqledger.Ledger
 
@@ -43,33 +44,35 @@
 	judge    *kqverdict.Judge
 	finding  kqverdict.Finding
 	totals   Evidence
-	// busy is how many slots calls have in use, of the slots that both versions had at
-	// the last step.
-	busy   float64
-	slots  int
-	seen   time.Time
-	gone   time.Time
-	ticked time.Time
-	// collects is when this node began to weigh the evidence.
-	collects time.Time
-	reported time.Time
-	// unreachable is when this node's upstream was last counted as one that could
-	// not be connected to, and pause how long it is not counted so again.
-	unreachable time.Time
-	pause       time.Duration
-	// owner is who last said to own the rollout, and heard when.
-	owner kqname.Node
-	heard time.Time
-	last  kqstep.Decision
-	wish  kqprogress.Final
-	// told is the last event that was logged, so that each is told once.
-	told string
-
-	splitFor  splitKey
-	splitting kqshare.Burst
+	// busySlots is the average number of slots in use, and totalSlots the number of slots
+	// of both versions at the last step.
+	busySlots  float64
+	totalSlots int
+	knownSince time.Time
+	removedAt  time.Time
+	lastTick   time.Time
+	// collectingSince is when this node began to collect reports.
+	collectingSince time.Time
+	lastReport      time.Time
+	// lastUnreachable is when a failed connection to this node's upstream was last counted,
+	// and unreachablePause how long further ones are not counted.
+	lastUnreachable  time.Time
+	unreachablePause time.Duration
+	// owner is the node that last announced itself as the rollout's owner, at ownerSeen.
+	owner        kqname.Node
+	ownerSeen    time.Time
+	lastDecision kqstep.Decision
+	// dueFinal is the final state to be stored on the platform.
+	dueFinal kqprogress.Final
+	// lastEvent is the last event that was returned for logging, so that each is logged once.
+	lastEvent string
+
+	cachedKey   splitKey
+	cachedSplit kqshare.Burst
 }
 
-// splitKey tells a directory's answer from another; it makes each anew.
+// splitKey identifies the input of a cached split: a step and an answer of the directory,
+// which allocates a new list when the upstreams change.
 type splitKey struct {
 	first *kqmember.Candidate
 	count int
@@ -77,28 +80,28 @@
 }
 
 func newEntry(p kqplan.Plan, self kqledger.Source, now time.Time) *entry {
-	return &entry{plan: p, ledger: kqledger.New(self), judge: kqverdict.New(), seen: now}
+	return &entry{plan: p, ledger: kqledger.New(self), judge: kqverdict.New(), knownSince: now}
 }
 
-func (e *entry) tick() time.Duration {
-	return min(max(e.plan.Window()/ticks, shortestTick), longestTick)
+func (e *entry) tickInterval() time.Duration {
+	return min(max(e.plan.Window()/ticksPerWindow, minTick), maxTick)
 }
 
-// weigh takes in a tick's evidence and rolls back at once on bad evidence,
-// whoever owns the rollout: waiting for the owner would let a bad version have
-// its share for as long as the owner is away.
-func (e *entry) weigh(now time.Time) {
-	if e.collects.IsZero() {
-		e.collects = now
+// evaluate processes the evidence of a tick and rolls back at once if it is bad, whether
+// or not this node owns the rollout: waiting for an absent owner would leave a bad version
+// its share of the traffic.
+func (e *entry) evaluate(now time.Time) {
+	if e.collectingSince.IsZero() {
+		e.collectingSince = now
 	}
-	if now.Sub(e.ticked) < e.tick() || e.listening(now) {
+	if now.Sub(e.lastTick) < e.tickInterval() || e.isCollecting(now) {
 		return
 	}
 	sample := e.ledger.Take()
-	if !e.ticked.IsZero() {
-		e.use(sample, now.Sub(e.ticked))
+	if !e.lastTick.IsZero() {
+		e.updateBusySlots(sample, now.Sub(e.lastTick))
 	}
-	e.ticked = now
+	e.lastTick = now
 	e.judge.Observe(sample)
 	e.finding = e.judge.Finding()
 	for i := range sample {
@@ -112,55 +115,55 @@
 	}
 }
 
-// listening reports whether gates' reports of what they have counted before may still come
-// in. Of a rollout that began with this node's collecting there is nothing to wait for; an
-// ordered one begins anew on a node that has started in its midst.
-func (e *entry) listening(now time.Time) bool {
-	began := e.plan.Duration == 0 && e.collects.Sub(e.plan.Start) < e.tick()
-	return !began && now.Sub(e.collects) < listens*e.tick()
+// isCollecting reports whether gates' reports of earlier counts may still arrive. A rollout
+// that started only while this node was collecting has no earlier counts. This cannot be
+// told for an ordered one, which starts anew on a node that joins in the middle of it.
+func (e *entry) isCollecting(now time.Time) bool {
+	startedWhileCollecting := e.plan.Duration == 0 && e.collectingSince.Sub(e.plan.Start) < e.tickInterval()
+	return !startedWhileCollecting && now.Sub(e.collectingSince) < collectingTicks*e.tickInterval()
 }
 
-// use follows how many slots are in use: calls that took 100 ms each, 200 a second,
-// have 20 in use on average. A node that has just begun to collect gets the counts of
-// many ticks in one, which cannot be more than all slots.
-func (e *entry) use(s kqevidence.Sample, elapsed time.Duration) {
+// updateBusySlots updates the average number of busy slots: 200 calls a second of 100 ms
+// each keep 20 slots busy. A node that has just begun to collect gets the counts of many
+// ticks in one, so the result is limited to the number of slots.
+func (e *entry) updateBusySlots(s kqevidence.Sample, elapsed time.Duration) {
 	spent := time.Duration(0)
 	for i := range s {
 		spent += s[i].Old.Spent() + s[i].New.Spent()
 	}
-	busy := float64(spent) / float64(max(elapsed, 1))
-	if e.slots > 0 {
-		busy = min(busy, float64(e.slots))
+	busySlots := float64(spent) / float64(max(elapsed, 1))
+	if e.totalSlots > 0 {
+		busySlots = min(busySlots, float64(e.totalSlots))
 	}
-	e.busy += (busy - e.busy) * min(float64(elapsed)/float64(busyOver), 1)
+	e.busySlots += (busySlots - e.busySlots) * min(float64(elapsed)/float64(busyAveraging), 1)
 }
 
 func (e *entry) rollback(why string) {
 	e.progress = kqprogress.Join(e.progress, kqprogress.Progress{RolledBack: true, Why: why})
-	e.wish = kqprogress.TakenBack
+	e.dueFinal = kqprogress.TakenBack
 }
 
 func (e *entry) apply(d kqstep.Decision) {
-	e.last = d
+	e.lastDecision = d
 	switch d.Action {
 	case kqstep.Advance:
 		e.progress.Step++
 	case kqstep.TakeBack:
 		e.rollback(d.Why)
 	case kqstep.Done:
-		e.wish = kqprogress.Done
+		e.dueFinal = kqprogress.Done
 	}
 }
 
-// due reports whether it is time for this gate's next report.
-func (e *entry) due(now time.Time) bool {
+// isReportDue reports whether this gate's next report is due, and if so records it as sent.
+func (e *entry) isReportDue(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now.Sub(e.reported) < e.tick() {
+	if now.Sub(e.lastReport) < e.tickInterval() {
 		return false
 	}
-	e.reported = now
+	e.lastReport = now
 	return true
 }
 
-func (e *entry) started(now time.Time) bool { return !now.Before(e.plan.Start) }
+func (e *entry) hasStarted(now time.Time) bool { return !now.Before(e.plan.Start) }
--- a/internal/rollout/kqboard/status.go
+++ b/internal/rollout/kqboard/status.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// Pending rollouts wait for their start.
+	// Pending rollouts have not started yet.
 	Pending State = "pending"
 	// Running rollouts have no final state yet.
 	Running State = "running"
 	// Done rollouts have moved all traffic to the new version.
 	Done State = "done"
-	// TakenBack rollouts have given all traffic back to the old version.
+	// TakenBack rollouts were rolled back: all traffic goes to the old version.
 	TakenBack State = "taken back"
 )
 
 type (
-	// State is what operators read of a rollout.
+	// State is the state of a rollout as shown to operators.
 	State string
 
-	// Evidence sums up the calls that a rollout is judged by.
+	// Evidence sums up the calls on which a rollout is evaluated.
 	Evidence struct {
 		OldCalls  uint64 `json:"old_calls"`
 		OldFailed uint64 `json:"old_failed"`
 		NewCalls  uint64 `json:"new_calls"`
 		NewFailed uint64 `json:"new_failed"`
-		// Nats is the most evidence against the new version, as a logarithm
-		// of odds; Metric and Where tell of what and on which route.
+		// Nats is the strongest evidence against the new version, as a logarithm
+		// of odds; Metric and Where name its metric and the calls it comes from.
 		Nats   float64 `json:"nats"`
 		Metric string  `json:"metric"`
 		Where  string  `json:"where"`
 	}
 
-	// Status is one rollout as operators read it.
+	// Status is a rollout as shown to operators.
 	Status struct {
 		Rollout  kqname.Rollout         `json:"rollout"`
 		Service  kqname.Service         `json:"service"`
@@ -54,24 +54,24 @@
 		Step     int                    `json:"step"`
 		// Share is the share of traffic, from 0 to 1, of the new version.
 		Share float64 `json:"share"`
-		// Why tells why the rollout is where it is.
+		// Why is the reason for the current state.
 		Why      string      `json:"why"`
 		Evidence Evidence    `json:"evidence"`
 		Owner    kqname.Node `json:"owner,omitempty"`
 	}
 )
 
-// Statuses returns every rollout that the node knows, by start and name.
+// Statuses returns all rollouts on this node, ordered by start and name.
 func (b *Board) Statuses(now time.Time) []Status {
 	list := []Status{}
-	for _, e := range b.all() {
+	for _, e := range b.allEntries() {
 		list = append(list, e.status(now))
 	}
 	slices.SortFunc(list, Compare)
 	return list
 }
 
-// Status returns one rollout as operators read it.
+// Status returns a rollout as shown to operators.
 func (b *Board) Status(id kqplan.ID, now time.Time) (Status, bool) {
 	e, ok := b.entry(id)
 	if !ok {
@@ -80,7 +80,7 @@
 	return e.status(now), true
 }
 
-// Compare orders rollouts by start and name.
+// Compare orders rollouts by start, then by name.
 func Compare(a, b Status) int {
 	return cmp.Or(a.Start.Compare(b.Start), cmp.Compare(a.Rollout, b.Rollout))
 }
@@ -91,7 +91,7 @@
 	p := e.plan
 	s := Status{
 		Rollout: p.Name, Service: p.Service, From: p.From, To: p.To, Policy: p.Policy, Start: p.Start,
-		Deadline: p.Deadline, State: Running, Step: e.progress.Step, Why: e.last.Why, Evidence: e.totals, Owner: e.owner,
+		Deadline: p.Deadline, State: Running, Step: e.progress.Step, Why: e.lastDecision.Why, Evidence: e.totals, Owner: e.owner,
 	}
 	s.Evidence.Metric, s.Evidence.Where = e.finding.WorstMetric, e.finding.Where
 	if nats := max(e.finding.Total, e.finding.Recent); !math.IsInf(nats, 0) {
@@ -104,7 +104,7 @@
 		s.State, s.Why = TakenBack, e.progress.Why
 	case e.progress.RolledBack:
 		s.Why = "no traffic any more, waiting for the platform to record it: " + e.progress.Why
-	case !e.started(now):
+	case !e.hasStarted(now):
 		s.State = Pending
 	default:
 		s.Share = kqstep.Share(p, e.progress.Step)
--- a/internal/rollout/kqboard/traffic.go
+++ b/internal/rollout/kqboard/traffic.go
@@ -18,15 +18,15 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// failureStatus is the lowest HTTP status that counts as the upstream's
-// failure; those below are the caller's doing or a success.
+// failureStatus is the lowest HTTP status that counts as a failure of the
+// upstream; lower ones are successes or errors of the caller.
 const failureStatus = 500
 
-// Split returns where a call to a service may go.
+// Split returns the version and the upstreams that a call to a service may go to.
 func (b *Board) Split(s kqresource.Service, now time.Time, random kqshare.Random) kqpick.Target {
 	base := s.Service.Version
-	taken := b.taken(s.Service.Name)
-	for _, e := range b.of(s.Service.Name) {
+	rolledBackVersions := b.rolledBackVersions(s.Service.Name)
+	for _, e := range b.entriesOf(s.Service.Name) {
 		e.mu.Lock()
 		p, from, to := e.progress, e.plan.From, e.plan.To
 		e.mu.Unlock()
@@ -37,46 +37,47 @@
 			continue
 		}
 		if p.Final == kqprogress.Done {
-			if from != "" || serves(b.directory.Upstreams(s.Service.Name), to) {
+			if from != "" || hasUpstream(b.directory.Upstreams(s.Service.Name), to) {
 				base = to
 			}
 			continue
 		}
 		if p.Serves() {
-			return e.split(b.directory.Upstreams(s.Service.Name), p.Step, taken).Split(now, random)
+			return e.split(b.directory.Upstreams(s.Service.Name), p.Step, rolledBackVersions).Split(now, random)
 		}
 		if from == "" {
-			taken = append(taken, to)
+			rolledBackVersions = append(rolledBackVersions, to)
 		}
 	}
-	return kqpick.Target{Version: base, Not: taken}
+	return kqpick.Target{Version: base, Not: rolledBackVersions}
 }
 
-// serves reports whether any upstream of the version takes new work.
-func serves(all []kqmember.Candidate, v kqname.UpstreamVersion) bool {
+// hasUpstream reports whether any upstream of the version accepts new calls.
+func hasUpstream(all []kqmember.Candidate, v kqname.UpstreamVersion) bool {
 	return slices.ContainsFunc(all, func(c kqmember.Candidate) bool { return c.Version == v })
 }
 
-// split returns how calls are split among the upstreams at a step. It is worked
-// out anew only when either changes: every call asks for it.
-func (e *entry) split(all []kqmember.Candidate, step int, taken []kqname.UpstreamVersion) kqshare.Burst {
+// split returns how calls are split among the upstreams at a step. The result is cached
+// until the step or the upstreams change, since it is needed for every call.
+func (e *entry) split(all []kqmember.Candidate, step int, rolledBackVersions []kqname.UpstreamVersion) kqshare.Burst {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	k := splitKey{step: step, count: len(all)}
 	if len(all) > 0 {
 		k.first = &all[0]
 	}
-	if e.splitFor != k {
-		e.splitFor, e.splitting = k, burst(kqshare.Share{
-			From: e.plan.From, To: e.plan.To, Of: kqstep.Share(e.plan, step), Small: step <= kqstep.Small, Grow: kqstep.MayExceedShare(e.plan, step), Not: taken,
+	if e.cachedKey != k {
+		e.cachedKey, e.cachedSplit = k, newBurst(kqshare.Share{
+			From: e.plan.From, To: e.plan.To, Of: kqstep.Share(e.plan, step), Small: step <= kqstep.Small, Grow: kqstep.MayExceedShare(e.plan, step), Not: rolledBackVersions,
 		}, all)
 	}
-	return e.splitting
+	return e.cachedSplit
 }
 
-// burst keeps calls off a version that has no upstream left, as when a herd of
-// them died: the other version serves until they are back.
-func burst(share kqshare.Share, all []kqmember.Candidate) kqshare.Burst {
+// newBurst returns the split of calls for a share. A version without upstreams, for example
+// after all of them crashed together, gets no calls: the other version serves until they
+// are back.
+func newBurst(share kqshare.Share, all []kqmember.Candidate) kqshare.Burst {
 	old, next := false, false
 	for _, c := range all {
 		old = old || share.Old(c.Version)
@@ -92,14 +93,14 @@
 	}
 }
 
-// Refuses reports whether the gate must not let calls reach a version: it was
-// taken back, and nothing else has brought it back into service.
+// Refuses reports whether the gate must reject calls for a version: it was rolled back,
+// and it is neither the service's version nor in use by another rollout.
 func (b *Board) Refuses(name kqname.Service, version kqname.UpstreamVersion) bool {
 	b.mu.RLock()
 	base := b.services[name].version
-	refused := b.services[name].taken[version]
+	refused := b.services[name].rolledBackVersions[version]
 	b.mu.RUnlock()
-	for _, e := range b.of(name) {
+	for _, e := range b.entriesOf(name) {
 		e.mu.Lock()
 		p, to, from := e.progress, e.plan.To, e.plan.From
 		e.mu.Unlock()
@@ -113,82 +114,83 @@
 	return refused && version != base
 }
 
-// Observe counts a call that this node's gate sent to its upstream, for every
-// rollout that the call tells of. started is when the upstream started, and warm
-// when its start is over as far as it said so, the zero time if it did not.
+// Observe counts a call that this node's gate sent to its upstream, for every open
+// rollout from or to the call's version. started is when the upstream started, and warm
+// when its cold start ends according to the upstream, or the zero time if it did not say.
 func (b *Board) Observe(o kqgate.Observation, started, warm time.Time) {
-	for _, e := range b.of(o.Service) {
+	for _, e := range b.entriesOf(o.Service) {
 		e.mu.Lock()
 		open := e.progress.Open() && !o.Began.Before(e.plan.Start)
 		old, to, cold := e.plan.Old(o.Version), e.plan.To, o.Began.Before(e.plan.WarmAt(started, warm))
 		e.mu.Unlock()
-		if !open || !old && o.Version != to || !e.counts(o) {
+		if !open || !old && o.Version != to || !e.shouldCount(o) {
 			continue
 		}
 		switch {
-		case !timed(o):
-			e.ledger.Count(o.Route, func(r *kqledger.Row) { r.Of(o.Version == to).CountUntimed(failed(o)) })
+		case !hasUsableLatency(o):
+			e.ledger.Count(o.Route, func(r *kqledger.Row) { r.Of(o.Version == to).CountUntimed(isFailure(o)) })
 		case cold:
-			e.ledger.Count(kqevidence.Young, func(r *kqledger.Row) { r.Of(o.Version == to).Count(o.Took, failed(o)) })
-			e.ledger.Count(o.Route, func(r *kqledger.Row) { r.Of(o.Version == to).CountUntimed(failed(o)) })
+			e.ledger.Count(kqevidence.Young, func(r *kqledger.Row) { r.Of(o.Version == to).Count(o.Took, isFailure(o)) })
+			e.ledger.Count(o.Route, func(r *kqledger.Row) { r.Of(o.Version == to).CountUntimed(isFailure(o)) })
 		default:
-			e.ledger.Count(o.Route, func(r *kqledger.Row) { r.Of(o.Version == to).Count(o.Took, failed(o)) })
+			e.ledger.Count(o.Route, func(r *kqledger.Row) { r.Of(o.Version == to).Count(o.Took, isFailure(o)) })
 		}
 	}
 }
 
-// counts reports whether the call is to be counted. A server that has died refuses
-// each call that some node still tries, within a fraction of a millisecond and in
-// clusters; counted each, it would speak louder than all servers that work, and a good
-// version be taken back for the death of one. It is counted again after a second,
-// and then each two, until it takes a call, so that a version that listens to nobody
-// shows.
-func (e *entry) counts(o kqgate.Observation) bool {
+// shouldCount reports whether the call is counted. A dead server refuses every call that
+// nodes still send to it, within a fraction of a millisecond and in clusters; if each
+// counted, it would outweigh all working servers, and a good version would be rolled back
+// because one server died. A failed connection counts again after one second and then every
+// two, until a connection succeeds, so that a version that accepts no connections is still
+// detected.
+func (e *entry) shouldCount(o kqgate.Observation) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if o.Outcome.Reason != kqcall.ConnectFailed {
-		e.pause = 0
+		e.unreachablePause = 0
 		return true
 	}
-	if e.pause > 0 && o.Began.Sub(e.unreachable) < e.pause {
+	if e.unreachablePause > 0 && o.Began.Sub(e.lastUnreachable) < e.unreachablePause {
 		return false
 	}
-	e.unreachable, e.pause = o.Began, min(max(2*e.pause, firstPause), longestPause)
+	e.lastUnreachable, e.unreachablePause = o.Began, min(max(2*e.unreachablePause, minUnreachablePause), maxUnreachablePause)
 	return true
 }
 
-// timed reports whether the time for which the upstream had the call tells how long
-// calls take there. A call that it turned away or never had, or that broke off, ends
-// early: an upstream that turns many away would look many times faster than it is, and
-// the other version slower. One that ran until its time was up or its caller left
-// would have taken longer still.
-func timed(o kqgate.Observation) bool {
+// hasUsableLatency reports whether the call's duration at the upstream is a valid latency.
+// A call that the upstream rejected, never received or cut off ends early: an upstream that
+// sheds many calls would look many times faster than it is, and the other version slower. A
+// call that ran until its timeout or until its caller left counts, since it would have
+// taken even longer.
+func hasUsableLatency(o kqgate.Observation) bool {
 	if o.Outcome.Result == kqcall.Unknown {
 		return o.Outcome.Reason == kqcall.Timeout || o.Outcome.Reason == kqcall.Cancelled
 	}
 	return o.Outcome.Result == kqcall.Answered
 }
 
-// taken returns the versions of a service that ended orders took back.
-func (b *Board) taken(name kqname.Service) []kqname.UpstreamVersion {
+// rolledBackVersions returns the versions of a service whose ordered rollouts were removed
+// without ending as done.
+func (b *Board) rolledBackVersions(name kqname.Service) []kqname.UpstreamVersion {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	if len(b.services[name].taken) == 0 {
+	if len(b.services[name].rolledBackVersions) == 0 {
 		return nil
 	}
-	return slices.Collect(maps.Keys(b.services[name].taken))
+	return slices.Collect(maps.Keys(b.services[name].rolledBackVersions))
 }
 
-func (b *Board) of(name kqname.Service) []*entry {
+func (b *Board) entriesOf(name kqname.Service) []*entry {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.services[name].entries
 }
 
-// failed reports whether the upstream failed the call. That its caller left is no
-// failure, as at the gate: callers leave the version with more of them in flight more
-// often. A version that holds them shows by how long it had the calls.
-func failed(o kqgate.Observation) bool {
+// isFailure reports whether the upstream failed the call. A caller that disconnects is no
+// failure, as at the gate: more callers disconnect from the version that has more calls in
+// flight. A version that keeps callers waiting is detected by its latency.
+func isFailure(o kqgate.Observation) bool {
 	if o.Outcome.Reason == kqcall.Cancelled {
 		return false
 	}
--- a/internal/rollout/kqboard/view.go
+++ b/internal/rollout/kqboard/view.go
@@ -11,32 +11,32 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// View is a plan as its owner's loop needs it.
+// View is the state of a plan that the loop of its owner needs.
 type View struct {
 	Plan     kqplan.Plan
 	Progress kqprogress.Progress
-	// Wish is the final state that is due and not yet on the platform.
+	// Wish is the final state that is due and not yet stored on the platform.
 	Wish kqprogress.Final
-	// Why tells what the wish rests on.
+	// Why is the reason for Wish.
 	Why string
-	// Seen is when this node first knew the plan.
+	// Seen is when this node first received the plan.
 	Seen time.Time
-	// Owner last said to own the plan, at Heard.
+	// Owner is the node that last announced itself as the plan's owner, at Heard.
 	Owner kqname.Node
 	Heard time.Time
-	// Gone tells that the plan is no longer in the document.
+	// Gone is set if the plan is no longer in the document.
 	Gone bool
 }
 
-// Views returns every plan that has started.
+// Views returns every plan that has started, was rolled back or was cancelled.
 func (b *Board) Views(now time.Time) []View {
 	var list []View
-	for _, e := range b.all() {
+	for _, e := range b.allEntries() {
 		e.mu.Lock()
-		if e.started(now) || e.progress.RolledBack || e.plan.Cancelled {
-			v := View{Plan: e.plan, Progress: e.progress, Seen: e.seen, Owner: e.owner, Heard: e.heard, Why: e.last.Why, Gone: !e.gone.IsZero()}
+		if e.hasStarted(now) || e.progress.RolledBack || e.plan.Cancelled {
+			v := View{Plan: e.plan, Progress: e.progress, Seen: e.knownSince, Owner: e.owner, Heard: e.ownerSeen, Why: e.lastDecision.Why, Gone: !e.removedAt.IsZero()}
 			if e.progress.Open() {
-				v.Wish = e.wish
+				v.Wish = e.dueFinal
 			}
 			if e.progress.RolledBack {
 				v.Why = e.progress.Why
@@ -48,17 +48,17 @@
 	return list
 }
 
-// Report returns this gate's own evidence for a plan, at most once a tick, and
-// false where there is nothing new.
+// Report returns this gate's own evidence for a plan, at most once a tick. It returns
+// false if there is nothing new.
 func (b *Board) Report(id kqplan.ID, now time.Time) (kqledger.Report, bool) {
 	e, ok := b.entry(id)
-	if !ok || !e.due(now) {
+	if !ok || !e.isReportDue(now) {
 		return kqledger.Report{}, false
 	}
 	return e.ledger.Report()
 }
 
-// Event returns a sentence about the plan's last change, once.
+// Event returns a sentence about the plan's last change, once for each change.
 func (b *Board) Event(id kqplan.ID) (string, bool) {
 	e, ok := b.entry(id)
 	if !ok {
@@ -67,10 +67,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	text := e.event()
-	if text == e.told {
+	if text == e.lastEvent {
 		return "", false
 	}
-	e.told = text
+	e.lastEvent = text
 	return text, text != ""
 }
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// Progress returns how far a plan has come.
+// Progress returns the progress of a plan.
 func (b *Board) Progress(id kqplan.ID) (kqprogress.Progress, bool) {
 	e, ok := b.entry(id)
 	if !ok {
