--- a/internal/rollout/kqowner/doc.go
+++ b/internal/rollout/kqowner/doc.go
@@ -1,8 +1,8 @@
-// Package kqowner keeps one owner per rollout by a lease on the platform,
-// stores what the rollout has come to, and settles its final state by one
+// Package kqowner gives each rollout one owner by a lease on the platform, stores
+// the progress of the rollout there, and sets its final state by a single
 // compare-and-swap.
 //
-// Two owners at once do no harm: steps only grow along one schedule, and only
-// the first final record is let in. The lease only keeps the platform's load
-// at a few calls a second for each rollout.
+// Two concurrent owners do no harm: steps only increase, along one schedule, and
+// only the first record of the final state is accepted. The lease only limits the
+// load on the platform to a few calls a second for each rollout.
 package kqowner
--- a/internal/rollout/kqowner/lease.go
+++ b/internal/rollout/kqowner/lease.go
@@ -10,19 +10,20 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
-// keep renews the lease when it is time to, or takes it if it is free.
-func (o *Owner) keep(ctx context.Context, h *hold, id kqplan.ID, candidate bool, now time.Time) error {
-	if h.lease != kqstore.NoLease {
-		if now.Sub(h.renewed) < renewEvery {
+// maintainLease renews the lease when that is due, or acquires it if candidate and the lease
+// is free.
+func (o *Owner) maintainLease(ctx context.Context, state *planState, id kqplan.ID, candidate bool, now time.Time) error {
+	if state.lease != kqstore.NoLease {
+		if now.Sub(state.renewedAt) < renewInterval {
 			return nil
 		}
-		err := o.store.Renew(ctx, h.lease)
+		err := o.store.Renew(ctx, state.lease)
 		if err == nil {
-			o.extend(h, now)
+			o.extendLease(state, now)
 			return nil
 		}
 		if errors.Is(err, kqstore.ErrLeaseLapsed) {
-			o.drop(h)
+			o.dropLease(state)
 		}
 		return fmt.Errorf("renew lease: %w", err)
 	}
@@ -31,45 +32,45 @@
 	}
 	lease, err := o.store.Grant(ctx, TTL)
 	if err != nil {
-		return fmt.Errorf("take lease: %w", err)
+		return fmt.Errorf("grant lease: %w", err)
 	}
-	revision, err := o.store.Swap(ctx, prefix+string(id)+"/owner", kqstore.Absent, []byte(o.self), lease)
+	revision, err := o.store.Swap(ctx, keyPrefix+string(id)+"/owner", kqstore.Absent, []byte(o.self), lease)
 	if err != nil {
-		return fmt.Errorf("take lease: %w", err)
+		return fmt.Errorf("acquire lease: %w", err)
 	}
-	h.lease, h.taken = lease, revision
-	// Another owner may have come further since this node last read.
-	if err := o.readAll(ctx, h, id); err != nil {
+	state.lease, state.ownerRevision = lease, revision
+	// Another owner may have made progress since this node last read it.
+	if err := o.load(ctx, state, id); err != nil {
 		return err
 	}
-	o.extend(h, now)
+	o.extendLease(state, now)
 	return nil
 }
 
-// Leave gives back the lease of a plan, if this node holds it.
+// Leave releases the lease of a plan if this node holds it.
 func (o *Owner) Leave(ctx context.Context, id kqplan.ID) error {
 	o.mu.Lock()
-	h, ok := o.plans[id]
-	held := ok && h.lease != kqstore.NoLease
+	state, ok := o.plans[id]
+	held := ok && state.lease != kqstore.NoLease
 	o.mu.Unlock()
 	if !held {
 		return nil
 	}
-	o.drop(h)
-	if err := o.store.Delete(ctx, prefix+string(id)+"/owner", h.taken); err != nil {
-		return fmt.Errorf("give back lease: %w", err)
+	o.dropLease(state)
+	if err := o.store.Delete(ctx, keyPrefix+string(id)+"/owner", state.ownerRevision); err != nil {
+		return fmt.Errorf("release lease: %w", err)
 	}
 	return nil
 }
 
-func (o *Owner) extend(h *hold, asked time.Time) {
+func (o *Owner) extendLease(state *planState, requestedAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	h.renewed, h.until = asked, asked.Add(trusted)
+	state.renewedAt, state.validUntil = requestedAt, requestedAt.Add(trustedFor)
 }
 
-func (o *Owner) drop(h *hold) {
+func (o *Owner) dropLease(state *planState) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	h.lease, h.until = kqstore.NoLease, time.Time{}
+	state.lease, state.validUntil = kqstore.NoLease, time.Time{}
 }
--- a/internal/rollout/kqowner/owner.go
+++ b/internal/rollout/kqowner/owner.go
@@ -19,20 +19,20 @@
 const (
 	// TTL is how long an owner's lease lasts unless it is renewed.
 	TTL = 3 * time.Second
-	// renewEvery leaves time for two more tries before the lease lapses.
-	renewEvery = TTL / 3
-	// trusted is how long a holder acts on a lease after it asked for it. It
-	// is counted from before the call, by the holder's own clock, so that a
-	// holder that was paused stops before the platform lets the lease lapse.
-	trusted = TTL * 2 / 3
-	// retryEvery is the pause after a call that failed: a platform that comes
-	// back must not meet every node at once, over and over.
-	retryEvery = time.Second
-	prefix     = "kumquatgw/rollouts/"
+	// renewInterval leaves time for two more attempts before the lease expires.
+	renewInterval = TTL / 3
+	// trustedFor is how long a holder relies on a lease after requesting it. It is
+	// counted from before the request, by the holder's own clock, so that a holder
+	// that was paused stops acting before the lease expires on the platform.
+	trustedFor = TTL * 2 / 3
+	// retryDelay is the pause after a call that failed, so that a platform that
+	// recovers does not get calls from all nodes at once over and over.
+	retryDelay = time.Second
+	keyPrefix  = "kumquatgw/rollouts/"
 )
 
 type (
-	// Store is what the owner uses of the platform's service.
+	// Store is the part of the platform's key-value service that the owner uses.
 	Store interface {
 		Get(ctx context.Context, key string) (kqstore.Entry, error)
 		Swap(ctx context.Context, key string, expected kqstore.Revision, value []byte, lease kqstore.Lease) (kqstore.Revision, error)
@@ -41,12 +41,12 @@
 		Renew(ctx context.Context, lease kqstore.Lease) error
 	}
 
-	// Board is what the owner reads of the node's rollouts and tells them.
+	// Board merges progress into the node's rollouts.
 	Board interface {
 		Join(id kqplan.ID, p kqprogress.Progress) (news, stale bool)
 	}
 
-	// Owner works on the rollouts that this node may own. Work and Holds are
+	// Owner manages the rollouts that this node may own. Work and Holds are
 	// safe for concurrent use.
 	Owner struct {
 		self  kqname.Node
@@ -54,23 +54,29 @@
 		board Board
 
 		mu    sync.Mutex
-		plans map[kqplan.ID]*hold
-	}
-
-	hold struct {
-		read  bool
-		down  bool
-		pause time.Time
-		lease kqstore.Lease
-		// taken is the revision at which the owner's key was written.
-		taken    kqstore.Revision
-		renewed  time.Time
-		until    time.Time
+		plans map[kqplan.ID]*planState
+	}
+
+	// planState is what the owner keeps of one plan.
+	planState struct {
+		// loaded is set once the stored progress and final state have been read.
+		loaded bool
+		// platformDown is set if the last call to the platform failed for another reason than
+		// a conflict or an expired lease.
+		platformDown bool
+		// retryAt is the time of the next attempt after a failed call.
+		retryAt time.Time
+		lease   kqstore.Lease
+		// ownerRevision is the revision at which the owner's key was written.
+		ownerRevision kqstore.Revision
+		renewedAt     time.Time
+		validUntil    time.Time
+		// saved is the progress stored on the platform, at revision.
 		saved    kqprogress.Progress
 		revision kqstore.Revision
 	}
 
-	// record is a final state as the platform holds it.
+	// record is a final state as it is stored on the platform.
 	record struct {
 		Final kqprogress.Final `cbor:"1,keyasint"`
 		Why   string           `cbor:"2,keyasint"`
@@ -79,122 +85,122 @@
 	}
 )
 
-// New returns an owner that holds nothing.
+// New returns an owner without leases.
 func New(self kqname.Node, store Store, board Board) *Owner {
-	return &Owner{self: self, store: store, board: board, plans: make(map[kqplan.ID]*hold)}
+	return &Owner{self: self, store: store, board: board, plans: make(map[kqplan.ID]*planState)}
 }
 
-// Holds reports whether this node may step the plan at the time now, and
-// whether the platform failed to answer about it when last asked.
-func (o *Owner) Holds(id kqplan.ID, now time.Time) (holds, down bool) {
+// Holds reports whether this node holds the plan's lease and may step it at the time now,
+// and whether the last call to the platform for it failed.
+func (o *Owner) Holds(id kqplan.ID, now time.Time) (holds, platformDown bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	h, ok := o.plans[id]
+	state, ok := o.plans[id]
 	if !ok {
 		return false, false
 	}
-	return h.read && now.Before(h.until), h.down
+	return state.loaded && now.Before(state.validUntil), state.platformDown
 }
 
-// Work does what is due on the platform for one plan: it reads what was
-// stored, takes or renews the lease if candidate, stores progress and settles
-// the final state.
+// Work makes the platform calls that are due for one plan: it reads what is stored,
+// acquires the lease if candidate, renews it, stores the progress and sets the final state.
 func (o *Owner) Work(ctx context.Context, v kqboard.View, candidate bool, now time.Time) error {
-	h := o.hold(v.Plan.ID)
-	if !v.Progress.Open() || now.Before(h.pause) {
+	state := o.planState(v.Plan.ID)
+	if !v.Progress.Open() || now.Before(state.retryAt) {
 		return nil
 	}
-	err := o.work(ctx, h, v, candidate, now)
+	err := o.sync(ctx, state, v, candidate, now)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	h.down = err != nil && !errors.Is(err, kqstore.ErrConflict) && !errors.Is(err, kqstore.ErrLeaseLapsed)
+	state.platformDown = err != nil && !errors.Is(err, kqstore.ErrConflict) && !errors.Is(err, kqstore.ErrLeaseLapsed)
 	if err != nil {
-		h.pause = now.Add(retryEvery)
-		return fmt.Errorf("work on rollout %s: %w", v.Plan.Name, err)
+		state.retryAt = now.Add(retryDelay)
+		return fmt.Errorf("update rollout %s on the platform: %w", v.Plan.Name, err)
 	}
 	return nil
 }
 
-func (o *Owner) work(ctx context.Context, h *hold, v kqboard.View, candidate bool, now time.Time) error {
-	if !o.isRead(h) {
-		if err := o.readAll(ctx, h, v.Plan.ID); err != nil {
+func (o *Owner) sync(ctx context.Context, state *planState, v kqboard.View, candidate bool, now time.Time) error {
+	if !o.isLoaded(state) {
+		if err := o.load(ctx, state, v.Plan.ID); err != nil {
 			return err
 		}
 	}
-	if err := o.keep(ctx, h, v.Plan.ID, candidate, now); err != nil {
+	if err := o.maintainLease(ctx, state, v.Plan.ID, candidate, now); err != nil {
 		return err
 	}
 	if holds, _ := o.Holds(v.Plan.ID, now); !holds {
 		return nil
 	}
-	if err := o.save(ctx, h, v); err != nil {
+	if err := o.saveProgress(ctx, state, v); err != nil {
 		return err
 	}
-	return o.settle(ctx, v, now)
+	return o.storeFinal(ctx, v, now)
 }
 
-func (o *Owner) hold(id kqplan.ID) *hold {
+func (o *Owner) planState(id kqplan.ID) *planState {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	h, ok := o.plans[id]
+	state, ok := o.plans[id]
 	if !ok {
-		h = &hold{}
-		o.plans[id] = h
+		state = &planState{}
+		o.plans[id] = state
 	}
-	return h
+	return state
 }
 
-func (o *Owner) isRead(h *hold) bool {
+func (o *Owner) isLoaded(state *planState) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return h.read
+	return state.loaded
 }
 
-// readAll takes in the progress and the final state that the platform holds.
-func (o *Owner) readAll(ctx context.Context, h *hold, id kqplan.ID) error {
-	e, err := o.store.Get(ctx, prefix+string(id)+"/progress")
+// load merges the progress and the final state that are stored on the platform.
+func (o *Owner) load(ctx context.Context, state *planState, id kqplan.ID) error {
+	e, err := o.store.Get(ctx, keyPrefix+string(id)+"/progress")
 	switch {
 	case errors.Is(err, kqstore.ErrNotFound):
 	case err != nil:
 		return fmt.Errorf("read progress: %w", err)
 	default:
-		if err := cbor.Unmarshal(e.Value, &h.saved); err != nil {
+		if err := cbor.Unmarshal(e.Value, &state.saved); err != nil {
 			return fmt.Errorf("decode progress: %w", err)
 		}
-		h.revision = e.Revision
-		o.board.Join(id, h.saved)
+		state.revision = e.Revision
+		o.board.Join(id, state.saved)
 	}
-	if err := o.adopt(ctx, id); err != nil && !errors.Is(err, kqstore.ErrNotFound) {
+	if err := o.loadFinal(ctx, id); err != nil && !errors.Is(err, kqstore.ErrNotFound) {
 		return err
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	h.read = true
+	state.loaded = true
 	return nil
 }
 
-// save stores the progress where it is more than what is stored.
-func (o *Owner) save(ctx context.Context, h *hold, v kqboard.View) error {
-	joined := kqprogress.Join(h.saved, v.Progress)
-	if joined == h.saved {
+// saveProgress stores the progress if it is ahead of what is stored.
+func (o *Owner) saveProgress(ctx context.Context, state *planState, v kqboard.View) error {
+	joined := kqprogress.Join(state.saved, v.Progress)
+	if joined == state.saved {
 		return nil
 	}
 	data, err := cbor.Marshal(joined)
 	if err != nil {
 		return fmt.Errorf("encode progress: %w", err)
 	}
-	revision, err := o.store.Swap(ctx, prefix+string(v.Plan.ID)+"/progress", h.revision, data, kqstore.NoLease)
+	revision, err := o.store.Swap(ctx, keyPrefix+string(v.Plan.ID)+"/progress", state.revision, data, kqstore.NoLease)
 	if err != nil {
-		// Whether it took effect or another owner wrote, reading tells.
-		return errors.Join(fmt.Errorf("store progress: %w", err), o.readAll(ctx, h, v.Plan.ID))
+		// The write may have taken effect, or another owner may have written: reading
+		// shows what is stored.
+		return errors.Join(fmt.Errorf("store progress: %w", err), o.load(ctx, state, v.Plan.ID))
 	}
-	h.saved, h.revision = joined, revision
+	state.saved, state.revision = joined, revision
 	return nil
 }
 
-// settle writes the final state that is due. Only the first record is let in;
-// whoever comes second, or lost the answer, reads the record and adopts it.
-func (o *Owner) settle(ctx context.Context, v kqboard.View, now time.Time) error {
+// storeFinal writes the final state that is due. Only the first record is accepted; an owner
+// that comes second, or whose answer was lost, reads the stored record and merges it.
+func (o *Owner) storeFinal(ctx context.Context, v kqboard.View, now time.Time) error {
 	if v.Wish == kqprogress.Open {
 		return nil
 	}
@@ -202,15 +208,16 @@
 	if err != nil {
 		return fmt.Errorf("encode final state: %w", err)
 	}
-	_, err = o.store.Swap(ctx, prefix+string(v.Plan.ID)+"/final", kqstore.Absent, data, kqstore.NoLease)
+	_, err = o.store.Swap(ctx, keyPrefix+string(v.Plan.ID)+"/final", kqstore.Absent, data, kqstore.NoLease)
 	if err != nil && !errors.Is(err, kqstore.ErrConflict) && !errors.Is(err, kqstore.ErrUnavailable) {
 		return fmt.Errorf("store final state: %w", err)
 	}
-	return o.adopt(ctx, v.Plan.ID)
+	return o.loadFinal(ctx, v.Plan.ID)
 }
 
-func (o *Owner) adopt(ctx context.Context, id kqplan.ID) error {
-	e, err := o.store.Get(ctx, prefix+string(id)+"/final")
+// loadFinal merges the final state that is stored on the platform.
+func (o *Owner) loadFinal(ctx context.Context, id kqplan.ID) error {
+	e, err := o.store.Get(ctx, keyPrefix+string(id)+"/final")
 	if err != nil {
 		return fmt.Errorf("read final state: %w", err)
 	}
--- a/internal/rollout/kqowner/owner_test.go
+++ b/internal/rollout/kqowner/owner_test.go
@@ -19,12 +19,12 @@
 var start = time.Unix(10000, 0)
 
 type (
-	// clock is the time of all nodes and of the platform.
+	// clock is the common clock of all nodes and the platform.
 	clock struct{ now time.Time }
 
 	upstreams []kqmember.Candidate
 
-	// node is what decides on one server.
+	// node is the part of a node that decides on rollouts.
 	node struct {
 		board *kqboard.Board
 		owner *kqowner.Owner
@@ -56,11 +56,11 @@
 	return &node{board: b, owner: kqowner.New(name, platform, b)}
 }
 
-// work does one round on the platform and, where the node holds the lease, one
-// decision.
-func (n *node) work(now time.Time, step bool) {
+// runOnce makes one round of platform calls and, if step is set and the node holds the lease,
+// one decision.
+func (n *node) runOnce(now time.Time, step bool) {
 	for _, v := range n.board.Views(now) {
-		// A platform that is away is part of these tests.
+		// Errors are expected: some tests make the platform unavailable.
 		_ = n.owner.Work(context.Background(), v, true, now)
 		if holds, _ := n.owner.Holds(v.Plan.ID, now); holds && step {
 			n.board.Step(v.Plan.ID, now)
@@ -83,7 +83,7 @@
 			return v
 		}
 	}
-	t.Fatal("plan not known")
+	t.Fatal("the plan is not on the board")
 	return kqboard.View{}
 }
 
@@ -91,143 +91,143 @@
 	return kqstandin.New(kqstandin.WithNow(func() time.Time { return c.now }))
 }
 
-// An owner is paused in the middle of a move; its lease lapses and another node
-// takes over. When the first wakes it still believes to be the owner, and both
-// work on. Operators must read one state, whatever the two had in mind.
-func TestPausedOwnerWakesBesideItsSuccessor(t *testing.T) {
+// Guards against two final states after an owner was paused in the middle of a rollout. Its
+// lease expires and another node takes over, but the first still acts as the owner when it
+// resumes. Operators must read one state.
+func TestPausedOwnerResumesBesideItsSuccessor(t *testing.T) {
 	c := &clock{now: start}
 	p := newPlatform(c)
 	first, second := newNode("a", p, service(plan("move"))), newNode("b", p, service(plan("move")))
-	first.work(c.now, true)
-	first.work(c.now, true)
+	first.runOnce(c.now, true)
+	first.runOnce(c.now, true)
 	id := first.view(t).Plan.ID
 	if holds, _ := first.owner.Holds(id, c.now); !holds {
 		t.Fatal("the first owner has no lease")
 	}
 	c.now = c.now.Add(2 * kqowner.TTL)
 	if holds, _ := first.owner.Holds(id, c.now); holds {
-		t.Error("an owner that was paused past its lease still steps")
+		t.Error("an owner that was paused past its lease still holds it")
 	}
-	second.work(c.now, true)
+	second.runOnce(c.now, true)
 	if holds, _ := second.owner.Holds(id, c.now); !holds {
-		t.Fatal("nobody took over")
+		t.Fatal("the second node did not take over")
 	}
 	if step := second.view(t).Progress.Step; step < 1 {
-		t.Errorf("the successor begins at step %d, want the one that was stored", step)
+		t.Errorf("the successor begins at step %d, want the stored one", step)
 	}
-	// The first wakes and learns of evidence; the second finishes.
+	// The first resumes and rolls back on its evidence; the second finishes.
 	first.board.Join(id, kqprogress.Progress{RolledBack: true, Why: "errors"})
 	for range 90 {
 		c.now = c.now.Add(time.Second)
-		second.work(c.now, true)
-		first.work(c.now, true)
+		second.runOnce(c.now, true)
+		first.runOnce(c.now, true)
 	}
-	agree(t, c.now, first, second)
+	checkSameFinal(t, c.now, first, second)
 }
 
-// The write of the final state takes effect and its answer is lost. An owner
-// that took this for a failure could write the other state next, and operators
-// would read "done" and then "taken back".
+// Guards against a second final state after the answer to the write of the first one was lost.
+// An owner that took this for a failure could write the other state, and operators would
+// read "done" and then "taken back".
 func TestAnswerLostAfterTheFinalWrite(t *testing.T) {
 	c := &clock{now: start}
 	p := newPlatform(c)
 	n, other := newNode("a", p, service(plan("move"))), newNode("b", p, service(plan("move")))
 	for range 57 {
-		n.work(c.now, true)
+		n.runOnce(c.now, true)
 		c.now = c.now.Add(time.Second)
 	}
-	n.work(c.now, false)
+	n.runOnce(c.now, false)
 	if n.view(t).Wish == kqprogress.Open {
 		for n.view(t).Wish == kqprogress.Open && c.now.Before(start.Add(2*time.Minute)) {
 			c.now = c.now.Add(time.Second)
-			n.work(c.now, true)
+			n.runOnce(c.now, true)
 		}
 	}
 	p.SetFaults(kqstandin.Faults{LoseAnswers: 4})
-	n.work(c.now, true)
+	n.runOnce(c.now, true)
 	n.board.Join(n.view(t).Plan.ID, kqprogress.Progress{RolledBack: true, Why: "errors"})
 	for range 20 {
 		c.now = c.now.Add(time.Second)
-		n.work(c.now, true)
-		other.work(c.now, true)
+		n.runOnce(c.now, true)
+		other.runOnce(c.now, true)
 	}
-	agree(t, c.now, n, other)
+	checkSameFinal(t, c.now, n, other)
 }
 
-// The platform is away for the whole of a move's last part, over its deadline.
-// The move's end can be stored only later, once, and until then nobody may be
-// told that it is done.
+// Guards against a rollout that is reported as done before its final state is stored, while the
+// platform is unavailable past the deadline. The final state must be stored once, after the
+// outage.
 func TestPlatformDownOverTheDeadline(t *testing.T) {
 	c := &clock{now: start}
 	p := newPlatform(c)
 	n := newNode("a", p, service(plan("move")))
 	for range 5 {
-		n.work(c.now, true)
+		n.runOnce(c.now, true)
 		c.now = c.now.Add(time.Second)
 	}
 	p.SetFaults(kqstandin.Faults{Down: true})
 	id := n.view(t).Plan.ID
 	for range 90 {
 		c.now = c.now.Add(time.Second)
-		n.work(c.now, true)
+		n.runOnce(c.now, true)
 		n.board.Step(id, c.now)
 	}
 	if s := n.states(c.now)["move"]; s != kqboard.Running {
-		t.Errorf("with the platform away the move is %q", s)
+		t.Errorf("while the platform is unavailable the rollout is %q", s)
 	}
 	if step := n.view(t).Progress.Step; step != 4 {
-		t.Errorf("steps stopped at %d", step)
+		t.Errorf("the rollout stopped at step %d", step)
 	}
 	p.SetFaults(kqstandin.Faults{})
 	for range 10 {
 		c.now = c.now.Add(time.Second)
-		n.work(c.now, true)
+		n.runOnce(c.now, true)
 	}
 	if s := n.states(c.now)["move"]; s != kqboard.Done {
-		t.Errorf("after the outage the move is %q", s)
+		t.Errorf("after the outage the rollout is %q", s)
 	}
 }
 
-// An operator replaces a plan at the moment at which its move would have been
-// done. The old plan and the new one are two moves; each must end once.
+// Checks that a plan that an operator replaces when its rollout would be done ends exactly
+// once, and that the new plan is a separate rollout.
 func TestOperatorReplacesThePlanAtItsEnd(t *testing.T) {
-	for _, late := range []bool{false, true} {
+	for _, doneFirst := range []bool{false, true} {
 		c := &clock{now: start}
 		p := newPlatform(c)
 		n, other := newNode("a", p, service(plan("move"))), newNode("b", p, service(plan("move")))
 		for range 56 {
-			n.work(c.now, true)
+			n.runOnce(c.now, true)
 			c.now = c.now.Add(time.Second)
 		}
 		next := plan("next")
 		next.Start, next.Deadline = start.Add(2*time.Minute), start.Add(3*time.Minute)
-		if !late {
+		if !doneFirst {
 			n.board.Adopt(service(next), c.now)
 		}
 		c.now = c.now.Add(3 * time.Second)
-		n.work(c.now, true)
-		other.work(c.now, true)
+		n.runOnce(c.now, true)
+		other.runOnce(c.now, true)
 		n.board.Adopt(service(next), c.now)
 		for range 20 {
 			c.now = c.now.Add(time.Second)
-			n.work(c.now, true)
-			other.work(c.now, true)
+			n.runOnce(c.now, true)
+			other.runOnce(c.now, true)
 		}
-		agree(t, c.now, n, other)
+		checkSameFinal(t, c.now, n, other)
 		if s := n.states(c.now)["next"]; s != kqboard.Pending {
 			t.Errorf("the new plan is %q", s)
 		}
 	}
 }
 
-// A move is cancelled at its end by an operator, while its owner is about to
-// finish it.
+// Checks that a rollout that an operator cancels while its owner is about to finish it has one
+// final state.
 func TestOperatorCancelsAtTheEnd(t *testing.T) {
 	c := &clock{now: start}
 	p := newPlatform(c)
 	n, other := newNode("a", p, service(plan("move"))), newNode("b", p, service(plan("move")))
 	for range 59 {
-		n.work(c.now, true)
+		n.runOnce(c.now, true)
 		c.now = c.now.Add(time.Second)
 	}
 	cancelled := plan("move")
@@ -236,14 +236,15 @@
 	other.board.Step(other.view(t).Plan.ID, c.now)
 	for range 20 {
 		c.now = c.now.Add(time.Second)
-		other.work(c.now, true)
-		n.work(c.now, true)
+		other.runOnce(c.now, true)
+		n.runOnce(c.now, true)
 	}
-	agree(t, c.now, n, other)
+	checkSameFinal(t, c.now, n, other)
 }
 
-// agree checks that all nodes tell one and the same final state, and keep it.
-func agree(t *testing.T, now time.Time, nodes ...*node) {
+// checkSameFinal checks that all nodes have the same final state, and that a stale message does
+// not change it.
+func checkSameFinal(t *testing.T, now time.Time, nodes ...*node) {
 	t.Helper()
 	first := nodes[0].states(now)["move"]
 	if first != kqboard.Done && first != kqboard.TakenBack {
@@ -251,11 +252,11 @@
 	}
 	for _, n := range nodes {
 		if s := n.states(now)["move"]; s != first {
-			t.Errorf("one node tells %q, another %q", first, s)
+			t.Errorf("one node has state %q, another %q", first, s)
 		}
 		n.board.Join(n.view(t).Plan.ID, kqprogress.Progress{Step: 4, RolledBack: true, Why: "late"})
 		if s := n.states(now)["move"]; s != first {
-			t.Errorf("a late message turned %q into %q", first, s)
+			t.Errorf("a stale message changed %q to %q", first, s)
 		}
 	}
 }
