--- a/internal/rollout/kqledger/ledger.go
+++ b/internal/rollout/kqledger/ledger.go
@@ -166,12 +166,12 @@
 				all.Add(&cell)
 			}
 			now[version] = u.Calls
-			u.Lately = u.Calls - before[version]
+			u.ComparedCalls = u.Calls - before[version]
 			lists[version] = append(lists[version], u)
 		}
 		l.timed[source] = now
 	}
-	return kqmargin.Of(lists[0], lists[1], all.Quantile(low))
+	return kqmargin.Allowed(lists[0], lists[1], all.Quantile(low))
 }
 
 // cell returns what the gate counted of one version, over all routes.
@@ -186,7 +186,7 @@
 }
 
 func upstream(c *kqevidence.Cell) kqmargin.Upstream {
-	u := kqmargin.Upstream{Low: c.Quantile(low)}
-	u.Calls, u.Sum, u.Squares = c.Logs()
+	u := kqmargin.Upstream{LowerQuartile: c.Quantile(low)}
+	u.Calls, u.LogSum, u.LogSquares = c.Logs()
 	return u
 }
--- a/internal/rollout/kqmargin/doc.go
+++ b/internal/rollout/kqmargin/doc.go
@@ -1,26 +1,27 @@
-// Package kqmargin decides how much slower than those of the old version the
-// upstreams of a new one may be for the sake of the servers that they run on.
+// Package kqmargin computes how much slower than the old version the upstreams of
+// a new version may be because of the servers that they run on.
 //
-// Servers of one make differ: a neighbour, an older processor, a slower disk, and
-// every call takes twice as long there, whatever the version. A rollout begins with
-// one upstream or two. If one stands on such a server, the version looks as slow as
-// its server beside the mean of many, tick for tick; more calls make it surer, never
-// righter, and a good version is taken back.
+// Servers of the same kind differ: because of a noisy neighbor, an older processor
+// or a slower disk, every call may take twice as long on one, whatever the version.
+// A rollout begins with one or two upstreams. If one of them runs on a slow server,
+// the version looks slow compared with the mean of many, in every tick. More calls
+// only make this wrong result more certain, and a good version is rolled back.
 //
-// What servers do is seen at the old version's own upstreams. The slowest upstream of
-// the new version is allowed what the slowest of the old one shows, the next what the
-// next shows, and so on: however the new one's servers were drawn out of the like, it
-// is hardly slower than that. One standard deviation of what two such draws differ by is
-// allowed at least, since the old version may have had the luckier one. Where the old
-// version's upstreams are alike, next to nothing is allowed.
+// The effect of servers is estimated from the old version's own upstreams. The
+// slowest upstream of the new version may be as slow as the slowest of the old one,
+// the second slowest as the second, and so on: if its servers were drawn from
+// similar ones, it is hardly ever slower than that. At least one standard deviation
+// of the difference between two such draws is allowed, since the old version may
+// have had the luckier draw. Where the old version's upstreams are alike, next to
+// nothing is allowed.
 //
-// A slow server makes all calls slower, the quick ones too. More is thus not allowed
-// than the 25th percentile of the upstream's own calls is over that of the old version's,
-// beyond its standard error: a version that is many times slower for a part of its
-// calls is not taken for one on a slow server.
+// A slow server slows down all calls, the fast ones too. The margin is therefore
+// limited to the difference between the 25th percentiles of the upstream's own calls
+// and the old version's, plus its standard error: a version that is many times slower
+// for only some of its calls is not mistaken for one on a slow server.
 //
-// Chance alone makes some upstream the slowest. By how much upstreams really differ
-// is worked out from what their means differ by beyond what their calls' own spread
-// explains (the moment estimate of DerSimonian and Laird), and each one's difference
-// is drawn towards none by the part of it that may be chance.
+// Some upstream is always the slowest by chance. The real variance between upstreams
+// is estimated from the differences of their means beyond what the spread of their
+// calls explains (the moment estimator of DerSimonian and Laird), and each upstream's
+// difference is shrunk towards zero by the part that may be chance.
 package kqmargin
--- a/internal/rollout/kqmargin/margin.go
+++ b/internal/rollout/kqmargin/margin.go
@@ -7,90 +7,91 @@
 )
 
 const (
-	// leastVariance is that of a latency known to a bucket of a quarter.
-	leastVariance = 0.004
-	// deviations is how many standard deviations of a difference by the draw of
-	// servers are allowed at least. With two, a version that is twice as slow would be
-	// kept on four upstreams against six of which two stand on slow servers.
-	deviations = 1
-	// lowError is the standard error of a 25th percentile in standard deviations of the
-	// calls over the root of their number, where their logs are normal.
-	lowError = 1.36
+	// minVariance is the variance of latencies that are known to a bucket of 25%.
+	minVariance = 0.004
+	// minDeviations is how many standard deviations of the difference by the draw of
+	// servers are allowed at least. With two, a version that is twice as slow would be kept
+	// on four upstreams against six of which two run on slow servers.
+	minDeviations = 1
+	// quartileError is the standard error of a 25th percentile, in standard deviations of
+	// the calls over the square root of their number, if their logs are normal.
+	quartileError = 1.36
 )
 
 // Upstream is what the gate of one upstream counted of its calls' latencies.
 type Upstream struct {
-	// Lately is how many calls are compared now.
-	Lately float64
-	// Calls, Sum and Squares are of the logs of the latencies of all calls since the
-	// start of the rollout.
-	Calls, Sum, Squares float64
-	// Low is the log of their 25th percentile.
-	Low float64
+	// ComparedCalls is how many calls are compared now.
+	ComparedCalls float64
+	// Calls is the number of all calls with a latency since the start of the rollout;
+	// LogSum and LogSquares are the sum and the sum of squares of the logs of the latencies.
+	Calls, LogSum, LogSquares float64
+	// LowerQuartile is the log of their 25th percentile.
+	LowerQuartile float64
 }
 
-// Of returns by how much, as a log, the mean latency of the new version's calls that
-// are compared now may be over that of the old version's: 0 or more. The 25th percentile
-// of all of the old version's calls is low.
-func Of(old, next []Upstream, low float64) float64 {
-	old, next = seen(old), seen(next)
+// Allowed returns by how much, as a log, the mean latency of the new version's calls that
+// are compared now may exceed that of the old version's. It is at least 0. lowerQuartile is
+// the log of the 25th percentile of all calls of the old version.
+func Allowed(old, next []Upstream, lowerQuartile float64) float64 {
+	old, next = withCalls(old), withCalls(next)
 	if len(old) < 2 || len(next) == 0 {
 		return 0
 	}
-	offsets, spread, variance := offsets(old)
-	present := weigh(old, offsets)
-	drawn := deviations * spread * math.Sqrt(1/float64(len(old))+1/float64(len(next)))
-	// From here on only the order counts.
-	slices.SortFunc(offsets, func(a, b float64) int { return cmp.Compare(b, a) })
+	serverOffsets, spread, variance := serverOffsets(old)
+	oldMean := weightedMean(old, serverOffsets)
+	minMargin := minDeviations * spread * math.Sqrt(1/float64(len(old))+1/float64(len(next)))
+	// From here on only the order of the offsets matters.
+	slices.SortFunc(serverOffsets, func(a, b float64) int { return cmp.Compare(b, a) })
 	slices.SortFunc(next, func(a, b Upstream) int { return cmp.Compare(b.mean(), a.mean()) })
-	paired, shown := make([]float64, len(next)), make([]float64, len(next))
+	paired, quartileLimits := make([]float64, len(next)), make([]float64, len(next))
 	for i, u := range next {
-		// More upstreams than the old version has are spread over its own.
-		paired[i] = offsets[min(i, i*len(offsets)/len(next))]
-		shown[i] = max(u.Low-low, 0) + lowError*math.Sqrt(variance/u.Calls)
+		// If the new version has more upstreams than the old one, several are paired
+		// with the same offset.
+		paired[i] = serverOffsets[min(i, i*len(serverOffsets)/len(next))]
+		quartileLimits[i] = max(u.LowerQuartile-lowerQuartile, 0) + quartileError*math.Sqrt(variance/u.Calls)
 	}
-	return min(max(weigh(next, paired)-present, drawn), weigh(next, shown))
+	return min(max(weightedMean(next, paired)-oldMean, minMargin), weightedMean(next, quartileLimits))
 }
 
-// seen returns the upstreams that have any call, in a list of its own.
-func seen(list []Upstream) []Upstream {
+// withCalls returns a new list of the upstreams that have any calls.
+func withCalls(list []Upstream) []Upstream {
 	return slices.DeleteFunc(slices.Clone(list), func(u Upstream) bool { return u.Calls <= 0 })
 }
 
-// offsets returns by how much, as a log, each upstream's calls take longer than the
-// mean of all, as far as it is not chance, and the standard deviation of what upstreams
-// really differ by, and the variance of an upstream's own calls.
-func offsets(list []Upstream) (found []float64, spread, variance float64) {
+// serverOffsets returns by how much, as a log, each upstream's calls take longer than the
+// mean of all, shrunk by the part that may be chance. It also returns the standard deviation
+// between upstreams without chance, and the variance of an upstream's own calls.
+func serverOffsets(list []Upstream) (shrunk []float64, spread, variance float64) {
 	var all Upstream
 	within := 0.0
 	for _, u := range list {
 		all.Calls += u.Calls
-		all.Sum += u.Sum
-		within += u.Squares - u.Sum*u.Sum/u.Calls
+		all.LogSum += u.LogSum
+		within += u.LogSquares - u.LogSum*u.LogSum/u.Calls
 	}
-	variance = max(within/max(all.Calls-float64(len(list)), 1), leastVariance)
-	apart, squares := 0.0, 0.0
+	variance = max(within/max(all.Calls-float64(len(list)), 1), minVariance)
+	heterogeneity, squares := 0.0, 0.0
 	for _, u := range list {
 		d := u.mean() - all.mean()
-		apart += d * d * u.Calls / variance
+		heterogeneity += d * d * u.Calls / variance
 		squares += u.Calls * u.Calls
 	}
 	scale := (all.Calls - squares/all.Calls) / variance
-	between := max(apart-float64(len(list)-1), 0) / max(scale, 1)
-	found = make([]float64, len(list))
+	between := max(heterogeneity-float64(len(list)-1), 0) / max(scale, 1)
+	shrunk = make([]float64, len(list))
 	for i, u := range list {
-		found[i] = (u.mean() - all.mean()) * between / (between + variance/u.Calls)
+		shrunk[i] = (u.mean() - all.mean()) * between / (between + variance/u.Calls)
 	}
-	return found, math.Sqrt(between), variance
+	return shrunk, math.Sqrt(between), variance
 }
 
-// weigh returns the mean of the values of upstreams, by the calls compared now; 0 where
-// there are none.
-func weigh(list []Upstream, values []float64) float64 {
+// weightedMean returns the mean of the upstreams' values, weighted by the calls compared
+// now, or 0 if there are none.
+func weightedMean(list []Upstream, values []float64) float64 {
 	sum, calls := 0.0, 0.0
 	for i, u := range list {
-		sum += u.Lately * values[i]
-		calls += u.Lately
+		sum += u.ComparedCalls * values[i]
+		calls += u.ComparedCalls
 	}
 	if calls == 0 {
 		return 0
@@ -98,4 +99,4 @@
 	return sum / calls
 }
 
-func (u Upstream) mean() float64 { return u.Sum / u.Calls }
+func (u Upstream) mean() float64 { return u.LogSum / u.Calls }
--- a/internal/rollout/kqmargin/margin_test.go
+++ b/internal/rollout/kqmargin/margin_test.go
@@ -11,22 +11,22 @@
 
 const (
 	spread = 0.35
-	// low is the 25th percentile of calls on the servers that are not slow, less a
-	// tenth or so for those that are.
-	low = -0.67 * spread
+	// lowerQuartile is the log of the 25th percentile of calls on the servers that are not
+	// slow. With the calls on slow servers included it would be higher by about a tenth.
+	lowerQuartile = -0.67 * spread
 )
 
-// upstream is one whose calls take longer by offset, as a log.
+// upstream returns an upstream whose calls take longer by offset, as a log.
 func upstream(random *rand.Rand, offset float64, calls int) kqmargin.Upstream {
-	u := kqmargin.Upstream{Lately: 5, Calls: float64(calls)}
+	u := kqmargin.Upstream{ComparedCalls: 5, Calls: float64(calls)}
 	logs := make([]float64, calls)
 	for i := range logs {
 		logs[i] = offset + spread*random.NormFloat64()
-		u.Sum += logs[i]
-		u.Squares += logs[i] * logs[i]
+		u.LogSum += logs[i]
+		u.LogSquares += logs[i] * logs[i]
 	}
 	slices.Sort(logs)
-	u.Low = logs[calls/4]
+	u.LowerQuartile = logs[calls/4]
 	return u
 }
 
@@ -38,85 +38,85 @@
 	return list
 }
 
-// Where all servers are alike, chance makes one upstream the slowest all the same.
-// Were a new one allowed that, a version that is a third slower would be let pass
-// until a thousand calls have told chance from servers.
-func TestLikeServersAllowNextToNothing(t *testing.T) {
+// Guards against a large margin where all servers are alike, since some upstream is always the
+// slowest by chance. With such a margin, a version that is a third slower would be kept until
+// a thousand calls had separated chance from servers.
+func TestEqualServersAllowNextToNothing(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	sum := 0.0
-	const plays = 500
-	for range plays {
-		sum += kqmargin.Of(upstreams(random, 20, 0, 0, 0, 0, 0, 0), upstreams(random, 20, 0), low)
+	const runs = 500
+	for range runs {
+		sum += kqmargin.Allowed(upstreams(random, 20, 0, 0, 0, 0, 0, 0), upstreams(random, 20, 0), lowerQuartile)
 	}
-	if mean := sum / plays; mean > 0.05 {
-		t.Errorf("a log of %.3f is allowed on average", mean)
+	if mean := sum / runs; mean > 0.05 {
+		t.Errorf("a margin of %.3f, as a log, is allowed on average", mean)
 	}
 }
 
-// One upstream of the new version stands on a server as slow as the slowest of the old
-// version's. All that it is slower by must be allowed, or its version is blamed for it
-// a little more with each tick.
+// Checks that an upstream of the new version on a server as slow as the slowest of the old
+// version's may be as slow as that. Otherwise evidence against the version would grow with
+// each tick.
 func TestLoneUpstreamIsAllowedTheSlowestServer(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 1))
 	slow := math.Log(2.2)
-	got := kqmargin.Of(upstreams(random, 400, 0, 0, slow, 0, 0, slow), upstreams(random, 400, slow), low)
+	got := kqmargin.Allowed(upstreams(random, 400, 0, 0, slow, 0, 0, slow), upstreams(random, 400, slow), lowerQuartile)
 	// A third of the old version's calls are as slow.
 	if want := slow * 2 / 3; math.Abs(got-want) > 0.08 {
-		t.Errorf("a log of %.2f is allowed, want about %.2f", got, want)
+		t.Errorf("a margin of %.2f, as a log, is allowed, want about %.2f", got, want)
 	}
 }
 
-// The more upstreams the new version has, the less do their servers explain: a slow
-// version must be found once it has some.
+// Checks that the margin decreases with the number of the new version's upstreams, since
+// their servers explain less: a slow version must be detected once it has several.
 func TestMoreUpstreamsAreAllowedLess(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 1))
 	slow := math.Log(2.2)
 	old := upstreams(random, 400, 0, 0, slow, 0, 0, slow)
 	before := math.Inf(1)
 	for _, n := range []int{1, 3, 6, 12} {
-		got := kqmargin.Of(old, upstreams(random, 400, slices.Repeat([]float64{slow}, n)...), low)
+		got := kqmargin.Allowed(old, upstreams(random, 400, slices.Repeat([]float64{slow}, n)...), lowerQuartile)
 		if got >= before {
-			t.Errorf("%d upstreams are allowed a log of %.2f, fewer of them %.2f", n, got, before)
+			t.Errorf("%d upstreams are allowed a margin of %.2f, as a log, fewer of them %.2f", n, got, before)
 		}
 		before = got
 	}
 }
 
-// Where hardly any calls have come, or one upstream alone is there to compare with,
-// nothing is known of the servers; what is not a number would stop all judging.
-func TestNothingKnownAllowsNothing(t *testing.T) {
+// Checks that nothing is allowed with hardly any calls or only one old upstream to compare
+// with. A NaN would disable the tests that use the margin.
+func TestTooLittleDataAllowsNothing(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 1))
 	one := upstreams(random, 1, 0)
 	for name, got := range map[string]float64{
-		"none": kqmargin.Of(nil, nil, low), "no new one": kqmargin.Of(upstreams(random, 10, 0, 1), nil, low),
-		"one old one": kqmargin.Of(upstreams(random, 10, 1), one, low), "without calls": kqmargin.Of(make([]kqmargin.Upstream, 3), one, low),
+		"none": kqmargin.Allowed(nil, nil, lowerQuartile), "no new one": kqmargin.Allowed(upstreams(random, 10, 0, 1), nil, lowerQuartile),
+		"one old one": kqmargin.Allowed(upstreams(random, 10, 1), one, lowerQuartile), "without calls": kqmargin.Allowed(make([]kqmargin.Upstream, 3), one, lowerQuartile),
 	} {
 		if got != 0 {
-			t.Errorf("%s: a log of %v is allowed", name, got)
+			t.Errorf("%s: a margin of %v is allowed, want 0", name, got)
 		}
 	}
-	if got := kqmargin.Of(upstreams(random, 1, 0, 0), one, low); math.IsNaN(got) || got < 0 {
-		t.Errorf("after one call each, a log of %v is allowed", got)
+	if got := kqmargin.Allowed(upstreams(random, 1, 0, 0), one, lowerQuartile); math.IsNaN(got) || got < 0 {
+		t.Errorf("after one call each, a margin of %v is allowed", got)
 	}
 }
 
-// Two calls in five of a version take eight times as long, on a quick server. Its mean
-// is as slow as that of a slow server, but its quick calls are not; taken for a slow
-// server, it was found after 122 to 203 calls instead of 35 to 45.
-func TestSlownessOfSomeCallsIsNoServers(t *testing.T) {
+// Guards against a version on a fast server whose calls take eight times as long in two of
+// five cases. Its mean is as slow as on a slow server, but its fast calls are not. Mistaken
+// for one on a slow server, it was detected after 122 to 203 calls instead of 35 to 45.
+func TestPartialSlownessIsNotMistakenForSlowServer(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 1))
 	slow := math.Log(2.2)
 	next := upstream(random, 0, 400)
 	for range 266 {
 		x := math.Log(8) + spread*random.NormFloat64()
 		next.Calls++
-		next.Sum += x
-		next.Squares += x * x
+		next.LogSum += x
+		next.LogSquares += x * x
 	}
-	// The 25th percentile of all is the 42nd of the quick ones.
-	next.Low = -0.2 * spread
-	got := kqmargin.Of(upstreams(random, 400, 0, 0, slow, 0, 0, slow), []kqmargin.Upstream{next}, low)
+	// The 25th percentile of all calls is the 42nd of the fast ones.
+	next.LowerQuartile = -0.2 * spread
+	got := kqmargin.Allowed(upstreams(random, 400, 0, 0, slow, 0, 0, slow), []kqmargin.Upstream{next}, lowerQuartile)
 	if got > 0.25 {
-		t.Errorf("a log of %.2f is allowed", got)
+		t.Errorf("a margin of %.2f, as a log, is allowed", got)
 	}
 }
