--- a/internal/rollout/kqboard/entry.go
+++ b/internal/rollout/kqboard/entry.go
@@ -129,7 +129,7 @@
 func (e *entry) updateBusySlots(s kqevidence.Sample, elapsed time.Duration) {
 	spent := time.Duration(0)
 	for i := range s {
-		spent += s[i].Old.Spent() + s[i].New.Spent()
+		spent += s[i].Old.TotalLatency() + s[i].New.TotalLatency()
 	}
 	busySlots := float64(spent) / float64(max(elapsed, 1))
 	if e.totalSlots > 0 {
--- a/internal/rollout/kqevidence/doc.go
+++ b/internal/rollout/kqevidence/doc.go
@@ -1,3 +1,3 @@
-// Package kqevidence counts how calls of an old and a new upstream version
-// went, in cells that can be added up over nodes and are of bounded size.
+// Package kqevidence counts the outcomes and latencies of calls to an old and a new
+// upstream version, in cells of bounded size that can be summed over nodes.
 package kqevidence
--- a/internal/rollout/kqledger/ledger.go
+++ b/internal/rollout/kqledger/ledger.go
@@ -78,7 +78,7 @@
 	r, ok := l.own[route]
 	if !ok {
 		if len(l.own) >= kqevidence.MaxRoutes-1 {
-			route = kqevidence.Others
+			route = kqevidence.OtherRoutes
 		}
 		if r, ok = l.own[route]; !ok {
 			r = &Row{Route: route}
@@ -187,6 +187,6 @@
 
 func upstream(c *kqevidence.Cell) kqmargin.Upstream {
 	u := kqmargin.Upstream{LowerQuartile: c.Quantile(low)}
-	u.Calls, u.LogSum, u.LogSquares = c.Logs()
+	u.Calls, u.LogSum, u.LogSquares = c.LogSums()
 	return u
 }
--- a/internal/rollout/kqverdict/route_tests.go
+++ b/internal/rollout/kqverdict/route_tests.go
@@ -102,7 +102,7 @@
 		overallRate: b.slow.overallRate(), recentRate: b.slow.recentRate(), tailBucket: b.tailBucket,
 	}
 	o.slowWithoutMargin = o.slow
-	o.slow.newEvents = countAbove(&p.New, b.tailBucket+int(math.Ceil(kqevidence.Shift(math.Exp(p.Margin)))))
+	o.slow.newEvents = countAbove(&p.New, b.tailBucket+int(math.Ceil(kqevidence.BucketShift(math.Exp(p.Margin)))))
 	if old.calls < minTimedCalls || next.calls == 0 {
 		return o
 	}
@@ -117,7 +117,7 @@
 
 func logMomentsOf(c *kqevidence.Cell) logMoments {
 	var m logMoments
-	calls, first, second := c.Logs()
+	calls, first, second := c.LogSums()
 	m.calls = calls
 	if m.calls > 0 {
 		m.mean = first / m.calls
