--- a/internal/rollout/kqboard/traffic.go
+++ b/internal/rollout/kqboard/traffic.go
@@ -68,7 +68,7 @@
 	}
 	if e.cachedKey != k {
 		e.cachedKey, e.cachedSplit = k, newBurst(kqshare.Share{
-			From: e.plan.From, To: e.plan.To, Of: kqstep.Share(e.plan, step), Small: step <= kqstep.Small, Grow: kqstep.MayExceedShare(e.plan, step), Not: rolledBackVersions,
+			From: e.plan.From, To: e.plan.To, Of: kqstep.Share(e.plan, step), Small: step <= kqstep.Small, MayGrow: kqstep.MayExceedShare(e.plan, step), Not: rolledBackVersions,
 		}, all)
 	}
 	return e.cachedSplit
@@ -80,12 +80,12 @@
 func newBurst(share kqshare.Share, all []kqmember.Candidate) kqshare.Burst {
 	old, next := false, false
 	for _, c := range all {
-		old = old || share.Old(c.Version)
+		old = old || share.IsOld(c.Version)
 		next = next || c.Version == share.To
 	}
 	switch {
 	case !next:
-		return kqshare.Burst{From: share.From, Not: share.Refused()}
+		return kqshare.Burst{From: share.From, Not: share.ExcludedFromOld()}
 	case !old:
 		return kqshare.Burst{From: share.To}
 	default:
--- a/internal/rollout/kqshare/doc.go
+++ b/internal/rollout/kqshare/doc.go
@@ -1,9 +1,9 @@
-// Package kqshare picks which calls go to a rollout's new version, and to
-// which of its upstreams.
+// Package kqshare selects the calls that go to a rollout's new version, and the
+// upstreams that they go to.
 //
-// A bad version may only show under load, while it must not get over a small
-// share. Spread thinly over all new upstreams, a share of 5% leaves each of
-// them at a twentieth of its load. So the small share goes to few upstreams,
-// each at the load that an old one has; where even one is too many for that,
-// as in a fleet of six, it goes there in bursts of part of each second.
+// Some faults of a version only show under load, while it must not get more than a
+// small share. Spread evenly over all new upstreams, a share of 5% gives each of them
+// a twentieth of its normal load. The small share therefore goes to few upstreams,
+// each with the load of an old one. Where the share is too small even for one, as in
+// a fleet of six, that one gets it in bursts during a part of each second.
 package kqshare
--- a/internal/rollout/kqshare/share_test.go
+++ b/internal/rollout/kqshare/share_test.go
@@ -12,10 +12,10 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// A version breaks only when an upstream has its normal load. A small share that
-// is spread thinly over all its upstreams never brings one there, and the
-// version would pass until it has all the traffic.
-func TestSmallShareLoadsFewUpstreamsInFull(t *testing.T) {
+// Guards against a fault that only shows under the normal load of an upstream and is missed
+// because the small share is spread evenly over all new upstreams. The version would pass
+// until it has all the traffic.
+func TestSmallShareGivesFewUpstreamsFullLoad(t *testing.T) {
 	for _, servers := range []int{4, 6, 40, 200} {
 		var all []kqmember.Candidate
 		for i := range servers {
@@ -42,27 +42,27 @@
 			}
 		}
 		for _, n := range load {
-			few := float64(len(b.Nodes))
-			busiest = max(busiest, float64(n)/few/(calls/20.0/float64(servers)))
+			selected := float64(len(b.Nodes))
+			busiest = max(busiest, float64(n)/selected/(calls/20.0/float64(servers)))
 		}
 		if share := float64(next) / calls; share > 0.0515 {
 			t.Errorf("%d servers: %.4f of a second's calls went to the new version", servers, share)
 		}
 		if busiest < 0.9 {
-			t.Errorf("%d servers: an upstream got %.2f of an old one's load at most", servers, busiest)
+			t.Errorf("%d servers: the busiest upstream got %.2f of an old one's load", servers, busiest)
 		}
 	}
 }
 
-// An order names the new version only, and an earlier new version was taken back
-// while its upstreams still run. Calls for the old version must go to neither, or
-// callers would meet the version that was found bad.
-func TestOldIsEveryVersionThatWasNotTakenBack(t *testing.T) {
+// Guards against calls for a version that was rolled back while its upstreams still run. An
+// ordered rollout names only its new version, so that every other version is an old one,
+// except those that were rolled back.
+func TestRolledBackVersionsAreNotOld(t *testing.T) {
 	var all []kqmember.Candidate
 	for i, v := range []kqname.UpstreamVersion{"v1", "v1", "v2", "v3", "v3", "v3", "v3"} {
 		all = append(all, kqmember.Candidate{Upstream: kqmember.Upstream{Version: v, Slots: 6}, Node: kqname.Node(fmt.Sprint(i))})
 	}
-	s := kqshare.Share{To: "v3", Of: 0.65, Not: []kqname.UpstreamVersion{"v2"}, Grow: true}
+	s := kqshare.Share{To: "v3", Of: 0.65, Not: []kqname.UpstreamVersion{"v2"}, MayGrow: true}
 	b := s.Burst(all)
 	random := rand.New(rand.NewPCG(1, 1))
 	next := 0
