--- a/internal/rollout/kqboard/board.go
+++ b/internal/rollout/kqboard/board.go
@@ -64,7 +64,7 @@
 	defer b.mu.Unlock()
 	for name, s := range all {
 		next := service{version: s.Service.Version, rolledBackVersions: maps.Clone(b.services[name].rolledBackVersions)}
-		for _, p := range kqplan.Of(s) {
+		for _, p := range kqplan.FromService(s) {
 			next.entries = append(next.entries, b.entryFor(p, now))
 		}
 		slices.SortStableFunc(next.entries, func(x, y *entry) int {
--- a/internal/rollout/kqboard/traffic.go
+++ b/internal/rollout/kqboard/traffic.go
@@ -42,7 +42,7 @@
 			}
 			continue
 		}
-		if p.Serves() {
+		if p.MayGetTraffic() {
 			return e.split(b.directory.Upstreams(s.Service.Name), p.Step, rolledBackVersions).Split(now, random)
 		}
 		if from == "" {
@@ -128,12 +128,12 @@
 		}
 		switch {
 		case !hasUsableLatency(o):
-			e.ledger.Count(o.Route, func(r *kqledger.Row) { r.Of(o.Version == to).CountUntimed(isFailure(o)) })
+			e.ledger.Count(o.Route, func(r *kqledger.Row) { r.CellOf(o.Version == to).CountUntimed(isFailure(o)) })
 		case cold:
-			e.ledger.Count(kqevidence.Young, func(r *kqledger.Row) { r.Of(o.Version == to).Count(o.Took, isFailure(o)) })
-			e.ledger.Count(o.Route, func(r *kqledger.Row) { r.Of(o.Version == to).CountUntimed(isFailure(o)) })
+			e.ledger.Count(kqevidence.Young, func(r *kqledger.Row) { r.CellOf(o.Version == to).Count(o.Took, isFailure(o)) })
+			e.ledger.Count(o.Route, func(r *kqledger.Row) { r.CellOf(o.Version == to).CountUntimed(isFailure(o)) })
 		default:
-			e.ledger.Count(o.Route, func(r *kqledger.Row) { r.Of(o.Version == to).Count(o.Took, isFailure(o)) })
+			e.ledger.Count(o.Route, func(r *kqledger.Row) { r.CellOf(o.Version == to).Count(o.Took, isFailure(o)) })
 		}
 	}
 }
--- a/internal/rollout/kqledger/doc.go
+++ b/internal/rollout/kqledger/doc.go
@@ -1,4 +1,4 @@
-// Package kqledger adds up the evidence of one rollout over all gates. Each
-// gate tells its counts since its start, so a report that is lost, doubled or
-// late costs nothing but a little time.
+// Package kqledger sums up the evidence of one rollout over all gates. Each gate
+// reports its cumulative counts since its start, so a lost, duplicated or late
+// report causes only a short delay.
 package kqledger
--- a/internal/rollout/kqledger/ledger_test.go
+++ b/internal/rollout/kqledger/ledger_test.go
@@ -11,9 +11,9 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Gates' reports cross on their way, come twice, or are lost and made up for by
-// the next. A call that is counted twice or never would make one version look
-// better than it is, and the wrong one would be kept.
+// Guards against calls that are counted twice or never when gates' reports are reordered,
+// duplicated or lost and replaced by the next. They would make one version look better than
+// it is.
 func TestReportsInAnyOrderCountEachCallOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var reports []kqledger.Report
@@ -47,8 +47,8 @@
 	})
 }
 
-// A service with very many routes must not make reports that crowd out the
-// control traffic of the fleet.
+// Guards against reports of a service with very many routes that are so large that they
+// crowd out other control traffic.
 func TestReportIsBounded(t *testing.T) {
 	gate := kqledger.New(kqledger.Source{Node: "a"})
 	for route := range 200 {
@@ -72,6 +72,6 @@
 		}
 	}
 	if len(r.Rows) > kqevidence.MaxRoutes || size > kqevidence.MaxRoutes*450 {
-		t.Errorf("%d rows of %d bytes", len(r.Rows), size)
+		t.Errorf("the report has %d rows of %d bytes", len(r.Rows), size)
 	}
 }
--- a/internal/rollout/kqplan/doc.go
+++ b/internal/rollout/kqplan/doc.go
@@ -1,3 +1,3 @@
-// Package kqplan names the plans of rollouts and tells what a plan says of a
-// point in time. It reads no clock.
+// Package kqplan identifies the plans of rollouts and computes a plan's times and
+// versions. It does not read the clock.
 package kqplan
--- a/internal/rollout/kqplan/plan.go
+++ b/internal/rollout/kqplan/plan.go
@@ -14,21 +14,22 @@
 
 const (
 	defaultSmallShare = 0.05
-	// longestCold is how long an upstream's slowness is put down to its start,
-	// and coldPart the part of a short window that may be spent on it. Today's
-	// upstreams are warm after 40 s; a version that is slow for longer is slow.
-	longestCold = 45 * time.Second
-	coldPart    = 3
-	// orderMargin is kept for three calls to a store that takes 0.5 s for each;
-	// orderPart bounds it for short orders.
-	orderMargin = 1500 * time.Millisecond
-	orderPart   = 8
+	// maxColdStart bounds the time after an upstream's start in which its slowness is
+	// attributed to the cold start, and coldWindowDivisor limits that time to a part of a
+	// short window. Current upstreams are warm after 40 s; a version that is slow for longer
+	// is slow.
+	maxColdStart      = 45 * time.Second
+	coldWindowDivisor = 3
+	// maxOrderMargin leaves time for three calls to a store that takes 0.5 s for each;
+	// orderMarginDivisor limits the margin for short orders.
+	maxOrderMargin     = 1500 * time.Millisecond
+	orderMarginDivisor = 8
 )
 
 type (
-	// ID names one plan: a rollout that is planned anew under the same name is
-	// another plan, so that its predecessor's progress and evidence never
-	// count for it. Cancelling keeps the ID.
+	// ID identifies one plan. A rollout that is planned again under the same name is
+	// another plan, so that the progress and evidence of the first never count for it.
+	// Cancelling keeps the ID.
 	ID string
 
 	// Plan is one rollout of the document with its policy.
@@ -43,40 +44,40 @@
 		Prefer     kqdocument.Preference
 		SmallShare float64
 		Cancelled  bool
-		// Duration is the length of a rollout that was ordered by its length; From
-		// is then empty, and Begin sets Start and Deadline.
+		// Duration is the duration of an ordered rollout, or 0 for one with fixed times.
+		// An ordered rollout has an empty From, and Begin sets its Start and Deadline.
 		Duration time.Duration
 	}
 )
 
-// Of returns the plans of a service in the document's order.
-func Of(s kqresource.Service) []Plan {
+// FromService returns the plans of a service in the document's order.
+func FromService(s kqresource.Service) []Plan {
 	policies := make(map[kqname.Policy]kqdocument.Policy, len(s.Policies))
 	for _, p := range s.Policies {
 		policies[p.Name] = p
 	}
 	plans := make([]Plan, 0, len(s.Rollouts))
 	for _, r := range s.Rollouts {
-		plans = append(plans, plan(r, policies[r.Policy]))
+		plans = append(plans, newPlan(r, policies[r.Policy]))
 	}
 	return plans
 }
 
-// Window returns the time that the plan gives the rollout.
+// Window returns the time from the start to the deadline.
 func (p Plan) Window() time.Duration { return p.Deadline.Sub(p.Start) }
 
-// Begin returns an ordered plan as it runs from now on. It is to end before
-// its time is up by a margin: the store has to take the final state in by then,
-// and may be slow.
+// Begin returns an ordered plan with its start set to now; other plans are unchanged. The
+// deadline is a margin before the end of the duration, since the store must accept the
+// final state by then and may be slow.
 func (p Plan) Begin(now time.Time) Plan {
 	if p.Duration > 0 {
 		p.Start = now
-		p.Deadline = now.Add(p.Duration - min(p.Duration/orderPart, orderMargin))
+		p.Deadline = now.Add(p.Duration - min(p.Duration/orderMarginDivisor, maxOrderMargin))
 	}
 	return p
 }
 
-// Old reports whether the version is one that the rollout moves traffic from.
+// Old reports whether the rollout moves traffic away from the version.
 func (p Plan) Old(v kqname.UpstreamVersion) bool {
 	if p.From == "" {
 		return v != p.To
@@ -84,12 +85,12 @@
 	return v == p.From
 }
 
-// Cold returns how long after an upstream's start its slowness is not held
-// against its version.
-func (p Plan) Cold() time.Duration { return min(p.Window()/coldPart, longestCold) }
+// Cold returns how long after an upstream's start its slowness is attributed to the cold
+// start and not to its version.
+func (p Plan) Cold() time.Duration { return min(p.Window()/coldWindowDivisor, maxColdStart) }
 
-// WarmAt returns until when an upstream's slowness is not held against its
-// version: what it said itself, or Cold after its start.
+// WarmAt returns the end of an upstream's cold start: warm if the upstream announced it, or
+// else Cold after its start.
 func (p Plan) WarmAt(started, warm time.Time) time.Time {
 	if !warm.IsZero() {
 		return warm
@@ -97,7 +98,7 @@
 	return started.Add(p.Cold())
 }
 
-func plan(r kqdocument.Rollout, policy kqdocument.Policy) Plan {
+func newPlan(r kqdocument.Rollout, policy kqdocument.Policy) Plan {
 	p := Plan{
 		Name: r.Name, Service: r.Service, From: r.From, To: r.To, Start: r.Start, Deadline: r.Deadline,
 		Policy: r.Policy, Prefer: policy.Prefer, SmallShare: policy.SmallShare, Cancelled: r.Cancelled,
--- a/internal/rollout/kqprogress/doc.go
+++ b/internal/rollout/kqprogress/doc.go
@@ -1,4 +1,4 @@
-// Package kqprogress holds how far a rollout has come, as a lattice: joining
-// two records in any order and any number of times gives the same record, so
-// crossed, doubled and stale messages cannot undo a step.
+// Package kqprogress holds the progress of a rollout as a lattice: joining records
+// in any order and any number of times gives the same result, so reordered,
+// duplicated and stale messages cannot undo a step.
 package kqprogress
--- a/internal/rollout/kqprogress/progress_test.go
+++ b/internal/rollout/kqprogress/progress_test.go
@@ -8,10 +8,10 @@
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqprogress"
 )
 
-// Messages about a move cross each other, come twice and come minutes late. If
-// a late one could undo a step, a version that was taken back would get calls
-// again, and nodes would end with different states.
-func TestMessagesInAnyOrderEndAlike(t *testing.T) {
+// Guards against a step that is undone by a message about a rollout that is reordered,
+// duplicated or minutes late. A version that was rolled back would get calls again, and
+// nodes would end with different states.
+func TestMessagesInAnyOrderHaveOneResult(t *testing.T) {
 	message := rapid.Custom(func(t *rapid.T) kqprogress.Progress {
 		return kqprogress.Progress{
 			Step:       rapid.IntRange(0, 4).Draw(t, "step"),
@@ -22,21 +22,21 @@
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		sent := rapid.SliceOfN(message, 1, 8).Draw(t, "sent")
-		crossed := rapid.Permutation(append(sent, sent...)).Draw(t, "crossed")
-		var first, second kqprogress.Progress
+		reordered := rapid.Permutation(append(sent, sent...)).Draw(t, "reordered")
+		var inOrder, outOfOrder kqprogress.Progress
 		for _, m := range sent {
-			before := first
-			first = kqprogress.Join(first, m)
-			if first.Step < before.Step || before.RolledBack && !first.RolledBack || !before.Open() && first.Open() {
-				t.Fatalf("%+v undid %+v: %+v", m, before, first)
+			before := inOrder
+			inOrder = kqprogress.Join(inOrder, m)
+			if inOrder.Step < before.Step || before.RolledBack && !inOrder.RolledBack || !before.Open() && inOrder.Open() {
+				t.Fatalf("%+v undid %+v: %+v", m, before, inOrder)
 			}
 		}
-		for _, m := range crossed {
-			second = kqprogress.Join(second, m)
+		for _, m := range reordered {
+			outOfOrder = kqprogress.Join(outOfOrder, m)
 		}
-		first.Why, second.Why = "", ""
-		if first != second {
-			t.Fatalf("one order ends as %+v, another as %+v", first, second)
+		inOrder.Why, outOfOrder.Why = "", ""
+		if inOrder != outOfOrder {
+			t.Fatalf("in order the result is %+v, reordered %+v", inOrder, outOfOrder)
 		}
 	})
 }
--- a/internal/rollout/kqverdict/slow_server_test.go
+++ b/internal/rollout/kqverdict/slow_server_test.go
@@ -83,7 +83,7 @@
 			if i >= f.oldCount {
 				took = f.next(took, f.random)
 			}
-			gate.Count("route", func(r *kqledger.Row) { r.Of(i >= f.oldCount).Count(took, false) })
+			gate.Count("route", func(r *kqledger.Row) { r.CellOf(i >= f.oldCount).Count(took, false) })
 		}
 		if r, ok := gate.Report(); ok {
 			f.collector.Merge(r)
