--- a/internal/rollout/kqboard/entry.go
+++ b/internal/rollout/kqboard/entry.go
@@ -117,7 +117,7 @@
 
 // isCollecting reports whether gates' reports of earlier counts may still arrive. A rollout
 // that started only while this node was collecting has no earlier counts. This cannot be
-// told for an ordered one, which starts anew on a node that joins in the middle of it.
+// recognized for an ordered one, whose start each node sets when it receives the plan.
 func (e *entry) isCollecting(now time.Time) bool {
 	startedWhileCollecting := e.plan.Duration == 0 && e.collectingSince.Sub(e.plan.Start) < e.tickInterval()
 	return !startedWhileCollecting && now.Sub(e.collectingSince) < collectingTicks*e.tickInterval()
--- a/internal/rollout/kqowner/owner.go
+++ b/internal/rollout/kqowner/owner.go
@@ -41,8 +41,8 @@
 		Renew(ctx context.Context, lease kqstore.Lease) error
 	}
 
-	// Board merges progress into the node's rollouts.
-	Board interface {
+	// ProgressMerger merges progress into the node's rollouts.
+	ProgressMerger interface {
 		Join(id kqplan.ID, p kqprogress.Progress) (news, stale bool)
 	}
 
@@ -51,7 +51,7 @@
 	Owner struct {
 		self  kqname.Node
 		store Store
-		board Board
+		board ProgressMerger
 
 		mu    sync.Mutex
 		plans map[kqplan.ID]*planState
@@ -86,7 +86,7 @@
 )
 
 // New returns an owner without leases.
-func New(self kqname.Node, store Store, board Board) *Owner {
+func New(self kqname.Node, store Store, board ProgressMerger) *Owner {
 	return &Owner{self: self, store: store, board: board, plans: make(map[kqplan.ID]*planState)}
 }
 
--- a/internal/rollout/kqstep/step.go
+++ b/internal/rollout/kqstep/step.go
@@ -23,8 +23,8 @@
 
 	// Small is the step of the small share.
 	Small = 1
-	// Last is the step before done.
-	Last = 4
+	// LastStep is the step before done.
+	LastStep = 4
 
 	// extendSmallUntil is the part of the window until which a version stays at the
 	// small share while the evidence is inconclusive.
@@ -128,13 +128,13 @@
 	if step <= Small {
 		return float64(max(step, 0)) * p.SmallShare
 	}
-	return stageOf(p, min(step, Last)).share
+	return stageOf(p, min(step, LastStep)).share
 }
 
 // MayExceedShare reports whether, at a step of the plan, the new version may get more
 // than its share if its upstreams have a larger part of the slots. By that step the
 // comparison is done, and the share is limited only so that it can continue.
-func MayExceedShare(p kqplan.Plan, step int) bool { return p.Duration > 0 && step >= Last }
+func MayExceedShare(p kqplan.Plan, step int) bool { return p.Duration > 0 && step >= LastStep }
 
 func stageOf(p kqplan.Plan, step int) stage {
 	if p.Duration > 0 {
@@ -187,7 +187,7 @@
 // decideNext decides whether a rollout under way goes to its next step.
 func decideNext(now time.Time, s State) Decision {
 	elapsed := float64(now.Sub(s.Plan.Start)) / float64(s.Plan.Window())
-	if !now.Before(s.Plan.Deadline) && (s.Progress.Step < Last || !hasCapacity(s, 1, 1) || !hasRoom(s)) {
+	if !now.Before(s.Plan.Deadline) && (s.Progress.Step < LastStep || !hasCapacity(s, 1, 1) || !hasRoom(s)) {
 		return decideOverdue(s)
 	}
 	to := s.Progress.Step + 1
@@ -196,17 +196,17 @@
 		return Decision{Hold, "the next step is not due"}
 	case s.Progress.Step == Small && elapsed < extendSmallUntil && s.Plan.Duration == 0 && max(s.Finding.Total, -s.Finding.InFavor) > 0:
 		return Decision{Hold, "the small share goes on, since the evidence is not clear: " + Describe(s.Finding)}
-	case s.Plan.Duration > 0 && to <= Last && s.Finding.Calls < minOrderedCalls && elapsed < delayLimit(s, to):
+	case s.Plan.Duration > 0 && to <= LastStep && s.Finding.Calls < minOrderedCalls && elapsed < delayLimit(s, to):
 		return Decision{Hold, fmt.Sprintf("%d calls are too few to go on by", s.Finding.Calls)}
-	case s.Plan.Duration > 0 && to <= Last && hasRecentEvidence(s) && elapsed < delayLimit(s, to):
+	case s.Plan.Duration > 0 && to <= LastStep && hasRecentEvidence(s) && elapsed < delayLimit(s, to):
 		return Decision{Hold, "the share does not grow while the evidence is against it: " + Describe(s.Finding)}
 	case isOverLimits(s):
 		return Decision{TakeBack, "the time for it is up and the evidence leans against it: " + Describe(s.Finding)}
-	case to > Last && s.Finding.Calls < thresholdsOf(s.Plan).minCalls:
+	case to > LastStep && s.Finding.Calls < thresholdsOf(s.Plan).minCalls:
 		return Decision{TakeBack, fmt.Sprintf("the time is up and %d calls are too few to judge by", s.Finding.Calls)}
-	case to > Last && !hasRoom(s):
+	case to > LastStep && !hasRoom(s):
 		return Decision{Hold, fmt.Sprintf("%.0f slots in use have no room in %d of the new version", s.BusySlots, s.NewSlots+s.ColdSlots)}
-	case to > Last && hasCapacity(s, 1, elapsed):
+	case to > LastStep && hasCapacity(s, 1, elapsed):
 		return Decision{Done, fmt.Sprintf("no evidence against it after %d calls", s.Finding.Calls)}
 	case !hasCapacity(s, stageOf(s.Plan, to).share, elapsed):
 		return Decision{Hold, fmt.Sprintf("%d slots of the new version are too few for a share of %.2f", s.NewSlots+s.ColdSlots, stageOf(s.Plan, to).share)}
@@ -215,7 +215,8 @@
 }
 
 // decideOverdue ends a rollout whose deadline passed before its last step, for example
-// after an outage of all nodes that could have owned it.
+// after an outage of all nodes that could have owned it, or before the new version could
+// take all traffic.
 func decideOverdue(s State) Decision {
 	if s.Plan.Prefer == kqdocument.PreferFinishing && s.Finding.Calls > 0 && !isOverLimits(s) && canCarryAll(s) {
 		return Decision{Done, "the deadline came and nothing speaks against it"}
--- a/internal/rollout/kqstep/step_test.go
+++ b/internal/rollout/kqstep/step_test.go
@@ -156,7 +156,7 @@
 func TestRolloutIsNotDoneBeforeTrafficFits(t *testing.T) {
 	plan := kqplan.Plan{Duration: 15 * time.Second, Prefer: kqdocument.PreferFinishing}.Begin(start)
 	s := kqstep.State{
-		Plan: plan, Progress: kqprogress.Progress{Step: kqstep.Last}, OldSlots: 60, NewSlots: 48,
+		Plan: plan, Progress: kqprogress.Progress{Step: kqstep.LastStep}, OldSlots: 60, NewSlots: 48,
 		Finding: kqverdict.Finding{Calls: 1300, Total: -3, InFavor: 8},
 	}
 	at := func(elapsed float64) time.Time { return start.Add(time.Duration(elapsed * float64(plan.Window()))) }
