--- a/internal/rollout/kqverdict/sequential.go
+++ b/internal/rollout/kqverdict/sequential.go
@@ -20,7 +20,9 @@
 	// calls in flight may have caused them, and the times of the failures are not known.
 	maxBacklogGain   = 2 * maxSpanGain
 	maxCrashFailures = 25
-	burstRate        = 0.06
+	// burstRate is the rate of the new version's events in a tick, above three times the old
+	// version's recent rate, beyond which withBurstLimit ignores them.
+	burstRate = 0.06
 	// minTotal bounds the evidence for the new version, so that a test that has favored
 	// it for long does not have to make up for all of it before it can alarm.
 	minTotal = -30
