--- a/internal/call/kqsend/client.go
+++ b/internal/call/kqsend/client.go
@@ -15,53 +15,54 @@
 )
 
 const (
-	// IdleFor is how long a connection is kept without a call. Servers keep
-	// theirs for longer, so that the client is the one to close: one that the
-	// server closes may have a call on its way already.
+	// IdleFor is how long an idle connection is kept. Servers keep theirs for longer, so
+	// that the client closes first: a connection that the server closes may already carry a
+	// new request.
 	IdleFor = 2 * time.Second
 
-	defaultMost = 512
-	dialTimeout = time.Second
-	// nearTimeout is how long a connection to a node may take: nodes of one region
-	// answer in milliseconds, those of another in a tenth of a second, and a first
-	// packet that is lost is sent again only after a second. nearSilence is how
-	// long a peer may leave bytes, or the question whether it lives, unacknowledged.
-	nearTimeout = 300 * time.Millisecond
-	nearSilence = time.Second
-	// longSilence takes nearSilence's place for a call that may not be repeated, and is
-	// the longest time that a route may allow: the call's deadline comes first.
-	longSilence = 10 * time.Minute
-	// shortageFor is how long a call waits for a descriptor, and shortagePause for how
-	// long between two tries.
-	shortageFor   = 500 * time.Millisecond
-	shortagePause = 5 * time.Millisecond
-	// bufferSize bounds a response's head, in bytes.
+	defaultMaxConnections = 512
+	dialTimeout           = time.Second
+	// nodeDialTimeout bounds connecting to a node: nodes of the same region answer within
+	// milliseconds, those of another within 100 ms, and a lost first packet is only sent
+	// again after a second. shortSilenceTimeout is how long a peer may leave data or a
+	// keep-alive probe unacknowledged.
+	nodeDialTimeout     = 300 * time.Millisecond
+	shortSilenceTimeout = time.Second
+	// longSilenceTimeout replaces shortSilenceTimeout for calls that are not idempotent. It
+	// is the longest timeout that a route may set, so the call's deadline comes first.
+	longSilenceTimeout = 10 * time.Minute
+	// descriptorWait is how long a call waits for a file descriptor, and
+	// descriptorRetryInterval the time between two attempts.
+	descriptorWait          = 500 * time.Millisecond
+	descriptorRetryInterval = 5 * time.Millisecond
+	// bufferSize bounds a response's header, in bytes.
 	bufferSize = 16 << 10
 )
 
-// errFull tells that all connections are in use.
-var errFull = errors.New("no free connection")
+// errConnectionLimit is returned when all connections are in use.
+var errConnectionLimit = errors.New("connection limit reached")
 
 type (
 	// Client sends calls to one address. It is safe for concurrent use.
 	Client struct {
-		to     kqname.Address
-		dialer func(address string) (net.Conn, error)
-		most   int
-		echoes bool
-		// waitsLonger tells that the silence timeout is longer for calls which may not be
-		// repeated.
-		waitsLonger bool
-		// belongs tells whether a response answers the call; nil compares ids.
-		belongs func(*kqcall.Call) bool
-		idleFor time.Duration
+		target         kqname.Address
+		dialer         func(address string) (net.Conn, error)
+		maxOpen        int
+		requiresCallID bool
+		// variesSilenceTimeout is set if calls that are not idempotent have a longer
+		// silence timeout.
+		variesSilenceTimeout bool
+		// matches reports whether the response belongs to the call; if nil, call ids are
+		// compared.
+		matches     func(*kqcall.Call) bool
+		idleTimeout time.Duration
 
 		mu   sync.Mutex
 		idle []*connection
 		open int
 	}
 
-	// Option sets up a Client.
+	// Option configures a Client.
 	Option func(*Client)
 
 	connection struct {
@@ -70,17 +71,17 @@
 		writer  *bufio.Writer
 		probe   *kqhangup.Probe
 		written int
-		// kept is how long the connection may be kept without a call: what its peer
-		// said last, or else the client's own.
-		kept  time.Duration
-		until time.Time
-		// longSilence tells that the connection has the longer silence timeout.
-		longSilence bool
+		// maxIdle is how long the connection may stay idle: by the peer's last
+		// Keep-Alive header, at most the client's own timeout.
+		maxIdle      time.Duration
+		idleDeadline time.Time
+		// longSilenceTimeout is set if the constant of that name applies to the connection.
+		longSilenceTimeout bool
 	}
 )
 
-// WithDialer replaces plain TCP; nil does not. It must have finished its
-// handshake, so that its failure is certain not to have run a call.
+// WithDialer replaces the plain TCP dialer; nil keeps it. dial must complete any handshake,
+// so that a call whose dial fails has certainly not run.
 func WithDialer(dial func(address string) (net.Conn, error)) Option {
 	return func(c *Client) {
 		if dial != nil {
@@ -89,51 +90,50 @@
 	}
 }
 
-// WithMost bounds the connections that are open at once.
-func WithMost(n int) Option { return func(s *Client) { s.most = n } }
+// WithMost limits the number of open connections.
+func WithMost(n int) Option { return func(s *Client) { s.maxOpen = n } }
 
-// WithEcho demands that each response carries its call's id, as nodes' do.
-func WithEcho() Option { return func(c *Client) { c.echoes = true } }
+// WithEcho rejects responses without the call's id. Nodes always send it.
+func WithEcho() Option { return func(c *Client) { c.requiresCallID = true } }
 
-// WithSilenceTimeout gives a silent peer up after nearSilence, as fits nodes of one fleet, but
-// lets calls that may not be repeated wait for it until their deadline. A process that
-// was stopped, or a server that was suspended, often goes on within seconds and answers;
-// given up before, the call cannot go elsewhere, and its caller cannot tell whether it
-// ran.
-func WithSilenceTimeout() Option { return func(c *Client) { c.waitsLonger = true } }
+// WithSilenceTimeout gives up a peer that is silent for shortSilenceTimeout, as is right
+// between nodes of one fleet, but lets calls that are not idempotent wait until their
+// deadline. A stopped process or a suspended server often resumes within seconds and
+// answers; if such a call were given up, it could not be retried elsewhere and its caller
+// could not tell whether it ran.
+func WithSilenceTimeout() Option { return func(c *Client) { c.variesSilenceTimeout = true } }
 
-// WithMatch has f tell whether a response answers the call that was sent, for
-// peers that do not speak our headers.
-func WithMatch(f func(*kqcall.Call) bool) Option { return func(c *Client) { c.belongs = f } }
+// WithMatch sets the function that reports whether a response belongs to the call that was
+// sent, for peers that do not use this mesh's headers.
+func WithMatch(f func(*kqcall.Call) bool) Option { return func(c *Client) { c.matches = f } }
 
-// WithIdle keeps connections for that long without a call, in place of IdleFor.
-func WithIdle(d time.Duration) Option { return func(c *Client) { c.idleFor = d } }
+// WithIdle sets how long an idle connection is kept, in place of IdleFor.
+func WithIdle(d time.Duration) Option { return func(c *Client) { c.idleTimeout = d } }
 
-// New returns a client that sends to an address.
-func New(to kqname.Address, options ...Option) *Client {
-	c := &Client{to: to, most: defaultMost, dialer: plain, idleFor: IdleFor}
+// New returns a client that sends to the target.
+func New(target kqname.Address, options ...Option) *Client {
+	c := &Client{target: target, maxOpen: defaultMaxConnections, dialer: dialPlain, idleTimeout: IdleFor}
 	for _, o := range options {
 		o(c)
 	}
 	return c
 }
 
-// Close ends the connections that no call uses; those in use end with their
-// call.
-func (c *Client) Close() { c.sweep(func(*connection) bool { return true }) }
+// Close closes all idle connections. Those in use are not affected.
+func (c *Client) Close() { c.closeIdle(func(*connection) bool { return true }) }
 
-// Sweep ends the connections that no call has used for a while, and reports how
-// many are left.
+// Sweep closes the connections whose idle timeout has passed and returns the number of
+// those still open.
 func (c *Client) Sweep(now time.Time) int {
-	return c.sweep(func(n *connection) bool { return !now.Before(n.until) })
+	return c.closeIdle(func(n *connection) bool { return !now.Before(n.idleDeadline) })
 }
 
-func (c *Client) sweep(over func(*connection) bool) int {
+func (c *Client) closeIdle(expired func(*connection) bool) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kept := c.idle[:0]
 	for _, n := range c.idle {
-		if !over(n) {
+		if !expired(n) {
 			kept = append(kept, n)
 			continue
 		}
@@ -145,18 +145,18 @@
 	return c.open
 }
 
-// acquire returns an idle connection that its peer has not closed, the one used
-// last first, or else a new one.
+// acquire returns the most recently used idle connection that the peer has not closed, or a
+// new one.
 func (c *Client) acquire(call *kqcall.Call) (*connection, error) {
 	for {
-		n, err := c.take()
+		n, err := c.takeIdle()
 		if err != nil {
 			return nil, err
 		}
 		if n == nil {
 			return c.dial(call)
 		}
-		if time.Now().Before(n.until) && n.alive() {
+		if time.Now().Before(n.idleDeadline) && n.isUsable() {
 			n.written = 0
 			return n, nil
 		}
@@ -164,8 +164,8 @@
 	}
 }
 
-// take returns an idle connection, or nil with leave to open one.
-func (c *Client) take() (*connection, error) {
+// takeIdle returns an idle connection, or nil after reserving a place for a new one.
+func (c *Client) takeIdle() (*connection, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if last := len(c.idle) - 1; last >= 0 {
@@ -174,8 +174,8 @@
 		c.idle = c.idle[:last]
 		return n, nil
 	}
-	if c.open >= c.most {
-		return nil, fmt.Errorf("connect to %s, %d are open: %w", c.to, c.open, errFull)
+	if c.open >= c.maxOpen {
+		return nil, fmt.Errorf("connect to %s: %d connections open: %w", c.target, c.open, errConnectionLimit)
 	}
 	c.open++
 	return nil, nil
@@ -187,11 +187,11 @@
 		c.mu.Lock()
 		c.open--
 		c.mu.Unlock()
-		return nil, fmt.Errorf("connect to %s: %w", c.to, err)
+		return nil, fmt.Errorf("connect to %s: %w", c.target, err)
 	}
-	n := &connection{Conn: dialed, kept: c.idleFor}
-	if c.waitsLonger {
-		kqhangup.Bound(dialed, nearSilence)
+	n := &connection{Conn: dialed, maxIdle: c.idleTimeout}
+	if c.variesSilenceTimeout {
+		kqhangup.Bound(dialed, shortSilenceTimeout)
 	}
 	n.probe = kqhangup.NewProbe(dialed)
 	n.reader = bufio.NewReaderSize(n.Conn, bufferSize)
@@ -199,47 +199,47 @@
 	return n, nil
 }
 
-// connect makes a connection for the call, and waits a while for a descriptor where the
-// process has none left. As callers who held them all go, the connections that queue at
-// the entry take each one that becomes free; a call accepted among them would be refused
-// for want of the one descriptor that leads to its upstream, although both are well.
+// connect dials the target and retries for a while if the process is out of file
+// descriptors. When many callers disconnect at once, connections waiting at the entry take
+// each descriptor that is freed; without the wait, a call accepted among them would be
+// refused although its upstream is well, because no descriptor is left to connect to it.
 func (c *Client) connect(call *kqcall.Call) (net.Conn, error) {
-	last := earlier(call.Deadline, time.Now().Add(shortageFor))
+	retryUntil := earlier(call.Deadline, time.Now().Add(descriptorWait))
 	for {
-		dialed, err := c.dialer(string(c.to))
-		if err == nil || !kqshortage.Is(err) || call.Cancel.Done() || !time.Now().Before(last) {
+		dialed, err := c.dialer(string(c.target))
+		if err == nil || !kqshortage.Is(err) || call.Cancel.Done() || !time.Now().Before(retryUntil) {
 			return dialed, err
 		}
-		time.Sleep(shortagePause)
+		time.Sleep(descriptorRetryInterval)
 	}
 }
 
-func plain(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, dialTimeout) }
+func dialPlain(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, dialTimeout) }
 
-// DialNode connects to a node of the same fleet over plain TCP. A server without
-// power does not refuse, it is silent: the call that waits for it could long be
-// served by another.
+// DialNode connects to a node of the same fleet over plain TCP. A server without power does
+// not refuse connections but stays silent, so the timeouts are short enough for the call to
+// be served by another.
 func DialNode(address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: nearTimeout, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: nearSilence, Interval: nearSilence, Count: 1}}
+	dialer := net.Dialer{Timeout: nodeDialTimeout, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: shortSilenceTimeout, Interval: shortSilenceTimeout, Count: 1}}
 	return dialer.Dial("tcp", address)
 }
 
-// setSilenceTimeout sets for how long the peer may leave bytes unacknowledged: longer for
-// calls that may not be repeated.
+// setSilenceTimeout sets how long the peer may leave data unacknowledged: long is for calls
+// that are not idempotent.
 func (n *connection) setSilenceTimeout(long bool) {
-	if n.longSilence == long {
+	if n.longSilenceTimeout == long {
 		return
 	}
-	n.longSilence = long
-	bound := nearSilence
+	n.longSilenceTimeout = long
+	bound := shortSilenceTimeout
 	if long {
-		bound = longSilence
+		bound = longSilenceTimeout
 	}
 	kqhangup.Bound(n.Conn, bound)
 }
 
 func (c *Client) release(n *connection) {
-	n.until = time.Now().Add(n.kept)
+	n.idleDeadline = time.Now().Add(n.maxIdle)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = append(c.idle, n)
@@ -252,7 +252,7 @@
 	c.open--
 }
 
-// Write counts what reached the connection.
+// Write implements net.Conn and counts the bytes written.
 func (n *connection) Write(data []byte) (int, error) {
 	count, err := n.Conn.Write(data)
 	n.written += count
--- a/internal/call/kqsend/send_test.go
+++ b/internal/call/kqsend/client_test.go
@@ -16,9 +16,10 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-const patience = 10 * time.Second
+const callTimeout = 10 * time.Second
 
-// peer serves each connection, by its number from 1, with a function of the test's.
+// peer is a TCP server that runs the test's function for each connection, with the
+// connection's number from 1.
 type peer struct {
 	net.Listener
 	opened atomic.Int32
@@ -47,8 +48,8 @@
 
 func (p *peer) client() *kqsend.Client { return kqsend.New(kqname.Address(p.Addr().String())) }
 
-// request reads one request and returns its path.
-func request(r *bufio.Reader) (string, error) {
+// readRequestPath reads one request and returns its path.
+func readRequestPath(r *bufio.Reader) (string, error) {
 	q, err := http.ReadRequest(r)
 	if err != nil {
 		return "", err
@@ -56,7 +57,7 @@
 	return q.URL.Path, nil
 }
 
-func answer(c net.Conn, path string) {
+func writeResponse(c net.Conn, path string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(path), path)
 }
 
@@ -69,14 +70,14 @@
 	return c
 }
 
-// A peer closes a kept connection between two calls, as a restarted process
-// does. Written into that connection, the second call would end as unknown and
-// an order could neither be repeated nor given up; it must take another one.
+// A peer closes an idle connection between two calls, as a restarted process does. The
+// second call must use a new connection: written to the closed one, its outcome would be
+// unknown, and an order could be neither repeated nor given up.
 func TestConnectionClosedBetweenCalls(t *testing.T) {
 	closed := make(chan struct{})
 	p := newPeer(t, func(number int, c net.Conn, r *bufio.Reader) {
-		if path, err := request(r); err == nil {
-			answer(c, path)
+		if path, err := readRequestPath(r); err == nil {
+			writeResponse(c, path)
 		}
 		if number == 1 {
 			_ = c.Close()
@@ -84,57 +85,56 @@
 		}
 	})
 	client := p.client()
-	if o := client.Do(call("/one", patience)); o != kqcall.OK() {
-		t.Fatalf("first call: %v", o)
+	if o := client.Do(call("/one", callTimeout)); o != kqcall.OK() {
+		t.Fatalf("first call: got %v, want answered", o)
 	}
 	<-closed
-	second := call("/two", patience)
+	second := call("/two", callTimeout)
 	if o := client.Do(second); o != kqcall.OK() || string(second.Response.Body()) != "/two" {
-		t.Errorf("second call: %v %q, want its own answer", o, second.Response.Body())
+		t.Errorf("second call: %v %q, want its own response", o, second.Response.Body())
 	}
 }
 
-// A peer reads the whole request and dies before it answers. The order may have
-// been taken; if it were sent again it could be paid twice, and if it were told
-// as not run its sender would send it again. It is sent once and told unknown.
+// A peer reads the whole request and dies before it responds. The order may have run, so
+// that sending it again, or reporting it as not run, could execute it twice. It is sent
+// once and reported as unknown.
 func TestCutAfterTheRequest(t *testing.T) {
 	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
-		_, _ = request(r)
+		_, _ = readRequestPath(r)
 		_ = c.Close()
 	})
-	if o := p.client().Do(call("/order", patience)); o != kqcall.Lose(kqcall.Cut) {
+	if o := p.client().Do(call("/order", callTimeout)); o != kqcall.Lose(kqcall.Cut) {
 		t.Errorf("outcome is %v, want unknown: cut", o)
 	}
 	if n := p.opened.Load(); n != 1 {
-		t.Errorf("%d connections were opened, want one", n)
+		t.Errorf("%d connections opened, want 1", n)
 	}
 }
 
-// Nothing listens where a call is sent. Not a byte of it left, so its caller is
-// told for certain that it did not run.
-func TestNothingListens(t *testing.T) {
+// Nothing listens at the address. No byte was sent, so the call is reported as not run.
+func TestConnectionRefusedIsNotRun(t *testing.T) {
 	p := newPeer(t, func(int, net.Conn, *bufio.Reader) {})
 	_ = p.Close()
-	if o := p.client().Do(call("/order", patience)); o != kqcall.Refuse(kqcall.ConnectFailed) {
+	if o := p.client().Do(call("/order", callTimeout)); o != kqcall.Refuse(kqcall.ConnectFailed) {
 		t.Errorf("outcome is %v, want not_run: connect_failed", o)
 	}
 }
 
-// An answer comes after its call has timed out. On a connection that was kept
-// it would be read as the answer of the next call, and an editor would get
-// another's pictures; the connection must go with the call.
+// A response arrives after its call has timed out. The connection must be closed with the
+// call, or the response would be read as that of the next call, which may be another
+// caller's.
 func TestLateAnswerReachesNobody(t *testing.T) {
 	late := make(chan struct{})
 	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
-			path, err := request(r)
+			path, err := readRequestPath(r)
 			if err != nil {
 				return
 			}
 			if path == "/slow" {
 				<-late
 			}
-			answer(c, path)
+			writeResponse(c, path)
 		}
 	})
 	client := p.client()
@@ -142,18 +142,18 @@
 		t.Errorf("slow call: %v, want unknown: timeout", o)
 	}
 	close(late)
-	next := call("/next", patience)
+	next := call("/next", callTimeout)
 	if o := client.Do(next); o != kqcall.OK() || string(next.Response.Body()) != "/next" {
-		t.Errorf("next call: %v %q, want its own answer", o, next.Response.Body())
+		t.Errorf("next call: %v %q, want its own response", o, next.Response.Body())
 	}
 }
 
-// A peer sends more than the answer, a second one that nobody asked for. Kept,
-// the connection would give it to the next caller.
+// A peer sends a second, unsolicited response behind the first. If the connection were
+// kept, the next caller would get it.
 func TestSurplusAnswerReachesNobody(t *testing.T) {
 	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
-			path, err := request(r)
+			path, err := readRequestPath(r)
 			if err != nil {
 				return
 			}
@@ -162,45 +162,45 @@
 	})
 	client := p.client()
 	for _, path := range []string{"/one", "/two", "/three"} {
-		c := call(path, patience)
+		c := call(path, callTimeout)
 		if o := client.Do(c); o != kqcall.OK() || string(c.Response.Body()) != path {
-			t.Errorf("call %s: %v %q, want its own answer", path, o, c.Response.Body())
+			t.Errorf("call %s: %v %q, want its own response", path, o, c.Response.Body())
 		}
 	}
 }
 
-// A peer answers one call with another's answer, whole and in time: nothing in
-// HTTP shows it. The call's id does; its caller must be told unknown, and
-// nothing more may be read from that connection.
+// A peer answers one call with the response to another, complete and in time, which only
+// the call id shows. The caller must get an unknown outcome, and the connection must not be
+// reused.
 func TestCrossedAnswerIsCaught(t *testing.T) {
 	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
-		if _, err := request(r); err == nil {
+		if _, err := readRequestPath(r); err == nil {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nKq-Call-Id: other\r\nContent-Length: 6\r\n\r\nstolen")
 			_, _ = r.ReadByte()
 		}
 	})
 	client := p.client()
 	for n := range int32(2) {
-		if o := client.Do(call("/one", patience)); o != kqcall.Lose(kqcall.Crossed) {
+		if o := client.Do(call("/one", callTimeout)); o != kqcall.Lose(kqcall.Crossed) {
 			t.Errorf("outcome is %v, want unknown: crossed", o)
 		}
 		if got := p.opened.Load(); got != n+1 {
-			t.Errorf("%d connections for %d calls, want each its own", got, n+1)
+			t.Errorf("%d connections for %d calls, want one per call", got, n+1)
 		}
 	}
 }
 
-// A caller goes away while its call runs. Nobody waits for the answer, and the
-// work would take a slot for nothing; the peer must see the connection close.
-func TestCancelIsPassedOn(t *testing.T) {
+// A caller disconnects while its call runs. The work would hold a slot for nothing, so the
+// peer must see the connection close.
+func TestCancelClosesTheConnection(t *testing.T) {
 	began, seen := make(chan struct{}), make(chan struct{})
 	p := newPeer(t, func(_ int, _ net.Conn, r *bufio.Reader) {
-		_, _ = request(r)
+		_, _ = readRequestPath(r)
 		close(began)
 		_, _ = r.ReadByte()
 		close(seen)
 	})
-	c := call("/long", patience)
+	c := call("/long", callTimeout)
 	go func() {
 		<-began
 		c.Cancel.Now(kqcall.Cancelled)
@@ -210,7 +210,7 @@
 	}
 	select {
 	case <-seen:
-	case <-time.After(patience):
+	case <-time.After(callTimeout):
 		t.Error("the peer never saw the connection close")
 	}
 }
--- a/internal/call/kqsend/doc.go
+++ b/internal/call/kqsend/doc.go
@@ -1,10 +1,9 @@
-// Package kqsend sends calls over kept connections and tells how each exchange
-// ended.
+// Package kqsend is an HTTP/1.1 client with a connection pool that reports precisely how
+// each exchange ended.
 //
-// A library's client sends some calls again by itself and does not say whether
-// a byte had been written. Whether a call certainly did not run hangs on just
-// that, so connections are kept here and each exchange is written and read in
-// one place: certain is only what failed before its first byte. A connection
-// whose exchange was cut, timed out or cancelled is closed, since the late
-// answer would otherwise be read as the next call's.
+// Ordinary HTTP clients retry some requests by themselves and do not report whether any
+// byte was written. Only a call that failed before its first byte is certain not to have
+// run, so this package owns the connections and writes and reads each exchange itself. A
+// connection whose exchange was cut, timed out or cancelled is closed: a late response
+// would otherwise be read as the response to the next call.
 package kqsend
--- a/internal/call/kqsend/exchange.go
+++ b/internal/call/kqsend/exchange.go
@@ -13,89 +13,90 @@
 )
 
 const (
-	// fullRetryAfter is what callers are told when all connections are in use.
-	fullRetryAfter = time.Second
-	// earlyFor bounds the reading of an answer that is there already, in case that
-	// only a part of it is.
-	earlyFor = 100 * time.Millisecond
+	// connectionLimitRetryAfter is the RetryAfter of calls refused because all connections
+	// are in use.
+	connectionLimitRetryAfter = time.Second
+	// earlyResponseTimeout bounds reading a response that has already arrived, in case it
+	// is incomplete.
+	earlyResponseTimeout = 100 * time.Millisecond
 )
 
-// Do sends the call's request and reads its response. The outcome is Answered
-// for any whole response, whatever its status.
+// Do sends the call's request and reads its response. The outcome is Answered for any
+// complete response, whatever its status.
 func (c *Client) Do(call *kqcall.Call) kqcall.Outcome {
 	n, err := c.acquire(call)
 	if err != nil {
-		return refusal(err, call.Deadline)
+		return connectFailureOutcome(err, call.Deadline)
 	}
 	if !call.Cancel.Attach(n) {
 		c.release(n)
 		return kqcall.Refuse(call.Cancel.Reason())
 	}
-	settled := false
+	completed := false
 	defer func() {
-		// A connection that a panic left in the midst of an exchange must be neither
-		// used again nor counted for good.
-		if !settled {
+		// After a panic during the exchange the connection must neither be reused nor
+		// remain counted as open.
+		if !completed {
 			call.Cancel.Attach(nil)
 			c.drop(n)
 		}
 	}()
-	o := c.settle(n, call, n.exchange(c, call))
-	settled = true
+	o := c.complete(n, call, n.exchange(c, call))
+	completed = true
 	return o
 }
 
-// settle tells how an exchange ended, and keeps its connection or drops it.
-func (c *Client) settle(n *connection, call *kqcall.Call, err error) kqcall.Outcome {
+// complete returns the exchange's outcome and keeps or closes its connection.
+func (c *Client) complete(n *connection, call *kqcall.Call, err error) kqcall.Outcome {
 	if err != nil {
 		call.Cancel.Attach(nil)
 		c.drop(n)
-		return n.judge(call, err)
+		return n.failureOutcome(call, err)
 	}
-	if c.crossed(call) {
+	if c.isMismatched(call) {
 		call.Cancel.Attach(nil)
 		call.Response.Reset()
 		c.drop(n)
 		return kqcall.Lose(kqcall.Crossed)
 	}
-	closes := call.Response.ConnectionClose()
+	peerCloses := call.Response.ConnectionClose()
 	call.Response.Header.ResetConnectionClose()
-	n.readKeepAlive(&call.Response.Header, c.idleFor)
-	if a, ok := call.Response.BodyStream().(*answer); ok {
-		a.closes = a.closes || closes
+	n.readKeepAlive(&call.Response.Header, c.idleTimeout)
+	if a, ok := call.Response.BodyStream().(*responseStream); ok {
+		a.peerCloses = a.peerCloses || peerCloses
 	} else {
-		c.finish(n, call, closes, false)
+		c.finish(n, call, peerCloses, false)
 	}
 	return kqcall.OK()
 }
 
-// finish keeps a connection whose exchange is over, or drops it.
-func (c *Client) finish(n *connection, call *kqcall.Call, closes, cut bool) {
+// finish returns the connection of a completed exchange to the pool, or closes it.
+func (c *Client) finish(n *connection, call *kqcall.Call, peerCloses, cut bool) {
 	call.Cancel.Attach(nil)
 	switch {
-	case closes:
-		// The peer is going; kept, its other connections would be closed by it
-		// while a call is on its way.
+	case peerCloses:
+		// The peer is shutting down and would close its other connections, possibly while a
+		// call is being sent on one of them.
 		c.drop(n)
 		c.Close()
 	case cut, n.reader.Buffered() > 0, call.Cancel.Done():
-		// Bytes that nobody asked for would be read as the next call's answer.
+		// Unsolicited bytes would be read as the response to the next call.
 		c.drop(n)
 	default:
 		c.release(n)
 	}
 }
 
-// crossed reports whether the response is another call's: one that came too
-// late or that nobody asked for. HTTP itself does not tell them apart. A peer
-// that names no call is believed unless it has to.
-func (c *Client) crossed(call *kqcall.Call) bool {
-	if c.belongs != nil {
-		return !c.belongs(call)
+// isMismatched reports whether the response belongs to another call, because it came late
+// or unsolicited; HTTP itself cannot tell. A response without a call id is accepted unless
+// the client requires one.
+func (c *Client) isMismatched(call *kqcall.Call) bool {
+	if c.matches != nil {
+		return !c.matches(call)
 	}
 	echo := call.Response.Header.Peek(kqcall.HeaderID)
 	if len(echo) == 0 {
-		return c.echoes
+		return c.requiresCallID
 	}
 	return string(echo) != string(call.ID)
 }
@@ -104,39 +105,39 @@
 	if err := n.SetDeadline(call.Deadline); err != nil {
 		return err
 	}
-	if c.waitsLonger {
+	if c.variesSilenceTimeout {
 		n.setSilenceTimeout(!call.Idempotent)
 	}
-	err := write(call.Request, n.writer)
+	err := writeRequest(call.Request, n.writer)
 	if err == nil {
 		err = n.writer.Flush()
 	}
 	if err != nil {
-		return n.early(c, call, err)
+		return n.readEarlyResponse(c, call, err)
 	}
-	return n.readAnswer(c, call)
+	return n.readResponse(c, call)
 }
 
-// early reads the answer of a peer that gave it before it had taken the whole
-// request, and closed. Left unread, it would be lost, and a call that the peer
-// refused for its size, say, be told as one that may have run. What the peer sent
-// came before the failure that the writing met, so there is nothing to wait for.
-func (n *connection) early(c *Client, call *kqcall.Call, failed error) error {
-	if n.written == 0 || timedOut(failed) || call.Cancel.Done() {
-		return failed
+// readEarlyResponse reads the response of a peer that answered and closed before it had
+// taken the whole request. Without it, a call that the peer refused for its size, for
+// example, would be reported as one that may have run. The peer sent the response before
+// the write failed, so there is no need to wait for it.
+func (n *connection) readEarlyResponse(c *Client, call *kqcall.Call, writeErr error) error {
+	if n.written == 0 || isTimeout(writeErr) || call.Cancel.Done() {
+		return writeErr
 	}
-	if err := n.SetReadDeadline(earlier(call.Deadline, time.Now().Add(earlyFor))); err != nil {
-		return failed
+	if err := n.SetReadDeadline(earlier(call.Deadline, time.Now().Add(earlyResponseTimeout))); err != nil {
+		return writeErr
 	}
-	if err := n.readAnswer(c, call); err != nil {
-		return failed
+	if err := n.readResponse(c, call); err != nil {
+		return writeErr
 	}
-	if a, ok := call.Response.BodyStream().(*answer); ok {
-		// The writing has met the reset already, so that a body cut off by it would
-		// look complete where it ends with its connection.
+	if a, ok := call.Response.BodyStream().(*responseStream); ok {
+		// The write has already met the reset, which may have truncated a body that ends
+		// with its connection.
 		a.closed = true
 		call.Response.Reset()
-		return failed
+		return writeErr
 	}
 	call.Response.SetConnectionClose()
 	return nil
@@ -149,10 +150,10 @@
 	return b
 }
 
-// write writes the request as it was read. The library's own way writes the path
-// anew from what it has parsed, with dots and escapes resolved: the upstream would
-// run another request than the caller sent.
-func write(r *fasthttp.Request, w *bufio.Writer) error {
+// writeRequest writes the request with its path as received. fasthttp's own method writes
+// the parsed path, with dots and escapes resolved, so that the upstream would run another
+// request than the caller sent.
+func writeRequest(r *fasthttp.Request, w *bufio.Writer) error {
 	body := r.Body()
 	if len(body) > 0 || r.Header.ContentLength() >= 0 {
 		r.Header.SetContentLength(len(body))
@@ -164,30 +165,30 @@
 	return err
 }
 
-// judge tells how an exchange that failed ended. Only what failed before its
-// first byte certainly did not run: the peer may act on a part of a request,
-// and a peer that closed the connection may have read all of it before.
-func (n *connection) judge(call *kqcall.Call, err error) kqcall.Outcome {
+// failureOutcome returns the outcome of an exchange that failed. Only a call that failed
+// before its first byte certainly did not run: the peer may act on part of a request, and
+// may have read all of it before it closed the connection.
+func (n *connection) failureOutcome(call *kqcall.Call, err error) kqcall.Outcome {
 	cancelled := call.Cancel.Reason()
 	switch {
 	case n.written == 0 && cancelled != kqcall.NoReason:
 		return kqcall.Refuse(cancelled)
 	case n.written == 0:
-		return refusal(err, call.Deadline)
+		return connectFailureOutcome(err, call.Deadline)
 	case cancelled != kqcall.NoReason:
 		return kqcall.Lose(cancelled)
-	case timedOut(err):
+	case isTimeout(err):
 		return kqcall.Lose(kqcall.Timeout)
 	default:
 		return kqcall.Lose(kqcall.Cut)
 	}
 }
 
-func refusal(err error, deadline time.Time) kqcall.Outcome {
+func connectFailureOutcome(err error, deadline time.Time) kqcall.Outcome {
 	switch {
-	case errors.Is(err, errFull):
+	case errors.Is(err, errConnectionLimit):
 		o := kqcall.Refuse(kqcall.QueueFull)
-		o.RetryAfter = fullRetryAfter
+		o.RetryAfter = connectionLimitRetryAfter
 		return o
 	case !time.Now().Before(deadline):
 		return kqcall.Refuse(kqcall.Late)
@@ -196,15 +197,15 @@
 	}
 }
 
-func timedOut(err error) bool {
+func isTimeout(err error) bool {
 	var e net.Error
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, fasthttp.ErrTimeout) || errors.As(err, &e) && e.Timeout()
 }
 
-// alive reports whether an idle connection can take a call. One whose peer has
-// closed it is found here, before the first byte; written into, it would leave
-// the call's end unknown.
-func (n *connection) alive() bool {
+// isUsable reports whether an idle connection can take a call. A connection that the peer
+// has closed must be found before the first byte is written; after that the outcome would
+// be unknown.
+func (n *connection) isUsable() bool {
 	closed, readable := n.probe.Look()
 	return !closed && !readable
 }
--- a/internal/call/kqsend/conns_send_test.go
+++ b/internal/call/kqsend/exchange_test.go
@@ -13,10 +13,10 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
 )
 
-// An upstream refuses a long body before it has read it, and closes. The rest of the
-// body meets a closed connection; the caller is due the answer that came before, and
-// not the news that its call's end is unknown.
-func TestAnswerBeforeTheBodyWasTaken(t *testing.T) {
+// An upstream refuses a long request body before reading all of it, responds and closes the
+// connection. Writing the rest fails, but the caller must get that response rather than an
+// unknown outcome.
+func TestEarlyResponseIsReturned(t *testing.T) {
 	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
@@ -25,17 +25,17 @@
 		_ = c.Close()
 	})
 	for range 20 {
-		call := call("/", patience)
+		call := call("/", callTimeout)
 		call.Request.SetBody(bytes.Repeat([]byte{'b'}, 16<<20))
 		if o := p.client().Do(call); o.Result != kqcall.Answered || string(call.Response.Body()) != "big" {
-			t.Fatalf("got %+v, status %d, want the upstream's answer", o, call.Response.StatusCode())
+			t.Fatalf("got %+v, status %d, want the upstream's response", o, call.Response.StatusCode())
 		}
 	}
 }
 
-// The same upstream's answer has no length, and ends with the connection that it
-// resets. Nobody can tell whether all of it has come, so it must not look complete.
-func TestAnswerBeforeTheBodyWasTakenMayBeTorn(t *testing.T) {
+// As above, but the response has no length and ends with the connection, which the upstream
+// resets. It may be truncated, so it must not be returned as complete.
+func TestEarlyResponseWithoutLengthIsCut(t *testing.T) {
 	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
@@ -44,7 +44,7 @@
 		_ = c.Close()
 	})
 	for range 20 {
-		call := call("/", patience)
+		call := call("/", callTimeout)
 		call.Request.SetBody(bytes.Repeat([]byte{'b'}, 16<<20))
 		if o := p.client().Do(call); o != kqcall.Lose(kqcall.Cut) {
 			t.Fatalf("got %+v, want unknown: cut", o)
@@ -52,13 +52,13 @@
 	}
 }
 
-// An upstream states for how long it keeps a connection without a call, and then
-// closes it. A call sent at that moment would be cut, and its caller could not tell
+// An upstream states its idle timeout in a Keep-Alive header and then closes the
+// connection. A call sent at that moment would be cut, and its caller could not tell
 // whether it ran.
-func TestStatedIdleTimeIsKept(t *testing.T) {
+func TestKeepAliveHeaderIsHonoredAndRemoved(t *testing.T) {
 	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
-			path, err := request(r)
+			path, err := readRequestPath(r)
 			if err != nil {
 				return
 			}
@@ -68,12 +68,12 @@
 	client := p.client()
 	for _, pause := range []time.Duration{0, 1200 * time.Millisecond} {
 		time.Sleep(pause)
-		call := call("/", patience)
+		call := call("/", callTimeout)
 		if o := client.Do(call); o.Result != kqcall.Answered {
-			t.Fatalf("got %+v, want an answer", o)
+			t.Fatalf("got %+v, want answered", o)
 		}
 		if v := call.Response.Header.Peek("Keep-Alive"); len(v) > 0 {
-			t.Errorf("the upstream's own Keep-Alive %q is passed on", v)
+			t.Errorf("the upstream's Keep-Alive header %q is passed on to the caller", v)
 		}
 	}
 	if n := p.opened.Load(); n != 2 {
@@ -81,16 +81,17 @@
 	}
 }
 
-// A node ends before a call that runs. Told like a caller's going away, the call would
-// not be sent again although it is idempotent and its caller waits at another node.
-func TestCancelTellsWhy(t *testing.T) {
+// A node stops while a call is running. If this were reported like the caller's disconnect,
+// the call would not be retried although it is idempotent and its caller still waits at
+// another node.
+func TestCancelReasonIsReported(t *testing.T) {
 	began := make(chan struct{})
 	p := newPeer(t, func(_ int, _ net.Conn, r *bufio.Reader) {
-		if _, err := request(r); err == nil {
+		if _, err := readRequestPath(r); err == nil {
 			close(began)
 		}
 	})
-	call := call("/", patience)
+	call := call("/", callTimeout)
 	go func() {
 		<-began
 		call.Cancel.Now(kqcall.Draining)
@@ -100,6 +101,6 @@
 		t.Errorf("got %+v, want unknown: draining", o)
 	}
 	if o := p.client().Do(call); o != kqcall.Refuse(kqcall.Draining) {
-		t.Errorf("a call that is cancelled already: got %+v, want not_run: draining", o)
+		t.Errorf("call cancelled before it was sent: got %+v, want not_run: draining", o)
 	}
 }
--- /dev/null
+++ b/internal/call/kqsend/response.go
@@ -0,0 +1,125 @@
+package kqsend
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net/http/httputil"
+
+	"github.com/valyala/fasthttp"
+
+	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
+)
+
+const (
+	// MaxBufferedBody is the largest response body, in bytes, that is buffered whole: 6 MB
+	// for 100 concurrent calls. Larger bodies, and those of unknown length, are streamed.
+	MaxBufferedBody = 64 << 10
+
+	chunkedLength    = -1
+	untilCloseLength = -2
+)
+
+// responseStream is a response body that is streamed to the caller. Its connection is
+// reused only if the body has been read to its end.
+type responseStream struct {
+	reader   io.Reader
+	client   *Client
+	conn     *connection
+	call     *kqcall.Call
+	length   int
+	read     int
+	complete bool
+	closed   bool
+	// peerCloses is set if the peer closes the connection after this response.
+	peerCloses bool
+}
+
+// readResponse reads the response's header and a body of up to MaxBufferedBody; any other
+// body is left to be streamed.
+func (n *connection) readResponse(c *Client, call *kqcall.Call) error {
+	r := call.Response
+	r.Reset()
+	for {
+		if err := r.Header.Read(n.reader); err != nil {
+			return err
+		}
+		if r.StatusCode() >= fasthttp.StatusOK || r.StatusCode() == fasthttp.StatusSwitchingProtocols {
+			break
+		}
+	}
+	length := r.Header.ContentLength()
+	switch status := r.StatusCode(); {
+	case call.Request.Header.IsHead():
+		r.SkipBody = true
+		return nil
+	case status < fasthttp.StatusOK, status == fasthttp.StatusNoContent, status == fasthttp.StatusNotModified:
+		return nil
+	case length >= 0 && length <= MaxBufferedBody:
+		return r.ReadBody(n.reader, 0)
+	}
+	if c.variesSilenceTimeout {
+		// A part of this response reaches the caller, so no other upstream can serve the
+		// call any more.
+		n.setSilenceTimeout(true)
+	}
+	a := &responseStream{client: c, conn: n, call: call, length: length, peerCloses: length == untilCloseLength}
+	switch length {
+	case chunkedLength:
+		a.reader = httputil.NewChunkedReader(n.reader)
+	case untilCloseLength:
+		a.reader = n.reader
+	default:
+		a.reader = io.LimitReader(n.reader, int64(length))
+	}
+	r.SetBodyStream(a, max(length, chunkedLength))
+	return nil
+}
+
+// Read implements io.Reader.
+func (a *responseStream) Read(b []byte) (int, error) {
+	// Another read after the last chunk would wait for a second trailer.
+	if a.complete {
+		return 0, io.EOF
+	}
+	count, err := a.reader.Read(b)
+	a.read += count
+	switch {
+	case a.length >= 0 && a.read == a.length:
+		a.complete = true
+	case a.length >= 0 && err == io.EOF:
+		err = io.ErrUnexpectedEOF
+	case a.length == chunkedLength && err == io.EOF:
+		if trailed := skipTrailer(a.conn.reader); trailed != nil {
+			return count, fmt.Errorf("read trailer: %w", trailed)
+		}
+		a.complete = true
+	}
+	return count, err
+}
+
+// Close implements io.Closer.
+func (a *responseStream) Close() error {
+	if a.closed {
+		return nil
+	}
+	a.closed = true
+	a.client.finish(a.conn, a.call, a.peerCloses, !a.complete)
+	if a.call.Finish != nil {
+		a.call.Finish()
+	}
+	return nil
+}
+
+// skipTrailer reads what follows the last chunk, up to and including the empty line.
+func skipTrailer(r *bufio.Reader) error {
+	for {
+		line, err := r.ReadSlice('\n')
+		if err != nil {
+			return err
+		}
+		if len(line) <= len("\r\n") {
+			return nil
+		}
+	}
+}
