--- a/internal/call/kqconnection/chunks_test.go
+++ b/internal/call/kqconnection/chunk_counter_test.go
@@ -11,12 +11,12 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqconnection"
 )
 
-// Guards against room that is taken for a chunked body's framing: callers with small
-// chunks would be refused for several times what is held of their bodies.
-func TestRoomIsTakenForTheBodyAlone(t *testing.T) {
+// Guards against counting a chunked body's framing: callers that send small chunks would be
+// refused for several times the memory that their bodies take.
+func TestRoomCountsChunkDataOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		room := &recorder{}
-		server, caller, done := open(t, kqconnection.WithRoom(room, 0))
+		room := &recordingRoom{}
+		server, caller, done := openConnection(t, kqconnection.WithRoom(room, 0))
 		defer done()
 		chunks := rapid.SliceOfN(rapid.IntRange(1, 300), 1, 40).Draw(t, "chunks")
 		extension := rapid.SampledFrom([]string{"", ";a=b", " "}).Draw(t, "extension")
@@ -35,7 +35,7 @@
 		b := make([]byte, rapid.IntRange(1, 64).Draw(t, "buffer"))
 		readAll(server, b)
 		if room.size != want {
-			t.Fatalf("room was taken for %d bytes, want %d", room.size, want)
+			t.Fatalf("reserved room for %d bytes, want %d", room.size, want)
 		}
 	})
 }
--- a/internal/call/kqconnection/doc.go
+++ b/internal/call/kqconnection/doc.go
@@ -1,14 +1,13 @@
-// Package kqconnection gives a server the bytes of its connections one request at a
-// time, and tells what the server's library does not.
+// Package kqconnection splits the bytes of a server's connections into single requests and
+// serves pipelined safe requests concurrently.
 //
-// The library reads ahead. Of a caller that sends two requests at once it has read the
-// second when it answers the first, and does not say so: it holds the first answer back
-// until the second is ready too, and where the first answer closes the connection the
-// second request has none. A caller would see a call that the node has read end without
-// an answer. With one request at a time each answer goes out when it is ready, and the
-// server can ask whether another request waits before it closes.
+// fasthttp reads ahead and does not expose that. With two pipelined requests it has already
+// read the second when it answers the first; it holds back the first response until the
+// second is ready and, if the first response closes the connection, leaves the second
+// without one. A caller would see a call that the node has read end without a response.
+// When fasthttp gets one request at a time, each response is sent as soon as it is ready,
+// and the server can check for another pending request before it closes the connection.
 //
-// Requests that come behind the one under way are read meanwhile, and safe ones are served
-// before their turn; the library is given each in its turn all the same, and its answer
-// then.
+// Requests behind the current one are read in the meantime, and safe ones are served ahead
+// of their turn. fasthttp still gets every request, and its response, in order.
 package kqconnection
--- /dev/null
+++ b/internal/call/kqconnection/framer.go
@@ -0,0 +1,162 @@
+package kqconnection
+
+import (
+	"bytes"
+	"strconv"
+)
+
+// maxPartialLine is how much of an incomplete header line is kept, in bytes: more than the
+// fields that are looked for take, with their values.
+const maxPartialLine = 128
+
+var (
+	// contentLengthName is the header that states a body's length.
+	contentLengthName = []byte("content-length")
+	// transferEncodingName is the header of bodies whose length is not stated, such as
+	// chunked ones.
+	transferEncodingName = []byte("transfer-encoding")
+	// headEnd is the empty line that ends a request's head (request line and header
+	// fields).
+	headEnd = []byte("\r\n\r\n")
+)
+
+// framer finds where requests end. It only decides how many bytes are returned at once: if
+// it is wrong, as within a chunked body, fasthttp still reads the same bytes.
+type framer struct {
+	// bodyRemaining is the number of body bytes still to come, and matched the number of
+	// bytes of headEnd that have arrived.
+	bodyRemaining int
+	matched       int
+	// unknownLength is set if the current request has a body whose length is not stated.
+	// The framer does not find the end of such a body; the connection resets the framing
+	// once the request is answered. chunkCounter counts the body's bytes.
+	unknownLength bool
+	chunkCounter  chunkCounter
+	// partial is the framing stated by the complete lines of a head that has arrived in
+	// part, and partialLine the beginning of its last line.
+	partial     bodyFraming
+	partialLine []byte
+}
+
+// bodyFraming is what a request's head states about its body.
+type bodyFraming struct {
+	contentLength int
+	unknownLength bool
+}
+
+// requestBytes returns how many bytes of data, at least one, belong to the current request.
+func (fr *framer) requestBytes(data []byte) int {
+	if fr.bodyRemaining > 0 {
+		n := min(fr.bodyRemaining, len(data))
+		fr.bodyRemaining -= n
+		return n
+	}
+	if fr.unknownLength {
+		fr.chunkCounter.add(data)
+		return len(data)
+	}
+	end := fr.findHeadEnd(data)
+	if end < 0 {
+		fr.addPartialHead(data)
+		return len(data)
+	}
+	f := fr.finishHead(data[:end])
+	if fr.unknownLength = f.unknownLength; fr.unknownLength {
+		fr.chunkCounter.add(data[end:])
+		return len(data)
+	}
+	n := min(f.contentLength, len(data)-end)
+	fr.bodyRemaining = f.contentLength - n
+	return end + n
+}
+
+// addPartialHead records a part of a head, since the last part alone does not state the
+// body's framing. Little is kept of input that is not HTTP, such as TLS.
+func (fr *framer) addPartialHead(piece []byte) {
+	if len(fr.partialLine) > 0 {
+		piece = append(fr.partialLine, piece...)
+	}
+	last := bytes.LastIndexByte(piece, '\n') + 1
+	fr.partial = fr.partial.addLines(piece[:last])
+	fr.partialLine = bytes.Clone(piece[last:min(len(piece), last+maxPartialLine)])
+}
+
+// finishHead returns the framing stated by a head whose last part has arrived.
+func (fr *framer) finishHead(piece []byte) bodyFraming {
+	if len(fr.partialLine) > 0 {
+		piece = append(fr.partialLine, piece...)
+	}
+	f := fr.partial.addLines(piece)
+	fr.partial, fr.partialLine = bodyFraming{}, nil
+	return f
+}
+
+// addLines adds the framing stated by complete lines.
+func (f bodyFraming) addLines(lines []byte) bodyFraming {
+	if f.contentLength == 0 {
+		f.contentLength = contentLength(lines)
+	}
+	f.unknownLength = f.unknownLength || hasField(lines, transferEncodingName)
+	return f
+}
+
+// findHeadEnd returns the index after the head, or -1 if the head is incomplete.
+func (fr *framer) findHeadEnd(data []byte) int {
+	from := 0
+	if fr.matched == 0 {
+		if i := bytes.Index(data, headEnd); i >= 0 {
+			return i + len(headEnd)
+		}
+		// Only the last bytes may be the start of a headEnd that the next read completes.
+		from = max(0, len(data)-len(headEnd)+1)
+	}
+	for i, b := range data[from:] {
+		if b != headEnd[fr.matched] {
+			fr.matched = 0
+		}
+		if b == headEnd[fr.matched] {
+			fr.matched++
+		}
+		if fr.matched == len(headEnd) {
+			fr.matched = 0
+			return from + i + 1
+		}
+	}
+	return -1
+}
+
+// contentLength returns the body length that a head states, or 0 if it states none.
+func contentLength(head []byte) int {
+	value, ok := headerField(head, contentLengthName)
+	if !ok {
+		return 0
+	}
+	n, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 31)
+	if err != nil {
+		return 0
+	}
+	return int(n)
+}
+
+func hasField(head, name []byte) bool {
+	_, ok := headerField(head, name)
+	return ok
+}
+
+// headerField returns the value of the first field with the given name, which must be in
+// lower case.
+func headerField(head, name []byte) ([]byte, bool) {
+	colon := len(name)
+	for len(head) > 0 {
+		end := bytes.IndexByte(head, '\n') + 1
+		if end == 0 {
+			end = len(head)
+		}
+		line := head[:end]
+		head = head[end:]
+		if len(line) > colon && line[colon] == ':' && bytes.EqualFold(line[:colon], name) {
+			return line[colon+1:], true
+		}
+	}
+	return nil, false
+}
--- a/internal/call/kqconnection/linger.go
+++ b/internal/call/kqconnection/linger.go
@@ -3,50 +3,52 @@
 import "time"
 
 const (
-	// lingerFor is how long nothing may come of a connection that closes, and
-	// lingerLongest and lingerBytes bound what is taken in of it altogether: a large
-	// body over a slow link.
-	lingerFor     = 500 * time.Millisecond
-	lingerLongest = 10 * time.Second
-	lingerBytes   = 64 << 20
-	// lingerRoom is what is read at once, in bytes.
-	lingerRoom = 16 << 10
-	// lingerMost bounds the connections that linger at once: each holds a descriptor.
-	lingerMost = 256
+	// lingerIdleTimeout is how long a closing connection may receive nothing before it is
+	// closed. lingerTimeout and maxLingerBytes limit the time and the bytes in total, which
+	// is enough for a large body over a slow link.
+	lingerIdleTimeout = 500 * time.Millisecond
+	lingerTimeout     = 10 * time.Second
+	maxLingerBytes    = 64 << 20
+	// lingerBufferSize is the size of the read buffer, in bytes.
+	lingerBufferSize = 16 << 10
+	// maxLingering limits the connections that linger at once, since each holds a file
+	// descriptor.
+	maxLingering = 256
 )
 
-// linger ends a connection so that its last answer arrives. A caller that was refused
-// may still be sending its body, and a request may come as the answer before it closes
-// the connection. Closed with bytes unread, the kernel resets the connection, and the
-// caller loses the answer that is on its way: it sees a broken pipe, and cannot tell
-// that its call did not run. So the answer goes out first, and what still comes is read
-// and thrown away.
+// linger closes a connection so that its last response arrives. A refused caller may still
+// be sending its body, and another request may arrive while the response closes the
+// connection. If bytes were left unread at the close, the kernel would reset the connection
+// and the caller would lose the response: it would see a broken pipe and could not tell
+// that its call did not run. So the write side is closed first, and further input is read
+// and discarded.
 func (c *connection) linger() error {
-	if c.listener.lingering.Add(1) > lingerMost || c.CloseWrite() != nil {
+	if c.listener.lingering.Add(1) > maxLingering || c.CloseWrite() != nil {
 		c.listener.lingering.Add(-1)
 		return c.TCPConn.Close()
 	}
 	c.group.Go(func() {
 		defer c.listener.lingering.Add(-1)
-		c.takeIn()
+		c.discardInput()
 		_ = c.TCPConn.Close()
 	})
 	return nil
 }
 
-// takeIn reads until the caller closes, or is silent, or has had its bounds.
-func (c *connection) takeIn() {
-	room := make([]byte, lingerRoom)
-	last := time.Now().Add(lingerLongest)
-	for left := lingerBytes; left > 0; {
-		until := time.Now().Add(lingerFor)
+// discardInput reads until the caller closes the connection, falls silent or exceeds a
+// limit.
+func (c *connection) discardInput() {
+	buffer := make([]byte, lingerBufferSize)
+	last := time.Now().Add(lingerTimeout)
+	for left := maxLingerBytes; left > 0; {
+		until := time.Now().Add(lingerIdleTimeout)
 		if until.After(last) {
 			until = last
 		}
 		if c.SetReadDeadline(until) != nil {
 			return
 		}
-		n, err := c.TCPConn.Read(room)
+		n, err := c.TCPConn.Read(buffer)
 		if err != nil {
 			return
 		}
--- a/internal/call/kqconnection/linger_test.go
+++ b/internal/call/kqconnection/linger_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// A node without room for a large body refused it while it came: the answer was written
-// and the connection closed. On a busy machine, or over a slow link, the caller still had
-// seconds of its body to send; its writes met a reset, and in place of "not run" it saw a
-// broken pipe. The caller here sends for two seconds after the close and then reads.
-func TestCallerThatStillSendsReadsItsRefusal(t *testing.T) {
-	server, caller, done := open(t)
+// Guards against lost refusals: a node without room for a large body responded and closed
+// the connection while the caller still had seconds of its body to send, as on a busy
+// server or over a slow link. The writes met a reset, and the caller saw a broken pipe
+// instead of not_run. Here the caller sends for two seconds after the close and then reads.
+func TestRefusalArrivesWhileCallerStillSends(t *testing.T) {
+	server, caller, done := openConnection(t)
 	defer done()
 	const refusal = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 	if _, err := io.WriteString(server, refusal); err != nil {
@@ -23,7 +23,7 @@
 	piece := make([]byte, 256<<10)
 	for range 40 {
 		if _, err := caller.Write(piece); err != nil {
-			t.Fatalf("write: %v, want that the body is taken", err)
+			t.Fatalf("write: %v, want the body to be read", err)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -32,10 +32,10 @@
 	}
 }
 
-// A caller sends on without end after it was refused. It must not keep the connection,
-// and the node's work of reading it, for good.
-func TestCallerThatSendsWithoutEndIsCut(t *testing.T) {
-	server, caller, done := open(t)
+// A caller that keeps sending after it was refused must not hold its connection, and the
+// node's work of reading it, for ever.
+func TestLingeringIsBounded(t *testing.T) {
+	server, caller, done := openConnection(t)
 	defer done()
 	if err := server.Close(); err != nil {
 		t.Fatal(err)
@@ -47,5 +47,5 @@
 			return
 		}
 	}
-	t.Errorf("%d MB were taken after the close, want an end before", most>>20)
+	t.Errorf("%d MB were read after the close, want the connection closed before", most>>20)
 }
--- a/internal/call/kqconnection/listener.go
+++ b/internal/call/kqconnection/listener.go
@@ -14,82 +14,83 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqhangup"
 )
 
-// ErrNoRoom tells that there is no room for a body of unstated length.
-var ErrNoRoom = errors.New("no room for the body")
+// ErrNoRoom is returned when there is no room for more of a body of unknown length.
+var ErrNoRoom = errors.New("no memory left for the request body")
 
 type (
-	// Room is shared by the bodies of unstated length; a connection takes more as more
-	// of its body comes.
+	// Room is the memory shared by bodies of unknown length. A connection reserves more as
+	// more of its body arrives.
 	Room interface {
 		Grow(connection any, size int, wait time.Duration) bool
 		Release(connection any)
 	}
 
-	// Option sets up a Listener.
+	// Option configures a Listener.
 	Option func(*Listener)
 
-	// Listener accepts connections that are read one request at a time. It is safe for
+	// Listener accepts connections that return one request at a time. It is safe for
 	// concurrent use.
 	Listener struct {
 		net.Listener
 		room     Room
-		patience time.Duration
-		// lingering counts connections that are closed but for what still comes.
+		roomWait time.Duration
+		// lingering counts closed connections whose remaining input is still being
+		// discarded.
 		lingering atomic.Int64
-		// stopping tells that no request is served before its turn any more.
-		stopping atomic.Bool
-		// early counts the requests that are, or wait with their answers.
-		early atomic.Int64
+		// pipeliningDisabled is set once no more requests are served ahead of their turn.
+		pipeliningDisabled atomic.Bool
+		// pipelined counts the requests that are being served ahead of their turn or whose
+		// responses are held back until their turn.
+		pipelined atomic.Int64
 
 		mu sync.Mutex
-		// held are the open connections, and silent those of them on which nothing has
-		// come yet.
-		held, silent map[*connection]struct{}
+		// open holds all open connections, and unused those on which nothing has arrived
+		// yet.
+		open, unused map[*connection]struct{}
 	}
 
-	// connection is read by one goroutine at a time.
+	// connection must be read by one goroutine at a time.
 	connection struct {
 		*net.TCPConn
 		listener *Listener
-		spoke    atomic.Bool
-		pace     pace
-		// refused tells that there was no room for more of a body whose length its head
-		// does not state.
-		refused bool
-		// ended is what the last read failed with, nil if it did not.
-		ended error
-		// inOrder tells that requests are served one after the other.
-		inOrder bool
-		group   conc.WaitGroup
+		used     atomic.Bool
+		framer   framer
+		// roomRefused is set if there was no room for more of a body of unknown length.
+		roomRefused bool
+		// lastReadErr is the error of the last read, or nil.
+		lastReadErr error
+		// sequential is set if requests are served one after the other.
+		sequential bool
+		group      conc.WaitGroup
 
 		mu sync.Mutex
-		// rest is what has been read of the requests after the one under way, begun how
-		// much of it belongs to those in ahead, which are served already, and failure
-		// what ended the reading behind it.
-		rest    []byte
-		begun   int
-		ahead   []*early
-		failure error
+		// buffered holds the bytes read behind the current request. Its first startedBytes
+		// belong to the requests in started, which are served ahead of their turn. readErr
+		// is the error that ended the reading.
+		buffered     []byte
+		startedBytes int
+		started      []*pipelined
+		readErr      error
 	}
 )
 
-// WithRoom has bodies of unstated length take room while they come, and wait for it
-// that long; reading then fails with ErrNoRoom.
+// WithRoom makes bodies of unknown length reserve room as they arrive and wait that long
+// for it; a read without room then fails with ErrNoRoom.
 func WithRoom(r Room, wait time.Duration) Option {
-	return func(l *Listener) { l.room, l.patience = r, wait }
+	return func(l *Listener) { l.room, l.roomWait = r, wait }
 }
 
-// New returns a listener over l, whose connections are TCP's; others are passed as
-// they are.
+// New returns a listener over l. Only TCP connections are split into requests; others are
+// passed through.
 func New(l net.Listener, options ...Option) *Listener {
-	n := &Listener{Listener: l, held: make(map[*connection]struct{}), silent: make(map[*connection]struct{})}
+	n := &Listener{Listener: l, open: make(map[*connection]struct{}), unused: make(map[*connection]struct{})}
 	for _, o := range options {
 		o(n)
 	}
 	return n
 }
 
-// Accept implements net.Listener. The error is bare, as servers compare it.
+// Accept implements net.Listener. It does not wrap the error, because servers compare it.
 func (l *Listener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	tcp, ok := raw.(*net.TCPConn)
@@ -99,164 +100,166 @@
 	c := &connection{TCPConn: tcp, listener: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.held[c], l.silent[c] = struct{}{}, struct{}{}
+	l.open[c], l.unused[c] = struct{}{}, struct{}{}
 	return c, nil
 }
 
-// Open returns how many connections are open. The library's own count is one too low
-// once its listener is closed.
+// Open returns the number of open connections. fasthttp's own count is one too low once its
+// listener is closed.
 func (l *Listener) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.held)
+	return len(l.open)
 }
 
-// CloseSilent closes the connections on which nothing has come yet. The library holds
-// them to be at work, and waits for them at a shutdown. A call that has come and lies
-// unread keeps its connection.
+// CloseSilent closes the connections on which nothing has arrived yet. fasthttp counts them
+// as active and waits for them at a shutdown. A connection whose call has arrived but has
+// not been read stays open.
 func (l *Listener) CloseSilent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for c := range l.silent {
-		if _, readable := kqhangup.NewProbe(c.TCPConn).Look(); readable {
+	for c := range l.unused {
+		if _, readable := kqhangup.NewProbe(c.TCPConn).Peek(); readable {
 			continue
 		}
 		_ = c.TCPConn.Close()
-		delete(l.silent, c)
+		delete(l.unused, c)
 	}
 }
 
-func (l *Listener) forget(c *connection) {
-	if c.spoke.Swap(true) {
+func (l *Listener) markUsed(c *connection) {
+	if c.used.Swap(true) {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.silent, c)
+	delete(l.unused, c)
 }
 
-// release takes a connection out that is closed, with its room, and reports whether it
-// was still held.
+// release removes a closed connection, frees its room and reports whether it was still
+// open.
 func (l *Listener) release(c *connection) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, held := l.held[c]
-	delete(l.held, c)
+	_, open := l.open[c]
+	delete(l.open, c)
 	if l.room != nil {
 		l.room.Release(c)
 	}
-	return held
+	return open
 }
 
-// Read implements net.Conn: it stops where a request ends.
+// Read implements net.Conn. It returns no bytes beyond the end of the current request.
 func (c *connection) Read(b []byte) (int, error) {
 	n, err := c.read(b)
-	if n > 0 && c.pace.unstated && !c.grow() {
+	if n > 0 && c.framer.unknownLength && !c.growRoom() {
 		n, err = 0, ErrNoRoom
 	}
-	c.ended = err
+	c.lastReadErr = err
 	return n, err
 }
 
 func (c *connection) read(b []byte) (int, error) {
-	if n, err := c.readRest(b); n > 0 || err != nil {
+	if n, err := c.readBuffered(b); n > 0 || err != nil {
 		return n, err
 	}
 	n, err := c.TCPConn.Read(b)
 	if n == 0 {
 		return n, err
 	}
-	c.listener.forget(c)
-	kept := c.pace.cut(b[:n])
-	if kept < n {
+	c.listener.markUsed(c)
+	current := c.framer.requestBytes(b[:n])
+	if current < n {
 		c.mu.Lock()
-		c.rest = append(c.rest, b[kept:n]...)
+		c.buffered = append(c.buffered, b[current:n]...)
 		c.mu.Unlock()
 	}
-	return kept, err
+	return current, err
 }
 
-// ReadError returns what the last read of a listener's connection failed with, nil if it
-// did not. A library that gives up a request says that it is malformed wherever its
-// reading ends, and does not always say why it ended. Only the goroutine that reads the
-// connection may ask.
+// ReadError returns the error of the last read of a Listener's connection, or nil. fasthttp
+// reports any request whose reading ends early as malformed and does not always give the
+// cause. It must be called by the goroutine that reads the connection.
 func ReadError(conn net.Conn) error {
 	if c, ok := conn.(*connection); ok {
-		return c.ended
+		return c.lastReadErr
 	}
 	return nil
 }
 
-// readRest reads of what has come already, or returns what ended it.
-func (c *connection) readRest(b []byte) (int, error) {
+// readBuffered reads bytes that have already arrived, or returns the error that ended the
+// reading.
+func (c *connection) readBuffered(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.rest) == 0 {
-		return 0, c.failure
+	if len(c.buffered) == 0 {
+		return 0, c.readErr
 	}
-	n := copy(b, c.rest)
-	n = c.pace.cut(b[:n])
-	if c.rest = c.rest[n:]; len(c.rest) == 0 {
-		c.rest = nil
+	n := copy(b, c.buffered)
+	n = c.framer.requestBytes(b[:n])
+	if c.buffered = c.buffered[n:]; len(c.buffered) == 0 {
+		c.buffered = nil
 	}
-	c.begun = max(c.begun-n, 0)
+	c.startedBytes = max(c.startedBytes-n, 0)
 	return n, nil
 }
 
-// grow takes room for more of a body of unstated length. What comes after a refusal is
-// only read to be thrown away.
-func (c *connection) grow() bool {
-	if c.listener.room == nil || c.refused {
+// growRoom reserves room for more of a body of unknown length. Input after a refusal is
+// only read to be discarded.
+func (c *connection) growRoom() bool {
+	if c.listener.room == nil || c.roomRefused {
 		return true
 	}
-	c.refused = !c.listener.room.Grow(c, c.pace.chunks.body, c.listener.patience)
-	return !c.refused
+	c.roomRefused = !c.listener.room.Grow(c, c.framer.chunkCounter.bodyBytes, c.listener.roomWait)
+	return !c.roomRefused
 }
 
-// served notes that the request under way has been answered: what comes next is another
-// one. What came behind a body of unstated length may have been read with it already.
-func (c *connection) served() {
-	if !c.pace.unstated {
+// endRequest resets the framing after a request with a body of unknown length has been
+// answered. Bytes of pipelined requests may have been read as part of that body, so further
+// requests are served sequentially.
+func (c *connection) endRequest() {
+	if !c.framer.unknownLength {
 		return
 	}
 	if c.listener.room != nil {
 		c.listener.room.Release(c)
 	}
-	c.refused, c.inOrder = false, true
-	c.pace.unstated, c.pace.chunks = false, chunks{}
+	c.roomRefused, c.sequential = false, true
+	c.framer.unknownLength, c.framer.chunkCounter = false, chunkCounter{}
 }
 
-// WriteTo implements io.WriterTo in place of TCP's own, which knows of no rest.
+// WriteTo implements io.WriterTo in place of TCPConn's method, which would skip the
+// buffered bytes.
 func (c *connection) WriteTo(w io.Writer) (int64, error) {
 	return io.Copy(w, struct{ io.Reader }{c})
 }
 
 // Close implements net.Conn.
 func (c *connection) Close() error {
-	c.listener.forget(c)
+	c.listener.markUsed(c)
 	if !c.listener.release(c) {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dropAhead()
-	if c.failure != nil {
+	c.discardPipelined()
+	if c.readErr != nil {
 		return c.TCPConn.Close()
 	}
 	return c.linger()
 }
 
-// Pending reports whether bytes of another request have come. Only the goroutine that
-// reads the connection may ask.
+// Pending reports whether bytes of another request have arrived. It must be called by the
+// goroutine that reads the connection.
 func (c *connection) Pending() bool {
 	c.mu.Lock()
-	waits := len(c.rest) > 0
+	pending := len(c.buffered) > 0
 	c.mu.Unlock()
-	if waits {
+	if pending {
 		return true
 	}
-	_, readable := kqhangup.NewProbe(c.TCPConn).Look()
+	_, readable := kqhangup.NewProbe(c.TCPConn).Peek()
 	return readable
 }
 
-func timedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- a/internal/call/kqconnection/listener_test.go
+++ b/internal/call/kqconnection/listener_test.go
@@ -16,11 +16,12 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqconnection"
 )
 
-// Whatever callers send, in whatever pieces and buffers: the server reads just that.
-// Were a byte lost or moved, a request would run that nobody sent.
+// Whatever callers send, however it is split and whatever the buffer's size, the server
+// must read exactly those bytes. If a byte were lost or moved, a request could run that was
+// never sent.
 func TestEveryByteIsReadInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		server, caller, done := open(t)
+		server, caller, done := openConnection(t)
 		defer done()
 		pieces := rapid.SliceOfN(rapid.SampledFrom([]string{
 			"GET / HTTP/1.1\r\nHost: a\r\n\r\n", "PUT / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab", "cde", "\r\n", "\n\n", "\r", "a",
@@ -48,10 +49,10 @@
 	})
 }
 
-// A caller sends three requests at once, the second with a body. The server is given
-// one after the other, and can ask whether more has come.
+// A caller sends three requests at once, the second with a body. Each read must return one
+// of them, and Pending must report whether more have arrived.
 func TestOneRequestAtATime(t *testing.T) {
-	server, caller, done := open(t)
+	server, caller, done := openConnection(t)
 	defer done()
 	requests := []string{
 		"GET /1 HTTP/1.1\r\nHost: a\r\n\r\n", "PUT /2 HTTP/1.1\r\nContent-Length: 4\r\n\r\nbody", "GET /3 HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -67,18 +68,18 @@
 			t.Errorf("read %q %v, want %q", b[:n], err, want)
 		}
 		if pending := server.(interface{ Pending() bool }).Pending(); pending != (i < 2) {
-			t.Errorf("after request %d of 3: pending is %v", i+1, pending)
+			t.Errorf("after request %d of 3: Pending is %v", i+1, pending)
 		}
 	}
 }
 
-// A head comes in two pieces, parted anywhere, with the next request behind it. The
-// next must wait all the same.
-func TestHeadInPieces(t *testing.T) {
+// A head is split at any byte and followed by another request, which must not be returned
+// with the first.
+func TestHeadSplitAcrossReads(t *testing.T) {
 	const first, second = "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n", "GET /2 HTTP/1.1\r\nHost: a\r\n\r\n"
 	b := make([]byte, 4096)
 	for at := 1; at < len(first); at++ {
-		server, caller, done := open(t)
+		server, caller, done := openConnection(t)
 		_, _ = io.WriteString(caller, first[:at])
 		n, err := server.Read(b)
 		if n != at || err != nil {
@@ -86,15 +87,15 @@
 		}
 		_, _ = io.WriteString(caller, first[at:]+second)
 		if n, err = server.Read(b); string(b[:n]) != first[at:] || err != nil {
-			t.Errorf("parted at %d: read %q %v, want %q", at, b[:n], err, first[at:])
+			t.Errorf("split at %d: read %q %v, want %q", at, b[:n], err, first[at:])
 		}
 		done()
 	}
 }
 
-// Two calls are sent at once, the second of which takes long. The first answer is
-// ready, and its caller must not wait for the second; the library would hold it back.
-func TestFirstAnswerDoesNotWaitForTheSecond(t *testing.T) {
+// Two calls are sent at once and the second takes long. The first response must not wait
+// for the second, as it would if fasthttp read both.
+func TestResponseDoesNotWaitForTheNextRequest(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -119,7 +120,7 @@
 	for _, want := range []string{"/first", "/second"} {
 		a, err := http.ReadResponse(r, nil)
 		if err != nil {
-			t.Errorf("the answer to %s does not come: %v", want, err)
+			t.Errorf("no response to %s: %v", want, err)
 			break
 		}
 		if body, _ := io.ReadAll(a.Body); string(body) != want {
@@ -135,16 +136,16 @@
 	}
 }
 
-// One caller has connected and is silent, another has begun its request. Only the
-// silent one's connection may be closed.
-func TestOnlySilentConnectionsAreClosed(t *testing.T) {
+// One caller has connected and sent nothing, another has begun its request. Only the first
+// one's connection may be closed.
+func TestOnlyUnusedConnectionsAreClosed(t *testing.T) {
 	l := listen(t)
 	defer func() { _ = l.Close() }()
-	for _, speaks := range []bool{false, true} {
-		server, caller, done := accept(t, l)
+	for _, sends := range []bool{false, true} {
+		server, caller, done := connect(t, l)
 		defer done()
 		b := make([]byte, 8)
-		if speaks {
+		if sends {
 			fmt.Fprint(caller, "GET")
 			if _, err := server.Read(b); err != nil {
 				t.Fatal(err)
@@ -152,8 +153,8 @@
 			fmt.Fprint(caller, " /")
 		}
 		l.CloseSilent()
-		if _, err := server.Read(b); (err == nil) != speaks {
-			t.Errorf("speaks %v: read gives %v", speaks, err)
+		if _, err := server.Read(b); (err == nil) != sends {
+			t.Errorf("connection that sends=%v: read returned error %v", sends, err)
 		}
 	}
 }
--- /dev/null
+++ b/internal/call/kqconnection/pipeline.go
@@ -0,0 +1,243 @@
+package kqconnection
+
+import (
+	"bufio"
+	"bytes"
+	"io"
+	"net"
+	"time"
+
+	"github.com/sourcegraph/conc"
+	"github.com/valyala/fasthttp"
+)
+
+const (
+	// maxPipelined limits the requests per connection that are served ahead of their turn.
+	maxPipelined = 16
+	// maxReadAhead limits the bytes buffered behind the current request.
+	maxReadAhead = 64 << 10
+	// maxBufferedBody is the largest response body, in bytes, that is buffered whole ahead
+	// of its turn.
+	maxBufferedBody = 64 << 10
+	// readSize is the size of the read buffer, in bytes.
+	readSize = 4 << 10
+)
+
+type (
+	// pipelined is a request that is served ahead of its turn; its response is held back
+	// until then.
+	pipelined struct {
+		head []byte
+		ctx  fasthttp.RequestCtx
+		done chan struct{}
+		// stream is the response's body if it is too large to be buffered whole, else nil.
+		stream *prefetchedBody
+		// discarded is set if the response will not be sent. The connection's lock guards
+		// it.
+		discarded bool
+	}
+
+	// remainder is the unread part of a stream, or the error that ended its reading.
+	remainder struct {
+		io.Reader
+		readErr error
+	}
+
+	// prefetchedBody is a streamed body whose beginning has been read ahead.
+	prefetchedBody struct {
+		io.Reader
+		close func() error
+	}
+)
+
+// Serve returns a handler that serves a caller's pipelined requests concurrently with next
+// and returns the responses in order. One at a time, each would wait for the one before it:
+// a caller's third request of 200 ms would take 600 ms while upstreams are idle.
+//
+// Only safe requests without a body are served ahead of their turn. Any other request waits
+// for those before it and delays those behind it. A response closes the connection only if
+// no other request is pending on it.
+func Serve(next fasthttp.RequestHandler) fasthttp.RequestHandler {
+	return func(ctx *fasthttp.RequestCtx) {
+		c, ok := ctx.Conn().(*connection)
+		if !ok {
+			next(ctx)
+			return
+		}
+		pipelined := c.takePipelined(ctx)
+		stop := c.readAhead(ctx, next)
+		if pipelined != nil {
+			pipelined.copyResponse(ctx)
+		} else {
+			next(ctx)
+		}
+		stop()
+		c.endRequest()
+		if ctx.Response.ConnectionClose() && c.Pending() {
+			ctx.Response.Header.ResetConnectionClose()
+		}
+	}
+}
+
+// readAhead reads and serves the requests behind a safe request while that one is served.
+// The returned function stops the reading.
+func (c *connection) readAhead(ctx *fasthttp.RequestCtx, next fasthttp.RequestHandler) (stop func()) {
+	if c.sequential || c.framer.unknownLength || c.listener.pipeliningDisabled.Load() || !ctx.IsGet() && !ctx.IsHead() {
+		return func() {}
+	}
+	var group conc.WaitGroup
+	group.Go(func() { c.readPipelined(ctx, next) })
+	return func() {
+		// This unblocks the read. The server sets its own deadline before it reads again.
+		_ = c.SetReadDeadline(time.Unix(0, 1))
+		group.Wait()
+		_ = c.SetReadDeadline(time.Time{})
+	}
+}
+
+// readPipelined reads until it is stopped or has read enough.
+func (c *connection) readPipelined(ctx *fasthttp.RequestCtx, next fasthttp.RequestHandler) {
+	b := make([]byte, readSize)
+	for c.startPipelined(ctx.Conn(), next) {
+		n, err := c.TCPConn.Read(b)
+		c.mu.Lock()
+		c.buffered = append(c.buffered, b[:n]...)
+		if err != nil && !isTimeout(err) {
+			c.readErr = err
+		}
+		c.mu.Unlock()
+		if err != nil {
+			c.startPipelined(ctx.Conn(), next)
+			return
+		}
+	}
+}
+
+// startPipelined starts serving the requests that have arrived whole and reports whether to
+// read on.
+func (c *connection) startPipelined(conn net.Conn, next fasthttp.RequestHandler) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for len(c.started) < maxPipelined && !c.listener.pipeliningDisabled.Load() {
+		end := bytes.Index(c.buffered[c.startedBytes:], headEnd) + len(headEnd)
+		if end < len(headEnd) || !canPipeline(c.buffered[c.startedBytes:c.startedBytes+end]) {
+			break
+		}
+		p := &pipelined{head: bytes.Clone(c.buffered[c.startedBytes : c.startedBytes+end]), done: make(chan struct{})}
+		p.ctx.Init2(conn, nil, true)
+		if err := p.ctx.Request.Read(bufio.NewReader(bytes.NewReader(p.head))); err != nil {
+			// The server refuses it in its turn.
+			break
+		}
+		c.startedBytes += end
+		c.started = append(c.started, p)
+		c.listener.pipelined.Add(1)
+		c.group.Go(func() { c.servePipelined(p, next) })
+	}
+	return len(c.buffered) < maxReadAhead
+}
+
+func (c *connection) servePipelined(p *pipelined, next fasthttp.RequestHandler) {
+	next(&p.ctx)
+	p.bufferBody()
+	close(p.done)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if p.discarded {
+		p.closeBody()
+	}
+}
+
+// takePipelined returns the request in ctx if it has been started ahead of its turn. If the
+// two differ, the boundaries between the requests were not found correctly and a caller
+// could get another request's response, so all further requests are served sequentially.
+func (c *connection) takePipelined(ctx *fasthttp.RequestCtx) *pipelined {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.started) == 0 {
+		return nil
+	}
+	p := c.started[0]
+	if !p.matches(&ctx.Request.Header) {
+		c.sequential = true
+		c.discardPipelined()
+		return nil
+	}
+	c.started = c.started[1:]
+	c.listener.pipelined.Add(-1)
+	return p
+}
+
+// discardPipelined discards the responses that will not be sent. The lock must be held.
+func (c *connection) discardPipelined() {
+	c.listener.pipelined.Add(-int64(len(c.started)))
+	for _, p := range c.started {
+		p.discarded = true
+		select {
+		case <-p.done:
+			p.closeBody()
+		default:
+		}
+	}
+	c.started = nil
+}
+
+// matches reports whether the header is that of this request.
+func (p *pipelined) matches(h *fasthttp.RequestHeader) bool {
+	line := append(append(bytes.Clone(h.Method()), ' '), h.RequestURI()...)
+	return bytes.HasPrefix(p.head, append(line, ' ')) && bytes.HasSuffix(p.head, h.RawHeaders())
+}
+
+// copyResponse waits for the response and copies it to ctx.
+func (p *pipelined) copyResponse(ctx *fasthttp.RequestCtx) {
+	<-p.done
+	r := &p.ctx.Response
+	r.Header.CopyTo(&ctx.Response.Header)
+	ctx.Response.SkipBody = r.SkipBody
+	if p.stream != nil {
+		ctx.Response.SetBodyStream(p.stream, r.Header.ContentLength())
+	} else {
+		ctx.Response.SetBodyRaw(r.Body())
+	}
+}
+
+// bufferBody reads a streamed body of up to maxBufferedBody. If it were not read until its
+// turn, the call's deadline could pass first: the caller would lose a small response that
+// is already there, and with the connection all responses behind it.
+func (p *pipelined) bufferBody() {
+	r := &p.ctx.Response
+	if !r.IsBodyStream() {
+		return
+	}
+	stream := r.BodyStream()
+	data, err := io.ReadAll(io.LimitReader(stream, maxBufferedBody+1))
+	if err == nil && len(data) <= maxBufferedBody {
+		r.SetBody(data)
+		return
+	}
+	p.stream = &prefetchedBody{io.MultiReader(bytes.NewReader(data), &remainder{stream, err}), r.CloseBodyStream}
+}
+
+// Read implements io.Reader.
+func (r *remainder) Read(b []byte) (int, error) {
+	if r.readErr != nil {
+		return 0, r.readErr
+	}
+	return r.Reader.Read(b)
+}
+
+// Close implements io.Closer.
+func (r *prefetchedBody) Close() error { return r.close() }
+
+// closeBody closes the body of a discarded response; its upstream keeps working on it until
+// then.
+func (p *pipelined) closeBody() { _ = p.ctx.Response.CloseBodyStream() }
+
+// canPipeline reports whether a request with this head is safe and has no body, and so may
+// be served concurrently with others.
+func canPipeline(head []byte) bool {
+	if !bytes.HasPrefix(head, []byte("GET ")) && !bytes.HasPrefix(head, []byte("HEAD ")) {
+		return false
+	}
+	return !hasField(head, transferEncodingName) && contentLength(head) == 0
+}
--- a/internal/call/kqconnection/ahead_test.go
+++ b/internal/call/kqconnection/pipeline_test.go
@@ -18,8 +18,8 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqconnection"
 )
 
-// served starts a server with the handler and returns a caller's connection to it.
-func served(t failer, handler fasthttp.RequestHandler) (caller net.Conn, done func()) {
+// startServer starts a server with the handler and returns a caller's connection to it.
+func startServer(t failer, handler fasthttp.RequestHandler) (caller net.Conn, done func()) {
 	t.Helper()
 	l := listen(t)
 	server := &fasthttp.Server{Handler: kqconnection.Serve(handler), ReadTimeout: 10 * time.Second, MaxRequestBodySize: 1 << 20}
@@ -34,15 +34,15 @@
 	}
 }
 
-// answers reads that many answers' bodies.
-func answers(t interface{ Fatal(args ...any) }, caller net.Conn, count int) []string {
+// readBodies reads that many responses and returns their bodies.
+func readBodies(t interface{ Fatal(args ...any) }, caller net.Conn, count int) []string {
 	_ = caller.SetReadDeadline(time.Now().Add(10 * time.Second))
 	r := bufio.NewReader(caller)
 	var bodies []string
 	for range count {
 		a, err := http.ReadResponse(r, nil)
 		if err != nil {
-			t.Fatal("after ", bodies, ": ", err)
+			t.Fatal("reading responses after ", bodies, ": ", err)
 		}
 		body := make([]byte, max(a.ContentLength, 0))
 		for n := 0; n < len(body); {
@@ -57,12 +57,11 @@
 	return bodies
 }
 
-// A caller sends requests behind each other, each of which takes its upstream 150 ms.
-// Served one after the other, the last of six has its answer after 900 ms, long after the
-// time in which its caller wants it, while upstreams stand idle.
-func TestRequestsBehindEachOtherDoNotWaitForEachOther(t *testing.T) {
+// A caller pipelines six requests that take their upstream 150 ms each. Served one after
+// the other, the last response would take 900 ms while upstreams are idle.
+func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	const count, work = 6, 150 * time.Millisecond
-	caller, done := served(t, func(ctx *fasthttp.RequestCtx) {
+	caller, done := startServer(t, func(ctx *fasthttp.RequestCtx) {
 		time.Sleep(work)
 		ctx.SetBody(ctx.Path())
 	})
@@ -72,29 +71,29 @@
 		fmt.Fprintf(caller, "GET /%d HTTP/1.1\r\nHost: a\r\n\r\n", i)
 		time.Sleep(time.Millisecond)
 	}
-	got := answers(t, caller, count)
+	got := readBodies(t, caller, count)
 	if took := time.Since(began); took > 3*work {
-		t.Errorf("%d requests of %v took %v", count, work, took)
+		t.Errorf("%d concurrent requests of %v took %v", count, work, took)
 	}
 	if want := "/0 /1 /2 /3 /4 /5"; strings.Join(got, " ") != want {
-		t.Errorf("answers %v, want %v", got, want)
+		t.Errorf("got responses %v, want %v", got, want)
 	}
 }
 
-// Behind a request that changes something others wait, and it waits for those before it:
-// run beside it, a request that reads could miss the change that its caller made first.
-func TestRequestsThatChangeSomethingAreServedAlone(t *testing.T) {
-	var under, most atomic.Int64
-	caller, done := served(t, func(ctx *fasthttp.RequestCtx) {
-		look := func(n int64) {
+// A request that is not safe waits for the requests before it and delays those behind it:
+// served concurrently, a read could miss a change that its caller made first.
+func TestUnsafeRequestsAreServedAlone(t *testing.T) {
+	var running, concurrent atomic.Int64
+	caller, done := startServer(t, func(ctx *fasthttp.RequestCtx) {
+		check := func(n int64) {
 			if !ctx.IsGet() && n > 1 {
-				most.Store(n)
+				concurrent.Store(n)
 			}
 		}
-		look(under.Add(1))
+		check(running.Add(1))
 		time.Sleep(20 * time.Millisecond)
-		look(under.Load())
-		under.Add(-1)
+		check(running.Load())
+		running.Add(-1)
 		ctx.SetBody(ctx.Path())
 	})
 	defer done()
@@ -102,19 +101,19 @@
 		fmt.Fprintf(caller, "GET /%d HTTP/1.1\r\nHost: a\r\n\r\n", i)
 		fmt.Fprintf(caller, "POST /p%d HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nab", i)
 	}
-	got := strings.Join(answers(t, caller, 8), " ")
+	got := strings.Join(readBodies(t, caller, 8), " ")
 	if want := "/0 /p0 /1 /p1 /2 /p2 /3 /p3"; got != want {
-		t.Errorf("answers %v, want %v", got, want)
+		t.Errorf("got responses %v, want %v", got, want)
 	}
-	if most.Load() > 0 {
-		t.Errorf("%d requests at once beside one that changes something", most.Load())
+	if concurrent.Load() > 0 {
+		t.Errorf("%d requests ran at once, one of them not safe", concurrent.Load())
 	}
 }
 
-// An answer that closes its connection leaves the requests behind it without one. It
-// must not close while others wait, however shortly before its end they came.
-func TestAnswerDoesNotCloseOnOthers(t *testing.T) {
-	caller, done := served(t, func(ctx *fasthttp.RequestCtx) {
+// A response that closes the connection would lose the requests behind it. The connection
+// must stay open while any are pending, however late they came.
+func TestConnectionStaysOpenForPipelinedRequests(t *testing.T) {
+	caller, done := startServer(t, func(ctx *fasthttp.RequestCtx) {
 		time.Sleep(30 * time.Millisecond)
 		ctx.SetBody(ctx.Path())
 		ctx.SetConnectionClose()
@@ -126,51 +125,51 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	if got := strings.Join(answers(t, caller, 5), " "); got != "/0 /1 /2 /3 /4" {
-		t.Errorf("answers %v", got)
+	if got := strings.Join(readBodies(t, caller, 5), " "); got != "/0 /1 /2 /3 /4" {
+		t.Errorf("got responses %v, want them in order", got)
 	}
 }
 
-// An answer of unstated length is there long before its turn, and its upstream's connection
-// has a deadline that ends before it. Read only in its turn it would be cut off, and the
-// answers behind it with it.
-func TestStreamedAnswerIsTakenBeforeItsTurn(t *testing.T) {
+// A response of unknown length arrives long before its turn, and the deadline of its
+// upstream connection passes before its turn. If it were read only then, it would be cut
+// off, and the responses behind it with it.
+func TestStreamedResponseIsReadAhead(t *testing.T) {
 	const size = 5000
-	caller, done := served(t, func(ctx *fasthttp.RequestCtx) {
+	caller, done := startServer(t, func(ctx *fasthttp.RequestCtx) {
 		if string(ctx.Path()) == "/slow" {
 			time.Sleep(200 * time.Millisecond)
 			return
 		}
 		until := time.Now().Add(50 * time.Millisecond)
-		ctx.SetBodyStream(&expiring{strings.NewReader(strings.Repeat("a", size)), until}, -1)
+		ctx.SetBodyStream(&expiringReader{strings.NewReader(strings.Repeat("a", size)), until}, -1)
 	})
 	defer done()
 	fmt.Fprint(caller, "GET /slow HTTP/1.1\r\nHost: a\r\n\r\nGET /stream HTTP/1.1\r\nHost: a\r\n\r\n")
-	if got := answers(t, caller, 2); len(got[1]) != size {
-		t.Errorf("the second answer has %d bytes, want %d", len(got[1]), size)
+	if got := readBodies(t, caller, 2); len(got[1]) != size {
+		t.Errorf("the second response has %d bytes, want %d", len(got[1]), size)
 	}
 }
 
-// expiring can be read until a deadline only.
-type expiring struct {
+// expiringReader fails after a deadline.
+type expiringReader struct {
 	io.Reader
 	until time.Time
 }
 
 // Read implements io.Reader.
-func (e *expiring) Read(b []byte) (int, error) {
+func (e *expiringReader) Read(b []byte) (int, error) {
 	if time.Now().After(e.until) {
 		return 0, os.ErrDeadlineExceeded
 	}
 	return e.Reader.Read(b)
 }
 
-// Whatever callers send behind each other, in whatever pieces, each answer belongs to the
-// request in its place. The ends of requests are found by two readers, here and in the
-// server's library; where they differ, a caller would read another request's answer.
-func TestAnswersKeepTheirOrder(t *testing.T) {
+// Whatever requests callers pipeline, and however the bytes are split, each response must
+// belong to the request in its place. Both this package and fasthttp determine where a
+// request ends; if they disagreed, a caller would get another request's response.
+func TestPipelinedResponsesKeepTheirOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		caller, done := served(t, func(ctx *fasthttp.RequestCtx) {
+		caller, done := startServer(t, func(ctx *fasthttp.RequestCtx) {
 			time.Sleep(time.Duration(len(ctx.Path())%3) * time.Millisecond)
 			ctx.SetBody(append(append([]byte(nil), ctx.Method()...), ctx.Path()...))
 		})
@@ -187,8 +186,8 @@
 			fmt.Fprintf(&sent, form, path)
 			want = append(want, strings.Fields(form)[0]+path)
 		}
-		// The library takes a head that ends without carriage returns for whole only once
-		// more has come.
+		// fasthttp takes a head without carriage returns as complete only once more bytes
+		// have arrived.
 		sent.WriteString("GET /last HTTP/1.1\r\nHost: a\r\n\r\n")
 		want = append(want, "GET/last")
 		text := sent.String()
@@ -200,9 +199,9 @@
 				text = text[n:]
 			}
 		}()
-		got := answers(t, caller, len(want))
+		got := readBodies(t, caller, len(want))
 		if strings.Join(got, " ") != strings.Join(want, " ") {
-			t.Fatalf("answers %v, want %v", got, want)
+			t.Fatalf("got responses %v, want %v", got, want)
 		}
 	})
 }
--- a/internal/call/kqconnection/setup_test.go
+++ b/internal/call/kqconnection/setup_test.go
@@ -6,7 +6,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqconnection"
 )
 
-// failer is what set-up needs of a test, and of a property's play.
+// failer is the part of *testing.T and *rapid.T that the helpers use.
 type failer interface {
 	Helper()
 	Fatal(args ...any)
@@ -22,8 +22,8 @@
 	return kqconnection.New(inner, options...)
 }
 
-// accept connects a caller and returns both ends; done closes them.
-func accept(t failer, l *kqconnection.Listener) (server, caller net.Conn, done func()) {
+// connect connects a caller and returns both ends; done closes them.
+func connect(t failer, l *kqconnection.Listener) (server, caller net.Conn, done func()) {
 	t.Helper()
 	caller, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -36,11 +36,11 @@
 	return server, caller, func() { _, _ = server.Close(), caller.Close() }
 }
 
-// open is both, for tests of one connection.
-func open(t failer, options ...kqconnection.Option) (server, caller net.Conn, done func()) {
+// openConnection combines listen and connect for tests of one connection.
+func openConnection(t failer, options ...kqconnection.Option) (server, caller net.Conn, done func()) {
 	t.Helper()
 	l := listen(t, options...)
-	server, caller, end := accept(t, l)
+	server, caller, end := connect(t, l)
 	return server, caller, func() {
 		end()
 		_ = l.Close()
--- /dev/null
+++ b/internal/call/kqconnection/shutdown.go
@@ -0,0 +1,23 @@
+package kqconnection
+
+import "time"
+
+// EndReading interrupts the reading of all connections, so that the server responds to
+// callers whose request it has begun to read. Without it, a caller that is still sending
+// when its node's drain time ends would get no response.
+func (l *Listener) EndReading(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.open {
+		// This fails only for connections closed in the meantime, which need no response.
+		_ = c.SetReadDeadline(now)
+	}
+}
+
+// InOrder stops serving requests ahead of their turn. A server that shuts down closes each
+// connection with the next response, so requests served behind it would get none.
+func (l *Listener) InOrder() { l.pipeliningDisabled.Store(true) }
+
+// Early returns the number of requests that are being served ahead of their turn or whose
+// responses are held back until their turn.
+func (l *Listener) Early() int { return int(l.pipelined.Load()) }
--- a/internal/call/kqconnection/pieces_test.go
+++ b/internal/call/kqconnection/split_head_test.go
@@ -12,11 +12,12 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqconnection"
 )
 
-// Guards against bodies of unstated length that take no room, as their head came in pieces.
-func TestRoomIsTakenHoweverTheHeadComes(t *testing.T) {
+// Guards against bodies of unknown length that reserve no room because their head arrived
+// in several parts.
+func TestRoomIsTakenIfTheHeadIsSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		room := &recorder{}
-		server, caller, done := open(t, kqconnection.WithRoom(room, 0))
+		room := &recordingRoom{}
+		server, caller, done := openConnection(t, kqconnection.WithRoom(room, 0))
 		defer done()
 		go func() {
 			_, _ = io.WriteString(caller, "PUT / HTTP/1.1\r\ntransfer-encoding: chunked\r\nhost: a\r\n\r\n5\r\nabcde\r\n0\r\n\r\n")
@@ -25,15 +26,14 @@
 		b := make([]byte, rapid.IntRange(1, 100).Draw(t, "buffer"))
 		readAll(server, b)
 		if room.size < 5 {
-			t.Fatalf("room was taken for %d bytes of a body of 5", room.size)
+			t.Fatalf("reserved room for %d bytes of a body of 5", room.size)
 		}
 	})
 }
 
-// Guards against callers with unfinished heads who have a node hold what it has read of
-// them twice.
-func TestLittleIsKeptOfAnUnfinishedHead(t *testing.T) {
-	server, caller, done := open(t)
+// Guards against holding the bytes of incomplete heads twice in memory.
+func TestPartialHeadUsesLittleMemory(t *testing.T) {
+	server, caller, done := openConnection(t)
 	defer done()
 	head := "PUT / HTTP/1.1\r\nx: " + strings.Repeat("x", 1<<20) + "\r\ncontent-length: 3\r\n\r\nabc"
 	go func() { _, _ = io.WriteString(caller, head+"GET / HTTP/1.1\r\n\r\n") }()
@@ -47,12 +47,12 @@
 		}
 		read += n
 		if read > len(head) {
-			t.Fatalf("%d bytes were read, of a request of %d", read, len(head))
+			t.Fatalf("read %d bytes of a request of %d", read, len(head))
 		}
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 256<<10 {
-		t.Errorf("%d KB are held of a head of 1 MB", grown>>10)
+		t.Errorf("holding %d KB for a head of 1 MB", grown>>10)
 	}
 }
--- a/internal/call/kqconnection/unread_test.go
+++ b/internal/call/kqconnection/unread_test.go
@@ -6,15 +6,14 @@
 	"time"
 )
 
-// A caller's call ended without an answer at a node that was being stopped. It had
-// connected and sent its call; the node had accepted the connection and had not come to
-// read it yet, as on a busy server or after a pause. Then the node closed the connections
-// on which nothing had come: it asked what it had read, not what lay there to be read, and
-// the call met a reset. The call here lies unread when the silent connections are closed.
-func TestCallThatLiesUnreadIsNotClosed(t *testing.T) {
+// Guards against closing a connection whose call has arrived but has not been read. A
+// stopping node had accepted the connection and not read from it yet, as on a busy server
+// or after a pause. When it closed the connections without input, it checked only what it
+// had read, so the call met a reset and had no response.
+func TestConnectionWithUnreadBytesIsNotClosed(t *testing.T) {
 	l := listen(t)
 	defer func() { _ = l.Close() }()
-	server, caller, done := accept(t, l)
+	server, caller, done := connect(t, l)
 	defer done()
 	const call = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 	if _, err := io.WriteString(caller, call); err != nil {
--- a/internal/call/kqhangup/hangup.go
+++ b/internal/call/kqhangup/hangup.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	every  = 25 * time.Millisecond
-	shards = 16
+	probeInterval = 25 * time.Millisecond
+	shards        = 16
 )
 
 type (
-	// Watch looks after the calls under way. It is safe for concurrent use.
+	// Watch holds the calls in flight and probes their callers' connections. It is safe for
+	// concurrent use.
 	Watch struct {
 		shards [shards]shard
 	}
 
-	// Line is one call's connection to its caller.
+	// Line is the connection of one call to its caller.
 	Line struct {
 		caller net.Conn
 		probe  *Probe
@@ -36,11 +37,10 @@
 	}
 )
 
-// New returns a watch without calls.
+// New returns a Watch without calls.
 func New() *Watch { return &Watch{} }
 
-// Begin watches a caller's connection until End. The line's memory is the
-// caller's.
+// Begin watches a caller's connection until End. The caller of Begin allocates the line.
 func (w *Watch) Begin(l *Line, number uint64, caller net.Conn, call *kqcall.Cancel, now time.Time) {
 	s := &w.shards[number%shards]
 	*l = Line{caller: caller, call: call, since: now, shard: s}
@@ -50,8 +50,7 @@
 	s.lines = append(s.lines, l)
 }
 
-// Count returns how many calls are watched: those under way at the entry and at the
-// gate.
+// Count returns how many calls are watched: those in flight at the entry and at the gate.
 func (w *Watch) Count() int {
 	count := 0
 	for i := range w.shards {
@@ -62,7 +61,7 @@
 	return count
 }
 
-// End stops watching.
+// End stops watching the line's connection.
 func (w *Watch) End(l *Line) {
 	s := l.shard
 	s.mu.Lock()
@@ -74,7 +73,7 @@
 	s.lines = s.lines[:last]
 }
 
-// Cancel cancels all calls under way and has them told why.
+// Cancel cancels all calls in flight with the given reason.
 func (w *Watch) Cancel(why kqcall.Reason) {
 	for i := range w.shards {
 		w.shards[i].cancel(why)
@@ -89,9 +88,9 @@
 	}
 }
 
-// Run looks at the connections until ctx ends.
+// Run probes the connections periodically until ctx ends.
 func (w *Watch) Run(ctx context.Context) {
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -99,38 +98,39 @@
 			return
 		case now := <-ticker.C:
 			for i := range w.shards {
-				w.shards[i].sweep(now.Add(-every))
+				w.shards[i].checkLines(now.Add(-probeInterval))
 			}
 		}
 	}
 }
 
-// Look looks at the line's connection at once. Between two looks a call that has waited
-// may have its turn though its caller has gone.
+// Look probes the line's connection now. Without it, a call whose caller disconnected since
+// the last periodic probe could still leave the queue and run.
 func (l *Line) Look() {
 	l.shard.mu.Lock()
 	defer l.shard.mu.Unlock()
-	l.look()
+	l.check()
 }
 
-// sweep holds the lock while it looks: a line that ended must not be looked at,
-// since its connection may serve another call by then.
-func (s *shard) sweep(before time.Time) {
+// checkLines probes the lines that began no later than before. It holds the lock meanwhile:
+// a line that has ended must not be probed, since its connection may already serve another
+// call.
+func (s *shard) checkLines(before time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.lines {
 		if l.since.After(before) {
 			continue
 		}
-		l.look()
+		l.check()
 	}
 }
 
-func (l *Line) look() {
+func (l *Line) check() {
 	if l.probe == nil {
 		l.probe = NewProbe(l.caller)
 	}
-	if closed, _ := l.probe.Look(); closed {
+	if closed, _ := l.probe.Peek(); closed {
 		l.call.Now(kqcall.Cancelled)
 	}
 }
--- a/internal/call/kqhangup/bound_other.go
+++ b/internal/call/kqhangup/user_timeout_other.go
@@ -7,5 +7,5 @@
 	"time"
 )
 
-// Bound does nothing where the kernel has no such option.
+// Bound does nothing on systems without TCP_USER_TIMEOUT.
 func Bound(net.Conn, time.Duration) {}
--- a/internal/call/kqsend/exchange.go
+++ b/internal/call/kqsend/exchange.go
@@ -62,8 +62,8 @@
 	peerCloses := call.Response.ConnectionClose()
 	call.Response.Header.ResetConnectionClose()
 	n.readKeepAlive(&call.Response.Header, c.idleTimeout)
-	if a, ok := call.Response.BodyStream().(*responseStream); ok {
-		a.peerCloses = a.peerCloses || peerCloses
+	if s, ok := call.Response.BodyStream().(*responseStream); ok {
+		s.peerCloses = s.peerCloses || peerCloses
 	} else {
 		c.finish(n, call, peerCloses, false)
 	}
@@ -132,10 +132,10 @@
 	if err := n.readResponse(c, call); err != nil {
 		return writeErr
 	}
-	if a, ok := call.Response.BodyStream().(*responseStream); ok {
+	if s, ok := call.Response.BodyStream().(*responseStream); ok {
 		// The write has already met the reset, which may have truncated a body that ends
 		// with its connection.
-		a.closed = true
+		s.closed = true
 		call.Response.Reset()
 		return writeErr
 	}
@@ -206,6 +206,6 @@
 // has closed must be found before the first byte is written; after that the outcome would
 // be unknown.
 func (n *connection) isUsable() bool {
-	closed, readable := n.probe.Look()
+	closed, readable := n.probe.Peek()
 	return !closed && !readable
 }
--- a/internal/call/kqsend/response.go
+++ b/internal/call/kqsend/response.go
@@ -63,50 +63,50 @@
 		// call any more.
 		n.setSilenceTimeout(true)
 	}
-	a := &responseStream{client: c, conn: n, call: call, length: length, peerCloses: length == untilCloseLength}
+	s := &responseStream{client: c, conn: n, call: call, length: length, peerCloses: length == untilCloseLength}
 	switch length {
 	case chunkedLength:
-		a.reader = httputil.NewChunkedReader(n.reader)
+		s.reader = httputil.NewChunkedReader(n.reader)
 	case untilCloseLength:
-		a.reader = n.reader
+		s.reader = n.reader
 	default:
-		a.reader = io.LimitReader(n.reader, int64(length))
+		s.reader = io.LimitReader(n.reader, int64(length))
 	}
-	r.SetBodyStream(a, max(length, chunkedLength))
+	r.SetBodyStream(s, max(length, chunkedLength))
 	return nil
 }
 
 // Read implements io.Reader.
-func (a *responseStream) Read(b []byte) (int, error) {
+func (s *responseStream) Read(b []byte) (int, error) {
 	// Another read after the last chunk would wait for a second trailer.
-	if a.complete {
+	if s.complete {
 		return 0, io.EOF
 	}
-	count, err := a.reader.Read(b)
-	a.read += count
+	count, err := s.reader.Read(b)
+	s.read += count
 	switch {
-	case a.length >= 0 && a.read == a.length:
-		a.complete = true
-	case a.length >= 0 && err == io.EOF:
+	case s.length >= 0 && s.read == s.length:
+		s.complete = true
+	case s.length >= 0 && err == io.EOF:
 		err = io.ErrUnexpectedEOF
-	case a.length == chunkedLength && err == io.EOF:
-		if trailed := skipTrailer(a.conn.reader); trailed != nil {
+	case s.length == chunkedLength && err == io.EOF:
+		if trailed := skipTrailer(s.conn.reader); trailed != nil {
 			return count, fmt.Errorf("read trailer: %w", trailed)
 		}
-		a.complete = true
+		s.complete = true
 	}
 	return count, err
 }
 
 // Close implements io.Closer.
-func (a *responseStream) Close() error {
-	if a.closed {
+func (s *responseStream) Close() error {
+	if s.closed {
 		return nil
 	}
-	a.closed = true
-	a.client.finish(a.conn, a.call, a.peerCloses, !a.complete)
-	if a.call.Finish != nil {
-		a.call.Finish()
+	s.closed = true
+	s.client.finish(s.conn, s.call, s.peerCloses, !s.complete)
+	if s.call.Finish != nil {
+		s.call.Finish()
 	}
 	return nil
 }
