--- a/internal/call/kqbody/bound.go
+++ b/internal/call/kqbody/bound.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// tiny is the size in bytes up to which bodies are not counted: what a connection
-	// takes for itself is more.
-	tiny = 4 << 10
-	// small is the size in bytes up to which bodies are small.
-	small = 64 << 10
-	// connection is what an open connection takes beside its body, in bytes: the
-	// buffers of the server's library, the goroutine's stack and the system's.
-	connection = 32 << 10
-	// smallPart is the part of the room for large bodies that there is for small ones
-	// beside it, and leastPart the part that connections leave them in any case.
-	smallPart, leastPart = 2, 8
+	// maxUncounted is the size, in bytes, up to which bodies are not counted, since the
+	// connection itself takes more.
+	maxUncounted = 4 << 10
+	// maxSmall is the largest size, in bytes, of a small body.
+	maxSmall = 64 << 10
+	// connectionMemory is what an open connection takes beside its body, in bytes:
+	// fasthttp's buffers, the goroutine's stack and the kernel's memory for it.
+	connectionMemory = 32 << 10
+	// smallDivisor and minDivisor: small bodies have 1/smallDivisor of the room for large
+	// ones, in addition to it, and may always use 1/minDivisor of their own room, however
+	// many connections are open.
+	smallDivisor, minDivisor = 2, 8
 )
 
 const (
@@ -29,52 +30,51 @@
 )
 
 type (
-	// Bound shares out the room for bodies. Small and large ones have room of their own:
-	// callers of small calls must not wait for large ones, nor many small ones take
-	// more than a few large ones may. It is safe for concurrent use.
+	// Bound divides memory, here called room, among request bodies. Small and large bodies
+	// have separate room, so that small calls need not wait for large ones, and many small
+	// bodies cannot take more than a few large ones may. It is safe for concurrent use.
 	Bound struct {
-		most [classes]int
-		// total bounds bodies and connections together, 0 without a bound, and open
-		// counts the connections.
+		capacity [classes]int
+		// total limits bodies and connections together, 0 for no limit, and open returns
+		// the number of open connections.
 		total int
 		open  func() int
 
-		mu   sync.Mutex
-		used [classes]int
-		held map[any]share
-		// freed is closed, and replaced, when there is more room.
+		mu           sync.Mutex
+		used         [classes]int
+		reservations map[any]reservation
+		// freed is closed and replaced when room is released.
 		freed chan struct{}
 	}
 
-	// Option sets up a Bound.
+	// Option configures a Bound.
 	Option func(*Bound)
 
-	// class tells which room a body takes.
+	// class is the kind of room that a body takes.
 	class int
 
-	// share is the room of one request, known by its header or, where that states no
-	// length, by its connection: the place of either in memory is the same from the
-	// request's reading to its end.
-	share struct {
+	// reservation is the room of one request. Its key is the request's header or, if that
+	// states no length, the connection: the address of either stays the same from the
+	// reading of the request to its end.
+	reservation struct {
 		size int
-		// until is when the request has been read, or never will be; zero once it is
-		// being served.
-		until time.Time
+		// readDeadline is the latest time at which the request is read whole or abandoned;
+		// zero once it is being served.
+		readDeadline time.Time
 	}
 )
 
-// WithConnections has bodies leave room for the open connections, in as many bytes as
-// both together may take.
+// WithConnections limits bodies and open connections together to total bytes.
 func WithConnections(total int, open func() int) Option {
 	return func(b *Bound) { b.total, b.open = total, open }
 }
 
-// New returns a bound of that many bytes for large bodies, and half as many for small
-// ones beside them.
-func New(most int, options ...Option) *Bound {
+// New returns a bound of capacity bytes for large bodies and, in addition, half as many for
+// small ones.
+func New(capacity int, options ...Option) *Bound {
 	b := &Bound{
-		most: [classes]int{smallBody: most / smallPart, largeBody: most}, open: func() int { return 0 },
-		held: make(map[any]share), freed: make(chan struct{}),
+		capacity: [classes]int{smallBody: capacity / smallDivisor, largeBody: capacity}, open: func() int { return 0 },
+		reservations: make(map[any]reservation), freed: make(chan struct{}),
 	}
 	for _, o := range options {
 		o(b)
@@ -82,164 +82,167 @@
 	return b
 }
 
-// Take takes room for a request's body, and waits for it at most for wait. A body
-// larger than the bound has room while no other large one is held: it would else never
-// be taken. Reading is how long the request may take to be read.
+// Take reserves room for a request's body and waits at most wait for it. A body larger than
+// the bound is accepted while no other large one is held, since it would otherwise never
+// be. reading is how long the request may take to be read.
 func (b *Bound) Take(h *fasthttp.RequestHeader, wait, reading time.Duration) bool {
-	size := counted(h.ContentLength())
+	size := bodyMemory(h.ContentLength())
 	return size == 0 || b.wait(h, size, reading, wait)
 }
 
-// Grow takes room for the body that a connection's request has brought so far, in
-// place of what it had, and waits for it at most for wait. A body of unstated length
-// is known only by what has come of it; without this, callers that state no length
-// could fill the process's memory, which would be ended with all its calls.
+// Grow replaces the connection's reservation by one for the size that its request's body
+// has reached, and waits at most wait for room. The length of such a body is known only as
+// it arrives; without this limit, callers that state no length could fill the process's
+// memory, and the kernel would kill it with all its calls.
 func (b *Bound) Grow(connection any, size int, wait time.Duration) bool {
-	size = grown(size)
-	return size == 0 || b.has(connection, size) || b.wait(connection, size, 0, wait)
+	size = growingBodyMemory(size)
+	return size == 0 || b.hasReserved(connection, size) || b.wait(connection, size, 0, wait)
 }
 
-// Release gives the room back that a connection's request has grown to, if any.
+// Release releases the room that a connection's request has reserved with Grow, if any.
 func (b *Bound) Release(connection any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.give(connection)
+	b.release(connection)
 }
 
-// wait tries to take room until it is there or the time is over. A reading time of 0
-// holds the room until it is given back.
+// wait reserves room, retrying until there is enough or the time is over. With a reading
+// time of 0 the reservation does not expire.
 func (b *Bound) wait(holder any, size int, reading, wait time.Duration) bool {
-	taken, freed := b.try(holder, size, reading)
+	taken, freed := b.tryReserve(holder, size, reading)
 	if taken || wait <= 0 {
 		return taken
 	}
-	over := time.NewTimer(wait)
-	defer over.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	for !taken {
 		select {
 		case <-freed:
-		case <-over.C:
+		case <-timer.C:
 			return false
 		}
-		taken, freed = b.try(holder, size, reading)
+		taken, freed = b.tryReserve(holder, size, reading)
 	}
 	return true
 }
 
-func (b *Bound) has(holder any, size int) bool {
+func (b *Bound) hasReserved(holder any, size int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.held[holder].size >= size
+	return b.reservations[holder].size >= size
 }
 
-// Serve notes that a request has been read: its room is held until Give.
+// Serve marks a request as read: its reservation no longer expires and is held until Give.
 func (b *Bound) Serve(h *fasthttp.RequestHeader) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if s, ok := b.held[h]; ok {
-		b.held[h] = share{size: s.size}
+	if s, ok := b.reservations[h]; ok {
+		b.reservations[h] = reservation{size: s.size}
 	}
 }
 
-// Give gives a request's room back, if it has any.
+// Give releases a request's room, if it has any.
 func (b *Bound) Give(h *fasthttp.RequestHeader) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.give(h)
+	b.release(h)
 }
 
-func (b *Bound) try(holder any, size int, reading time.Duration) (bool, <-chan struct{}) {
+func (b *Bound) tryReserve(holder any, size int, reading time.Duration) (bool, <-chan struct{}) {
 	now := time.Now()
 	open := b.open()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.fits(holder, size, open) {
-		b.expire(now)
+		b.releaseExpired(now)
 		if !b.fits(holder, size, open) {
 			return false, b.freed
 		}
 	}
-	s := share{size: size}
+	s := reservation{size: size}
 	if reading > 0 {
-		s.until = now.Add(reading)
+		s.readDeadline = now.Add(reading)
 	}
-	if before := b.held[holder]; before.size > 0 {
+	if before := b.reservations[holder]; before.size > 0 {
 		b.used[before.class()] -= before.size
 	}
 	b.used[s.class()] += size
-	b.held[holder] = s
+	b.reservations[holder] = s
 	return true, nil
 }
 
-// fits reports whether there is room for a body of that size in place of what its holder
-// has.
+// fits reports whether there is room for a body of that size in place of the holder's
+// current reservation.
 func (b *Bound) fits(holder any, size, open int) bool {
 	used := b.used
-	if before := b.held[holder]; before.size > 0 {
+	if before := b.reservations[holder]; before.size > 0 {
 		used[before.class()] -= before.size
 	}
-	c := share{size: size}.class()
+	c := reservation{size: size}.class()
 	alone := c == largeBody && used[largeBody] == 0
-	if used[c]+size > b.most[c] && !alone {
+	if used[c]+size > b.capacity[c] && !alone {
 		return false
 	}
 	if b.total == 0 {
 		return true
 	}
-	left := b.total - open*connection - used[smallBody] - used[largeBody]
+	available := b.total - open*connectionMemory - used[smallBody] - used[largeBody]
 	switch {
-	case size <= left:
+	case size <= available:
 		return true
 	case c == smallBody:
-		return used[c]+size <= b.most[c]/leastPart
+		return used[c]+size <= b.capacity[c]/minDivisor
 	default:
-		// Larger than all the room there is, it waits for connections to go.
-		return alone && size > b.total && open*connection <= b.total/leastPart
+		// A body larger than the total is accepted only while connections take little of
+		// it.
+		return alone && size > b.total && open*connectionMemory <= b.total/minDivisor
 	}
 }
 
-// expire gives the room of requests back that should have been read by now. The library
-// tells of most, but not of all, requests that it gives up while it reads them; their
-// room would be lost for good.
-func (b *Bound) expire(now time.Time) {
-	for holder, s := range b.held {
-		if !s.until.IsZero() && now.After(s.until) {
-			b.give(holder)
+// releaseExpired releases the room of requests that should have been read by now. fasthttp
+// reports most, but not all, requests that it abandons while reading; the room of the
+// others would never be released.
+func (b *Bound) releaseExpired(now time.Time) {
+	for holder, s := range b.reservations {
+		if !s.readDeadline.IsZero() && now.After(s.readDeadline) {
+			b.release(holder)
 		}
 	}
 }
 
-func (b *Bound) give(holder any) {
-	s, ok := b.held[holder]
+func (b *Bound) release(holder any) {
+	s, ok := b.reservations[holder]
 	if !ok {
 		return
 	}
-	delete(b.held, holder)
+	delete(b.reservations, holder)
 	b.used[s.class()] -= s.size
 	close(b.freed)
 	b.freed = make(chan struct{})
 }
 
-func (s share) class() class {
-	if s.size > small {
+func (s reservation) class() class {
+	if s.size > maxSmall {
 		return largeBody
 	}
 	return smallBody
 }
 
-// counted is what a body takes: the library rounds its room up to a power of two.
-func counted(length int) int {
-	if length <= tiny {
+// bodyMemory returns the memory that a body takes: fasthttp rounds its buffer up to a power
+// of two.
+func bodyMemory(length int) int {
+	if length <= maxUncounted {
 		return 0
 	}
 	return 1 << bits.Len(uint(length-1))
 }
 
-// grown is what a body of unstated length takes once that much of it has come: the
-// library copies a large one into twice the room each time that it has outgrown its own.
-func grown(size int) int {
-	if size <= small {
-		return counted(size)
+// growingBodyMemory returns the memory that a body of unknown length takes once size bytes
+// have arrived: fasthttp copies a large one to a buffer of twice the size each time it
+// outgrows the old one.
+func growingBodyMemory(size int) int {
+	if size <= maxSmall {
+		return bodyMemory(size)
 	}
-	return 2 * counted(size)
+	return 2 * bodyMemory(size)
 }
--- a/internal/call/kqbody/doc.go
+++ b/internal/call/kqbody/doc.go
@@ -1,6 +1,6 @@
-// Package kqbody bounds the bytes of requests' bodies that a node holds at once.
+// Package kqbody limits the memory that a node uses for request bodies.
 //
-// Bodies are held whole until they are sent on. Callers that send large ones at the
-// same time would take a node over its server's memory; the kernel then ends the
-// process, and cuts every call under way.
+// Bodies are held whole until they are sent on. Callers that send large ones at the same
+// time could exhaust a server's memory; the kernel would then kill the process and cut
+// every call in flight.
 package kqbody
