--- a/internal/call/kqquiesce/doc.go
+++ b/internal/call/kqquiesce/doc.go
@@ -1,3 +1,3 @@
-// Package kqquiesce stops a listener from being offered new connections while
-// those that are already under way can still be accepted.
+// Package kqquiesce stops a listener from receiving new connections while those already
+// established can still be accepted.
 package kqquiesce
--- a/internal/call/kqquiesce/quiesce_linux.go
+++ b/internal/call/kqquiesce/quiesce_linux.go
@@ -14,16 +14,15 @@
 	synOnly     = 0x02
 )
 
-// Quiesce lets the kernel drop each further request for a connection to l,
-// which must be plain TCP: Go listens for multipath TCP unless told otherwise,
-// and the kernel takes no filter for that.
+// Quiesce makes the kernel drop further connection requests (SYN) to l, which must be plain
+// TCP: Go listens for multipath TCP by default, and the kernel attaches no filter to such a
+// socket.
 //
-// A listener that is simply closed resets the connections that the kernel has
-// set up and the program has not accepted yet. Their callers are connected and
-// may have sent a call; they would see it cut. Once Quiesce has returned no
-// connection is added to those, so that a short while later the listener can be
-// closed with none left. Callers whose request was dropped ask again after a
-// second and are then refused, with nothing sent.
+// Closing a listener resets the connections that the kernel has established and the program
+// has not accepted yet. Their callers may already have sent a call, which would be cut.
+// Once Quiesce has returned no such connection is added, so that the listener can be closed
+// a little later with none left. Callers whose SYN was dropped retry after a second and are
+// then refused before they have sent anything.
 func Quiesce(l *net.TCPListener) error {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -37,12 +36,12 @@
 		{Code: unix.BPF_RET | unix.BPF_K, K: 0},
 	}
 	program := &unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
-	var set error
+	var setErr error
 	err = raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, program)
+		setErr = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, program)
 	})
 	if err == nil {
-		err = set
+		err = setErr
 	}
 	if err != nil {
 		return fmt.Errorf("quiesce %s: %w", l.Addr(), err)
--- a/internal/call/kqquiesce/quiesce_other.go
+++ b/internal/call/kqquiesce/quiesce_other.go
@@ -7,5 +7,5 @@
 	"net"
 )
 
-// Quiesce returns errors.ErrUnsupported: only Linux offers a filter for it.
+// Quiesce returns errors.ErrUnsupported, since only Linux has socket filters.
 func Quiesce(*net.TCPListener) error { return errors.ErrUnsupported }
--- a/internal/call/kqquiesce/quiesce_test.go
+++ b/internal/call/kqquiesce/quiesce_test.go
@@ -11,10 +11,10 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqquiesce"
 )
 
-// A node closes its listener just when callers have been connected by the
-// kernel. Those that were there before are still accepted; those that come
-// after get no connection, so that none is reset with a call on its way.
-func TestConnectedCallersAreAcceptedAndNoneIsAdded(t *testing.T) {
+// A node closes its listener while callers are connecting. Connections established before
+// Quiesce are still accepted, and later callers get none, so that no connection is reset
+// with a call on its way.
+func TestOnlyConnectedCallersAreAccepted(t *testing.T) {
 	var config net.ListenConfig
 	config.SetMultipathTCP(false)
 	l, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	if n, err := accepted.Read(make([]byte, 8)); n != 4 || err != nil {
-		t.Errorf("read %d bytes, %v, want the call", n, err)
+		t.Errorf("read %d bytes, %v, want the caller's 4 bytes", n, err)
 	}
 	late := make(chan error, 1)
 	go func() {
@@ -54,13 +54,13 @@
 	}()
 	select {
 	case err := <-late:
-		t.Fatalf("a late caller was answered at once: %v", err)
+		t.Fatalf("connecting after Quiesce returned at once: %v", err)
 	case <-time.After(100 * time.Millisecond):
 	}
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-late; !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("late caller: %v, want refused", err)
+		t.Errorf("connecting after Quiesce: %v, want connection refused", err)
 	}
 }
