--- a/internal/call/kqacceptor/acceptor.go
+++ b/internal/call/kqacceptor/acceptor.go
@@ -10,45 +10,45 @@
 )
 
 const (
-	// pause keeps a listener that cannot accept from spinning: short beside what
-	// callers wait for a connection, a second at least.
-	pause = 50 * time.Millisecond
-	// tellEvery is the least time between two errors that are told: a process at the
-	// brink of its descriptors fails and accepts in turn, many times a second.
-	tellEvery = time.Second
+	// retryInterval keeps a listener that cannot accept from spinning. It is short compared
+	// with the second or more for which callers wait for a connection.
+	retryInterval = 50 * time.Millisecond
+	// reportInterval is the least time between two reported errors: a process that is
+	// almost out of descriptors may fail and succeed in turn many times a second.
+	reportInterval = time.Second
 )
 
-// Listener is a listener that waits while the process has no descriptors, or the system
-// no memory, for one more connection. One goroutine accepts.
+// Listener retries Accept while the process is out of file descriptors or the system out of
+// memory. Only one goroutine may call Accept.
 type Listener struct {
 	net.Listener
-	failed func(error)
-	told   time.Time
+	onError    func(error)
+	lastReport time.Time
 }
 
-// New returns a listener over l that calls failed with an error now and then while it
-// cannot accept.
-func New(l net.Listener, failed func(error)) *Listener {
-	return &Listener{Listener: l, failed: failed}
+// New returns a listener over l. It calls onError while l cannot accept, at most once per
+// reportInterval.
+func New(l net.Listener, onError func(error)) *Listener {
+	return &Listener{Listener: l, onError: onError}
 }
 
-// Accept implements net.Listener. The error is bare, as servers compare it.
+// Accept implements net.Listener. It does not wrap the error, because servers compare it.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
-		if err == nil || !passing(err) {
+		if err == nil || !isTemporary(err) {
 			return c, err
 		}
-		if time.Since(l.told) >= tellEvery {
-			l.told = time.Now()
-			l.failed(err)
+		if time.Since(l.lastReport) >= reportInterval {
+			l.lastReport = time.Now()
+			l.onError(err)
 		}
-		time.Sleep(pause)
+		time.Sleep(retryInterval)
 	}
 }
 
-// passing reports whether a listener that failed so may accept later. After any other
-// failure it never will, and its node had better leave.
-func passing(err error) bool {
+// isTemporary reports whether Accept may succeed later. After any other error it never
+// will, and the node should leave the fleet.
+func isTemporary(err error) bool {
 	return kqshortage.Is(err) || errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR)
 }
--- a/internal/call/kqacceptor/doc.go
+++ b/internal/call/kqacceptor/doc.go
@@ -1,8 +1,8 @@
-// Package kqacceptor accepts connections also after a shortage.
+// Package kqacceptor keeps a listener accepting connections after a shortage of file
+// descriptors or memory.
 //
-// Servers of libraries take a failed accept for the end of their listener, and a node
-// one of whose servers ends leaves. A process that is out of file descriptors for a
-// moment, as in a storm of callers, would so end with all calls that it has, and be
-// gone just when it is needed most. One would see "too many open files" as the last
-// word of a process.
+// HTTP servers take a failed Accept for the end of their listener, and a node leaves when
+// one of its servers ends. A process that is out of file descriptors for a moment, as when
+// very many callers connect at once, would then stop with all its calls just when it is
+// needed most, with "too many open files" as its last log line.
 package kqacceptor
