--- a/internal/call/kqconnection/listener.go
+++ b/internal/call/kqconnection/listener.go
@@ -18,9 +18,9 @@
 var ErrNoRoom = errors.New("no memory left for the request body")
 
 type (
-	// Room is the memory shared by bodies of unknown length. A connection reserves more as
-	// more of its body arrives.
-	Room interface {
+	// BodyLimiter limits the memory, here called room, that bodies of unknown length take.
+	// A connection reserves more as more of its body arrives.
+	BodyLimiter interface {
 		Grow(connection any, size int, wait time.Duration) bool
 		Release(connection any)
 	}
@@ -32,7 +32,7 @@
 	// concurrent use.
 	Listener struct {
 		net.Listener
-		room     Room
+		limiter  BodyLimiter
 		roomWait time.Duration
 		// lingering counts closed connections whose remaining input is still being
 		// discarded.
@@ -76,8 +76,8 @@
 
 // WithRoom makes bodies of unknown length reserve room as they arrive and wait that long
 // for it; a read without room then fails with ErrNoRoom.
-func WithRoom(r Room, wait time.Duration) Option {
-	return func(l *Listener) { l.room, l.roomWait = r, wait }
+func WithRoom(r BodyLimiter, wait time.Duration) Option {
+	return func(l *Listener) { l.limiter, l.roomWait = r, wait }
 }
 
 // New returns a listener over l. Only TCP connections are split into requests; others are
@@ -143,8 +143,8 @@
 	defer l.mu.Unlock()
 	_, open := l.open[c]
 	delete(l.open, c)
-	if l.room != nil {
-		l.room.Release(c)
+	if l.limiter != nil {
+		l.limiter.Release(c)
 	}
 	return open
 }
@@ -207,10 +207,10 @@
 // growRoom reserves room for more of a body of unknown length. Input after a refusal is
 // only read to be discarded.
 func (c *connection) growRoom() bool {
-	if c.listener.room == nil || c.roomRefused {
+	if c.listener.limiter == nil || c.roomRefused {
 		return true
 	}
-	c.roomRefused = !c.listener.room.Grow(c, c.framer.chunkCounter.bodyBytes, c.listener.roomWait)
+	c.roomRefused = !c.listener.limiter.Grow(c, c.framer.chunkCounter.bodyBytes, c.listener.roomWait)
 	return !c.roomRefused
 }
 
@@ -221,8 +221,8 @@
 	if !c.framer.unknownLength {
 		return
 	}
-	if c.listener.room != nil {
-		c.listener.room.Release(c)
+	if c.listener.limiter != nil {
+		c.listener.limiter.Release(c)
 	}
 	c.roomRefused, c.sequential = false, true
 	c.framer.unknownLength, c.framer.chunkCounter = false, chunkCounter{}
--- a/internal/call/kqsend/response.go
+++ b/internal/call/kqsend/response.go
@@ -90,8 +90,8 @@
 	case s.length >= 0 && err == io.EOF:
 		err = io.ErrUnexpectedEOF
 	case s.length == chunkedLength && err == io.EOF:
-		if trailed := skipTrailer(s.conn.reader); trailed != nil {
-			return count, fmt.Errorf("read trailer: %w", trailed)
+		if trailerErr := skipTrailer(s.conn.reader); trailerErr != nil {
+			return count, fmt.Errorf("read trailer: %w", trailerErr)
 		}
 		s.complete = true
 	}
