--- a/internal/peer/kqmember/doc.go
+++ b/internal/peer/kqmember/doc.go
@@ -1,3 +1,3 @@
-// Package kqmember holds what a node knows of all others: who is alive, leaving
-// or gone, and which upstreams stand beside them.
+// Package kqmember holds a node's membership table: the state of every node of
+// the fleet and the upstreams that have announced themselves to it.
 package kqmember
--- a/internal/peer/kqmember/member.go
+++ b/internal/peer/kqmember/member.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// Alive members take work.
+	// Alive members take calls.
 	Alive State = iota
-	// Suspect members have missed heartbeats and may refute.
+	// Suspect members have missed heartbeats; they still take calls and can refute.
 	Suspect
-	// Leaving members finish what they have and take no new work.
+	// Leaving members finish their calls in flight and take no new ones.
 	Leaving
-	// Dead members have not refuted in time, or have said goodbye.
+	// Dead members have not refuted a suspicion in time, or have left.
 	Dead
 )
 
 type (
-	// State is what a member is held to be.
+	// State is the liveness of a member as this node sees it.
 	State uint8
 
-	// Upstream is one back end that has announced itself to its node.
+	// Upstream is an upstream that has announced itself to its node.
 	Upstream struct {
 		Service  kqname.Service         `cbor:"1,keyasint"`
 		Version  kqname.UpstreamVersion `cbor:"2,keyasint"`
@@ -32,13 +32,13 @@
 		Draining bool                   `cbor:"4,keyasint,omitempty"`
 		// Started is when the upstream first announced itself.
 		Started time.Time `cbor:"5,keyasint"`
-		// Warm is when the upstream is no longer slow from its start, as far as it
-		// said so itself.
+		// Warm is when the upstream's warm-up ends by its own announcement; zero if
+		// it announced none.
 		Warm time.Time `cbor:"6,keyasint,omitzero"`
 	}
 
-	// Member is one node's record. Records of a higher incarnation win; of
-	// equal ones, the higher state wins.
+	// Member is one node's record. Of two records the one with the higher
+	// incarnation wins; at equal incarnations the higher state wins.
 	Member struct {
 		Node        kqname.Node          `cbor:"1,keyasint"`
 		Domain      kqname.Domain        `cbor:"2,keyasint"`
@@ -49,20 +49,21 @@
 		State       State                `cbor:"7,keyasint"`
 		Config      kqname.ConfigVersion `cbor:"8,keyasint"`
 		Upstreams   []Upstream           `cbor:"9,keyasint,omitempty"`
-		// Reader tells that the node watches the platform for the others.
+		// Reader reports whether the node watches the platform for the others.
 		Reader bool `cbor:"10,keyasint,omitempty"`
-		// Service is that of the upstream beside the node, also while none runs.
+		// Service is the configured service of the node's local upstream; it is set
+		// also while no upstream runs.
 		Service kqname.Service `cbor:"11,keyasint,omitempty"`
 		// Link is the bandwidth of the server's link in Mbit/s, and Cores the share of
-		// cores that the node may use, by its settings; 0 where they state none.
+		// cores that the node may use. Both come from its settings; 0 means not set.
 		Link  float64 `cbor:"12,keyasint,omitempty"`
 		Cores float64 `cbor:"13,keyasint,omitempty"`
-		// Process tells one process of the node from the next: when it started, in
-		// milliseconds since 1970.
+		// Process identifies the node's process by its start time, in milliseconds
+		// since 1970.
 		Process uint64 `cbor:"14,keyasint,omitempty"`
 	}
 
-	// Candidate is an upstream that a call may be sent to.
+	// Candidate is an upstream that a call may be sent to, with its node's location.
 	Candidate struct {
 		Upstream
 		Node   kqname.Node
@@ -71,22 +72,24 @@
 		Gate   kqname.Address
 	}
 
-	// Table is a node's view of all members. It is safe for concurrent use.
+	// Table holds a node's records of all members. It is safe for concurrent use.
 	Table struct {
 		self kqname.Node
 
 		mu         sync.RWMutex
 		members    map[kqname.Node]Member
 		candidates map[kqname.Service][]Candidate
-		living     int
-		gone       map[kqname.Node]time.Time
-		// forgotten holds the incarnations of the dead that were dropped. Peers
-		// that still hold them would otherwise bring them back for ever.
-		forgotten map[kqname.Node]uint64
-		// summary and sorted follow members; sorted is nil until it is asked for.
-		summary Summary
-		sorted  []Member
-		news    []func(Member)
+		liveCount  int
+		// deadSince is when Forget first saw each dead member.
+		deadSince map[kqname.Node]time.Time
+		// pruned holds the incarnations of dead members that were dropped. Without
+		// it, peers that still hold such a record would add it again forever.
+		pruned map[kqname.Node]uint64
+		// summary and sorted are derived from members; sorted is nil until the next
+		// call of Members.
+		summary     Summary
+		sorted      []Member
+		subscribers []func(Member)
 	}
 )
 
@@ -99,16 +102,16 @@
 func NewTable(self Member) *Table {
 	t := &Table{
 		self: self.Node, members: make(map[kqname.Node]Member),
-		gone: make(map[kqname.Node]time.Time), forgotten: make(map[kqname.Node]uint64),
+		deadSince: make(map[kqname.Node]time.Time), pruned: make(map[kqname.Node]uint64),
 	}
 	t.set(self)
-	t.index()
+	t.rebuildCandidates()
 	return t
 }
 
-// OnNews calls f with each record that changed, this node's own included. It
-// must be called before the table is shared, and f must not block.
-func (t *Table) OnNews(f func(Member)) { t.news = append(t.news, f) }
+// OnNews registers f to be called with each changed record, this node's own
+// included. It must be called before the table is shared; f must not block.
+func (t *Table) OnNews(f func(Member)) { t.subscribers = append(t.subscribers, f) }
 
 // Self returns the node's own record.
 func (t *Table) Self() Member {
@@ -117,7 +120,7 @@
 	return t.members[t.self]
 }
 
-// Find returns a member's record.
+// Find returns a member's record and whether there is one.
 func (t *Table) Find(n kqname.Node) (Member, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -125,7 +128,8 @@
 	return m, ok
 }
 
-// Update changes the node's own record under a new incarnation.
+// Update changes the node's own record, raises its incarnation and notifies the
+// subscribers.
 func (t *Table) Update(change func(*Member)) Member {
 	t.mu.Lock()
 	m := t.members[t.self]
@@ -133,15 +137,15 @@
 	change(&m)
 	m.Incarnation++
 	t.set(m)
-	t.index()
+	t.rebuildCandidates()
 	t.mu.Unlock()
-	t.tell(m)
+	t.notify(m)
 	return m
 }
 
-// SetConfig notes the configuration version that a member holds. It is no news:
-// it travels on heartbeats, as a record for each node and version would cost
-// the fleet its square in messages at each change.
+// SetConfig raises the configuration version that a member holds. Subscribers are
+// not notified, since versions travel on heartbeats: flooding a record for each
+// node and version would cost a quadratic number of messages per change.
 func (t *Table) SetConfig(n kqname.Node, v kqname.ConfigVersion) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,48 +155,52 @@
 	}
 }
 
-// Merge takes in a record heard from a peer and reports whether it was news.
-// A record that holds this node itself to be gone is refuted by an incarnation
-// over its own: a node that was only slow would otherwise stay out for ever.
+// Merge merges a record received from a peer and reports whether the table
+// changed. A record of this node itself that would supersede its own, such as a
+// suspicion, is refuted by raising the own incarnation above it: a node that was
+// only slow would otherwise stay excluded forever.
 func (t *Table) Merge(m Member) bool {
-	if !m.sound() {
+	if !m.isValid() {
 		return false
 	}
 	t.mu.Lock()
 	if old, ok := t.members[m.Node]; ok && m.State == Dead && old.State < Leaving && m.Incarnation == old.Incarnation {
-		// Nodes that were cut off hold everybody beyond the cut to be dead. When
-		// the cut heals, their word must not take healthy upstreams out of
-		// service, however many repeat it: whoever holds a member to be alive
-		// gives it the time to refute.
+		// After a network partition heals, each side reports the other side as
+		// dead. These reports must not take healthy upstreams out of service,
+		// however many peers repeat them, so a member that is alive here becomes
+		// suspect and gets the time to refute.
 		m.State = Suspect
 	}
-	merged, news := t.merge(m)
+	merged, changed := t.merge(m)
 	t.mu.Unlock()
-	if news {
-		t.tell(merged)
+	if changed {
+		t.notify(merged)
 	}
-	return news
+	return changed
 }
 
-// sound reports whether a record can stand for a member at all; one that cannot
-// comes from a broken peer, and calls must not be led by it.
-func (m Member) sound() bool {
+// isValid reports whether a record has a name, a control address, a known state
+// and only upstreams with slots. Other records come from a faulty peer and must
+// not affect where calls are sent.
+func (m Member) isValid() bool {
 	return m.Node != "" && m.Control != "" && m.State <= Dead &&
 		!slices.ContainsFunc(m.Upstreams, func(u Upstream) bool { return u.Slots < 1 })
 }
 
-// Declare takes in what this node itself finds out about a member: unlike
-// Merge, it believes in a death at once.
+// Declare merges a record that this node derived from its own failure detector
+// and reports whether the table changed. Unlike Merge, it accepts a death at once.
 func (t *Table) Declare(m Member) bool {
 	t.mu.Lock()
-	merged, news := t.merge(m)
+	merged, changed := t.merge(m)
 	t.mu.Unlock()
-	if news {
-		t.tell(merged)
+	if changed {
+		t.notify(merged)
 	}
-	return news
+	return changed
 }
 
+// merge stores m if it supersedes the current record, and returns the record to
+// announce and whether the table changed.
 func (t *Table) merge(m Member) (Member, bool) {
 	old, ok := t.members[m.Node]
 	if m.Node == t.self {
@@ -206,19 +214,19 @@
 	if ok && cmp.Or(cmp.Compare(m.Incarnation, old.Incarnation), cmp.Compare(m.State, old.State)) <= 0 {
 		return old, false
 	}
-	if !ok && m.State == Dead && m.Incarnation <= t.forgotten[m.Node] {
+	if !ok && m.State == Dead && m.Incarnation <= t.pruned[m.Node] {
 		return m, false
 	}
 	t.set(m)
 	if m.State != Dead {
-		delete(t.gone, m.Node)
+		delete(t.deadSince, m.Node)
 	}
-	t.index()
+	t.rebuildCandidates()
 	return m, true
 }
 
-// Forget drops the members that have been dead since before the given time;
-// now is when newly dead ones are taken to have died.
+// Forget drops the members that have been dead since before the given time. A
+// dead member that no earlier call has seen is recorded as having died now.
 func (t *Table) Forget(before, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -226,35 +234,36 @@
 		if m.State != Dead || n == t.self {
 			continue
 		}
-		if died, ok := t.gone[n]; !ok {
-			t.gone[n] = now
+		if died, ok := t.deadSince[n]; !ok {
+			t.deadSince[n] = now
 		} else if died.Before(before) {
-			t.summary.fold(m)
+			t.summary.toggle(m)
 			t.sorted = nil
 			delete(t.members, n)
-			delete(t.gone, n)
-			t.forgotten[n] = m.Incarnation
+			delete(t.deadSince, n)
+			t.pruned[n] = m.Incarnation
 		}
 	}
 }
 
-// set stores a record; every change of members goes through it or Forget.
+// set stores a record and updates the summary. Only set and Forget may change
+// members.
 func (t *Table) set(m Member) {
 	if old, ok := t.members[m.Node]; ok {
-		t.summary.fold(old)
+		t.summary.toggle(old)
 	}
 	t.members[m.Node] = m
-	t.summary.fold(m)
+	t.summary.toggle(m)
 	t.sorted = nil
 }
 
-func (t *Table) tell(m Member) {
-	for _, f := range t.news {
+func (t *Table) notify(m Member) {
+	for _, f := range t.subscribers {
 		f(m)
 	}
 }
 
-// Members returns all records, in the order of their nodes' names.
+// Members returns all records, sorted by node name.
 func (t *Table) Members() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -267,29 +276,31 @@
 	return slices.Clone(t.sorted)
 }
 
-// Upstreams returns the upstreams of a service that take new work. The caller
-// must not change what it gets.
+// Upstreams returns the upstreams of a service that take new calls. The caller
+// must not modify the returned slice.
 func (t *Table) Upstreams(service kqname.Service) []Candidate {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.candidates[service]
 }
 
-// Living returns how many members are not held to be gone, this node included.
+// Living returns the number of alive and suspect members, this node included.
 func (t *Table) Living() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.living
+	return t.liveCount
 }
 
-func (t *Table) index() {
-	t.living = 0
+// rebuildCandidates recomputes the candidates of each service and the number of
+// live members.
+func (t *Table) rebuildCandidates() {
+	t.liveCount = 0
 	candidates := make(map[kqname.Service][]Candidate)
 	for _, m := range t.members {
 		if m.State >= Leaving {
 			continue
 		}
-		t.living++
+		t.liveCount++
 		for _, u := range m.Upstreams {
 			if !u.Draining {
 				candidates[u.Service] = append(candidates[u.Service], Candidate{Upstream: u, Node: m.Node, Domain: m.Domain, Region: m.Region, Gate: m.Gate})
--- a/internal/peer/kqmember/member_test.go
+++ b/internal/peer/kqmember/member_test.go
@@ -24,10 +24,10 @@
 	return kqmember.Member{Node: kqname.Node(fmt.Sprintf("node-%d", n)), Control: "127.0.0.1:1", Incarnation: incarnation, State: state}
 }
 
-// News arrives in any order, doubled or lost, and two tables then compare by
-// buckets, as nodes do. If they could end up different with equal summaries, or
-// differ for ever, callers of one node would be sent to upstreams that are gone.
-func TestTablesAgreeWhateverTheOrder(t *testing.T) {
+// Guards against tables that stay different, or differ with equal summaries: callers of
+// one node would be sent to upstreams that have gone. Records arrive in any order,
+// duplicated or lost, and the two tables then exchange their buckets as nodes do.
+func TestTablesConvergeWhateverTheOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := kqmember.NewTable(member(100, 1, kqmember.Alive)), kqmember.NewTable(member(101, 1, kqmember.Alive))
 		for range rapid.IntRange(0, 40).Draw(t, "records") {
@@ -38,7 +38,7 @@
 					before, known := table.Find(m.Node)
 					table.Merge(m)
 					if after, _ := table.Find(m.Node); known && after.Incarnation < before.Incarnation {
-						t.Fatalf("%s fell from incarnation %d to %d", m.Node, before.Incarnation, after.Incarnation)
+						t.Fatalf("incarnation of %s fell from %d to %d", m.Node, before.Incarnation, after.Incarnation)
 					}
 				}
 			}
@@ -51,7 +51,7 @@
 			for _, m := range b.Bucket(all) {
 				a.Merge(m)
 			}
-			// What is only suspected is dead once its time to refute is over.
+			// A suspect that does not refute in time is declared dead.
 			for _, table := range []*kqmember.Table{a, b} {
 				for _, m := range table.Members() {
 					if m.State == kqmember.Suspect {
@@ -67,22 +67,22 @@
 	})
 }
 
-// A node was only slow, and hears that it is held to be dead. It would get no
-// calls ever again if it did not say otherwise under a higher incarnation.
+// Guards against a node that was only slow, receives a record of its own death and then
+// never gets calls again. It must announce itself alive under a higher incarnation.
 func TestNodeRefutesItsOwnDeath(t *testing.T) {
 	table := kqmember.NewTable(member(1, 5, kqmember.Alive))
-	var told kqmember.Member
-	table.OnNews(func(m kqmember.Member) { told = m })
+	var announced kqmember.Member
+	table.OnNews(func(m kqmember.Member) { announced = m })
 	table.Merge(member(1, 5, kqmember.Dead))
-	if told.Incarnation <= 5 || told.State != kqmember.Alive {
-		t.Fatalf("told %+v", told)
+	if announced.Incarnation <= 5 || announced.State != kqmember.Alive {
+		t.Fatalf("announced %+v, want alive with an incarnation over 5", announced)
 	}
 }
 
-// A replaced server's old record is dropped a day after its death. Peers that
-// heard of the death later still hold it; if their word brought it back, the
-// tables would grow with every replacement for good.
-func TestForgottenDeadStayForgotten(t *testing.T) {
+// Guards against tables that grow with every replaced server. The record of a dead node
+// is dropped after a day, but peers that learned of the death later still send it; it
+// must not be added again unless it has a new incarnation.
+func TestPrunedDeadMembersStayPruned(t *testing.T) {
 	table := kqmember.NewTable(member(1, 1, kqmember.Alive))
 	table.Merge(member(2, 1, kqmember.Dead))
 	start := time.Unix(0, 0)
@@ -90,10 +90,10 @@
 	table.Forget(start.Add(time.Hour), start.Add(2*time.Hour))
 	table.Merge(member(2, 1, kqmember.Dead))
 	if _, ok := table.Find("node-2"); ok {
-		t.Fatal("the dead member is back")
+		t.Fatal("the pruned dead member was added again")
 	}
 	table.Merge(member(2, 2, kqmember.Alive))
 	if _, ok := table.Find("node-2"); !ok {
-		t.Fatal("a server that came back is not taken in")
+		t.Fatal("a pruned member that restarted was not added")
 	}
 }
--- a/internal/peer/kqmember/beliefs_former_test.go
+++ b/internal/peer/kqmember/restart_test.go
@@ -6,10 +6,10 @@
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
 )
 
-// What was said of a node's former process arrives once the next one is in use: it was
-// leaving, or held to be dead. Taken in, it would take the next one's upstreams out of
-// service, and calls would be refused that they could serve.
-func TestRecordsOfAFormerProcessArriveLate(t *testing.T) {
+// Guards against a late record of a node's former process (leaving or dead) that arrives
+// while the next process serves. If it were merged, the running process's upstreams would
+// leave the candidate list and calls that they could serve would be refused.
+func TestLateRecordsOfFormerProcessAreIgnored(t *testing.T) {
 	record := func(incarnation uint64, s kqmember.State) kqmember.Member {
 		return kqmember.Member{
 			Node: "goes", Control: "127.0.0.1:1", Gate: "127.0.0.1:2", Incarnation: incarnation, State: s,
@@ -21,15 +21,15 @@
 	for _, s := range []kqmember.State{kqmember.Alive, kqmember.Suspect, kqmember.Leaving, kqmember.Dead} {
 		peer.Merge(record(1000, s))
 		if len(peer.Upstreams("store")) != 1 {
-			t.Errorf("the former process, %s, took the next one's upstream out of service", s)
+			t.Errorf("a %s record of the former process removed the running process's upstream", s)
 		}
 	}
 }
 
-// A node starts again after its server's clock was set back, so that its former process
-// seems to be the later one, and that one had said goodbye. Once its peers' word reaches
-// it, it must be in use again.
-func TestNodeStartsAgainAfterItsClockWasSetBack(t *testing.T) {
+// Guards against a restarted node that stays unused because its server's clock was set
+// back: its incarnation is then lower than that of its former process, which left as dead.
+// Once it merges the peers' record of itself, it must become a candidate again.
+func TestNodeRejoinsAfterItsClockWasSetBack(t *testing.T) {
 	former := kqmember.Member{Node: "goes", Control: "127.0.0.1:1", Gate: "127.0.0.1:2", Incarnation: 5003, State: kqmember.Dead}
 	peer := kqmember.NewTable(kqmember.Member{Node: "stays", Control: "127.0.0.1:3"})
 	peer.Merge(former)
@@ -38,11 +38,11 @@
 	next.Upstreams = []kqmember.Upstream{{Service: "store", Version: "v1", Slots: 4}}
 	own := kqmember.NewTable(next)
 	if peer.Merge(own.Self()); len(peer.Upstreams("store")) != 0 {
-		t.Fatal("the peer believes a record that seems to be older")
+		t.Fatal("the peer merged a record of a lower incarnation")
 	}
-	held, _ := peer.Find("goes")
-	own.Merge(held)
+	peerRecord, _ := peer.Find("goes")
+	own.Merge(peerRecord)
 	if peer.Merge(own.Self()); len(peer.Upstreams("store")) != 1 {
-		t.Errorf("the node says %+v and is not in use", own.Self())
+		t.Errorf("the peer has no upstream of the node, whose own record is %+v", own.Self())
 	}
 }
--- a/internal/peer/kqmember/summary.go
+++ b/internal/peer/kqmember/summary.go
@@ -8,27 +8,28 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Buckets is how many parts a table is compared by: at 550 members, one that
-// differs costs the records of about 9 and not of all.
+// Buckets is the number of parts in which tables are compared. At 550 members a
+// single difference costs the transfer of about 9 records instead of all.
 const Buckets = 64
 
 type (
-	// Summary stands for a whole table. Equal tables have equal summaries; the
-	// configuration versions that members hold are summed apart.
+	// Summary holds hashes of a table: one for each bucket of records, and one for
+	// the configuration versions that members hold. Equal tables have equal summaries.
 	Summary struct {
 		Records [Buckets]uint64
 		Configs uint64
 	}
 
-	// Configs gives the name hashes of the members that hold each version.
+	// Configs maps each configuration version to the name hashes of the members
+	// that hold it.
 	Configs map[kqname.ConfigVersion][]uint64
 )
 
-// Hash returns the hash of all records.
+// Hash returns the combined hash of all buckets of records.
 func (s Summary) Hash() uint64 {
 	var all uint64
 	for i, h := range s.Records {
-		all ^= mix(h, uint64(i))
+		all ^= hashPair(h, uint64(i))
 	}
 	return all
 }
@@ -40,24 +41,24 @@
 	return t.summary
 }
 
-// fold adds a record, or takes it out again. The dead are not summed, since
-// nodes forget them at different times.
-func (s *Summary) fold(m Member) {
+// toggle adds a record to the hashes, or removes it if it was added. Dead members
+// are left out, since nodes drop them at different times.
+func (s *Summary) toggle(m Member) {
 	if m.State == Dead {
 		return
 	}
-	h := name(m.Node)
-	s.Records[h%Buckets] ^= mix(h, m.Incarnation<<3|uint64(m.State))
-	s.Configs ^= mix(h, uint64(m.Config))
+	h := nameHash(m.Node)
+	s.Records[h%Buckets] ^= hashPair(h, m.Incarnation<<3|uint64(m.State))
+	s.Configs ^= hashPair(h, uint64(m.Config))
 }
 
-// Bucket returns the records whose bucket is chosen.
+// Bucket returns the records in the buckets for which chosen returns true.
 func (t *Table) Bucket(chosen func(bucket int) bool) []Member {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	var list []Member
 	for n, m := range t.members {
-		if chosen(int(name(n) % Buckets)) {
+		if chosen(int(nameHash(n) % Buckets)) {
 			list = append(list, m)
 		}
 	}
@@ -71,13 +72,14 @@
 	c := make(Configs)
 	for n, m := range t.members {
 		if m.State != Dead {
-			c[m.Config] = append(c[m.Config], name(n))
+			c[m.Config] = append(c[m.Config], nameHash(n))
 		}
 	}
 	return c
 }
 
-// MergeConfigs takes in what a peer knows of the versions that members hold.
+// MergeConfigs raises the configuration versions of members to those that a peer
+// knows. This node's own version is not changed.
 func (t *Table) MergeConfigs(c Configs) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,16 +90,16 @@
 		}
 	}
 	for n, m := range t.members {
-		if v := held[name(n)]; v > m.Config && n != t.self {
+		if v := held[nameHash(n)]; v > m.Config && n != t.self {
 			m.Config = v
 			t.set(m)
 		}
 	}
 }
 
-func name(n kqname.Node) uint64 { return xxhash.Sum64String(string(n)) }
+func nameHash(n kqname.Node) uint64 { return xxhash.Sum64String(string(n)) }
 
-func mix(a, b uint64) uint64 {
+func hashPair(a, b uint64) uint64 {
 	var data [16]byte
 	binary.LittleEndian.PutUint64(data[:8], a)
 	binary.LittleEndian.PutUint64(data[8:], b)
