--- a/internal/peer/kqspread/direct.go
+++ b/internal/peer/kqspread/direct.go
@@ -7,26 +7,28 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Send hands a message to some nodes only, which do not pass it on. It does not
-// wait for them: a node that still works on the one before is passed over, so
-// that a slow peer holds at most one message here, and the next makes up for it.
+// Send sends a message to the given nodes only, which do not forward it. It does
+// not wait for them. A node with a message of Send still in flight is skipped and
+// the drop is counted, so a slow peer holds at most one message in memory here;
+// the next message replaces the dropped one.
 func (s *Spreader) Send(ctx context.Context, t Topic, payload []byte, to []kqname.Address) {
 	m := message{From: s.self, Topic: t, Payload: payload}
 	for _, address := range to {
-		if !s.begin(address) {
-			s.dropped()
+		if !s.tryAcquire(address) {
+			s.onDrop()
 			continue
 		}
 		s.sending.Go(func() {
-			defer s.end(address)
+			defer s.release(address)
 			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), sendTimeout)
 			defer cancel()
-			_, _ = kqpeer.Call[message, nothing](ctx, s.client, address, methodDirect, m)
+			_, _ = kqpeer.Call[message, empty](ctx, s.client, address, methodDirect, m)
 		})
 	}
 }
 
-func (s *Spreader) begin(to kqname.Address) bool {
+// tryAcquire marks a peer as busy and reports whether it was free.
+func (s *Spreader) tryAcquire(to kqname.Address) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.busy[to] {
@@ -36,12 +38,13 @@
 	return true
 }
 
-func (s *Spreader) end(to kqname.Address) {
+func (s *Spreader) release(to kqname.Address) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.busy, to)
 }
 
+// deliver passes a message to the local receivers of its topic.
 func (s *Spreader) deliver(m message) {
 	s.mu.Lock()
 	receivers := s.receivers[m.Topic]
--- a/internal/peer/kqspread/direct_test.go
+++ b/internal/peer/kqspread/direct_test.go
@@ -20,10 +20,10 @@
 	peer struct {
 		spreader *kqspread.Spreader
 		address  kqname.Address
-		heard    chan string
+		received chan string
 	}
 
-	// neighbours is an overlay whose links are set by hand.
+	// neighbours is an overlay with a fixed list of neighbours.
 	neighbours struct{ list []kqmember.Member }
 )
 
@@ -36,9 +36,9 @@
 		t.Fatal(err)
 	}
 	server, client := kqpeer.NewServer(nil), kqpeer.NewClient(name, nil)
-	p := &peer{address: kqname.Address(l.Addr().String()), heard: make(chan string, 100)}
+	p := &peer{address: kqname.Address(l.Addr().String()), received: make(chan string, 100)}
 	p.spreader = kqspread.New(server, client, name, overlay, func() {})
-	p.spreader.Subscribe(topic, func(_ kqname.Node, payload []byte) { p.heard <- string(payload) })
+	p.spreader.Subscribe(topic, func(_ kqname.Node, payload []byte) { p.received <- string(payload) })
 	ctx, stop := context.WithCancel(context.Background())
 	var group conc.WaitGroup
 	group.Go(func() { _ = server.Serve(ctx, l) })
@@ -51,10 +51,10 @@
 	return p
 }
 
-// A gate tells its evidence to the nodes that weigh it. If they passed it on,
-// each rollout would fill every node's control budget, and operators would see
-// configuration arrive late while traffic moves.
-func TestSendReachesOnlyThoseNamed(t *testing.T) {
+// Guards against the flooding of direct messages. Gates send rollout evidence to the few
+// nodes that evaluate it; if these forwarded it, each rollout would exhaust every node's
+// control budget and configuration would arrive late.
+func TestSendReachesOnlyTheGivenNodes(t *testing.T) {
 	overlay := &neighbours{}
 	a, b, c := start(t, "a", overlay), start(t, "b", overlay), start(t, "c", overlay)
 	for _, p := range []*peer{b, c} {
@@ -62,12 +62,12 @@
 	}
 	a.spreader.Send(t.Context(), topic, []byte("evidence"), []kqname.Address{b.address})
 	if got := next(t, b); got != "evidence" {
-		t.Fatalf("named node heard %q, want evidence", got)
+		t.Fatalf("the given node received %q, want evidence", got)
 	}
 	a.spreader.Publish(t.Context(), topic, []byte("progress"))
 	for _, p := range []*peer{b, c} {
 		if got := next(t, p); got != "progress" {
-			t.Errorf("heard %q before progress, want what was sent to it and nothing else", got)
+			t.Errorf("received %q, want progress: only the given node may receive a direct message", got)
 		}
 	}
 }
@@ -75,10 +75,10 @@
 func next(t *testing.T, p *peer) string {
 	t.Helper()
 	select {
-	case m := <-p.heard:
+	case m := <-p.received:
 		return m
 	case <-time.After(10 * time.Second):
-		t.Fatal("heard nothing in 10 s")
+		t.Fatal("received nothing in 10 s")
 		return ""
 	}
 }
--- a/internal/peer/kqspread/doc.go
+++ b/internal/peer/kqspread/doc.go
@@ -1,3 +1,3 @@
-// Package kqspread hands small messages to every node. A message may arrive
-// late or not at all; what it says must bear that.
+// Package kqspread broadcasts small messages to every node by flooding. A message
+// may arrive late or not at all, so its content must tolerate delay and loss.
 package kqspread
--- a/internal/peer/kqspread/flood.go
+++ b/internal/peer/kqspread/flood.go
@@ -12,10 +12,10 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// batchBytes bounds the payloads of one frame.
-const batchBytes = 256 << 10
+// maxBatchBytes bounds the total size of the payloads in one frame.
+const maxBatchBytes = 256 << 10
 
-// Run passes messages on until ctx ends.
+// Run forwards queued messages to the neighbours until ctx ends.
 func (s *Spreader) Run(ctx context.Context) {
 	defer s.sending.Wait()
 	for {
@@ -27,7 +27,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(gather):
+		case <-time.After(batchDelay):
 		}
 		for batch := s.batch(); len(batch) > 0; batch = s.batch() {
 			kqkeeper.From(ctx).Try("spread", func() { s.flood(ctx, batch) })
@@ -35,20 +35,24 @@
 	}
 }
 
+// batch dequeues the next messages from the queue: at least one if there is
+// any, and otherwise as many as fit in maxBatchBytes.
 func (s *Spreader) batch() []message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	size, n := 0, 0
-	for n < len(s.queue) && (n == 0 || size+len(s.queue[n].Payload) <= batchBytes) {
+	for n < len(s.queue) && (n == 0 || size+len(s.queue[n].Payload) <= maxBatchBytes) {
 		size += len(s.queue[n].Payload)
 		n++
 	}
 	batch := slices.Clone(s.queue[:n])
 	s.queue = slices.Delete(s.queue, 0, n)
-	s.queued -= size
+	s.queuedBytes -= size
 	return batch
 }
 
+// flood offers a batch to all neighbours and waits until each has answered or
+// sendTimeout has passed.
 func (s *Spreader) flood(ctx context.Context, batch []message) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
@@ -63,18 +67,18 @@
 	}
 }
 
-// sendTo offers a batch to a peer and sends what it lacks. A peer that missed it
-// is offered the same by its other neighbours.
+// sendTo offers the ids of a batch to a peer and sends the messages that it lacks.
+// Failures are ignored: the peer's other neighbours offer it the same messages.
 func (s *Spreader) sendTo(ctx context.Context, to kqname.Address, ids offer, batch []message) {
-	lacks, err := kqpeer.Call[offer, offer](ctx, s.client, to, methodOffer, ids)
-	if err != nil || len(lacks.IDs) == 0 {
+	missing, err := kqpeer.Call[offer, offer](ctx, s.client, to, methodOffer, ids)
+	if err != nil || len(missing.IDs) == 0 {
 		return
 	}
 	var d delivery
 	for _, m := range batch {
-		if slices.Contains(lacks.IDs, m.ID) {
+		if slices.Contains(missing.IDs, m.ID) {
 			d.Messages = append(d.Messages, m)
 		}
 	}
-	_, _ = kqpeer.Call[delivery, nothing](ctx, s.client, to, methodDeliver, d)
+	_, _ = kqpeer.Call[delivery, empty](ctx, s.client, to, methodDeliver, d)
 }
