--- a/internal/peer/kqexchange/doc.go
+++ b/internal/peer/kqexchange/doc.go
@@ -1,4 +1,4 @@
-// Package kqexchange keeps the member tables of nodes alike: heartbeats on the
-// overlay's links, news that floods over them, and a comparison with a random
-// peer that repairs what the flood lost.
+// Package kqexchange synchronizes the member tables of all nodes. Heartbeats on the
+// links of the overlay detect failures, changed records flood over the same links,
+// and comparisons of tables with peers repair what the flood lost.
 package kqexchange
--- a/internal/peer/kqexchange/exchange.go
+++ b/internal/peer/kqexchange/exchange.go
@@ -18,68 +18,77 @@
 
 const (
 	callTimeout = time.Second
-	// reconcileBeats is the least pause between two comparisons, in heartbeats.
+	// reconcileBeats is the least time between two comparisons, in heartbeats.
 	reconcileBeats = 2
-	// probeBeats is the pause between two probes of a lost member, and wanderBeats
-	// between two of any dead member or seed, in heartbeats.
-	probeBeats  = 4
-	wanderBeats = 20
-	// rememberDead is how long a dead member is probed: a server that comes back
+	// probeBeats is the interval between probes of dead members that would be
+	// neighbours, in heartbeats. Every randomProbeBeats heartbeats one random dead
+	// member and one random contact are probed.
+	probeBeats       = 4
+	randomProbeBeats = 20
+	// deadRetention is how long a dead member is probed: a server that returns
 	// within a day during an outage of the platform is found again.
-	rememberDead = 24 * time.Hour
-	// idleLink is when a connection that is not a neighbour's is closed.
+	deadRetention = 24 * time.Hour
+	// idleBeats is how long a connection may be idle before it is closed, in
+	// heartbeats.
 	idleBeats = 10
 )
 
 type (
-	// Versions is the configuration flow as heartbeats see it.
+	// Versions exchanges configuration versions by heartbeats.
 	Versions interface {
-		// Newest is the highest version whose root this node holds.
+		// Newest returns the highest version whose root this node holds.
 		Newest() kqname.ConfigVersion
-		// Heard is told of every version that a peer says it holds.
+		// Heard is called with the newest version in each heartbeat of a peer.
 		Heard(v kqname.ConfigVersion, from kqname.Address)
-		// Answered is told of each peer that answered a heartbeat.
+		// Answered is called with each peer that answered a heartbeat and the newest
+		// version in the answer.
 		Answered(n kqname.Node, v kqname.ConfigVersion)
 	}
 
-	// Budget says how long bulk must wait; 0 sends it now.
+	// Budget limits the bulk traffic of comparisons and floods.
 	Budget interface {
+		// Allow returns 0 if bulk traffic may be sent now, and otherwise how long to
+		// wait.
 		Allow(now time.Time) time.Duration
 	}
 
-	// Exchanger keeps this node's table. It is safe for concurrent use.
+	// Exchanger synchronizes this node's table with its peers'. It is safe for
+	// concurrent use.
 	Exchanger struct {
 		client   *kqpeer.Client
 		table    *kqmember.Table
 		overlay  *kqoverlay.Overlay
 		versions Versions
 		budget   Budget
-		every    time.Duration
+		interval time.Duration
 		group    conc.WaitGroup
 
-		mu         sync.Mutex
-		contacts   []kqname.Address
-		detector   *kqsuspicion.Detector
-		busy       map[kqname.Address]bool
-		reconciled time.Time
-		queue      map[kqname.Node]kqmember.Member
-		wake       chan struct{}
-		// kick sends heartbeats at once to neighbours that were just learnt of; a
-		// starting node would else wait for its next ones before it may serve.
-		kick chan struct{}
+		mu           sync.Mutex
+		contacts     []kqname.Address
+		detector     *kqsuspicion.Detector
+		busy         map[kqname.Address]bool
+		lastCompared time.Time
+		// queue holds the records to be flooded, the latest of each node.
+		queue map[kqname.Node]kqmember.Member
+		wake  chan struct{}
+		// beatNow triggers heartbeats at once when a node has learned its first
+		// members: a starting node would otherwise wait for the next tick before it
+		// may serve.
+		beatNow chan struct{}
 	}
 )
 
-// New returns an exchanger that answers on server and sends through client.
-// Contacts are addresses to ask while no member is known, and from time to time
-// later on, so that two halves of a fleet that forgot each other join again.
+// New returns an exchanger that registers its methods on server and sends through
+// client, with a heartbeat to each neighbour per interval. Contacts are addresses
+// that get heartbeats while no live peer is known, and one of them from time to
+// time later on, so that two parts of a fleet that dropped each other join again.
 func New(server *kqpeer.Server, client *kqpeer.Client, table *kqmember.Table, overlay *kqoverlay.Overlay,
-	versions Versions, budget Budget, contacts []kqname.Address, every time.Duration,
+	versions Versions, budget Budget, contacts []kqname.Address, interval time.Duration,
 ) *Exchanger {
 	e := &Exchanger{
-		client: client, table: table, overlay: overlay, versions: versions, budget: budget, every: every,
-		contacts: contacts, detector: kqsuspicion.New(every), busy: make(map[kqname.Address]bool),
-		queue: make(map[kqname.Node]kqmember.Member), wake: make(chan struct{}, 1), kick: make(chan struct{}, 1),
+		client: client, table: table, overlay: overlay, versions: versions, budget: budget, interval: interval,
+		contacts: contacts, detector: kqsuspicion.New(interval), busy: make(map[kqname.Address]bool),
+		queue: make(map[kqname.Node]kqmember.Member), wake: make(chan struct{}, 1), beatNow: make(chan struct{}, 1),
 	}
 	self := table.Self().Node
 	table.OnNews(func(m kqmember.Member) {
@@ -87,73 +96,78 @@
 			e.enqueue(m)
 		}
 	})
-	kqpeer.Handle(server, methodBeat, e.answerBeat)
+	kqpeer.Handle(server, methodHeartbeat, e.answerHeartbeat)
 	kqpeer.Handle(server, methodCompare, e.answerCompare)
-	kqpeer.Handle(server, methodNews, e.takeNews)
+	kqpeer.Handle(server, methodUpdates, e.mergeUpdates)
 	return e
 }
 
-// Run exchanges until ctx ends.
+// Run sends heartbeats and floods changed records until ctx ends.
 func (e *Exchanger) Run(ctx context.Context) {
 	defer e.group.Wait()
-	kept := kqkeeper.From(ctx)
-	e.group.Go(func() { kept.Keep(ctx, "news", func() { e.flush(ctx) }) })
-	ticker := time.NewTicker(e.every)
+	keeper := kqkeeper.From(ctx)
+	e.group.Go(func() { keeper.Keep(ctx, "news", func() { e.floodQueue(ctx) }) })
+	ticker := time.NewTicker(e.interval)
 	defer ticker.Stop()
 	for beat := 0; ; beat++ {
-		kept.Try("heartbeat", func() { e.tick(ctx, beat, time.Now()) })
+		keeper.Try("heartbeat", func() { e.tick(ctx, beat, time.Now()) })
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-e.kick:
+		case <-e.beatNow:
 		}
 	}
 }
 
-// Contact adds an address to ask, such as a reader's found on the platform.
+// Contact sends a heartbeat to an address outside the table, such as that of a
+// node found through the store.
 func (e *Exchanger) Contact(ctx context.Context, to kqname.Address) {
 	if to != e.table.Self().Control {
-		e.start(ctx, to)
+		e.sendHeartbeat(ctx, to)
 	}
 }
 
-// Announce tells the neighbours what is news now, and returns once each has it
-// or has failed; a leaving node cannot wait for the next flush.
-func (e *Exchanger) Announce(ctx context.Context) { e.send(ctx, e.take(maxQueue)) }
+// Announce sends all queued records to the neighbours at once, and returns when
+// each has received them or has failed. A leaving node uses it, since it cannot
+// wait for the next flood.
+func (e *Exchanger) Announce(ctx context.Context) { e.send(ctx, e.dequeue(maxQueue)) }
 
+// tick sends the heartbeats that are due on a beat: to all neighbours, to a random
+// live member or, without one, to all contacts, and to the members to be probed.
 func (e *Exchanger) tick(ctx context.Context, beat int, now time.Time) {
 	neighbours := e.overlay.Neighbours()
-	e.judge(neighbours, now)
+	e.detectFailures(neighbours, now)
 	for _, m := range neighbours {
-		e.start(ctx, m.Control)
+		e.sendHeartbeat(ctx, m.Control)
 	}
-	if to, ok := e.random(func(m kqmember.Member) bool { return m.State != kqmember.Dead }); ok {
-		e.start(ctx, to)
+	if to, ok := e.randomAddress(func(m kqmember.Member) bool { return m.State != kqmember.Dead }); ok {
+		e.sendHeartbeat(ctx, to)
 	} else {
 		for _, to := range e.contacts {
-			e.start(ctx, to)
+			e.sendHeartbeat(ctx, to)
 		}
 	}
 	if beat%probeBeats == probeBeats-1 {
 		for _, m := range e.overlay.Lost() {
-			e.start(ctx, m.Control)
+			e.sendHeartbeat(ctx, m.Control)
 		}
 	}
-	if beat%wanderBeats == wanderBeats-1 {
-		if to, ok := e.random(func(m kqmember.Member) bool { return m.State == kqmember.Dead }); ok {
-			e.start(ctx, to)
+	if beat%randomProbeBeats == randomProbeBeats-1 {
+		if to, ok := e.randomAddress(func(m kqmember.Member) bool { return m.State == kqmember.Dead }); ok {
+			e.sendHeartbeat(ctx, to)
 		}
 		if len(e.contacts) > 0 {
-			e.start(ctx, e.contacts[rand.IntN(len(e.contacts))])
+			e.sendHeartbeat(ctx, e.contacts[rand.IntN(len(e.contacts))])
 		}
-		e.table.Forget(now.Add(-rememberDead), now)
+		e.table.Forget(now.Add(-deadRetention), now)
 	}
-	e.client.Sweep(now.Add(-idleBeats * e.every))
+	e.client.Sweep(now.Add(-idleBeats * e.interval))
 }
 
-// judge turns missed heartbeats into suspicions and deaths, which are news.
-func (e *Exchanger) judge(neighbours []kqmember.Member, now time.Time) {
+// detectFailures declares members suspect or dead by their missed heartbeats, and
+// queues the changed records. A leaving member is declared dead without suspicion.
+func (e *Exchanger) detectFailures(neighbours []kqmember.Member, now time.Time) {
 	var watched, suspects []kqname.Node
 	for _, m := range neighbours {
 		watched = append(watched, m.Node)
@@ -183,11 +197,13 @@
 	}
 }
 
-func (e *Exchanger) random(fits func(kqmember.Member) bool) (kqname.Address, bool) {
+// randomAddress returns the control address of a random other member that matches,
+// and false if there is none.
+func (e *Exchanger) randomAddress(matches func(kqmember.Member) bool) (kqname.Address, bool) {
 	self := e.table.Self().Node
 	var list []kqname.Address
 	for _, m := range e.table.Members() {
-		if m.Node != self && fits(m) {
+		if m.Node != self && matches(m) {
 			list = append(list, m.Control)
 		}
 	}
--- a/internal/peer/kqexchange/flood.go
+++ b/internal/peer/kqexchange/flood.go
@@ -12,28 +12,29 @@
 )
 
 const (
-	methodNews = "m.n"
-	// flushPause gathers what is news at the same time into one message a link.
-	flushPause = 20 * time.Millisecond
-	flushMost  = 64
-	// maxQueue bounds the records that wait; the newest of each node waits, so
-	// it takes a fleet of this size to reach it.
+	methodUpdates = "m.n"
+	// batchDelay is how long the flood waits, so that records which change at about
+	// the same time share one message per link.
+	batchDelay = 20 * time.Millisecond
+	maxBatch   = 64
+	// maxQueue bounds the queued records. The queue holds one record per node, so
+	// only a fleet of this size could fill it.
 	maxQueue = 4096
 )
 
 type (
-	// news is records that changed. Quiet ones are not passed on.
-	news struct {
+	// updates holds changed records. The receiver does not forward Quiet ones.
+	updates struct {
 		Members []kqmember.Member `cbor:"1,keyasint"`
 		Quiet   bool              `cbor:"2,keyasint,omitempty"`
 	}
 
-	nothing struct{}
+	empty struct{}
 )
 
-// takeNews merges a peer's news; what is news here too floods on, so that every
-// record crosses each link about once and the flood ends by itself.
-func (e *Exchanger) takeNews(_ context.Context, _ kqname.Node, q news) (nothing, error) {
+// mergeUpdates merges a peer's records and queues those that changed this table, so
+// that every record crosses each link about once and the flood ends by itself.
+func (e *Exchanger) mergeUpdates(_ context.Context, _ kqname.Node, q updates) (empty, error) {
 	for _, m := range q.Members {
 		if !e.table.Merge(m) || q.Quiet {
 			continue
@@ -42,9 +43,11 @@
 			e.enqueue(now)
 		}
 	}
-	return nothing{}, nil
+	return empty{}, nil
 }
 
+// enqueue queues a record for the flood, replacing an older one of the same node.
+// If the queue is full, the record is dropped and left to comparisons.
 func (e *Exchanger) enqueue(m kqmember.Member) {
 	e.mu.Lock()
 	if _, ok := e.queue[m.Node]; ok || len(e.queue) < maxQueue {
@@ -57,12 +60,13 @@
 	}
 }
 
-func (e *Exchanger) take(most int) []kqmember.Member {
+// dequeue removes and returns at most limit queued records.
+func (e *Exchanger) dequeue(limit int) []kqmember.Member {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var batch []kqmember.Member
 	for n, m := range e.queue {
-		if len(batch) == most {
+		if len(batch) == limit {
 			break
 		}
 		batch = append(batch, m)
@@ -71,14 +75,16 @@
 	return batch
 }
 
-func (e *Exchanger) flush(ctx context.Context) {
+// floodQueue sends queued records to the neighbours in batches, within the budget,
+// until ctx ends.
+func (e *Exchanger) floodQueue(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-e.wake:
 		}
-		wait := flushPause
+		wait := batchDelay
 		for {
 			select {
 			case <-ctx.Done():
@@ -88,16 +94,18 @@
 			if wait = e.budget.Allow(time.Now()); wait > 0 {
 				continue
 			}
-			batch := e.take(flushMost)
+			batch := e.dequeue(maxBatch)
 			if len(batch) == 0 {
 				break
 			}
 			e.send(ctx, batch)
-			wait = flushPause
+			wait = batchDelay
 		}
 	}
 }
 
+// send sends a batch to all neighbours and waits until each has answered or
+// callTimeout has passed.
 func (e *Exchanger) send(ctx context.Context, batch []kqmember.Member) {
 	if len(batch) == 0 {
 		return
@@ -108,8 +116,8 @@
 	defer group.Wait()
 	for _, to := range e.overlay.Neighbours() {
 		group.Go(func() {
-			// A peer that missed it finds the difference when it compares.
-			_, _ = kqpeer.Call[news, nothing](ctx, e.client, to.Control, methodNews, news{Members: batch})
+			// The error is ignored: a comparison repairs what a peer has missed.
+			_, _ = kqpeer.Call[updates, empty](ctx, e.client, to.Control, methodUpdates, updates{Members: batch})
 		})
 	}
 }
--- a/internal/peer/kqexchange/heartbeat.go
+++ b/internal/peer/kqexchange/heartbeat.go
@@ -11,28 +11,30 @@
 )
 
 const (
-	methodBeat    = "m.b"
-	methodCompare = "m.c"
+	methodHeartbeat = "m.b"
+	methodCompare   = "m.c"
 )
 
 type (
-	// beat is a heartbeat: who is there, in which state, and with what.
-	beat struct {
+	// heartbeat holds the sender's incarnation, the hash of its member table, the
+	// newest configuration version that it knows and the one that it has applied.
+	heartbeat struct {
 		Incarnation uint64               `cbor:"1,keyasint"`
 		Records     uint64               `cbor:"2,keyasint"`
 		Newest      kqname.ConfigVersion `cbor:"3,keyasint"`
 		Config      kqname.ConfigVersion `cbor:"4,keyasint"`
 	}
 
-	beatAnswer struct {
-		beat
+	heartbeatAnswer struct {
+		heartbeat
 		Node    kqname.Node `cbor:"5,keyasint"`
 		Configs uint64      `cbor:"6,keyasint"`
-		// Unknown tells the sender that its record here is missing, old or bad.
+		// Unknown reports that the receiver has no record of the sender, has one of
+		// another incarnation, or holds it suspect or dead.
 		Unknown bool `cbor:"7,keyasint,omitempty"`
 	}
 
-	// comparison asks for the records of the buckets whose hashes differ.
+	// comparison requests the records of the buckets whose hashes differ.
 	comparison struct {
 		Records []uint64         `cbor:"1,keyasint"`
 		Configs kqmember.Configs `cbor:"2,keyasint"`
@@ -42,14 +44,15 @@
 		Buckets []int             `cbor:"1,keyasint"`
 		Members []kqmember.Member `cbor:"2,keyasint"`
 		Configs kqmember.Configs  `cbor:"3,keyasint"`
-		// Busy is how long to stay away, in milliseconds; nothing else is set.
+		// Busy is how long the receiver's budget stays exhausted, in milliseconds.
+		// If it is set, all other fields are empty.
 		Busy int64 `cbor:"4,keyasint,omitempty"`
 	}
 )
 
-// start sends a heartbeat beside whatever else is under way; a peer that hangs
-// holds up nobody, and gets one heartbeat at a time.
-func (e *Exchanger) start(ctx context.Context, to kqname.Address) {
+// sendHeartbeat sends a heartbeat in its own goroutine, so that a peer that hangs
+// does not delay others. It does nothing while one to the same peer is in flight.
+func (e *Exchanger) sendHeartbeat(ctx context.Context, to kqname.Address) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if to == "" || e.busy[to] || ctx.Err() != nil {
@@ -64,17 +67,19 @@
 		}()
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		kqkeeper.From(ctx).Try("heartbeat", func() { e.beat(ctx, to) })
+		kqkeeper.From(ctx).Try("heartbeat", func() { e.heartbeat(ctx, to) })
 	})
 }
 
-func (e *Exchanger) beat(ctx context.Context, to kqname.Address) {
+// heartbeat sends a heartbeat, records the answer, and compares tables if
+// either node does not know the other or the hashes differ.
+func (e *Exchanger) heartbeat(ctx context.Context, to kqname.Address) {
 	summary := e.table.Summary()
-	a, err := kqpeer.Call[beat, beatAnswer](ctx, e.client, to, methodBeat, e.own(summary))
+	a, err := kqpeer.Call[heartbeat, heartbeatAnswer](ctx, e.client, to, methodHeartbeat, e.ownHeartbeat(summary))
 	if err != nil || a.Node == e.table.Self().Node {
 		return
 	}
-	e.heard(a.Node, a.beat, to)
+	e.recordHeartbeat(a.Node, a.heartbeat, to)
 	e.versions.Answered(a.Node, a.Newest)
 	_, known := e.table.Find(a.Node)
 	if a.Unknown || !known {
@@ -86,24 +91,26 @@
 	}
 }
 
-func (e *Exchanger) own(s kqmember.Summary) beat {
+func (e *Exchanger) ownHeartbeat(s kqmember.Summary) heartbeat {
 	self := e.table.Self()
-	return beat{Incarnation: self.Incarnation, Records: s.Hash(), Newest: e.versions.Newest(), Config: self.Config}
+	return heartbeat{Incarnation: self.Incarnation, Records: s.Hash(), Newest: e.versions.Newest(), Config: self.Config}
 }
 
-func (e *Exchanger) answerBeat(_ context.Context, from kqname.Node, q beat) (beatAnswer, error) {
+func (e *Exchanger) answerHeartbeat(_ context.Context, from kqname.Node, q heartbeat) (heartbeatAnswer, error) {
 	m, ok := e.table.Find(from)
 	if ok {
-		e.heard(from, q, m.Control)
+		e.recordHeartbeat(from, q, m.Control)
 	}
 	summary := e.table.Summary()
-	return beatAnswer{
-		beat: e.own(summary), Node: e.table.Self().Node, Configs: summary.Configs,
+	return heartbeatAnswer{
+		heartbeat: e.ownHeartbeat(summary), Node: e.table.Self().Node, Configs: summary.Configs,
 		Unknown: !ok || m.Incarnation != q.Incarnation || m.State == kqmember.Suspect || m.State == kqmember.Dead,
 	}, nil
 }
 
-func (e *Exchanger) heard(n kqname.Node, b beat, at kqname.Address) {
+// recordHeartbeat passes a peer's heartbeat to the failure detector, the table and
+// the configuration versions.
+func (e *Exchanger) recordHeartbeat(n kqname.Node, b heartbeat, at kqname.Address) {
 	e.mu.Lock()
 	e.detector.Heard(n, time.Now())
 	e.mu.Unlock()
@@ -111,36 +118,37 @@
 	e.versions.Heard(b.Newest, at)
 }
 
-// mayCompare lets one comparison through in a while: right after news, tables
-// differ everywhere, and the flood is about to mend that by itself.
+// mayCompare limits this node to one comparison per reconcileBeats heartbeats and
+// to its budget. Right after a change all tables differ until the flood has reached
+// them, so comparing more often would only cost traffic.
 func (e *Exchanger) mayCompare(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now.Sub(e.reconciled) < reconcileBeats*e.every || e.budget.Allow(now) > 0 {
+	if now.Sub(e.lastCompared) < reconcileBeats*e.interval || e.budget.Allow(now) > 0 {
 		return false
 	}
-	e.reconciled = now
+	e.lastCompared = now
 	return true
 }
 
-// compare brings this table and a peer's up to the newer of both. What is
-// learnt so is no news to flood: others compare too.
+// compare merges this table and a peer's so that both hold the newer records. The
+// records received are not flooded, since other nodes compare too.
 func (e *Exchanger) compare(ctx context.Context, to kqname.Address) {
 	own := e.table.Summary()
 	a, err := kqpeer.Call[comparison, comparisonAnswer](ctx, e.client, to, methodCompare, comparison{Records: own.Records[:], Configs: e.table.Configs()})
 	if err != nil || a.Busy > 0 {
 		return
 	}
-	alone := len(e.table.Members()) == 1
+	wasAlone := len(e.table.Members()) == 1
 	theirs := make(map[kqname.Node]kqmember.Member, len(a.Members))
 	for _, m := range a.Members {
 		theirs[m.Node] = m
 		e.table.Merge(m)
 	}
 	e.table.MergeConfigs(a.Configs)
-	if alone && len(theirs) > 1 {
+	if wasAlone && len(theirs) > 1 {
 		select {
-		case e.kick <- struct{}{}:
+		case e.beatNow <- struct{}{}:
 		default:
 		}
 	}
@@ -155,8 +163,8 @@
 		}
 	}
 	if len(newer) > 0 {
-		// What is lost here is found by the next comparison.
-		_, _ = kqpeer.Call[news, nothing](ctx, e.client, to, methodNews, news{Members: newer, Quiet: true})
+		// The error is ignored: the next comparison repeats what is lost.
+		_, _ = kqpeer.Call[updates, empty](ctx, e.client, to, methodUpdates, updates{Members: newer, Quiet: true})
 	}
 }
 
