--- a/internal/peer/kqpeer/client.go
+++ b/internal/peer/kqpeer/client.go
@@ -15,7 +15,8 @@
 const dialTimeout = time.Second
 
 type (
-	// Client sends requests to peers and keeps one connection to each.
+	// Client sends requests to peers over one persistent connection to each. It is
+	// safe for concurrent use.
 	Client struct {
 		self  kqname.Node
 		meter Meter
@@ -29,29 +30,30 @@
 	// Dialer opens a connection to a peer.
 	Dialer func(ctx context.Context, to kqname.Address) (net.Conn, error)
 
-	// ClientGuard secures a connection to a peer before anything is sent on it.
+	// ClientGuard secures a connection to a peer, such as by TLS, before anything
+	// is sent on it.
 	ClientGuard func(ctx context.Context, conn net.Conn) (net.Conn, error)
 
-	// ClientOption sets up a Client.
+	// ClientOption configures a Client.
 	ClientOption func(*Client)
 
 	link struct {
-		// turn is held for one exchange: a drpc connection takes one at a time.
-		// It is a channel so that whoever waits for a slow exchange to end can
-		// stop waiting at its own deadline.
-		turn chan struct{}
-		conn *drpcconn.Conn
-		used time.Time
+		// lock is held during a request, since a drpc connection carries one at a
+		// time. It is a channel and not a mutex so that a caller that waits for a
+		// slow request can give up at its own deadline.
+		lock     chan struct{}
+		conn     *drpcconn.Conn
+		lastUsed time.Time
 	}
 )
 
-// WithDialer replaces plain TCP.
+// WithDialer sets the dialer; the default is plain TCP.
 func WithDialer(d Dialer) ClientOption { return func(c *Client) { c.dial = d } }
 
-// WithClientGuard sends requests only on connections that g accepts.
+// WithClientGuard sends requests only on connections that g has secured.
 func WithClientGuard(g ClientGuard) ClientOption { return func(c *Client) { c.guard = g } }
 
-// NewClient returns a client that speaks as self; meter may be nil.
+// NewClient returns a client that sends requests as the node self; meter may be nil.
 func NewClient(self kqname.Node, meter Meter, options ...ClientOption) *Client {
 	c := &Client{self: self, meter: meter, links: make(map[kqname.Address]*link), dial: dialTCP}
 	for _, o := range options {
@@ -60,31 +62,31 @@
 	return c
 }
 
-// Call sends q to a peer's method and waits for its answer. The connection is
-// closed, never used again, when the exchange fails: a late answer on it could
-// otherwise be taken for the next request's.
+// Call sends a request to a method of a peer and waits for the answer. If that
+// fails, it closes the connection: on a reused one, a late answer could be taken
+// for the answer to the next request.
 func Call[Q, A any](ctx context.Context, c *Client, to kqname.Address, method string, q Q) (A, error) {
 	var a A
 	l := c.link(to)
 	select {
-	case l.turn <- struct{}{}:
+	case l.lock <- struct{}{}:
 	case <-ctx.Done():
-		return a, fmt.Errorf("wait for the link to %s: %w", to, ctx.Err())
+		return a, fmt.Errorf("wait for an earlier request to %s: %w", to, ctx.Err())
 	}
-	defer func() { <-l.turn }()
-	l.used = time.Now()
+	defer func() { <-l.lock }()
+	l.lastUsed = time.Now()
 	if err := c.connect(ctx, l, to); err != nil {
 		return a, fmt.Errorf("connect to %s: %w", to, err)
 	}
 	if err := l.conn.Invoke(ctx, method, codec{}, &envelope[Q]{From: c.self, Body: q}, &a); err != nil {
 		_ = l.conn.Close()
 		l.conn = nil
-		return a, fmt.Errorf("%s at %s: %w", method, to, err)
+		return a, fmt.Errorf("call %s at %s: %w", method, to, err)
 	}
 	return a, nil
 }
 
-// Forget closes the connection to a peer.
+// Forget closes and removes the connection to a peer.
 func (c *Client) Forget(to kqname.Address) {
 	c.mu.Lock()
 	l, ok := c.links[to]
@@ -96,19 +98,19 @@
 }
 
 // Sweep closes the connections that have been idle since before the given time.
-// Without it, a node that exchanges with one random peer after the other would
-// end up with a connection to each.
+// Without it, a node that sends heartbeats to random peers would end up with a
+// connection to each node of the fleet.
 func (c *Client) Sweep(before time.Time) {
 	c.mu.Lock()
 	var idle []*link
 	for to, l := range c.links {
 		select {
-		case l.turn <- struct{}{}:
-			if l.used.Before(before) {
+		case l.lock <- struct{}{}:
+			if l.lastUsed.Before(before) {
 				delete(c.links, to)
 				idle = append(idle, l)
 			}
-			<-l.turn
+			<-l.lock
 		default:
 		}
 	}
@@ -129,17 +131,20 @@
 	}
 }
 
+// link returns the link to a peer, without connecting it.
 func (c *Client) link(to kqname.Address) *link {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l, ok := c.links[to]
 	if !ok {
-		l = &link{turn: make(chan struct{}, 1)}
+		l = &link{lock: make(chan struct{}, 1)}
 		c.links[to] = l
 	}
 	return l
 }
 
+// connect opens the link's connection unless it is open; the caller holds the
+// link's lock.
 func (c *Client) connect(ctx context.Context, l *link, to kqname.Address) error {
 	if l.conn != nil {
 		select {
@@ -167,8 +172,8 @@
 }
 
 func (l *link) close() {
-	l.turn <- struct{}{}
-	defer func() { <-l.turn }()
+	l.lock <- struct{}{}
+	defer func() { <-l.lock }()
 	if l.conn != nil {
 		_ = l.conn.Close()
 		l.conn = nil
--- a/internal/peer/kqpeer/codec.go
+++ b/internal/peer/kqpeer/codec.go
@@ -11,33 +11,33 @@
 )
 
 // MaxFrameBytes bounds one message between nodes, in bytes: a frame holds one
-// object of up to 1 MB and its envelope. Without the bound, one broken peer
-// could make a node allocate whatever length it states.
+// object of up to 1 MB and its envelope. Without the bound, one faulty peer
+// could make a node allocate any length that it claims.
 const MaxFrameBytes = 1<<20 + 64<<10
 
-// compressOver is the size from which a message is worth compressing, in bytes.
-const compressOver = 512
+// minCompressBytes is the message size from which compression is worthwhile.
+const minCompressBytes = 512
 
-// windowBytes is how far back a repetition is found; it bounds the memory of
-// each compressor. A process has one for each processor that it runs on: were
-// there one for all, whoever sends would wait in one line, and in a storm of news
-// the line would outlast the timeouts of the calls in it.
+// windowBytes is the size of the compression window; it bounds the memory of each
+// compressor. There is one compressor per processor: with a single one, senders
+// would queue for it, and when many records change at once they would wait longer
+// than their timeouts.
 const windowBytes = 64 << 10
 
 var (
 	encoder = mustEncoder()
 	decoder = mustDecoder()
-	// magic begins every zstd frame; no CBOR message of ours begins with it, as
-	// they are all maps.
-	magic        = []byte{0x28, 0xb5, 0x2f, 0xfd}
+	// zstdMagic begins every zstd frame. No message in plain CBOR begins with it,
+	// since all are maps.
+	zstdMagic    = []byte{0x28, 0xb5, 0x2f, 0xfd}
 	compressor   = mustCompressor()
 	decompressor = mustDecompressor()
 )
 
 type codec struct{}
 
-// Marshal implements drpc.Encoding. Long messages are compressed: names stand
-// in them many times over.
+// Marshal implements drpc.Encoding. It compresses long messages, which repeat the
+// same names many times.
 func (codec) Marshal(m drpc.Message) ([]byte, error) {
 	data, err := encoder.Marshal(m)
 	if err != nil {
@@ -46,16 +46,16 @@
 	if len(data) > MaxFrameBytes {
 		return nil, fmt.Errorf("encode %T of %d bytes: %w", m, len(data), ErrFrame)
 	}
-	if len(data) < compressOver {
+	if len(data) < minCompressBytes {
 		return data, nil
 	}
 	return compressor.EncodeAll(data, nil), nil
 }
 
-// Unmarshal implements drpc.Encoding. What a message decompresses to is bounded
-// too, or a short one could take all memory.
+// Unmarshal implements drpc.Encoding. The decompressed size is bounded too, since
+// a short message could otherwise expand to use all memory.
 func (codec) Unmarshal(data []byte, m drpc.Message) error {
-	if bytes.HasPrefix(data, magic) {
+	if bytes.HasPrefix(data, zstdMagic) {
 		plain, err := decompressor.DecodeAll(data, nil)
 		if err != nil {
 			return fmt.Errorf("decompress %T: %w", m, err)
@@ -86,7 +86,8 @@
 }
 
 func mustEncoder() cbor.EncMode {
-	// Whole seconds, the library's own choice, would change what a digest names.
+	// The library's default truncates times to whole seconds, so an object decoded
+	// by a peer would no longer match its digest.
 	mode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
 	if err != nil {
 		panic(err)
--- a/internal/peer/kqpeer/doc.go
+++ b/internal/peer/kqpeer/doc.go
@@ -1,3 +1,3 @@
-// Package kqpeer carries typed requests between nodes: drpc streams with CBOR
-// messages over TCP, one kept connection to each peer.
+// Package kqpeer carries typed requests between nodes, as drpc calls with CBOR
+// messages over one persistent TCP connection to each peer.
 package kqpeer
--- a/internal/peer/kqpeer/guard_test.go
+++ b/internal/peer/kqpeer/guard_test.go
@@ -12,13 +12,13 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// A node that holds a good certificate speaks in another node's name. Without
-// the check, one captured server could give orders as if it were any other; the
-// user would see a healthy node declared gone. The request must reach nothing.
-func TestSenderMustBeTheProvedNode(t *testing.T) {
+// Guards against impersonation by a node with a valid certificate. Without the check of
+// the sender's name, one compromised server could send requests as any other node, and
+// operators would see a healthy node declared dead. The request must not run.
+func TestSenderMustMatchItsCertificate(t *testing.T) {
 	var ran atomic.Int32
-	prove := func(_ context.Context, c net.Conn) (net.Conn, kqname.Node, error) { return c, "honest", nil }
-	server := kqpeer.NewServer(nil, kqpeer.WithGuard(prove))
+	authenticate := func(_ context.Context, c net.Conn) (net.Conn, kqname.Node, error) { return c, "honest", nil }
+	server := kqpeer.NewServer(nil, kqpeer.WithGuard(authenticate))
 	kqpeer.Handle(server, "order", func(context.Context, kqname.Node, int) (int, error) {
 		ran.Add(1)
 		return 1, nil
@@ -41,7 +41,7 @@
 		_, err := kqpeer.Call[int, int](ctx, client, kqname.Address(l.Addr().String()), "order", 1)
 		client.Close()
 		if ran.Load() != c.runs || (err == nil) != (c.runs == 1) {
-			t.Errorf("%s: ran %d times, error %v; want %d", c.sender, ran.Load(), err, c.runs)
+			t.Errorf("requests of %s: handler ran %d times, error %v; want %d runs", c.sender, ran.Load(), err, c.runs)
 		}
 	}
 }
--- a/internal/peer/kqpeer/meter.go
+++ b/internal/peer/kqpeer/meter.go
@@ -2,12 +2,14 @@
 
 import "net"
 
+// meteredConn counts the bytes of a connection.
 type meteredConn struct {
 	net.Conn
 	meter Meter
 }
 
-// Read implements net.Conn. Its errors stay bare, as readers compare them.
+// Read implements net.Conn. Errors are returned unwrapped, since readers compare
+// them by identity.
 func (c meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if c.meter != nil {
--- a/internal/peer/kqpeer/panic_test.go
+++ b/internal/peer/kqpeer/panic_test.go
@@ -10,9 +10,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// A peer's message meets a fault in the method that answers it. The library does not
-// catch the panic: the process would end, and cut all callers' calls. Only this
-// request may fail.
+// Guards against a panic in a method that ends the process and cuts all calls in flight,
+// since the drpc library does not recover it. Only the request that panicked may fail.
 func TestPanicInAMethodFailsOneRequest(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,10 +35,10 @@
 		t.Error("the request that panicked was answered")
 	}
 	if a, err := kqpeer.Call[int, int](ctx, c, to, "t.p", 7); err != nil || a != 7 {
-		t.Errorf("the next request: %d, %v", a, err)
+		t.Errorf("the next request returned %d, %v, want 7", a, err)
 	}
 	if p := <-panics; p.Value != "fault" || p.Part != "peer" {
-		t.Errorf("noted %+v", p)
+		t.Errorf("reported panic %+v, want value fault in part peer", p)
 	}
 	stop()
 	c.Close()
--- a/internal/peer/kqpeer/server.go
+++ b/internal/peer/kqpeer/server.go
@@ -20,30 +20,30 @@
 )
 
 var (
-	// namespace holds the package's error types; its errors are made once and carry
-	// no stack.
+	// namespace holds the package's error types. Its errors are created once, as
+	// sentinels, and carry no stack trace.
 	namespace = errorx.NewNamespace("kqpeer").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-	// ErrFrame tells that a message is over MaxFrameBytes.
+	// ErrFrame is returned for a message that exceeds MaxFrameBytes.
 	ErrFrame = namespace.NewType("frame").New("message is too large")
-	// ErrMethod tells that the peer does not know the method.
+	// ErrMethod is returned for a method that the peer does not implement.
 	ErrMethod = namespace.NewType("method").New("unknown method")
-	// ErrSender tells that a request names another sender than its
-	// connection's certificate does.
-	ErrSender = namespace.NewType("sender").New("sender is not the certificate's node")
-	// ErrPanicked tells that a fault in this program ended the request.
-	ErrPanicked = namespace.NewType("panic").New("panicked")
+	// ErrSender is returned if a request names another sender than the certificate
+	// of its connection.
+	ErrSender = namespace.NewType("sender").New("sender does not match the certificate's node")
+	// ErrPanicked is returned if the method's handler panicked.
+	ErrPanicked = namespace.NewType("panic").New("handler panicked")
 )
 
 const (
-	// part is the name of the peers' requests in what is noted of them.
+	// part names the handling of peers' requests in reports of panics.
 	part = "peer"
-	// guardTimeout bounds what a peer may take to prove who it is.
+	// guardTimeout bounds the authentication of a new connection.
 	guardTimeout = 5 * time.Second
 )
 
 type (
-	// Server answers peers' requests. The zero value is not usable.
+	// Server answers requests of peers. Create it with NewServer.
 	Server struct {
 		mu      sync.RWMutex
 		methods map[string]method
@@ -51,16 +51,17 @@
 		guard   Guard
 	}
 
-	// Guard secures an accepted connection and returns the node that the
-	// other end has proved to be; the error closes the connection.
+	// Guard secures an accepted connection and returns the authenticated node at
+	// the other end. After an error the connection is closed.
 	Guard func(ctx context.Context, conn net.Conn) (net.Conn, kqname.Node, error)
 
-	// ServerOption sets up a Server.
+	// ServerOption configures a Server.
 	ServerOption func(*Server)
 
+	// senderKey is the context key of the authenticated node of a connection.
 	senderKey struct{}
 
-	// Meter is told how many bytes control traffic puts on the wire.
+	// Meter counts the bytes of control traffic on the wire.
 	Meter interface {
 		Sent(bytes int)
 		Received(bytes int)
@@ -74,7 +75,7 @@
 	method func(stream drpc.Stream) error
 )
 
-// WithGuard lets only those connections in that g accepts.
+// WithGuard serves only connections that g has authenticated.
 func WithGuard(g Guard) ServerOption { return func(s *Server) { s.guard = g } }
 
 // NewServer returns a server without methods; meter may be nil.
@@ -86,8 +87,9 @@
 	return s
 }
 
-// Handle answers a method's requests with f. Requests and answers travel as
-// CBOR; from is the node that the sender says it is.
+// Handle registers f as the handler of a method. Requests and answers are encoded
+// as CBOR. from is the sender as the request names it; with a guard it is checked
+// against the authenticated node.
 func Handle[Q, A any](s *Server, name string, f func(ctx context.Context, from kqname.Node, q Q) (A, error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,8 +98,8 @@
 		if err := stream.MsgRecv(&q, codec{}); err != nil {
 			return fmt.Errorf("receive %s: %w", name, err)
 		}
-		if proved, ok := stream.Context().Value(senderKey{}).(kqname.Node); ok && proved != q.From {
-			return fmt.Errorf("%s from %q, proved %q: %w", name, q.From, proved, ErrSender)
+		if authenticated, ok := stream.Context().Value(senderKey{}).(kqname.Node); ok && authenticated != q.From {
+			return fmt.Errorf("%s from %q, authenticated as %q: %w", name, q.From, authenticated, ErrSender)
 		}
 		a, err := f(stream.Context(), q.From, q.Body)
 		if err != nil {
@@ -119,13 +121,13 @@
 		return fmt.Errorf("%s: %w", rpc, ErrMethod)
 	}
 	err := fmt.Errorf("%s: %w", rpc, ErrPanicked)
-	// The library does not catch a panic, which would end the process.
+	// The library does not recover panics, so one would end the process.
 	kqkeeper.From(stream.Context()).Try(part, func() { err = m(stream) })
 	return err
 }
 
-// Serve answers peers on the listener until ctx ends. A listener whose failures pass waits
-// for that itself, as kqacceptor's do; any error is taken for final.
+// Serve answers peers on the listener until ctx ends. It treats every error of Accept
+// as final, so a listener must retry temporary failures itself, as kqacceptor's do.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	server := drpcserver.NewWithOptions(s, drpcserver.Options{Manager: managerOptions()})
 	tracker := drpcctx.NewTracker(ctx)
@@ -149,8 +151,8 @@
 	}
 }
 
-// serveOne answers one peer. What it sends before it has proved who it is
-// reaches no method.
+// serveOne serves one connection. No request reaches a method before the peer has
+// been authenticated.
 func (s *Server) serveOne(ctx context.Context, server *drpcserver.Server, conn net.Conn) {
 	var secured net.Conn = meteredConn{Conn: conn, meter: s.meter}
 	if s.guard != nil {
@@ -164,7 +166,7 @@
 		secured = guarded
 		ctx = context.WithValue(ctx, senderKey{}, sender)
 	}
-	// The error tells only that the peer has gone; its requests have ended.
+	// The error only reports that the connection has ended, and its requests with it.
 	_ = server.ServeOne(ctx, secured)
 }
 
