--- a/internal/peer/kqbudget/doc.go
+++ b/internal/peer/kqbudget/doc.go
@@ -1,2 +1,2 @@
-// Package kqbudget keeps a node's control traffic within its send budget.
+// Package kqbudget limits the rate of a node's outgoing control traffic.
 package kqbudget
