--- a/internal/peer/kqoverlay/doc.go
+++ b/internal/peer/kqoverlay/doc.go
@@ -1,2 +1,2 @@
-// Package kqoverlay keeps a node's neighbours in step with its member table.
+// Package kqoverlay derives a node's neighbours from its member table.
 package kqoverlay
--- a/internal/peer/kqoverlay/overlay.go
+++ b/internal/peer/kqoverlay/overlay.go
@@ -9,7 +9,8 @@
 )
 
 type (
-	// Overlay gives the neighbours of this node. It is safe for concurrent use.
+	// Overlay computes the neighbours of this node and caches them until a record of
+	// the table changes. It is safe for concurrent use.
 	Overlay struct {
 		table   *kqmember.Table
 		chooser kqneighbour.Chooser
@@ -21,7 +22,7 @@
 	}
 )
 
-// New returns the overlay over a table.
+// New returns the overlay of the members in a table.
 func New(table *kqmember.Table) *Overlay {
 	o := &Overlay{table: table, stale: true}
 	table.OnNews(func(kqmember.Member) {
@@ -32,20 +33,22 @@
 	return o
 }
 
-// Neighbours returns the members that this node keeps links to.
+// Neighbours returns the live members that this node is linked to.
 func (o *Overlay) Neighbours() []kqmember.Member {
 	alive, _ := o.choose()
 	return o.records(alive)
 }
 
-// Lost returns the dead members that would be neighbours if they were alive.
-// They are this node's to probe, so that each dead member is probed by a few
-// nodes however large the fleet is.
+// Lost returns the dead members that would be neighbours if they were alive. This
+// node probes only these, so that a few nodes probe each dead member however large
+// the fleet is.
 func (o *Overlay) Lost() []kqmember.Member {
 	_, lost := o.choose()
 	return o.records(lost)
 }
 
+// choose returns the names of the neighbours and of the lost members, recomputed
+// if the table has changed.
 func (o *Overlay) choose() (alive, lost []kqname.Node) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -53,18 +56,18 @@
 		return o.alive, o.lost
 	}
 	o.stale = false
-	self := one(o.table.Self())
-	var living, all []kqneighbour.Member
+	self := chooserMember(o.table.Self())
+	var live, all []kqneighbour.Member
 	dead := make(map[kqname.Node]bool)
 	for _, m := range o.table.Members() {
-		all = append(all, one(m))
+		all = append(all, chooserMember(m))
 		if m.State == kqmember.Dead {
 			dead[m.Node] = true
 		} else {
-			living = append(living, one(m))
+			live = append(live, chooserMember(m))
 		}
 	}
-	o.alive, o.lost = o.chooser.Choose(self, living), nil
+	o.alive, o.lost = o.chooser.Choose(self, live), nil
 	if len(dead) == 0 {
 		return o.alive, o.lost
 	}
@@ -86,6 +89,6 @@
 	return list
 }
 
-func one(m kqmember.Member) kqneighbour.Member {
+func chooserMember(m kqmember.Member) kqneighbour.Member {
 	return kqneighbour.Member{Node: m.Node, Domain: m.Domain, Region: m.Region}
 }
