--- a/internal/peer/kqdeparture/departure.go
+++ b/internal/peer/kqdeparture/departure.go
@@ -20,31 +20,31 @@
 )
 
 const (
-	methodTell = "d.t"
-	methodAsk  = "d.a"
+	methodReplicate = "d.t"
+	methodFetch     = "d.a"
 
 	prefix = "kumquatgw/departures/"
-	// remember is how long a departure is kept; upstreams end some seconds after
-	// they have said that they leave.
-	remember = time.Minute
-	// most bounds the departures that are kept: 550 servers that all leave at
-	// once, and those that replace them.
-	most = 2000
-	// told is how many peers must hold a departure, where the store does not:
-	// two of them are seldom lost together with the node that told them.
-	told = 2
-	// tellPeers is how many peers are tried.
-	tellPeers = 4
-	// tellFor bounds the wait before the acknowledgement; an upstream gives up on
-	// one that takes a second.
-	tellFor = 600 * time.Millisecond
-	// askFor bounds how long a starting node uses no upstream while neither the
-	// store nor enough peers answer. A node that is cut off from all of them
-	// serves its own callers only.
-	askFor   = 1500 * time.Millisecond
-	askPause = 50 * time.Millisecond
-	// storeAgain is the pause before a departure is written into the store again.
-	storeAgain = time.Second
+	// retention is how long a departure is kept; upstreams end some seconds after
+	// they have announced it.
+	retention = time.Minute
+	// maxDepartures bounds the departures that are kept: enough for 550 servers that
+	// all leave at once, and those that replace them.
+	maxDepartures = 2000
+	// quorum is how many peers must hold a departure while the store does not: two
+	// peers are seldom lost together with the node that sent it.
+	quorum = 2
+	// maxPeers is how many peers are contacted.
+	maxPeers = 4
+	// replicateTimeout bounds the wait before the acknowledgement; an upstream gives
+	// up on one that takes a second.
+	replicateTimeout = 600 * time.Millisecond
+	// learnTimeout bounds how long a starting node uses no upstream while neither
+	// the store nor enough peers answer. A node that cannot reach any of them serves
+	// only its own callers.
+	learnTimeout = 1500 * time.Millisecond
+	learnPause   = 50 * time.Millisecond
+	// storeRetryPause is the pause before a failed write to the store is retried.
+	storeRetryPause = time.Second
 )
 
 type (
@@ -55,13 +55,14 @@
 		List(ctx context.Context, prefix string) (kqstore.Listing, error)
 	}
 
-	// Departure tells that every start of an upstream up to Born leaves.
+	// Departure records that an upstream instance leaves. It covers every process of
+	// the instance that started at Born or before.
 	Departure struct {
 		Instance kqname.Instance `cbor:"1,keyasint"`
 		Born     int64           `cbor:"2,keyasint"`
 	}
 
-	// Departures holds what is known of upstreams that leave. It is safe for
+	// Departures holds the known departures and replicates them. It is safe for
 	// concurrent use.
 	Departures struct {
 		store  Store
@@ -69,99 +70,102 @@
 		table  *kqmember.Table
 		group  conc.WaitGroup
 
-		mu   sync.Mutex
-		held map[Departure]time.Time
+		mu sync.Mutex
+		// known maps each departure to when this node learned of it.
+		known map[Departure]time.Time
 	}
 
-	all struct {
+	departureList struct {
 		Departures []Departure `cbor:"1,keyasint"`
 	}
 
-	nothing struct{}
+	empty struct{}
 )
 
-// New returns departures that answers on server.
+// New returns an empty set of departures that registers its methods on server.
 func New(store Store, server *kqpeer.Server, client *kqpeer.Client, table *kqmember.Table) *Departures {
-	d := &Departures{store: store, client: client, table: table, held: make(map[Departure]time.Time)}
-	kqpeer.Handle(server, methodTell, func(_ context.Context, _ kqname.Node, q all) (nothing, error) {
-		d.note(q.Departures, time.Now())
-		return nothing{}, nil
+	d := &Departures{store: store, client: client, table: table, known: make(map[Departure]time.Time)}
+	kqpeer.Handle(server, methodReplicate, func(_ context.Context, _ kqname.Node, q departureList) (empty, error) {
+		d.add(q.Departures, time.Now())
+		return empty{}, nil
 	})
-	kqpeer.Handle(server, methodAsk, func(context.Context, kqname.Node, nothing) (all, error) {
-		return all{d.list(time.Now())}, nil
+	kqpeer.Handle(server, methodFetch, func(context.Context, kqname.Node, empty) (departureList, error) {
+		return departureList{d.list(time.Now())}, nil
 	})
 	return d
 }
 
-// Tell notes a departure and returns once the store or enough peers hold it too,
-// or after a bounded while; storing it goes on beside. One that is known already
-// is not told again.
+// Tell records a departure and replicates it. It returns when the store or a quorum
+// of peers holds it, or after replicateTimeout; the write to the store continues in
+// the background. A departure that is already known is not sent again.
 func (d *Departures) Tell(ctx context.Context, one Departure) {
-	if !d.note([]Departure{one}, time.Now()) {
+	if !d.add([]Departure{one}, time.Now()) {
 		return
 	}
 	stored := make(chan struct{}, 1)
-	beside := context.WithoutCancel(ctx)
-	d.group.Go(func() { d.persist(beside, one, stored) })
-	waiting, cancel := context.WithTimeout(ctx, tellFor)
+	background := context.WithoutCancel(ctx)
+	d.group.Go(func() { d.persist(background, one, stored) })
+	waitCtx, cancel := context.WithTimeout(ctx, replicateTimeout)
 	defer cancel()
 	peers := d.peers()
-	held := make(chan struct{}, len(peers))
+	acknowledged := make(chan struct{}, len(peers))
 	for _, to := range peers {
 		d.group.Go(func() {
-			asking, stop := context.WithTimeout(beside, tellFor)
+			callCtx, stop := context.WithTimeout(background, replicateTimeout)
 			defer stop()
-			if _, err := kqpeer.Call[all, nothing](asking, d.client, to, methodTell, all{[]Departure{one}}); err == nil {
-				held <- struct{}{}
+			if _, err := kqpeer.Call[departureList, empty](callCtx, d.client, to, methodReplicate, departureList{[]Departure{one}}); err == nil {
+				acknowledged <- struct{}{}
 			}
 		})
 	}
-	for n := 0; n < told; {
+	for n := 0; n < quorum; {
 		select {
-		case <-held:
+		case <-acknowledged:
 			n++
 		case <-stored:
 			return
-		case <-waiting.Done():
+		case <-waitCtx.Done():
 			return
 		}
 	}
 }
 
-// persist writes a departure into the store, again while the store does not
-// answer: told to peers alone, it would be lost with them.
+// persist writes a departure to the store and retries until it succeeds or half of
+// the retention has passed. A departure that only peers hold would be lost with them.
 func (d *Departures) persist(ctx context.Context, one Departure, stored chan<- struct{}) {
-	ctx, cancel := context.WithTimeout(ctx, remember/2)
+	ctx, cancel := context.WithTimeout(ctx, retention/2)
 	defer cancel()
 	for ctx.Err() == nil {
 		if d.write(ctx, one) == nil {
 			stored <- struct{}{}
 			return
 		}
-		kqpause.For(ctx, storeAgain)
+		kqpause.For(ctx, storeRetryPause)
 	}
 }
 
-// Learn asks the store and the peers what they know, and returns once both have
-// been asked and one of them has told, or after a bounded while.
+// Learn reads the departures that the store and the peers hold. It returns all known
+// departures when a quorum of peers has answered, when the store and one peer have,
+// or after learnTimeout.
 func (d *Departures) Learn(ctx context.Context) []Departure {
-	ctx, cancel := context.WithTimeout(ctx, askFor)
+	ctx, cancel := context.WithTimeout(ctx, learnTimeout)
 	defer cancel()
 	answered := make(map[kqname.Address]bool)
-	stored := false
+	storeRead := false
 	for ctx.Err() == nil {
-		stored = stored || d.read(ctx) == nil
-		d.ask(ctx, answered)
-		if len(answered) >= told || stored && len(answered) > 0 {
+		storeRead = storeRead || d.readStore(ctx) == nil
+		d.fetch(ctx, answered)
+		if len(answered) >= quorum || storeRead && len(answered) > 0 {
 			break
 		}
-		kqpause.For(ctx, askPause)
+		kqpause.For(ctx, learnPause)
 	}
 	return d.list(time.Now())
 }
 
+// write stores a departure once, under a lease of the length of the retention.
 func (d *Departures) write(ctx context.Context, one Departure) error {
-	lease, err := d.store.Grant(ctx, remember)
+	lease, err := d.store.Grant(ctx, retention)
 	if err != nil {
 		return fmt.Errorf("store departure: %w", err)
 	}
@@ -171,8 +175,9 @@
 	return nil
 }
 
-func (d *Departures) read(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, askFor/4)
+// readStore adds the departures in the store, skipping malformed keys.
+func (d *Departures) readStore(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, learnTimeout/4)
 	defer cancel()
 	l, err := d.store.List(ctx, prefix)
 	if err != nil {
@@ -184,81 +189,86 @@
 			found = append(found, one)
 		}
 	}
-	d.note(found, time.Now())
+	d.add(found, time.Now())
 	return nil
 }
 
-// ask asks the peers that have not answered yet.
-func (d *Departures) ask(ctx context.Context, answered map[kqname.Address]bool) {
+// fetch adds the departures of the peers that have not answered yet, and marks those
+// that do as answered.
+func (d *Departures) fetch(ctx context.Context, answered map[kqname.Address]bool) {
 	for _, to := range d.peers() {
 		if answered[to] {
 			continue
 		}
-		asking, cancel := context.WithTimeout(ctx, askFor/8)
-		a, err := kqpeer.Call[nothing, all](asking, d.client, to, methodAsk, nothing{})
+		callCtx, cancel := context.WithTimeout(ctx, learnTimeout/8)
+		a, err := kqpeer.Call[empty, departureList](callCtx, d.client, to, methodFetch, empty{})
 		cancel()
 		if err == nil {
-			d.note(a.Departures, time.Now())
+			d.add(a.Departures, time.Now())
 			answered[to] = true
 		}
 	}
 }
 
-// peers returns the addresses of a few live peers; they are the same for as long
-// as the members are, so that a restarted node asks those that were told.
+// peers returns the addresses of the first maxPeers live peers by name. The choice
+// is the same while the members are, so that a restarted node asks the peers that
+// hold its departures.
 func (d *Departures) peers() []kqname.Address {
 	var list []kqname.Address
 	self := d.table.Self().Node
 	for _, m := range d.table.Members() {
-		if m.Node != self && m.State == kqmember.Alive && len(list) < tellPeers {
+		if m.Node != self && m.State == kqmember.Alive && len(list) < maxPeers {
 			list = append(list, m.Control)
 		}
 	}
 	return list
 }
 
-// note takes in departures and reports whether any was news.
-func (d *Departures) note(list []Departure, now time.Time) bool {
+// add records departures, drops expired ones, and reports whether any was new.
+func (d *Departures) add(list []Departure, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for one, at := range d.held {
-		if now.Sub(at) > remember {
-			delete(d.held, one)
+	for one, at := range d.known {
+		if now.Sub(at) > retention {
+			delete(d.known, one)
 		}
 	}
-	news := false
+	added := false
 	for _, one := range list {
-		if _, ok := d.held[one]; !ok && len(d.held) < most {
-			d.held[one] = now
-			news = true
+		if _, ok := d.known[one]; !ok && len(d.known) < maxDepartures {
+			d.known[one] = now
+			added = true
 		}
 	}
-	return news
+	return added
 }
 
+// list returns the departures that have not expired.
 func (d *Departures) list(now time.Time) []Departure {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var list []Departure
-	for one, at := range d.held {
-		if now.Sub(at) <= remember {
+	for one, at := range d.known {
+		if now.Sub(at) <= retention {
 			list = append(list, one)
 		}
 	}
 	return list
 }
 
-// keyOf writes a departure as a key; instances are spelled so that any fits.
+// keyOf returns the store key of a departure. The instance is encoded in base32, since
+// it may contain characters that a key must not.
 func keyOf(d Departure) string {
 	return prefix + base32.StdEncoding.WithPadding(base32.NoPadding).EncodeToString([]byte(d.Instance)) + "/" + strconv.FormatInt(d.Born, 10)
 }
 
+// parse returns the departure that a store key stands for.
 func parse(key string) (Departure, error) {
 	name, born, _ := strings.Cut(strings.TrimPrefix(key, prefix), "/")
 	instance, err := base32.StdEncoding.WithPadding(base32.NoPadding).DecodeString(name)
-	n, bad := strconv.ParseInt(born, 10, 64)
-	if err = errors.Join(err, bad); err != nil {
-		return Departure{}, fmt.Errorf("read departure %q: %w", key, err)
+	n, parseErr := strconv.ParseInt(born, 10, 64)
+	if err = errors.Join(err, parseErr); err != nil {
+		return Departure{}, fmt.Errorf("parse departure key %q: %w", key, err)
 	}
 	return Departure{Instance: kqname.Instance(instance), Born: n}, nil
 }
