--- a/internal/store/kqstore/doc.go
+++ b/internal/store/kqstore/doc.go
@@ -1,5 +1,5 @@
-// Package kqstore describes the platform's key-value service as kumquatgw uses
-// it: get, put, compare-and-swap on a revision, leases and waiting watches.
-// Parts declare the few verbs they need; this package holds what those verbs
-// pass and the errors that they return.
+// Package kqstore defines the interface, types and errors of the platform's
+// key-value service: get, put, compare-and-swap on a revision, leases and
+// long-polling watches. Packages that use only some operations declare their own
+// smaller interfaces.
 package kqstore
