--- a/internal/store/kqstoreclient/client.go
+++ b/internal/store/kqstoreclient/client.go
@@ -15,18 +15,18 @@
 const defaultTimeout = 2 * time.Second
 
 type (
-	// Client implements kqstore.Store over HTTP.
+	// Client implements kqstore.Store over HTTP. It is safe for concurrent use.
 	Client struct {
 		url     string
 		http    *http.Client
 		timeout time.Duration
 	}
 
-	// Option sets up a Client.
+	// Option configures a Client.
 	Option func(*Client)
 )
 
-// WithTimeout bounds each call but a watch, whose wait is added to it.
+// WithTimeout sets the timeout of a call; that of a watch also includes its wait.
 func WithTimeout(d time.Duration) Option { return func(c *Client) { c.timeout = d } }
 
 // New returns a client of the service at url, such as "http://10.0.0.1:7000".
@@ -80,17 +80,19 @@
 	return a.Entry, err
 }
 
+// call posts one operation and decodes its answer. An unreachable service, and an
+// answer that cannot be read or has an unknown error code, give ErrUnavailable.
 func (c *Client) call(ctx context.Context, verb string, call kqstandin.Call, wait time.Duration) (kqstandin.Answer, error) {
 	var a kqstandin.Answer
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+wait)
 	defer cancel()
 	body, err := json.Marshal(call)
 	if err != nil {
-		return a, fmt.Errorf("encode %s: %w", verb, err)
+		return a, fmt.Errorf("encode %s request: %w", verb, err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url+"/v1/"+verb, bytes.NewReader(body))
 	if err != nil {
-		return a, fmt.Errorf("make %s: %w", verb, err)
+		return a, fmt.Errorf("create %s request: %w", verb, err)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -103,9 +105,9 @@
 	if a.Error == "" {
 		return a, nil
 	}
-	known, ok := kqstandin.Errors[a.Error]
+	cause, ok := kqstandin.Errors[a.Error]
 	if !ok {
-		known = kqstore.ErrUnavailable
+		cause = kqstore.ErrUnavailable
 	}
-	return a, fmt.Errorf("%s %s: %w", verb, call.Key, known)
+	return a, fmt.Errorf("%s %s: %w", verb, call.Key, cause)
 }
--- a/internal/store/kqstoreclient/contract_test.go
+++ b/internal/store/kqstoreclient/contract_test.go
@@ -17,31 +17,33 @@
 
 const longWait = 20 * time.Second
 
-// bench is one store, the stand-in behind it and that one's clock.
-type bench struct {
+// fixture is a store under test with the in-memory service behind it and the
+// service's clock.
+type fixture struct {
 	kqstore.Store
 	standin *kqstandin.Standin
 	mu      sync.Mutex
 	now     time.Time
 }
 
-func (b *bench) clock() time.Time {
+func (b *fixture) clock() time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.now
 }
 
-func (b *bench) pass(d time.Duration) {
+// advance moves the service's clock forward.
+func (b *fixture) advance(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.now = b.now.Add(d)
 }
 
-// both runs a test against the stand-in itself and over HTTP.
-func both(t *testing.T, f func(t *testing.T, b *bench)) {
+// forBoth runs a test against the in-memory service directly and over HTTP.
+func forBoth(t *testing.T, f func(t *testing.T, b *fixture)) {
 	for _, name := range []string{"memory", "http"} {
 		t.Run(name, func(t *testing.T) {
-			b := &bench{now: time.Unix(1000, 0)}
+			b := &fixture{now: time.Unix(1000, 0)}
 			b.standin = kqstandin.New(kqstandin.WithNow(b.clock))
 			b.Store = b.standin
 			if name == "http" {
@@ -64,99 +66,99 @@
 	}
 }
 
-func is(t *testing.T, what string, err, want error) {
+func checkError(t *testing.T, what string, err, want error) {
 	t.Helper()
 	if !errors.Is(err, want) {
-		t.Errorf("%s: %v, want %v", what, err, want)
+		t.Errorf("%s: error %v, want %v", what, err, want)
 	}
 }
 
-func TestVerbs(t *testing.T) {
-	both(t, func(t *testing.T, b *bench) {
+func TestOperations(t *testing.T) {
+	forBoth(t, func(t *testing.T, b *fixture) {
 		ctx := t.Context()
 		_, err := b.Get(ctx, "a")
-		is(t, "get of no key", err, kqstore.ErrNotFound)
+		checkError(t, "get of a missing key", err, kqstore.ErrNotFound)
 		first := must[kqstore.Revision](t)(b.Swap(ctx, "a", kqstore.Absent, []byte("1"), kqstore.NoLease))
 		_, err = b.Swap(ctx, "a", kqstore.Absent, []byte("2"), kqstore.NoLease)
-		is(t, "swap of a present key", err, kqstore.ErrConflict)
+		checkError(t, "swap of an existing key that should be absent", err, kqstore.ErrConflict)
 		second := must[kqstore.Revision](t)(b.Put(ctx, "a", []byte("2"), kqstore.NoLease))
 		if e := must[kqstore.Entry](t)(b.Get(ctx, "a")); string(e.Value) != "2" || e.Revision != second || second <= first {
-			t.Errorf("entry %+v after revisions %d and %d", e, first, second)
+			t.Errorf("entry %+v after writes at revisions %d and %d, want value 2 at the second", e, first, second)
 		}
-		is(t, "delete at an old revision", b.Delete(ctx, "a", first), kqstore.ErrConflict)
-		is(t, "delete", b.Delete(ctx, "a", second), nil)
-		is(t, "delete again", b.Delete(ctx, "a", second), kqstore.ErrNotFound)
+		checkError(t, "delete at an old revision", b.Delete(ctx, "a", first), kqstore.ErrConflict)
+		checkError(t, "delete", b.Delete(ctx, "a", second), nil)
+		checkError(t, "delete again", b.Delete(ctx, "a", second), kqstore.ErrNotFound)
 		for _, size := range []int{kqstore.MaxValueBytes + 1, 3 * kqstore.MaxValueBytes} {
 			_, err = b.Put(ctx, "a", make([]byte, size), kqstore.NoLease)
-			is(t, "put of too much", err, kqstore.ErrTooLarge)
+			checkError(t, "put of a value over the limit", err, kqstore.ErrTooLarge)
 		}
 		must[kqstore.Revision](t)(b.Put(ctx, "a", make([]byte, kqstore.MaxValueBytes), kqstore.NoLease))
 	})
 }
 
-// A holder is paused for longer than its lease, or the platform drops the
-// lease. Its keys are gone, another takes them, and the holder that wakes is
-// told; it would otherwise go on as if it still held them.
-func TestLeaseLapsesWhileItsHolderIsPaused(t *testing.T) {
-	both(t, func(t *testing.T, b *bench) {
+// Guards against a holder that continues as if it still held a lease which lapsed during
+// a pause or was dropped by the platform. Its keys must be deleted and free for others,
+// and its next renewal or write must fail with ErrLeaseLapsed.
+func TestHolderLearnsThatItsLeaseLapsed(t *testing.T) {
+	forBoth(t, func(t *testing.T, b *fixture) {
 		ctx := t.Context()
 		for name, lapse := range map[string]func(){
-			"paused":  func() { b.pass(11 * time.Second) },
+			"paused":  func() { b.advance(11 * time.Second) },
 			"dropped": func() { b.standin.SetFaults(kqstandin.Faults{LapseLeases: true}) },
 		} {
 			lease := must[kqstore.Lease](t)(b.Grant(ctx, 10*time.Second))
 			must[kqstore.Revision](t)(b.Swap(ctx, name, kqstore.Absent, nil, lease))
-			b.pass(9 * time.Second)
-			is(t, "renew in time", b.Renew(ctx, lease), nil)
-			b.pass(9 * time.Second)
+			b.advance(9 * time.Second)
+			checkError(t, "renewal in time", b.Renew(ctx, lease), nil)
+			b.advance(9 * time.Second)
 			must[kqstore.Entry](t)(b.Get(ctx, name))
 			lapse()
-			is(t, name+": renew too late", b.Renew(ctx, lease), kqstore.ErrLeaseLapsed)
+			checkError(t, name+": late renewal", b.Renew(ctx, lease), kqstore.ErrLeaseLapsed)
 			_, err := b.Put(ctx, name, nil, lease)
-			is(t, name+": put under it", err, kqstore.ErrLeaseLapsed)
+			checkError(t, name+": put under the lapsed lease", err, kqstore.ErrLeaseLapsed)
 			must[kqstore.Revision](t)(b.Swap(ctx, name, kqstore.Absent, nil, kqstore.NoLease))
 		}
 	})
 }
 
-// The platform is down, refuses for its rate, is slow, or loses the answer of a
-// write that took effect. Each is told apart, and the lost write stands.
+// Checks the error of each injected fault: an outage, a rate limit, a slow service, and
+// the lost answer of a write, which must still have taken effect.
 func TestCallFaults(t *testing.T) {
-	both(t, func(t *testing.T, b *bench) {
+	forBoth(t, func(t *testing.T, b *fixture) {
 		ctx := t.Context()
 		revision := must[kqstore.Revision](t)(b.Put(ctx, "a", []byte("1"), kqstore.NoLease))
 		b.standin.SetFaults(kqstandin.Faults{Down: true})
 		_, err := b.Get(ctx, "a")
-		is(t, "down", err, kqstore.ErrUnavailable)
+		checkError(t, "down", err, kqstore.ErrUnavailable)
 		b.standin.SetFaults(kqstandin.Faults{LoseAnswers: 1})
 		_, err = b.Swap(ctx, "a", revision, []byte("2"), kqstore.NoLease)
-		is(t, "answer lost", err, kqstore.ErrUnavailable)
+		checkError(t, "lost answer", err, kqstore.ErrUnavailable)
 		if e := must[kqstore.Entry](t)(b.Get(ctx, "a")); string(e.Value) != "2" {
-			t.Errorf("lost write left %q", e.Value)
+			t.Errorf("after a write whose answer was lost the value is %q, want 2", e.Value)
 		}
 		b.standin.SetFaults(kqstandin.Faults{StaleReads: true})
 		if e := must[kqstore.Entry](t)(b.Get(ctx, "a")); string(e.Value) != "1" {
-			t.Errorf("stale read gave %q", e.Value)
+			t.Errorf("a stale read returned %q, want the previous value 1", e.Value)
 		}
-		b.pass(time.Second)
+		b.advance(time.Second)
 		b.standin.SetFaults(kqstandin.Faults{MaxReads: 1})
 		_, err = b.Get(ctx, "a")
-		is(t, "first read", err, nil)
+		checkError(t, "first read", err, nil)
 		_, err = b.Get(ctx, "a")
-		is(t, "second read", err, kqstore.ErrRateLimited)
+		checkError(t, "second read", err, kqstore.ErrRateLimited)
 		b.standin.SetFaults(kqstandin.Faults{Slow: time.Minute})
 		brief, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
 		defer cancel()
 		if _, err = b.Get(brief, "a"); err == nil {
-			t.Error("a slow platform answered at once")
+			t.Error("a call to a slow service succeeded before its delay")
 		}
 	})
 }
 
-// A watch waits, as one call however long, and is woken by a write; a silent
-// one keeps waiting although its key changed.
+// Checks that a watch returns after a write to its key, counts as one call however long
+// it waits, and does not return under the fault SilentWatch.
 func TestWatch(t *testing.T) {
-	both(t, func(t *testing.T, b *bench) {
+	forBoth(t, func(t *testing.T, b *fixture) {
 		ctx := t.Context()
 		revision := must[kqstore.Revision](t)(b.Put(ctx, "a", []byte("1"), kqstore.NoLease))
 		seen := make(chan kqstore.Entry, 1)
@@ -176,23 +178,23 @@
 		select {
 		case e := <-seen:
 			if string(e.Value) != "2" {
-				t.Errorf("woken with %q", e.Value)
+				t.Errorf("the watch returned value %q, want 2", e.Value)
 			}
 		case <-time.After(longWait):
-			t.Fatal("not woken")
+			t.Fatal("the watch did not return after the write")
 		}
 		if c := b.standin.Counts(); c.Watches != 1 || c.Reads != 1 || c.Writes != 7 {
-			t.Errorf("counts %+v, want 1 watch among 1 reads, 7 writes", c)
+			t.Errorf("counts %+v, want 1 watch, which is the only read, and 7 writes", c)
 		}
 		b.standin.SetFaults(kqstandin.Faults{SilentWatch: true})
 		must[kqstore.Revision](t)(b.Put(ctx, "a", []byte("3"), kqstore.NoLease))
 		_, err := b.Watch(ctx, "a", last, 10*time.Millisecond)
-		is(t, "silent watch", err, kqstore.ErrNotFound)
+		checkError(t, "silent watch", err, kqstore.ErrNotFound)
 	})
 }
 
-// Somebody mistypes a fault. The request is refused and the faults stay as they
-// were; taken without the unknown field it would switch all of them off.
+// Guards against a misspelled fault in a request: if unknown fields were ignored, the
+// request would switch all faults off. It must be refused and change nothing.
 func TestMistypedFaultChangesNothing(t *testing.T) {
 	b := kqstandin.New()
 	b.SetFaults(kqstandin.Faults{Down: true})
@@ -208,6 +210,6 @@
 	}
 	defer func() { _ = a.Body.Close() }()
 	if a.StatusCode != http.StatusBadRequest || !b.Faults().Down {
-		t.Errorf("status %d, faults %+v", a.StatusCode, b.Faults())
+		t.Errorf("status %d, faults %+v, want 400 and only Down", a.StatusCode, b.Faults())
 	}
 }
--- a/internal/store/kqstoreclient/doc.go
+++ b/internal/store/kqstoreclient/doc.go
@@ -1,3 +1,3 @@
-// Package kqstoreclient speaks to the platform's key-value service in JSON over
-// HTTP.
+// Package kqstoreclient is a client of the platform's key-value service, which
+// speaks JSON over HTTP.
 package kqstoreclient
--- a/internal/store/kqstoreclient/fault.go
+++ b/internal/store/kqstoreclient/fault.go
@@ -14,9 +14,10 @@
 
 const maxAnswer = 64 << 10
 
-var errRefused = errors.New("stand-in refused")
+var errRefused = errors.New("stand-in refused the request")
 
-// SetFaults replaces the faults of a stand-in and returns those in force.
+// SetFaults replaces the injected faults of a stand-in service and returns those in
+// force.
 func (c *Client) SetFaults(ctx context.Context, f kqstandin.Faults) (kqstandin.Faults, error) {
 	var set kqstandin.Faults
 	body, err := json.Marshal(f)
@@ -29,7 +30,7 @@
 	return set, nil
 }
 
-// Counts returns the calls that a stand-in has taken.
+// Counts returns how many calls a stand-in service has received.
 func (c *Client) Counts(ctx context.Context) (kqstandin.Counts, error) {
 	var counts kqstandin.Counts
 	if err := c.control(ctx, http.MethodGet, "/counts", nil, &counts); err != nil {
@@ -38,16 +39,17 @@
 	return counts, nil
 }
 
+// control sends a request to the control interface of a stand-in service.
 func (c *Client) control(ctx context.Context, method, path string, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.url+path, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("make request: %w", err)
+		return fmt.Errorf("create request: %w", err)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return fmt.Errorf("ask stand-in: %w", err)
+		return fmt.Errorf("call stand-in: %w", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
