--- a/internal/store/kqstandin/count.go
+++ b/internal/store/kqstandin/count.go
@@ -8,13 +8,14 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
-// Counts are the calls taken since the start; refused ones count too.
+// Counts holds the number of calls received since the start. Refused calls count as
+// reads or writes too.
 type Counts struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
 	Watches uint64 `json:"watches"`
 	Refused uint64 `json:"refused"`
-	// PeakReads and PeakWrites are the most calls within one second.
+	// PeakReads and PeakWrites are the highest numbers of calls within one second.
 	PeakReads  uint64 `json:"peak_reads"`
 	PeakWrites uint64 `json:"peak_writes"`
 
@@ -22,20 +23,21 @@
 	secondReads, secondWrites uint64
 }
 
-// Counts returns the calls taken since the start.
+// Counts returns the number of calls received since the start.
 func (s *Standin) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// begin waits out a slow spell, counts the call and takes the lock, unless it
-// returns an error.
+// begin applies the delay of the fault Slow, counts the call and refuses it under the
+// faults Down, MaxReads and MaxWrites. If it returns nil, it has expired leases and
+// holds the lock.
 func (s *Standin) begin(ctx context.Context, count func(*Standin) bool) error {
 	if slow := s.Faults().Slow; slow > 0 {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("wait for a slow platform: %w", ctx.Err())
+			return fmt.Errorf("wait for the injected delay: %w", ctx.Err())
 		case <-time.After(slow):
 		}
 	}
@@ -54,10 +56,11 @@
 		}
 		return kqstore.ErrRateLimited
 	}
-	s.lapse(func(l lease) bool { return !now.Before(l.ends) })
+	s.lapse(func(l lease) bool { return !now.Before(l.expires) })
 	return nil
 }
 
+// countRead counts a read and reports whether it is within MaxReads.
 func (s *Standin) countRead() bool {
 	c := &s.counts
 	c.Reads++
@@ -66,11 +69,13 @@
 	return s.faults.MaxReads == 0 || c.secondReads <= uint64(s.faults.MaxReads)
 }
 
+// countWatch counts a watch, which is a read too.
 func (s *Standin) countWatch() bool {
 	s.counts.Watches++
 	return s.countRead()
 }
 
+// countWrite counts a write and reports whether it is within MaxWrites.
 func (s *Standin) countWrite() bool {
 	c := &s.counts
 	c.Writes++
--- a/internal/store/kqstandin/doc.go
+++ b/internal/store/kqstandin/doc.go
@@ -1,4 +1,4 @@
-// Package kqstandin is a stand-in for the platform's key-value service, kept in
-// memory, for tests and demonstrations. Its faults can be switched on and off,
-// and it counts calls the way the platform does.
+// Package kqstandin is an in-memory fake of the platform's key-value service for
+// tests and demonstrations. Faults can be injected at run time, and calls are counted
+// as the platform counts them.
 package kqstandin
--- a/internal/store/kqstandin/lease.go
+++ b/internal/store/kqstandin/lease.go
@@ -8,10 +8,10 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
-// lease is a granted lease: how long it lasts, and when it lapses.
+// lease is a granted lease, with the time to live that each renewal restores.
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
 // Grant implements kqstore.Store.
@@ -22,8 +22,8 @@
 	defer s.mu.Unlock()
 	s.revision++
 	name := kqstore.Lease(fmt.Sprintf("lease-%d", s.revision))
-	s.leases[name] = lease{ttl: ttl, ends: s.now().Add(ttl)}
-	if err := s.answer(); err != nil {
+	s.leases[name] = lease{ttl: ttl, expires: s.now().Add(ttl)}
+	if err := s.writeResult(); err != nil {
 		return "", err
 	}
 	return name, nil
@@ -39,14 +39,15 @@
 	if !ok {
 		return fmt.Errorf("renew %s: %w", name, kqstore.ErrLeaseLapsed)
 	}
-	l.ends = s.now().Add(l.ttl)
+	l.expires = s.now().Add(l.ttl)
 	s.leases[name] = l
-	return s.answer()
+	return s.writeResult()
 }
 
-func (s *Standin) lapse(ended func(lease) bool) {
+// lapse deletes the leases for which expired returns true, together with their keys.
+func (s *Standin) lapse(expired func(lease) bool) {
 	for name, l := range s.leases {
-		if !ended(l) {
+		if !expired(l) {
 			continue
 		}
 		delete(s.leases, name)
--- a/internal/store/kqstandin/list.go
+++ b/internal/store/kqstandin/list.go
@@ -11,11 +11,11 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
-// Compact drops the history: whoever follows from an older revision is told so.
+// Compact drops the history: Follow from an older revision returns ErrCompacted.
 func (s *Standin) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deleted, s.dropped = nil, s.revision
+	s.deleted, s.compactedAt = nil, s.revision
 }
 
 // List implements kqstore.Lister.
@@ -24,7 +24,7 @@
 		return kqstore.Listing{}, fmt.Errorf("list %s: %w", prefix, err)
 	}
 	defer s.mu.Unlock()
-	return s.since(prefix, 0), nil
+	return s.changesSince(prefix, 0), nil
 }
 
 // Follow implements kqstore.Lister.
@@ -37,8 +37,8 @@
 			return kqstore.Listing{}, fmt.Errorf("follow %s: %w", prefix, err)
 		}
 		count = func(*Standin) bool { return true }
-		compacted, silent, changed := after < s.dropped, s.faults.SilentWatch, s.changed
-		l := s.since(prefix, after)
+		compacted, silent, changed := after < s.compactedAt, s.faults.SilentWatch, s.changed
+		l := s.changesSince(prefix, after)
 		s.mu.Unlock()
 		switch {
 		case compacted:
@@ -56,9 +56,9 @@
 	}
 }
 
-// since returns what changed under the prefix after a revision, in the order
-// of its changes.
-func (s *Standin) since(prefix string, after kqstore.Revision) kqstore.Listing {
+// changesSince returns the keys under the prefix that were written or deleted after a
+// revision, entries and deletions each in the order of their changes.
+func (s *Standin) changesSince(prefix string, after kqstore.Revision) kqstore.Listing {
 	l := kqstore.Listing{Revision: s.revision}
 	for key := range s.entries {
 		if e, ok := s.read(key); ok && strings.HasPrefix(key, prefix) && e.Revision > after {
@@ -67,7 +67,7 @@
 	}
 	slices.SortFunc(l.Entries, func(a, b kqstore.Entry) int { return cmp.Compare(a.Revision, b.Revision) })
 	for _, d := range s.deleted {
-		if _, back := s.entries[d.key]; !back && after > 0 && d.revision > after && strings.HasPrefix(d.key, prefix) {
+		if _, recreated := s.entries[d.key]; !recreated && after > 0 && d.revision > after && strings.HasPrefix(d.key, prefix) {
 			l.Deleted = append(l.Deleted, d.key)
 		}
 	}
--- a/internal/store/kqstandin/serve.go
+++ b/internal/store/kqstandin/serve.go
@@ -13,13 +13,13 @@
 
 const (
 	maxRequestBytes = 2*kqstore.MaxValueBytes + 4096
-	// maxWait bounds one watch, as the platform does; a longer wait would hold
-	// a connection through many outages.
+	// maxWait bounds the wait of a watch, as on the platform: a longer one would
+	// occupy a connection through several outages.
 	maxWait = 5 * time.Minute
 )
 
 type (
-	// Call is the JSON body of POST /v1/VERB; each verb reads its own fields.
+	// Call is the JSON body of POST /v1/VERB. Each verb uses only some of the fields.
 	Call struct {
 		Key      string           `json:"key,omitempty"`
 		Value    []byte           `json:"value,omitempty"`
@@ -28,8 +28,8 @@
 		WaitMS   int64            `json:"wait_ms,omitempty"`
 	}
 
-	// Answer is the JSON body of every answer. Error is one of not_found,
-	// conflict, lease_lapsed, too_large, rate_limited and unavailable.
+	// Answer is the JSON body of every answer to a Call. Error is empty or one of
+	// not_found, conflict, lease_lapsed, too_large, rate_limited and unavailable.
 	Answer struct {
 		Entry    kqstore.Entry    `json:"entry,omitzero"`
 		Revision kqstore.Revision `json:"revision,omitempty"`
@@ -38,7 +38,7 @@
 	}
 )
 
-// Errors gives the name that each error has in an Answer.
+// Errors maps the error codes in an Answer to the errors of kqstore.
 var Errors = map[string]error{
 	"not_found":    kqstore.ErrNotFound,
 	"conflict":     kqstore.ErrConflict,
@@ -58,7 +58,7 @@
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, r *http.Request) {
 		var f Faults
 		dec := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes))
-		// A mistyped fault would otherwise switch every fault off without a word.
+		// Without this, a misspelled fault would silently switch all faults off.
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&f); err != nil {
 			http.Error(w, "read faults: "+err.Error(), http.StatusBadRequest)
@@ -96,6 +96,7 @@
 	http.Error(w, err.Error(), http.StatusBadRequest)
 }
 
+// serve runs one call; wait bounds both a watch and the ttl of a lease.
 func (s *Standin) serve(ctx context.Context, verb string, c Call) (a Answer, err error) {
 	wait := min(time.Duration(max(c.WaitMS, 0))*time.Millisecond, maxWait)
 	switch verb {
@@ -122,6 +123,6 @@
 func reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that has gone away is the only cause of an error here.
+	// The only possible error is that the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/store/kqstandin/standin.go
+++ b/internal/store/kqstandin/standin.go
@@ -11,46 +11,48 @@
 )
 
 type (
-	// Standin is the key-value service in memory. It implements kqstore.Store.
+	// Standin is an in-memory key-value service. It implements kqstore.Store and
+	// kqstore.Lister, and is safe for concurrent use.
 	Standin struct {
 		mu       sync.Mutex
 		entries  map[string]record
 		leases   map[kqstore.Lease]lease
 		revision kqstore.Revision
-		changed  chan struct{}
-		// deleted are the deletions since the history was last dropped, and
-		// dropped is the revision of that moment.
-		deleted []deletion
-		dropped kqstore.Revision
-		faults  Faults
-		counts  Counts
-		now     func() time.Time
-	}
-
-	// Faults are the troubles that the stand-in is told to have.
+		// changed is closed and replaced at each change, to wake the watches.
+		changed chan struct{}
+		// deleted holds the deletions since the last compaction, and compactedAt the
+		// revision at that time.
+		deleted     []deletion
+		compactedAt kqstore.Revision
+		faults      Faults
+		counts      Counts
+		now         func() time.Time
+	}
+
+	// Faults holds the faults to inject.
 	Faults struct {
 		// Down refuses every call with ErrUnavailable.
 		Down bool `json:"down"`
-		// Slow delays each call.
+		// Slow is the delay of each call.
 		Slow time.Duration `json:"slow"`
-		// LoseAnswers lets that many writes take effect and then answers
-		// ErrUnavailable to them.
+		// LoseAnswers is the number of writes that take effect but return
+		// ErrUnavailable.
 		LoseAnswers int `json:"lose_answers"`
-		// SilentWatch keeps watches waiting although their key changed.
+		// SilentWatch keeps watches waiting although their key has changed.
 		SilentWatch bool `json:"silent_watch"`
-		// StaleReads answers reads and watches with each key's value of before
+		// StaleReads makes reads and watches return the value of each key before
 		// its last write.
 		StaleReads bool `json:"stale_reads"`
-		// LapseLeases lets every lease lapse at once, as if its holder had
-		// been paused for longer than its time.
+		// LapseLeases expires every lease once, when the faults are set, as if its
+		// holder had been paused for longer than its ttl.
 		LapseLeases bool `json:"lapse_leases"`
-		// MaxReads and MaxWrites refuse calls over that many in a second with
-		// ErrRateLimited; 0 sets no limit.
+		// MaxReads and MaxWrites are limits of calls per second, beyond which
+		// ErrRateLimited is returned; 0 sets no limit.
 		MaxReads  int `json:"max_reads"`
 		MaxWrites int `json:"max_writes"`
 	}
 
-	// Option sets up a Standin.
+	// Option configures a Standin.
 	Option func(*Standin)
 
 	deletion struct {
@@ -58,14 +60,15 @@
 		revision kqstore.Revision
 	}
 
+	// record is a key's entry with the entry before its last write, nil if none.
 	record struct {
-		entry  kqstore.Entry
-		before *kqstore.Entry
-		lease  kqstore.Lease
+		entry    kqstore.Entry
+		previous *kqstore.Entry
+		lease    kqstore.Lease
 	}
 )
 
-// WithNow makes the stand-in read the time from now.
+// WithNow sets the clock; the default is time.Now.
 func WithNow(now func() time.Time) Option { return func(s *Standin) { s.now = now } }
 
 // New returns an empty stand-in without faults.
@@ -82,7 +85,7 @@
 	return s
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (s *Standin) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +97,7 @@
 	s.wake()
 }
 
-// Faults returns the faults in force.
+// Faults returns the injected faults.
 func (s *Standin) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +155,7 @@
 	s.revision++
 	s.deleted = append(s.deleted, deletion{key, s.revision})
 	s.wake()
-	return s.answer()
+	return s.writeResult()
 }
 
 // Watch implements kqstore.Store.
@@ -182,20 +185,22 @@
 	}
 }
 
+// read returns a key's entry, or its previous one under the fault StaleReads.
 func (s *Standin) read(key string) (kqstore.Entry, bool) {
 	r, ok := s.entries[key]
 	if !ok {
 		return kqstore.Entry{}, false
 	}
 	if s.faults.StaleReads {
-		if r.before == nil {
+		if r.previous == nil {
 			return kqstore.Entry{}, false
 		}
-		return *r.before, true
+		return *r.previous, true
 	}
 	return r.entry, true
 }
 
+// write stores a value under the next revision and wakes the watches.
 func (s *Standin) write(key string, value []byte, name kqstore.Lease) (kqstore.Revision, error) {
 	if len(value) > kqstore.MaxValueBytes {
 		return 0, fmt.Errorf("write %s of %d bytes: %w", key, len(value), kqstore.ErrTooLarge)
@@ -206,22 +211,24 @@
 	s.revision++
 	next := record{entry: kqstore.Entry{Key: key, Value: slices.Clone(value), Revision: s.revision}, lease: name}
 	if old, ok := s.entries[key]; ok {
-		next.before = &old.entry
+		next.previous = &old.entry
 	}
 	s.entries[key] = next
 	s.wake()
-	return s.revision, s.answer()
+	return s.revision, s.writeResult()
 }
 
-// answer loses the answer of a write that has taken effect, if told to.
-func (s *Standin) answer() error {
+// writeResult returns the result of a write that has taken effect: nil, or an error
+// under the fault LoseAnswers.
+func (s *Standin) writeResult() error {
 	if s.faults.LoseAnswers > 0 {
 		s.faults.LoseAnswers--
-		return fmt.Errorf("answer lost: %w", kqstore.ErrUnavailable)
+		return fmt.Errorf("answer lost by injected fault: %w", kqstore.ErrUnavailable)
 	}
 	return nil
 }
 
+// wake wakes all waiting watches, which then check their keys again.
 func (s *Standin) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
