--- a/internal/base/kqkeeper/doc.go
+++ b/internal/base/kqkeeper/doc.go
@@ -1,7 +1,7 @@
-// Package kqkeeper keeps a panic to the work that panicked.
+// Package kqkeeper recovers panics, reports them and restarts background work.
 //
-// A fault in the code that handles one call, one message or one part's step would
-// otherwise end the process, and cut every call under way; one in the background,
-// caught by its group until the process ends, would leave the part dead in silence
-// while the node serves on.
+// Without it, a panic in the handling of one call or message would end the process
+// and cut every call in flight. A panic in background work, which its wait group
+// holds back until the process ends, would stop that work silently while the node
+// continues to serve.
 package kqkeeper
--- a/internal/base/kqkeeper/keeper.go
+++ b/internal/base/kqkeeper/keeper.go
@@ -11,42 +11,46 @@
 )
 
 const (
-	// pauseBase and pauseMost bound the pause before a part is started again: one
-	// that panics at once, each time, must not take the processor from the calls.
-	pauseBase = 100 * time.Millisecond
-	pauseMost = 5 * time.Second
-	// stackEvery is the pause between two stacks of a part: a call that panics can be
-	// sent again at any rate, and a stack is some KB.
-	stackEvery = time.Second
+	// minBackoff and maxBackoff bound the pause before work is restarted: work that
+	// panics immediately each time must not take processor time from the calls.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 5 * time.Second
+	// stackInterval is the least time between two stack traces of a part: a call that
+	// panics can be repeated at any rate, and a stack trace has some KB.
+	stackInterval = time.Second
 )
 
 type (
-	// Keeper runs work and notes its panics. It is safe for concurrent use. A nil
-	// Keeper notes nothing and lets panics pass, as in tests of a single part.
+	// Keeper runs work, recovers its panics and reports them. It is safe for
+	// concurrent use. A nil Keeper does not recover panics, as in tests of a single
+	// part.
 	Keeper struct {
-		noted func(Panic)
+		onPanic func(Panic)
 
-		mu   sync.Mutex
-		told map[string]time.Time
+		mu        sync.Mutex
+		lastStack map[string]time.Time
 	}
 
-	// Panic is one that was caught.
+	// Panic describes a recovered panic.
 	Panic struct {
-		// Part names the work, of which there are few.
+		// Part names the work that panicked. There are only a few names.
 		Part string
-		// Value is what the work panicked with.
+		// Value is the value of the panic as text.
 		Value string
-		// Stack is that of the panic, "" where the part had one told lately.
+		// Stack is the stack trace, "" if one of the same part was reported within the
+		// last second.
 		Stack string
 	}
 
 	contextKey struct{}
 )
 
-// New returns a keeper; noted is told of each panic and must not panic itself.
-func New(noted func(Panic)) *Keeper { return &Keeper{noted: noted, told: make(map[string]time.Time)} }
+// New returns a keeper that calls onPanic with each panic; onPanic must not panic.
+func New(onPanic func(Panic)) *Keeper {
+	return &Keeper{onPanic: onPanic, lastStack: make(map[string]time.Time)}
+}
 
-// With returns a context that carries the keeper to the parts that run under it.
+// With returns a context that carries the keeper.
 func (k *Keeper) With(ctx context.Context) context.Context {
 	return context.WithValue(ctx, contextKey{}, k)
 }
@@ -57,49 +61,50 @@
 	return k
 }
 
-// Try runs the work once, and reports whether it came to its end.
-func (k *Keeper) Try(part string, work func()) (whole bool) {
+// Try runs the work once and reports whether it returned without a panic.
+func (k *Keeper) Try(part string, work func()) (completed bool) {
 	if k == nil {
 		work()
 		return true
 	}
 	defer func() {
-		if whole {
+		if completed {
 			return
 		}
 		if value := recover(); value != nil {
-			k.note(part, value)
+			k.report(part, value)
 		}
 	}()
 	work()
 	return true
 }
 
-// Keep runs the work until it comes to its end by itself, again after a pause where
-// it panics, unless ctx has ended.
+// Keep runs the work until it returns. If it panics, Keep restarts it after a pause
+// that doubles up to maxBackoff, unless ctx has ended. A run that lasted longer than
+// maxBackoff resets the pause.
 func (k *Keeper) Keep(ctx context.Context, part string, work func()) {
-	pause := pauseBase
+	pause := minBackoff
 	for {
-		began := time.Now()
+		started := time.Now()
 		if k.Try(part, work) || ctx.Err() != nil {
 			return
 		}
-		if time.Since(began) > pauseMost {
-			pause = pauseBase
+		if time.Since(started) > maxBackoff {
+			pause = minBackoff
 		}
 		kqpause.For(ctx, pause)
-		pause = min(2*pause, pauseMost)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
-func (k *Keeper) note(part string, value any) {
+func (k *Keeper) report(part string, value any) {
 	p := Panic{Part: part, Value: fmt.Sprint(value)}
 	now := time.Now()
 	k.mu.Lock()
-	if now.Sub(k.told[part]) >= stackEvery {
-		k.told[part] = now
+	if now.Sub(k.lastStack[part]) >= stackInterval {
+		k.lastStack[part] = now
 		p.Stack = string(debug.Stack())
 	}
 	k.mu.Unlock()
-	k.noted(p)
+	k.onPanic(p)
 }
