--- a/internal/base/kqpause/pause.go
+++ b/internal/base/kqpause/pause.go
@@ -1,4 +1,4 @@
-// Package kqpause waits without outliving its context.
+// Package kqpause sleeps for a duration or until a context ends.
 package kqpause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d or until ctx ends.
+// For sleeps for d or until ctx ends, whichever comes first.
 func For(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
