--- a/internal/base/kqshortage/shortage.go
+++ b/internal/base/kqshortage/shortage.go
@@ -1,7 +1,8 @@
-// Package kqshortage tells a lack of the machine's own means from other failures.
+// Package kqshortage detects connection failures that are caused by resource
+// exhaustion on the local server.
 //
-// Both sides of a connection meet it: whoever accepts and whoever connects. It says
-// nothing of the peer, and passes as other connections end.
+// Both accepting and connecting can fail so. The failure says nothing about the
+// peer, and ends as other connections are closed.
 package kqshortage
 
 import (
@@ -9,13 +10,13 @@
 	"syscall"
 )
 
-// lacks are the errors of a process without descriptors, and of a system without
-// descriptors, buffers or memory for one more connection.
-var lacks = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
+// exhaustionErrors are the errors of a process that has no file descriptors left, and
+// of a system that has no descriptors, buffers or memory left for a connection.
+var exhaustionErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
-// Is reports whether a connection failed for want of the machine's own means.
+// Is reports whether a connection failed because of local resource exhaustion.
 func Is(err error) bool {
-	for _, e := range lacks {
+	for _, e := range exhaustionErrors {
 		if errors.Is(err, e) {
 			return true
 		}
