--- a/internal/security/kqoperator/doc.go
+++ b/internal/security/kqoperator/doc.go
@@ -1,12 +1,12 @@
-// Package kqoperator knows who may drive the fleet: operators by token, each an
-// admin or a member of one team.
+// Package kqoperator authenticates operators by token. Each operator is an admin or
+// a member of one team.
 //
-// The tokens' file holds one operator a line, "NAME ROLE TEAM HASH", where ROLE
-// is admin or member, TEAM is "-" for admins, and HASH is the SHA-256 of the
-// token in hex. Empty lines and lines that begin with # are passed over.
+// The token file holds one operator per line, "NAME ROLE TEAM HASH", where ROLE is
+// admin or member, TEAM is "-" for admins, and HASH is the SHA-256 of the token in
+// hex. Empty lines and lines that begin with # are ignored.
 //
-// A token is 256 random bits, so a fast hash keeps it as safe as a slow one: no
-// list of likely tokens can be tried against it. A slow hash such as bcrypt is
-// for words that people choose; here it would cost each request tens of
-// milliseconds, or a cache of verified tokens to guard.
+// A token has 256 random bits, so a fast hash is as safe as a slow one: there is no
+// dictionary of likely tokens to try. Slow hashes such as bcrypt protect passwords
+// that people choose; here one would cost each request tens of milliseconds, or need
+// a cache of verified tokens that would have to be protected.
 package kqoperator
--- a/internal/security/kqoperator/operator.go
+++ b/internal/security/kqoperator/operator.go
@@ -17,112 +17,112 @@
 )
 
 const (
-	// Admin operators change everything.
+	// Admin operators may change everything.
 	Admin Role = "admin"
-	// Member operators change what their team owns.
+	// Member operators may change what their team owns.
 	Member Role = "member"
 
-	noTeam     = "-"
-	tokenStart = "kq_"
-	tokenBytes = 32
-	maxToken   = 128
-	columns    = 4
+	noTeam        = "-"
+	tokenPrefix   = "kq_"
+	tokenBytes    = 32
+	maxTokenBytes = 128
+	columns       = 4
 )
 
 var (
-	// ErrToken tells that no operator has the token.
+	// ErrToken is returned if no operator has the token.
 	ErrToken = errors.New("token is not known")
-	// ErrLine tells that a line of the tokens' file cannot be read.
+	// ErrLine is returned if a line of the token file is malformed.
 	ErrLine = errors.New("line is not NAME ROLE TEAM HASH")
-	// ErrOperator tells that an operator's name, role and team do not go
-	// together.
-	ErrOperator = errors.New("bad operator")
+	// ErrOperator is returned if an operator's name is invalid, or its role and team
+	// do not go together.
+	ErrOperator = errors.New("invalid operator")
 )
 
 type (
 	// Role says what an operator may change.
 	Role string
 
-	// Operator is who sends a request.
+	// Operator is a person or program that administers the fleet.
 	Operator struct {
 		Name string      `json:"name"`
 		Role Role        `json:"role"`
 		Team kqname.Team `json:"team,omitempty"`
 	}
 
-	// Operators holds the operators of a file. It is safe for concurrent use.
+	// Operators holds the operators of a token file. It is safe for concurrent use.
 	Operators struct {
-		file string
-		held atomic.Pointer[map[Hash]Operator]
+		file   string
+		byHash atomic.Pointer[map[Hash]Operator]
 	}
 
 	// Hash is the SHA-256 of a token.
 	Hash [sha256.Size]byte
 )
 
-// New returns a set without operators; Load fills it from file.
+// New returns an empty set of operators; Load fills it from file.
 func New(file string) *Operators {
 	o := &Operators{file: file}
-	o.held.Store(&map[Hash]Operator{})
+	o.byHash.Store(&map[Hash]Operator{})
 	return o
 }
 
-// Load reads the file. After an error the operators are those of before.
+// Load reads the file and replaces the operators. After an error they are unchanged.
 func (o *Operators) Load() error {
 	data, err := os.ReadFile(o.file)
 	if err != nil {
 		return fmt.Errorf("read tokens: %w", err)
 	}
-	held := make(map[Hash]Operator)
+	byHash := make(map[Hash]Operator)
 	lines := bufio.NewScanner(bytes.NewReader(data))
 	for n := 1; lines.Scan(); n++ {
 		line := strings.TrimSpace(lines.Text())
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		hash, operator, err := parse(line)
+		hash, operator, err := parseLine(line)
 		if err != nil {
 			return fmt.Errorf("read %s, line %d: %w", o.file, n, err)
 		}
-		held[hash] = operator
+		byHash[hash] = operator
 	}
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("read tokens: %w", err)
 	}
-	o.held.Store(&held)
+	o.byHash.Store(&byHash)
 	return nil
 }
 
-// HashOf returns the hash that stands for a token, or ErrToken for what cannot
-// be one.
+// HashOf returns the hash of a token, or ErrToken if the text does not have the form
+// of a token.
 func HashOf(token string) (Hash, error) {
-	if len(token) > maxToken || !strings.HasPrefix(token, tokenStart) {
+	if len(token) > maxTokenBytes || !strings.HasPrefix(token, tokenPrefix) {
 		return Hash{}, ErrToken
 	}
 	return sha256.Sum256([]byte(token)), nil
 }
 
-// Find returns the operator whose token has the hash. The look-up is by hash,
-// so how long it takes tells nothing of how near a guessed token was.
+// Find returns the operator whose token has the hash. Since the lookup is by hash, its
+// duration does not reveal how similar a guessed token is to a real one.
 func (o *Operators) Find(h Hash) (Operator, error) {
-	operator, ok := (*o.held.Load())[h]
+	operator, ok := (*o.byHash.Load())[h]
 	if !ok {
 		return Operator{}, ErrToken
 	}
 	return operator, nil
 }
 
-// NewToken makes a token for an operator. It returns the token, which is told
-// once and kept nowhere, and the line for the tokens' file.
+// NewToken creates a token for an operator. It returns the token, which is not stored
+// anywhere, and the line for the token file.
 func NewToken(operator Operator) (token, line string, err error) {
-	if err := operator.check(); err != nil {
+	if err := operator.validate(); err != nil {
 		return "", "", err
 	}
 	secret := make([]byte, tokenBytes)
 	if _, err := rand.Read(secret); err != nil {
-		return "", "", fmt.Errorf("draw token: %w", err)
+		return "", "", fmt.Errorf("generate token: %w", err)
 	}
-	token = tokenStart + base64.RawURLEncoding.EncodeToString(secret)
+	token = tokenPrefix + base64.RawURLEncoding.EncodeToString(secret)
 	team := string(operator.Team)
 	if team == "" {
 		team = noTeam
@@ -131,7 +131,7 @@
 	return token, fmt.Sprintf("%s %s %s %s", operator.Name, operator.Role, team, hex.EncodeToString(hash[:])), nil
 }
 
-func (o Operator) check() error {
+func (o Operator) validate() error {
 	switch {
 	case !kqname.Valid(o.Name):
 		return fmt.Errorf("%q is not a plain name: %w", o.Name, ErrOperator)
@@ -142,21 +142,22 @@
 	}
 }
 
-func parse(line string) (hash Hash, o Operator, err error) {
-	parts := strings.Fields(line)
-	if len(parts) != columns {
+// parseLine parses a line of the token file.
+func parseLine(line string) (hash Hash, o Operator, err error) {
+	fields := strings.Fields(line)
+	if len(fields) != columns {
 		return hash, o, ErrLine
 	}
-	o = Operator{Name: parts[0], Role: Role(parts[1])}
-	if parts[2] != noTeam {
-		o.Team = kqname.Team(parts[2])
+	o = Operator{Name: fields[0], Role: Role(fields[1])}
+	if fields[2] != noTeam {
+		o.Team = kqname.Team(fields[2])
 	}
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return hash, o, errors.Join(ErrLine, err)
 	}
-	raw, err := hex.DecodeString(parts[3])
+	raw, err := hex.DecodeString(fields[3])
 	if err != nil || len(raw) != sha256.Size {
-		return hash, o, fmt.Errorf("hash: %w", ErrLine)
+		return hash, o, fmt.Errorf("hash is not a SHA-256 in hex: %w", ErrLine)
 	}
 	copy(hash[:], raw)
 	return hash, o, nil
