--- a/internal/security/kqauthority/authority.go
+++ b/internal/security/kqauthority/authority.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// NodeScheme is the scheme of the URI in a certificate that names its
-	// node, as in "kumquatgw://node/storefront-1".
+	// NodeScheme is the scheme of the URI that identifies the node in its
+	// certificate, such as "kumquatgw://node/storefront-1".
 	NodeScheme = "kumquatgw"
 	// NodeHost is the host part of that URI.
 	NodeHost = "node"
 
-	// backdate lets a certificate be used at once by servers whose clocks are
-	// a little behind the operator's.
+	// backdate is how far in the past certificates become valid, so that servers
+	// whose clocks are behind the operator's accept them at once.
 	backdate   = 5 * time.Minute
 	serialBits = 127
 
@@ -34,14 +34,15 @@
 )
 
 var (
-	// ErrPEM tells that bytes are not one PEM block of the wanted kind.
-	ErrPEM = errors.New("not a PEM block of the wanted kind")
-	// ErrName tells that a node's name cannot stand in a certificate.
+	// ErrPEM is returned if a file is not a PEM block of the expected type, or a key
+	// does not belong to its certificate.
+	ErrPEM = errors.New("not a PEM block of the expected type")
+	// ErrName is returned if a node's name is not valid.
 	ErrName = errors.New("node's name is not a plain name")
 )
 
 type (
-	// Authority signs nodes' certificates.
+	// Authority signs the certificates of nodes.
 	Authority struct {
 		certificate *x509.Certificate
 		key         *ecdsa.PrivateKey
@@ -54,18 +55,18 @@
 		Key         []byte
 	}
 
-	// Subject is whom a certificate is for.
+	// Subject describes the node that a certificate is issued for.
 	Subject struct {
 		Node kqname.Node
-		// Addresses are IP numbers and host names at which operators reach the
+		// Addresses are the IP addresses and host names at which operators reach the
 		// node's console.
 		Addresses []string
 	}
 )
 
-// New makes an authority that is valid for the given time from now.
+// New creates an authority that is valid for the given time from now.
 func New(now time.Time, valid time.Duration) (*Authority, error) {
-	template, err := blank(now, valid, "kumquatgw fleet")
+	template, err := newTemplate(now, valid, "kumquatgw fleet")
 	if err != nil {
 		return nil, err
 	}
@@ -73,18 +74,18 @@
 	template.KeyUsage = x509.KeyUsageCertSign | x509.KeyUsageCRLSign
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, fmt.Errorf("make authority's key: %w", err)
+		return nil, fmt.Errorf("generate the authority's key: %w", err)
 	}
 	pair, err := sign(template, template, key, key)
 	if err != nil {
-		return nil, fmt.Errorf("make authority: %w", err)
+		return nil, fmt.Errorf("create authority: %w", err)
 	}
 	return Load(pair)
 }
 
-// Load reads an authority.
+// Load returns the authority with an existing certificate and key.
 func Load(pair Pair) (*Authority, error) {
-	data, err := block(pair.Certificate, certificateBlock)
+	data, err := decodeBlock(pair.Certificate, certificateBlock)
 	if err != nil {
 		return nil, fmt.Errorf("read authority's certificate: %w", err)
 	}
@@ -92,7 +93,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("read authority's certificate: %w", err)
 	}
-	if data, err = block(pair.Key, keyBlock); err != nil {
+	if data, err = decodeBlock(pair.Key, keyBlock); err != nil {
 		return nil, fmt.Errorf("read authority's key: %w", err)
 	}
 	parsed, err := x509.ParsePKCS8PrivateKey(data)
@@ -109,41 +110,42 @@
 // Pair returns the authority's own certificate and key.
 func (a *Authority) Pair() Pair { return a.pair }
 
-// Issue makes a key and signs a certificate for a node, for both ends of a
-// connection.
+// Issue generates a key for a node and signs a certificate for it that is valid for
+// both client and server authentication.
 func (a *Authority) Issue(s Subject, now time.Time, valid time.Duration) (Pair, error) {
 	if !kqname.Valid(s.Node) {
-		return Pair{}, fmt.Errorf("issue for %q: %w", s.Node, ErrName)
+		return Pair{}, fmt.Errorf("issue certificate for %q: %w", s.Node, ErrName)
 	}
-	template, err := blank(now, valid, string(s.Node))
+	template, err := newTemplate(now, valid, string(s.Node))
 	if err != nil {
 		return Pair{}, err
 	}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
 	template.URIs = []*url.URL{{Scheme: NodeScheme, Host: NodeHost, Path: "/" + string(s.Node)}}
-	for _, one := range s.Addresses {
-		if ip := net.ParseIP(one); ip != nil {
+	for _, address := range s.Addresses {
+		if ip := net.ParseIP(address); ip != nil {
 			template.IPAddresses = append(template.IPAddresses, ip)
 			continue
 		}
-		template.DNSNames = append(template.DNSNames, one)
+		template.DNSNames = append(template.DNSNames, address)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, fmt.Errorf("issue for %s: %w", s.Node, err)
+		return Pair{}, fmt.Errorf("issue certificate for %s: %w", s.Node, err)
 	}
 	pair, err := sign(template, a.certificate, key, a.key)
 	if err != nil {
-		return Pair{}, fmt.Errorf("issue for %s: %w", s.Node, err)
+		return Pair{}, fmt.Errorf("issue certificate for %s: %w", s.Node, err)
 	}
 	return pair, nil
 }
 
-func blank(now time.Time, valid time.Duration, name string) (*x509.Certificate, error) {
+// newTemplate returns an unsigned certificate with a random serial number.
+func newTemplate(now time.Time, valid time.Duration, name string) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, fmt.Errorf("draw serial number: %w", err)
+		return nil, fmt.Errorf("generate serial number: %w", err)
 	}
 	return &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: name},
@@ -151,6 +153,7 @@
 	}, nil
 }
 
+// sign signs the template with the signer's key and returns it with its own key.
 func sign(template, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) (Pair, error) {
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer)
 	if err != nil {
@@ -166,10 +169,11 @@
 	}, nil
 }
 
-func block(data []byte, kind string) ([]byte, error) {
+// decodeBlock returns the content of the first PEM block if it has the given type.
+func decodeBlock(data []byte, blockType string) ([]byte, error) {
 	b, _ := pem.Decode(data)
-	if b == nil || b.Type != kind {
-		return nil, fmt.Errorf("want %s: %w", kind, ErrPEM)
+	if b == nil || b.Type != blockType {
+		return nil, fmt.Errorf("decode %s: %w", blockType, ErrPEM)
 	}
 	return b.Bytes, nil
 }
--- a/internal/security/kqauthority/doc.go
+++ b/internal/security/kqauthority/doc.go
@@ -1,3 +1,3 @@
-// Package kqauthority is the fleet's private certificate authority. It is an
-// operator's tool: nodes hold its certificate, never its key.
+// Package kqauthority implements the fleet's private certificate authority. Only
+// operators use it to issue certificates: nodes have its certificate, never its key.
 package kqauthority
--- a/internal/security/kqauthority/files.go
+++ b/internal/security/kqauthority/files.go
@@ -13,23 +13,23 @@
 	folderMode  = 0o700
 )
 
-// Paths returns where Write puts a pair of the given name.
+// Paths returns the paths of the files that Write creates for a pair of that name.
 func Paths(folder, name string) (certificate, key string) {
 	return filepath.Join(folder, name+".pem"), filepath.Join(folder, name+".key")
 }
 
-// Write puts the pair into NAME.pem and NAME.key of a folder, the key for its
-// owner's eyes only. Each file appears whole: a node that reads while it is
-// written would otherwise meet half a certificate.
+// Write writes the pair to NAME.pem and NAME.key in a folder; only the owner can read
+// the key. Each file is replaced atomically, since a node that reads it at the same
+// time could otherwise see half a certificate.
 func (p Pair) Write(folder, name string) error {
 	certificate, key := Paths(folder, name)
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return fmt.Errorf("write pair: %w", err)
 	}
-	return errors.Join(replace(key, p.Key, privateMode), replace(certificate, p.Certificate, publicMode))
+	return errors.Join(writeAtomically(key, p.Key, privateMode), writeAtomically(certificate, p.Certificate, publicMode))
 }
 
-// Read reads a pair that Write wrote.
+// Read reads a pair from the files that Write creates.
 func Read(folder, name string) (p Pair, err error) {
 	certificate, key := Paths(folder, name)
 	if p.Certificate, err = os.ReadFile(certificate); err != nil {
@@ -41,12 +41,13 @@
 	return p, nil
 }
 
-func replace(file string, data []byte, mode os.FileMode) error {
-	fresh := file + ".new"
-	if err := os.WriteFile(fresh, data, mode); err != nil {
+// writeAtomically writes a new file beside the old one and renames it.
+func writeAtomically(file string, data []byte, mode os.FileMode) error {
+	temporary := file + ".new"
+	if err := os.WriteFile(temporary, data, mode); err != nil {
 		return fmt.Errorf("write %s: %w", file, err)
 	}
-	if err := os.Rename(fresh, file); err != nil {
+	if err := os.Rename(temporary, file); err != nil {
 		return fmt.Errorf("write %s: %w", file, err)
 	}
 	return nil
