--- a/internal/security/kqthrottle/doc.go
+++ b/internal/security/kqthrottle/doc.go
@@ -1,2 +1,2 @@
-// Package kqthrottle holds back whoever fails to prove who they are too often.
+// Package kqthrottle limits the rate of failed authentication attempts per source.
 package kqthrottle
--- a/internal/security/kqthrottle/throttle.go
+++ b/internal/security/kqthrottle/throttle.go
@@ -8,26 +8,29 @@
 )
 
 const (
-	// burst failures are free, for a person who pastes the wrong token.
+	// burst is the number of failures without a wait, for a person who pastes the
+	// wrong token.
 	burst = 10
-	// every is the time that earns one more failure back. Tokens are 256
-	// random bits, so guessing is hopeless at any rate; the bound keeps a
-	// broken script from filling logs and the audit list.
-	every = 6 * time.Second
-	// maxSources bounds the memory that failures can take.
+	// refillInterval is the time after which one more failure is allowed. Tokens
+	// have 256 random bits, so guessing is hopeless at any rate; the limit keeps a
+	// broken script from filling the logs and the audit log.
+	refillInterval = 6 * time.Second
+	// maxSources is the number of sources kept; it bounds the memory.
 	maxSources = 4096
 )
 
-// Throttle counts failures by source. It is safe for concurrent use.
+// Throttle holds a token bucket of failures for each source. It is safe for
+// concurrent use.
 type Throttle struct {
 	mu      sync.Mutex
 	sources map[string]*rate.Limiter
 }
 
-// New returns a throttle that has seen no failure.
+// New returns a throttle without any recorded failure.
 func New() *Throttle { return &Throttle{sources: make(map[string]*rate.Limiter)} }
 
-// Wait returns how long the source must stay away, 0 if it may try now.
+// Wait returns how long the source must wait before its next attempt, 0 if it may try
+// now.
 func (t *Throttle) Wait(source string, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -35,25 +38,26 @@
 	if !ok || l.TokensAt(now) >= 1 {
 		return 0
 	}
-	return time.Duration((1 - l.TokensAt(now)) * float64(every))
+	return time.Duration((1 - l.TokensAt(now)) * float64(refillInterval))
 }
 
-// Failed counts a failure.
+// Failed records a failure of the source.
 func (t *Throttle) Failed(source string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l, ok := t.sources[source]
 	if !ok {
-		t.forget(now)
-		l = rate.NewLimiter(rate.Every(every), burst)
+		t.evict(now)
+		l = rate.NewLimiter(rate.Every(refillInterval), burst)
 		t.sources[source] = l
 	}
 	l.AllowN(now, 1)
 }
 
-// forget makes room: sources whose failures are long past go first, and if all
-// are recent any one goes, which at worst gives it its free failures back.
-func (t *Throttle) forget(now time.Time) {
+// evict makes room for another source if there are maxSources. It removes all sources
+// whose buckets are full again; if none is, it removes an arbitrary one, which at
+// worst allows that source a new burst.
+func (t *Throttle) evict(now time.Time) {
 	if len(t.sources) < maxSources {
 		return
 	}
