--- a/internal/security/kqidentity/doc.go
+++ b/internal/security/kqidentity/doc.go
@@ -1,4 +1,4 @@
-// Package kqidentity holds a node's certificate, key and the fleet's CA, and
-// makes TLS of them. It takes in changed files without a restart: connections
-// that are open keep what they began with, and new ones take the new.
+// Package kqidentity provides mutual TLS between nodes from a node's certificate and
+// key and the fleet's CA. Changed files are reloaded without a restart: open
+// connections keep the old certificates, new ones use the new.
 package kqidentity
--- a/internal/security/kqidentity/identity.go
+++ b/internal/security/kqidentity/identity.go
@@ -20,10 +20,11 @@
 const dialTimeout = time.Second
 
 var (
-	// ErrForeign tells that a certificate is not of the fleet's CA, has
-	// lapsed, or names no node.
+	// ErrForeign is returned if a peer's certificate is missing, is not signed by the
+	// fleet's CA, has expired, or names no node.
 	ErrForeign = errors.New("certificate is not of this fleet")
-	// ErrFiles tells that the files do not make an identity.
+	// ErrFiles is returned if the files are unreadable or do not belong together, or
+	// the certificate is for another node.
 	ErrFiles = errors.New("certificate files are not usable")
 )
 
@@ -33,92 +34,96 @@
 		CA, Certificate, Key string
 	}
 
-	// Identity proves who a node is and checks who others are. It is safe for
-	// concurrent use.
+	// Identity authenticates a node to others and verifies the certificates of
+	// others. It is safe for concurrent use.
 	Identity struct {
-		node     kqname.Node
-		files    Files
-		held     atomic.Pointer[held]
-		reloader *kqreload.Reloader
-		refused  func(error)
+		node      kqname.Node
+		files     Files
+		loaded    atomic.Pointer[loaded]
+		reloader  *kqreload.Reloader
+		onRefused func(error)
 	}
 
-	// Option sets up an Identity.
+	// Option configures an Identity.
 	Option func(*options)
 
 	options struct {
-		reload  []kqreload.Option
-		refused func(error)
+		reload    []kqreload.Option
+		onRefused func(error)
 	}
 
-	// gateConn closes without TLS's own goodbye. A gate notices that a caller
-	// has gone by the end of its connection; the goodbye would stand before the
-	// end as bytes that wait, and the upstream would work on for nobody.
+	// gateConn closes without sending TLS's close_notify alert. A gate detects by
+	// the end of a connection that the caller has disconnected. The alert would be
+	// unread data before that end and hide it, and the upstream would continue a
+	// call whose answer nobody reads.
 	gateConn struct{ *tls.Conn }
 
-	held struct {
+	// loaded holds the content of the files after the last successful load.
+	loaded struct {
 		certificate *tls.Certificate
 		pool        *x509.CertPool
 	}
 )
 
-// WithReload passes options on to the reloader.
+// WithReload passes options to the reloader of the files.
 func WithReload(o ...kqreload.Option) Option {
-	return func(all *options) { all.reload = append(all.reload, o...) }
+	return func(cfg *options) { cfg.reload = append(cfg.reload, o...) }
 }
 
-// WithRefused is told of each peer that was turned away, and why.
-func WithRefused(f func(error)) Option { return func(all *options) { all.refused = f } }
+// WithRefused sets a function that is called with the reason for each refused peer.
+func WithRefused(f func(error)) Option { return func(cfg *options) { cfg.onRefused = f } }
 
-// New loads the identity of a node; its certificate must name that node.
+// New loads the identity of a node. The certificate must name that node.
 func New(node kqname.Node, files Files, opts ...Option) (*Identity, error) {
-	all := options{refused: func(error) {}}
+	cfg := options{onRefused: func(error) {}}
 	for _, o := range opts {
-		o(&all)
+		o(&cfg)
 	}
-	i := &Identity{node: node, files: files, refused: all.refused}
+	i := &Identity{node: node, files: files, onRefused: cfg.onRefused}
 	var err error
-	i.reloader, err = kqreload.New([]string{files.CA, files.Certificate, files.Key}, i.load, all.reload...)
+	i.reloader, err = kqreload.New([]string{files.CA, files.Certificate, files.Key}, i.load, cfg.reload...)
 	if err != nil {
 		return nil, fmt.Errorf("load identity of %s: %w", node, err)
 	}
 	return i, nil
 }
 
-// Run takes in changed files until ctx ends.
+// Run reloads changed files until ctx ends.
 func (i *Identity) Run(ctx context.Context) { i.reloader.Run(ctx) }
 
-// Expires returns when the certificate in use lapses.
-func (i *Identity) Expires() time.Time { return i.held.Load().certificate.Leaf.NotAfter }
+// Expires returns when the certificate in use expires.
+func (i *Identity) Expires() time.Time { return i.loaded.Load().certificate.Leaf.NotAfter }
 
-// Public returns the configuration for operators' connections, which prove
-// themselves by token and not by certificate.
+// Public returns the TLS configuration for connections from operators, who
+// authenticate by token and not by certificate.
 func (i *Identity) Public() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12, NextProtos: []string{"http/1.1"},
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return i.held.Load().certificate, nil },
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return i.loaded.Load().certificate, nil },
 	}
 }
 
-// Mutual returns the configuration for connections from other nodes.
+// Mutual returns the TLS configuration for connections from other nodes.
 func (i *Identity) Mutual() *tls.Config {
 	return &tls.Config{
-		// The check below refuses a connection without a certificate too, and
-		// unlike the library's own requirement it counts it.
+		// VerifyConnection also refuses connections without a certificate. Unlike
+		// tls.RequireAnyClientCert, it reports them to onRefused.
 		MinVersion: tls.VersionTLS13, ClientAuth: tls.RequestClientCert,
-		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return i.held.Load().certificate, nil },
+		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return i.loaded.Load().certificate, nil },
 		VerifyConnection: i.verify(x509.ExtKeyUsageClientAuth),
 	}
 }
 
-// Accept secures a connection from another node and names that node.
+// Accept performs the TLS handshake of a connection from another node and returns
+// the authenticated node.
 func (i *Identity) Accept(ctx context.Context, conn net.Conn) (net.Conn, kqname.Node, error) {
 	secured := tls.Server(conn, i.Mutual())
 	if err := secured.HandshakeContext(ctx); err != nil {
-		// The other end may have refused first: a foreign node sees at once
-		// that this one is not of its fleet.
+		// Other errors are reported here, such as a refusal by the other end: a node
+		// of another fleet may refuse this node's certificate first. ErrForeign was
+		// reported by verify.
 		if !errors.Is(err, ErrForeign) {
-			i.refused(err)
+			i.onRefused(err)
 		}
 		return nil, "", fmt.Errorf("accept peer: %w", err)
 	}
@@ -126,7 +131,7 @@
 	return secured, node, err
 }
 
-// Connect secures a connection to another node.
+// Connect performs the TLS handshake of a connection to another node.
 func (i *Identity) Connect(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	secured, err := i.connect(ctx, conn)
 	if err != nil {
@@ -136,16 +141,16 @@
 }
 
 func (i *Identity) connect(ctx context.Context, conn net.Conn) (*tls.Conn, error) {
-	secured := tls.Client(conn, i.client())
+	secured := tls.Client(conn, i.clientConfig())
 	if err := secured.HandshakeContext(ctx); err != nil {
 		return nil, fmt.Errorf("connect to peer: %w", err)
 	}
 	return secured, nil
 }
 
-// Dial connects to another node's gate. The handshake is over before it
-// returns and its errors are net.OpErrors of "dial", so that whoever sends a
-// call knows that nothing of it was sent.
+// Dial connects to another node's gate and completes the TLS handshake. A failed
+// handshake gives a net.OpError with Op "dial", so that the sender of a call knows
+// that nothing of it was sent.
 func (i *Identity) Dial(address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -161,14 +166,14 @@
 	return gateConn{secured}, nil
 }
 
-// Close closes the connection beneath. An answer that is cut short shows by its
-// length, so the goodbye is not needed to tell.
+// Close closes the TCP connection without a close_notify alert. The alert is not
+// needed to detect truncation, since answers state their length.
 func (c gateConn) Close() error { return c.NetConn().Close() }
 
-// NodeOf returns the node that the other end's certificate names.
+// NodeOf returns the node that the peer's certificate names.
 func NodeOf(s tls.ConnectionState) (kqname.Node, error) {
 	if len(s.PeerCertificates) == 0 {
-		return "", fmt.Errorf("name peer: no certificate: %w", ErrForeign)
+		return "", fmt.Errorf("identify peer: no certificate: %w", ErrForeign)
 	}
 	for _, u := range s.PeerCertificates[0].URIs {
 		name := kqname.Node(strings.TrimPrefix(u.Path, "/"))
@@ -176,19 +181,22 @@
 			return name, nil
 		}
 	}
-	return "", fmt.Errorf("name peer: %w", ErrForeign)
+	return "", fmt.Errorf("identify peer: %w", ErrForeign)
 }
 
-// client checks the other end's chain by itself: nodes find each other by
-// address and know no name to check before the connection stands.
-func (i *Identity) client() *tls.Config {
+// clientConfig returns the TLS configuration for connections to other nodes. It skips
+// the library's verification and verifies the certificate chain in verify: nodes
+// find each other by address and know no name to check in advance.
+func (i *Identity) clientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, InsecureSkipVerify: true,
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return i.held.Load().certificate, nil },
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return i.loaded.Load().certificate, nil },
 		VerifyConnection:     i.verify(x509.ExtKeyUsageServerAuth),
 	}
 }
 
+// verify returns a check that the peer's certificate names a node and is signed by
+// the fleet's CA for the given usage. The check reports each refused peer.
 func (i *Identity) verify(usage x509.ExtKeyUsage) func(tls.ConnectionState) error {
 	return func(s tls.ConnectionState) error {
 		_, err := NodeOf(s)
@@ -198,18 +206,19 @@
 				intermediates.AddCert(c)
 			}
 			_, err = s.PeerCertificates[0].Verify(x509.VerifyOptions{
-				Roots: i.held.Load().pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{usage},
+				Roots: i.loaded.Load().pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{usage},
 			})
 		}
 		if err != nil {
 			err = errors.Join(ErrForeign, err)
-			i.refused(err)
+			i.onRefused(err)
 			return fmt.Errorf("verify peer: %w", err)
 		}
 		return nil
 	}
 }
 
+// load reads the files and checks that they belong together and to this node.
 func (i *Identity) load() error {
 	certificate, err := tls.LoadX509KeyPair(i.files.Certificate, i.files.Key)
 	if err != nil {
@@ -227,11 +236,11 @@
 	if err != nil || name != i.node {
 		return fmt.Errorf("certificate names node %q, settings name %q: %w", name, i.node, ErrFiles)
 	}
-	// One's own certificate must satisfy the CA: a node with a stray one would
-	// start well and then be refused by all others.
+	// A node whose own certificate is not signed by the CA would start normally and
+	// then be refused by all others.
 	if _, err := certificate.Leaf.Verify(x509.VerifyOptions{Roots: pool}); err != nil {
-		return fmt.Errorf("check own certificate: %w", errors.Join(ErrFiles, err))
+		return fmt.Errorf("verify own certificate: %w", errors.Join(ErrFiles, err))
 	}
-	i.held.Store(&held{certificate: &certificate, pool: pool})
+	i.loaded.Store(&loaded{certificate: &certificate, pool: pool})
 	return nil
 }
