--- a/internal/security/kqreload/doc.go
+++ b/internal/security/kqreload/doc.go
@@ -1,2 +1,2 @@
-// Package kqreload takes in files anew when their content changes.
+// Package kqreload reloads files when their content changes.
 package kqreload
--- a/internal/security/kqreload/reload.go
+++ b/internal/security/kqreload/reload.go
@@ -9,83 +9,88 @@
 	"time"
 )
 
-const defaultEvery = 2 * time.Second
+const defaultInterval = 2 * time.Second
 
 type (
-	// Reloader polls some files by content, not by time of change: mounted
-	// secrets are swapped by links, whose times say nothing.
+	// Reloader polls files and calls load when their content changes. It compares
+	// content and not modification times, since mounted secrets are replaced by
+	// switching symbolic links, whose times are unreliable.
 	Reloader struct {
-		files  []string
-		load   func() error
-		failed func(error)
-		every  time.Duration
-		last   [sha256.Size]byte
+		files     []string
+		load      func() error
+		onFailure func(error)
+		interval  time.Duration
+		// loadedSum is the checksum of the files at the last successful load.
+		loadedSum [sha256.Size]byte
 	}
 
-	// Option sets up a Reloader.
+	// Option configures a Reloader.
 	Option func(*Reloader)
 )
 
-// WithEvery sets the time between two looks.
-func WithEvery(d time.Duration) Option { return func(r *Reloader) { r.every = d } }
+// WithEvery sets the polling interval.
+func WithEvery(d time.Duration) Option { return func(r *Reloader) { r.interval = d } }
 
-// WithFailed is told of each load that failed; what was loaded before stays.
-func WithFailed(f func(error)) Option { return func(r *Reloader) { r.failed = f } }
+// WithFailed sets a function that is called with the error of each failed poll or
+// load. The content loaded before stays in use.
+func WithFailed(f func(error)) Option { return func(r *Reloader) { r.onFailure = f } }
 
-// New loads once and returns a reloader, or the error of that first load.
+// New calls load for the first time and returns the reloader and the error of that
+// load.
 func New(files []string, load func() error, options ...Option) (*Reloader, error) {
-	r := &Reloader{files: files, load: load, failed: func(error) {}, every: defaultEvery}
+	r := &Reloader{files: files, load: load, onFailure: func(error) {}, interval: defaultInterval}
 	for _, o := range options {
 		o(r)
 	}
-	return r, r.once()
+	return r, r.poll()
 }
 
-// Run looks at the files until ctx ends.
+// Run polls the files until ctx ends.
 func (r *Reloader) Run(ctx context.Context) {
-	ticker := time.NewTicker(r.every)
+	ticker := time.NewTicker(r.interval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			if err := r.once(); err != nil {
-				r.failed(err)
+			if err := r.poll(); err != nil {
+				r.onFailure(err)
 			}
 		}
 	}
 }
 
-// once loads when the files are not those of the last load that succeeded. A
-// certificate and its key are written one after the other: a look between the
-// two fails to load, and the next look tries again.
-func (r *Reloader) once() error {
+// poll calls load if the files differ from those of the last successful load. Since
+// a certificate and its key are written one after the other, a poll between the two
+// fails to load them, and the next poll retries.
+func (r *Reloader) poll() error {
 	sum, err := r.sum()
 	if err != nil {
 		return err
 	}
-	if sum == r.last {
+	if sum == r.loadedSum {
 		return nil
 	}
 	if err := r.load(); err != nil {
 		return fmt.Errorf("reload: %w", err)
 	}
-	r.last = sum
+	r.loadedSum = sum
 	return nil
 }
 
+// sum returns a checksum of the contents and lengths of all files.
 func (r *Reloader) sum() (sum [sha256.Size]byte, err error) {
 	hash := sha256.New()
 	for _, name := range r.files {
 		f, err := os.Open(name)
 		if err != nil {
-			return sum, fmt.Errorf("look at file: %w", err)
+			return sum, fmt.Errorf("poll file: %w", err)
 		}
 		n, err := io.Copy(hash, f)
 		_ = f.Close()
 		if err != nil {
-			return sum, fmt.Errorf("look at %s: %w", name, err)
+			return sum, fmt.Errorf("read %s: %w", name, err)
 		}
 		fmt.Fprintf(hash, "|%d|", n)
 	}
