--- a/pkg/kqname/doc.go
+++ b/pkg/kqname/doc.go
@@ -1,3 +1,3 @@
-// Package kqname holds the named types for the identifiers that the parts of
-// kumquatgw pass to each other, so that a host is never taken for a service.
+// Package kqname defines a string type for each kind of identifier in kumquatgw, so
+// that the compiler rejects, for example, a host where a service is expected.
 package kqname
