--- a/pkg/kqdocument/diff.go
+++ b/pkg/kqdocument/diff.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// Added items stand in the second document only.
+	// Added items exist only in the second document.
 	Added ChangeKind = "added"
-	// Removed items stand in the first document only.
+	// Removed items exist only in the first document.
 	Removed ChangeKind = "removed"
-	// Changed items differ between the two.
+	// Changed items exist in both documents and differ.
 	Changed ChangeKind = "changed"
 )
 
 type (
-	// ChangeKind says how an item differs.
+	// ChangeKind is the way in which an item differs.
 	ChangeKind string
 
 	// Change is one item that differs between two documents.
 	Change struct {
 		Kind ChangeKind `json:"kind"`
-		// Item names it in the form "routes.checkout".
+		// Item identifies the item in the form "routes.checkout".
 		Item string `json:"item"`
-		// Before and After are the item's JSON; nil where it does not stand.
+		// Before and After are the item's JSON in each document, nil if it is not
+		// there.
 		Before json.RawMessage `json:"before,omitempty"`
 		After  json.RawMessage `json:"after,omitempty"`
 	}
 )
 
-// Diff returns what differs from before to after, by kind of item and then by
-// name, whatever the order of items within the documents.
+// Diff returns the items that differ between two documents, sorted by kind of item
+// and then by name. The order of items within the documents is not compared.
 func Diff(before, after Document) []Change {
 	var changes []Change
 	changes = append(changes, diff("teams", before.Teams, after.Teams, func(t Team) string { return string(t.Name) })...)
@@ -65,15 +66,16 @@
 	return changes
 }
 
-// byName gives each item's JSON. Items are compared in that form, since equal
-// times in two zones and an empty against an absent map mean the same.
+// byName returns the JSON of each item by its name. Items are compared as JSON, since
+// a time may be given in different time zones, and an empty and an absent map mean
+// the same.
 func byName[T any](items []T, name func(T) string) map[string]json.RawMessage {
 	byName := make(map[string]json.RawMessage, len(items))
 	for _, item := range items {
 		data, err := json.Marshal(item)
 		if err != nil {
-			// Only a value that JSON cannot hold, such as NaN, comes here; its
-			// document is refused by Validate.
+			// JSON cannot represent a value such as NaN; Validate refuses documents
+			// that have one.
 			data = []byte(`null`)
 		}
 		byName[name(item)] = data
--- a/pkg/kqdocument/doc.go
+++ b/pkg/kqdocument/doc.go
@@ -1,4 +1,4 @@
-// Package kqdocument defines the operators' document: the whole configuration
-// of a fleet, its validation and its JSON form. Nothing reaches the fleet but
-// through a document that Validate accepts.
+// Package kqdocument defines the configuration document of a fleet, its validation
+// and its JSON form. The fleet only applies configuration from documents that
+// Validate accepts.
 package kqdocument
--- a/pkg/kqdocument/document.go
+++ b/pkg/kqdocument/document.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// ClassCritical is served before all other calls when the fleet is full.
+	// ClassCritical calls are served before all others under overload.
 	ClassCritical Class = "critical"
-	// ClassNormal is the class of routes that name none.
+	// ClassNormal is the class of routes that set none.
 	ClassNormal Class = "normal"
-	// ClassBackground is refused first when the fleet is full.
+	// ClassBackground calls are refused first under overload.
 	ClassBackground Class = "background"
 
 	// PreferFinishing completes a rollout that lacks evidence at its deadline.
 	PreferFinishing Preference = "finishing"
-	// PreferTakingBack rolls such a rollout back.
+	// PreferTakingBack rolls back a rollout that lacks evidence at its deadline.
 	PreferTakingBack Preference = "taking_back"
 )
 
 type (
-	// Class orders calls by how much their loss hurts.
+	// Class is the priority of calls under overload.
 	Class string
 
-	// Preference says what a rollout policy weighs most.
+	// Preference is how a policy ends rollouts that lack evidence at their deadline.
 	Preference string
 
 	// Document is the whole configuration of a fleet.
@@ -36,19 +36,20 @@
 		Rollouts []Rollout `json:"rollouts,omitempty"`
 	}
 
-	// Team owns services, routes and rollouts, up to its quotas.
+	// Team owns services, routes and rollouts within its quotas.
 	Team struct {
 		Name        kqname.Team `json:"name"`
 		MaxRoutes   int         `json:"max_routes,omitempty" jsonschema:"minimum=0"`
 		MaxRollouts int         `json:"max_rollouts,omitempty" jsonschema:"minimum=0"`
 	}
 
-	// Policy says how rollouts are judged. Zero values take the preset's.
+	// Policy holds the rules by which rollouts are evaluated. A SmallShare of 0 selects
+	// the default.
 	Policy struct {
 		Name   kqname.Policy `json:"name"`
 		Prefer Preference    `json:"prefer" jsonschema:"enum=finishing,enum=taking_back"`
-		// SmallShare is the largest share of traffic, from 0 to 0.05, that a
-		// version gets before the evidence for it is in.
+		// SmallShare is the largest share of traffic, from 0 to 0.05, that the new
+		// version gets before there is enough evidence for it.
 		SmallShare float64 `json:"small_share,omitempty" jsonschema:"minimum=0,maximum=0.05"`
 	}
 
@@ -56,28 +57,29 @@
 	Service struct {
 		Name kqname.Service `json:"name"`
 		Team kqname.Team    `json:"team"`
-		// Version is the upstream version that gets all traffic while no
-		// rollout is under way; empty lets every announced version serve.
+		// Version is the upstream version that gets all traffic while no rollout is
+		// in progress; if empty, every announced version serves.
 		Version kqname.UpstreamVersion `json:"version,omitempty"`
-		// TimeoutMS bounds one call, in milliseconds; 0 means 10,000.
+		// TimeoutMS is the timeout of one call, in milliseconds; 0 means 10,000.
 		TimeoutMS int `json:"timeout_ms,omitempty" jsonschema:"minimum=0,maximum=600000"`
-		// RefusalMeansNotRun states that an upstream's own 503 is sent before
-		// the call begins to run, so that it may be sent again.
+		// RefusalMeansNotRun states that an upstream answers 503 only before it
+		// starts to process a call, so that the call may be retried.
 		RefusalMeansNotRun bool `json:"refusal_means_not_run,omitempty"`
-		// MaxConnections is how many connections one upstream accepts from all
-		// callers together; 0 states none.
+		// MaxConnections is the number of connections that one upstream accepts from
+		// all callers together; 0 means not stated.
 		MaxConnections int `json:"max_connections,omitempty" jsonschema:"minimum=0"`
 	}
 
-	// Part is one service of a route that shares its calls out, and its weight
-	// beside the weights of the route's other parts.
+	// Part is one of the services among which a route splits its calls, with its
+	// weight relative to the other parts.
 	Part struct {
 		Service kqname.Service `json:"service"`
 		Weight  float64        `json:"weight" jsonschema:"minimum=0"`
 	}
 
-	// Route leads matching calls to a service. Longer path prefixes win, then
-	// more headers, then a stated method, then the lower name.
+	// Route directs matching calls to a service or splits them among several. If
+	// several routes match, the longest path prefix wins, then the most headers, then
+	// a stated method, then the lower name.
 	Route struct {
 		Name       kqname.Route      `json:"name"`
 		Team       kqname.Team       `json:"team"`
@@ -86,23 +88,26 @@
 		Method     string            `json:"method,omitempty"`
 		Headers    map[string]string `json:"headers,omitempty"`
 		Service    kqname.Service    `json:"service,omitempty"`
-		// Parts share the route's calls out among services by weight, in place
-		// of Service.
+		// Parts split the route's calls among services by weight, in place of
+		// Service.
 		Parts []Part `json:"parts,omitempty"`
-		// TimeoutMS bounds one call, in milliseconds; 0 takes the service's.
+		// TimeoutMS is the timeout of one call, in milliseconds; 0 takes the
+		// service's.
 		TimeoutMS int `json:"timeout_ms,omitempty" jsonschema:"minimum=0,maximum=600000"`
-		// Class orders the route's calls when the fleet is full.
+		// Class is the priority of the route's calls under overload; empty means
+		// normal.
 		Class Class `json:"class,omitempty" jsonschema:"enum=critical,enum=normal,enum=background"`
-		// TargetMS is the time, in milliseconds, within which an answer has its
-		// full worth; 0 states none.
+		// TargetMS is the time, in milliseconds, within which an answer has its full
+		// value; 0 means no target.
 		TargetMS int `json:"target_ms,omitempty" jsonschema:"minimum=0,maximum=600000"`
-		// MaxAttempts is how many upstreams one call may be sent to; 0 means 3.
+		// MaxAttempts is the number of upstreams that one call may be sent to; 0
+		// means 3.
 		MaxAttempts int `json:"max_attempts,omitempty" jsonschema:"minimum=0,maximum=16"`
-		// Idempotent states that calls may run twice without harm, whatever
-		// their method; GET, HEAD, OPTIONS and TRACE are taken to be so.
+		// Idempotent states that calls may run twice without harm, whatever their
+		// method. GET, HEAD, OPTIONS and TRACE are idempotent by default.
 		Idempotent bool `json:"idempotent,omitempty"`
-		// NotIdempotent states that calls must not run twice, also where their
-		// method says otherwise.
+		// NotIdempotent states that calls must not run twice, even if their method
+		// is idempotent by default.
 		NotIdempotent bool `json:"not_idempotent,omitempty"`
 	}
 
@@ -116,18 +121,18 @@
 		Start    time.Time              `json:"start"`
 		Deadline time.Time              `json:"deadline"`
 		Policy   kqname.Policy          `json:"policy"`
-		// Cancelled takes the rollout back at once, whatever its evidence.
+		// Cancelled rolls the rollout back at once, whatever the evidence.
 		Cancelled bool `json:"cancelled,omitempty"`
-		// DurationMS orders a rollout by its length, in milliseconds, in place of
-		// From, Start and Deadline: each node counts it by its own steady clock
-		// from when it first hears of the order, since the servers' times of day
-		// differ, and every version but To is the old one.
+		// DurationMS gives the length of a rollout, in milliseconds, in place of
+		// From, Start and Deadline. Each node measures it by its own monotonic clock
+		// from when it first receives the rollout, since the wall clocks of servers
+		// differ. Every version other than To counts as the old one.
 		DurationMS int `json:"duration_ms,omitempty" jsonschema:"minimum=0"`
 	}
 )
 
-// Rank orders classes from 0, served first, to 2, refused first. A class that is
-// empty or not known ranks as normal.
+// Rank returns the order of a class under overload, from 0, served first, to 2,
+// refused first. An empty or unknown class ranks as normal.
 func (c Class) Rank() int {
 	switch c {
 	case ClassCritical:
@@ -139,7 +144,7 @@
 	}
 }
 
-// Services returns every service that the route may lead calls to.
+// Services returns every service that the route may direct calls to.
 func (r Route) Services() []kqname.Service {
 	if len(r.Parts) == 0 {
 		return []kqname.Service{r.Service}
@@ -151,15 +156,16 @@
 	return list
 }
 
-// Choose returns the service of one call; at is a random number in [0, 1).
-func (r Route) Choose(at float64) kqname.Service {
+// Choose selects the service for one call by the weights of the parts; random is a
+// random number in [0, 1).
+func (r Route) Choose(random float64) kqname.Service {
 	total := 0.0
 	for _, p := range r.Parts {
 		total += p.Weight
 	}
-	left := at * total
+	remaining := random * total
 	for _, p := range r.Parts {
-		if left -= p.Weight; left < 0 {
+		if remaining -= p.Weight; remaining < 0 {
 			return p.Service
 		}
 	}
--- a/pkg/kqdocument/example_test.go
+++ b/pkg/kqdocument/example_test.go
@@ -6,7 +6,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 )
 
-// A route that leads to a service which the document lacks is told at its field.
+// Validate reports a route to a service that the document lacks, with the path of the
+// route's field.
 func ExampleValidate() {
 	d, err := kqdocument.Parse([]byte(`{
 		"teams": [{"name": "shop"}],
--- a/pkg/kqdocument/parse.go
+++ b/pkg/kqdocument/parse.go
@@ -9,22 +9,22 @@
 	"strings"
 )
 
-// MaxBytes bounds a document's JSON form, in bytes.
+// MaxBytes is the largest size of a document's JSON form, in bytes.
 const MaxBytes = 1 << 20
 
 var (
-	// ErrTooLarge tells that a document's JSON is over MaxBytes.
+	// ErrTooLarge is returned if a document's JSON exceeds MaxBytes.
 	ErrTooLarge = errors.New("document is too large")
-	// ErrSyntax tells that bytes are not one JSON document of known fields.
+	// ErrSyntax is returned if the data is not exactly one JSON document with known
+	// and unique fields.
 	ErrSyntax = errors.New("document cannot be read")
 
-	errTrailing = errors.New("more than one JSON value")
-	errTwice    = errors.New("field stands twice")
+	errTrailing       = errors.New("more than one JSON value")
+	errDuplicateField = errors.New("field stands twice")
 )
 
-// Parse reads one JSON document. It refuses unknown fields, fields that stand
-// twice and trailing data with ErrSyntax, and more than MaxBytes with
-// ErrTooLarge.
+// Parse decodes one JSON document. It returns ErrSyntax for unknown fields, duplicate
+// fields and trailing data, and ErrTooLarge for more than MaxBytes.
 func Parse(data []byte) (Document, error) {
 	if len(data) > MaxBytes {
 		return Document{}, fmt.Errorf("read document: %w: %d bytes, at most %d are allowed", ErrTooLarge, len(data), MaxBytes)
@@ -33,19 +33,20 @@
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&d); err != nil {
-		return Document{}, fmt.Errorf("read document: %w: %s%w", ErrSyntax, position(data, err), err)
+		return Document{}, fmt.Errorf("read document: %w: %s%w", ErrSyntax, linePosition(data, err), err)
 	}
 	if _, err := dec.Token(); err != io.EOF {
 		return Document{}, fmt.Errorf("read document: %w: %w", ErrSyntax, errTrailing)
 	}
-	if err := unique(json.NewDecoder(bytes.NewReader(data)), ""); err != nil {
+	if err := checkUniqueFields(json.NewDecoder(bytes.NewReader(data)), ""); err != nil {
 		return Document{}, fmt.Errorf("read document: %w: %w", ErrSyntax, err)
 	}
 	return d, nil
 }
 
-// position tells the line of a fault where the library knows its place.
-func position(data []byte, err error) string {
+// linePosition returns the line of a JSON error as a prefix for messages, or "" if the
+// error has no position.
+func linePosition(data []byte, err error) string {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
 	var offset int64
@@ -62,10 +63,10 @@
 	return fmt.Sprintf("line %d: ", 1+bytes.Count(data[:min(offset, int64(len(data)))], []byte("\n")))
 }
 
-// unique refuses an object with one field twice, in whatever case. The library
-// would keep the last alone, and half of an operator's services could vanish
-// from a document that looks complete.
-func unique(dec *json.Decoder, path string) error {
+// checkUniqueFields refuses an object that has a field twice, ignoring case. The JSON
+// library would keep only the last one, and half of an operator's services could be
+// missing from a document that looks complete.
+func checkUniqueFields(dec *json.Decoder, path string) error {
 	token, err := dec.Token()
 	if err != nil {
 		return err
@@ -85,11 +86,11 @@
 			at = strings.TrimPrefix(fmt.Sprintf("%s.%s", path, name), ".")
 			folded := strings.ToLower(fmt.Sprint(name))
 			if seen[folded] {
-				return fmt.Errorf("%s: %w", at, errTwice)
+				return fmt.Errorf("%s: %w", at, errDuplicateField)
 			}
 			seen[folded] = true
 		}
-		if err := unique(dec, at); err != nil {
+		if err := checkUniqueFields(dec, at); err != nil {
 			return err
 		}
 	}
--- a/pkg/kqdocument/schema.go
+++ b/pkg/kqdocument/schema.go
@@ -2,11 +2,12 @@
 
 import _ "embed"
 
-// schema is generated from the types of this package; a test compares them.
+// schema is generated from the types and comments of this package by a test, which
+// otherwise checks that it is up to date.
 //
 //go:embed document.schema.json
 var schema []byte
 
-// Schema returns the JSON schema of a document. It says what a document is made
-// of; Validate also checks what its parts say of each other.
+// Schema returns the JSON schema of a document. The schema describes the structure
+// of a document; Validate also checks references between its items.
 func Schema() []byte { return schema }
--- a/pkg/kqdocument/schema_test.go
+++ b/pkg/kqdocument/schema_test.go
@@ -15,12 +15,12 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-var update = flag.Bool("update", false, "write document.schema.json anew")
+var update = flag.Bool("update", false, "regenerate document.schema.json")
 
-// Somebody adds a field to a type and forgets the published schema; editors
-// then mark a sound document as wrong.
+// Guards against a type that changes without the published schema: editors would then
+// mark valid documents as invalid.
 func TestSchemaMatchesTheTypes(t *testing.T) {
-	r := &jsonschema.Reflector{ExpandedStruct: true, Mapper: names, Namer: namer}
+	r := &jsonschema.Reflector{ExpandedStruct: true, Mapper: nameSchema, Namer: namer}
 	if err := r.AddGoComments("github.com/kumquatgw/kumquatgw/pkg/kqdocument", "./"); err != nil {
 		t.Fatal(err)
 	}
@@ -35,11 +35,12 @@
 		}
 	}
 	if !bytes.Equal(kqdocument.Schema(), want) {
-		t.Error("document.schema.json is not what the types give; run this test with -update and build again")
+		t.Error("document.schema.json does not match the types; run this test with -update and build again")
 	}
 }
 
-// namer keeps the name of a service apart from the service.
+// namer adds the suffix Name to the types of kqname, which would otherwise clash with
+// the document's types, such as Service.
 func namer(t reflect.Type) string {
 	if t.PkgPath() == reflect.TypeFor[kqname.Service]().PkgPath() {
 		return t.Name() + "Name"
@@ -47,7 +48,9 @@
 	return t.Name()
 }
 
-func names(t reflect.Type) *jsonschema.Schema {
+// nameSchema returns the schema of the types of kqname, whose values are plain names,
+// and nil for other types.
+func nameSchema(t reflect.Type) *jsonschema.Schema {
 	if t.PkgPath() != reflect.TypeFor[kqname.Service]().PkgPath() || t.Kind() != reflect.String {
 		return nil
 	}
--- a/pkg/kqdocument/validate_rollout.go
+++ b/pkg/kqdocument/validate_rollout.go
@@ -9,42 +9,44 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// maxRollout bounds a rollout: it keeps two versions of a service running.
+// maxRollout is the longest duration of a rollout, since a rollout keeps two versions
+// of a service running.
 const maxRollout = 90 * 24 * time.Hour
 
 var (
-	// Times outside these are slips, such as a year of two digits or
+	// Times outside these bounds are mistakes, such as a year of two digits or
 	// milliseconds taken for seconds; some have no JSON form.
 	earliest = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 	latest   = time.Date(2200, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-func (c *checker) rollout(at string, r Rollout) {
-	c.when(!kqname.Valid(r.From), at+".from", "is not a plain name")
-	c.when(!kqname.Valid(r.To), at+".to", "is not a plain name")
-	c.when(r.From == r.To, at+".to", "is the same version as from")
-	c.instant(at+".start", r.Start)
-	c.instant(at+".deadline", r.Deadline)
-	c.when(!r.Deadline.After(r.Start), at+".deadline", "must be after start")
-	c.when(r.Deadline.Sub(r.Start) > maxRollout, at+".deadline", "is more than 90 days after start")
+func (c *checker) checkRollout(at string, r Rollout) {
+	c.reportIf(!kqname.Valid(r.From), at+".from", "is not a plain name")
+	c.reportIf(!kqname.Valid(r.To), at+".to", "is not a plain name")
+	c.reportIf(r.From == r.To, at+".to", "is the same version as from")
+	c.checkTime(at+".start", r.Start)
+	c.checkTime(at+".deadline", r.Deadline)
+	c.reportIf(!r.Deadline.After(r.Start), at+".deadline", "must be after start")
+	c.reportIf(r.Deadline.Sub(r.Start) > maxRollout, at+".deadline", "is more than 90 days after start")
 }
 
-// order checks a rollout that is ordered by its length.
-func (c *checker) order(at string, r Rollout) {
-	c.when(!kqname.Valid(r.To), at+".to", "is not a plain name")
-	c.when(r.From != "" || !r.Start.IsZero() || !r.Deadline.IsZero(), at+".duration_ms", "stands beside from, start or deadline")
-	c.when(r.DurationMS < 0 || time.Duration(r.DurationMS)*time.Millisecond > maxRollout, at+".duration_ms", "must be from 0 to 90 days")
+// checkDurationRollout checks a rollout that is given by its duration.
+func (c *checker) checkDurationRollout(at string, r Rollout) {
+	c.reportIf(!kqname.Valid(r.To), at+".to", "is not a plain name")
+	c.reportIf(r.From != "" || !r.Start.IsZero() || !r.Deadline.IsZero(), at+".duration_ms", "stands beside from, start or deadline")
+	c.reportIf(r.DurationMS < 0 || time.Duration(r.DurationMS)*time.Millisecond > maxRollout, at+".duration_ms", "must be from 0 to 90 days")
 }
 
-func (c *checker) instant(path string, t time.Time) {
-	c.when(t.Before(earliest) || !t.Before(latest), path, "must be in the years 2000 to 2199")
+func (c *checker) checkTime(path string, t time.Time) {
+	c.reportIf(t.Before(earliest) || !t.Before(latest), path, "must be in the years 2000 to 2199")
 }
 
-// sequence looks at each service's rollouts in the order of their starts. Two
-// whose times meet are refused: each would count the other's traffic as its own
-// old version, and both would be misled. So is one from a version that can not
-// be serving by then: it would compare the new version with nothing.
-func (c *checker) sequence(rollouts []Rollout, services map[kqname.Service]Service) {
+// checkSequence checks each service's rollouts in the order of their starts. It
+// refuses rollouts that overlap, since each would count the other's traffic as that of
+// its own old version and decide wrongly. It also refuses a rollout from a version
+// that cannot be serving at its start, since there would be nothing to compare the new
+// version with. Cancelled rollouts do not overlap others.
+func (c *checker) checkSequence(rollouts []Rollout, services map[kqname.Service]Service) {
 	order := make([]int, len(rollouts))
 	for i := range order {
 		order[i] = i
@@ -61,24 +63,24 @@
 		}
 		at := fmt.Sprintf("rollouts[%d]", i)
 		if s, ok := services[r.Service]; ok {
-			c.from(at, r, s, served[r.Service])
+			c.checkFrom(at, r, s, served[r.Service])
 		}
 		if r.Cancelled {
 			continue
 		}
 		if j, ok := last[r.Service]; ok && r.Start.Before(rollouts[j].Deadline) {
-			c.when(true, at+".start", fmt.Sprintf("is before the deadline of %q of the same service", rollouts[j].Name))
+			c.reportIf(true, at+".start", fmt.Sprintf("is before the deadline of %q of the same service", rollouts[j].Name))
 		}
 		last[r.Service] = i
 		served[r.Service] = append(served[r.Service], r.From, r.To)
 	}
 }
 
-func (c *checker) from(at string, r Rollout, s Service, served []kqname.UpstreamVersion) {
+func (c *checker) checkFrom(at string, r Rollout, s Service, served []kqname.UpstreamVersion) {
 	if s.Version == "" {
-		c.when(true, at+".service", "states no version, so the new version would serve before the start")
+		c.reportIf(true, at+".service", "states no version, so the new version would serve before the start")
 		return
 	}
-	c.when(r.From != s.Version && !slices.Contains(served, r.From), at+".from",
+	c.reportIf(r.From != s.Version && !slices.Contains(served, r.From), at+".from",
 		fmt.Sprintf("is neither its service's version %q nor one of an earlier rollout", string(s.Version)))
 }
--- a/pkg/kqdocument/validate_route.go
+++ b/pkg/kqdocument/validate_route.go
@@ -16,13 +16,14 @@
 	maxHeaders     = 8
 	maxHeaderName  = 64
 	maxHeaderValue = 256
-	ownHeaders     = "kq-"
-	maxWeight      = 1000000
-	maxAttempts    = 16
+	// reservedHeaders is the prefix of kumquatgw's own headers.
+	reservedHeaders = "kq-"
+	maxWeight       = 1000000
+	maxAttempts     = 16
 
-	// tokenSigns may stand in a header's name beside letters and digits
+	// tokenSymbols are allowed in a header's name besides letters and digits
 	// (RFC 9110, section 5.6.2).
-	tokenSigns = "!#$%&'*+-.^_`|~"
+	tokenSymbols = "!#$%&'*+-.^_`|~"
 )
 
 var (
@@ -33,59 +34,58 @@
 	classes = []Class{"", ClassCritical, ClassNormal, ClassBackground}
 )
 
-func (c *checker) route(at string, r Route) {
-	c.when(!kqname.Valid(r.Host), at+".host", "is not a lower-case host name")
-	c.when(!cleanPrefix(r.PathPrefix), at+".path_prefix",
+func (c *checker) checkRoute(at string, r Route) {
+	c.reportIf(!kqname.Valid(r.Host), at+".host", "is not a lower-case host name")
+	c.reportIf(!isValidPathPrefix(r.PathPrefix), at+".path_prefix",
 		fmt.Sprintf("must be a plain path of at most %d bytes that begins with /", maxPrefix))
-	c.when(!slices.Contains(methods, r.Method), at+".method", "is not an HTTP method in capitals")
-	c.when(!slices.Contains(classes, r.Class), at+".class", "must be critical, normal or background")
-	c.when(len(r.Headers) > maxHeaders, at+".headers", fmt.Sprintf("has more than %d headers", maxHeaders))
-	c.timeout(at, r.TimeoutMS)
+	c.reportIf(!slices.Contains(methods, r.Method), at+".method", "is not an HTTP method in capitals")
+	c.reportIf(!slices.Contains(classes, r.Class), at+".class", "must be critical, normal or background")
+	c.reportIf(len(r.Headers) > maxHeaders, at+".headers", fmt.Sprintf("has more than %d headers", maxHeaders))
+	c.checkTimeout(at, r.TimeoutMS)
 	seen := make(map[string]bool)
 	for _, name := range slices.Sorted(maps.Keys(r.Headers)) {
 		field := fmt.Sprintf("%s.headers[%.64q]", at, name)
 		folded := strings.ToLower(name)
-		c.when(!isToken(name), field, "is not a header's name")
-		c.when(strings.HasPrefix(folded, ownHeaders), field, "is a header of the system's own, which callers cannot set")
-		c.when(seen[folded], field, "stands twice, in two cases")
-		c.when(!cleanValue(r.Headers[name]), field, fmt.Sprintf("must have a value of 1 to %d visible characters", maxHeaderValue))
+		c.reportIf(!isToken(name), field, "is not a header's name")
+		c.reportIf(strings.HasPrefix(folded, reservedHeaders), field, "is a header of the system's own, which callers cannot set")
+		c.reportIf(seen[folded], field, "stands twice, in two cases")
+		c.reportIf(!isValidHeaderValue(r.Headers[name]), field, fmt.Sprintf("must have a value of 1 to %d visible characters", maxHeaderValue))
 		seen[folded] = true
 	}
 }
 
-// parts refuses a route that says two things of where its calls go, or whose
-// weights share nothing out.
-func (c *checker) parts(at string, r Route) {
+// checkParts refuses a route that has both a service and parts, parts without any
+// weight, contradictory idempotency, and values out of range.
+func (c *checker) checkParts(at string, r Route) {
 	total := 0.0
 	seen := make(map[kqname.Service]bool)
 	for i, p := range r.Parts {
 		field := fmt.Sprintf("%s.parts[%d]", at, i)
-		// Written so that NaN, which compares as false, is refused too.
-		c.when(!(p.Weight >= 0 && p.Weight <= maxWeight), field+".weight", fmt.Sprintf("must be from 0 to %d", maxWeight))
-		c.when(seen[p.Service], field+".service", "stands twice")
+		// Negated so that NaN, for which every comparison is false, is refused too.
+		c.reportIf(!(p.Weight >= 0 && p.Weight <= maxWeight), field+".weight", fmt.Sprintf("must be from 0 to %d", maxWeight))
+		c.reportIf(seen[p.Service], field+".service", "stands twice")
 		seen[p.Service] = true
 		total += p.Weight
 	}
-	c.when(len(r.Parts) > 0 && r.Service != "", at+".service", "stands beside parts")
-	c.when(len(r.Parts) > 0 && !(total > 0), at+".parts", "have no weight at all")
-	c.when(r.Idempotent && r.NotIdempotent, at+".not_idempotent", "stands beside idempotent")
-	c.when(r.MaxAttempts < 0 || r.MaxAttempts > maxAttempts, at+".max_attempts", fmt.Sprintf("must be from 0 to %d", maxAttempts))
-	c.when(r.TargetMS < 0 || r.TargetMS > maxTimeoutMS, at+".target_ms", fmt.Sprintf("must be from 0 to %d", maxTimeoutMS))
+	c.reportIf(len(r.Parts) > 0 && r.Service != "", at+".service", "stands beside parts")
+	c.reportIf(len(r.Parts) > 0 && !(total > 0), at+".parts", "have no weight at all")
+	c.reportIf(r.Idempotent && r.NotIdempotent, at+".not_idempotent", "stands beside idempotent")
+	c.reportIf(r.MaxAttempts < 0 || r.MaxAttempts > maxAttempts, at+".max_attempts", fmt.Sprintf("must be from 0 to %d", maxAttempts))
+	c.reportIf(r.TargetMS < 0 || r.TargetMS > maxTimeoutMS, at+".target_ms", fmt.Sprintf("must be from 0 to %d", maxTimeoutMS))
 }
 
-// timeoutOver refuses a route whose calls would outlive what its service is
-// said to take at most.
-func (c *checker) timeoutOver(at string, r Route, s Service) {
-	most := s.TimeoutMS
-	if most == 0 {
-		most = defaultTimeoutMS
+// checkTimeoutOverride refuses a route whose timeout exceeds that of its service.
+func (c *checker) checkTimeoutOverride(at string, r Route, s Service) {
+	limit := s.TimeoutMS
+	if limit == 0 {
+		limit = defaultTimeoutMS
 	}
-	c.when(s.Name != "" && r.TimeoutMS > most, at+".timeout_ms", fmt.Sprintf("is over its service's, %d", most))
+	c.reportIf(s.Name != "" && r.TimeoutMS > limit, at+".timeout_ms", fmt.Sprintf("is over its service's, %d", limit))
 }
 
-// duplicates refuses two routes that match the same calls: only one would ever
-// be used, by its name alone, and the other's operator would see no effect.
-func (c *checker) duplicates(routes []Route) {
+// checkDuplicates refuses two routes that match the same calls: only the one with the
+// lower name would ever be used, and the other would have no effect.
+func (c *checker) checkDuplicates(routes []Route) {
 	seen := make(map[string]kqname.Route, len(routes))
 	for i, r := range routes {
 		match := []string{string(r.Host), r.PathPrefix, r.Method}
@@ -94,26 +94,26 @@
 		}
 		key := strings.Join(match, "\x00")
 		other, ok := seen[key]
-		c.when(ok, fmt.Sprintf("routes[%d]", i), fmt.Sprintf("matches the same calls as %.64q", string(other)))
+		c.reportIf(ok, fmt.Sprintf("routes[%d]", i), fmt.Sprintf("matches the same calls as %.64q", string(other)))
 		if !ok {
 			seen[key] = r.Name
 		}
 	}
 }
 
-func cleanPrefix(p string) bool {
+func isValidPathPrefix(p string) bool {
 	if len(p) > maxPrefix || !strings.HasPrefix(p, "/") || strings.ContainsAny(p, "?#% ") {
 		return false
 	}
 	cleaned := path.Clean(p)
-	return (p == cleaned || p == cleaned+"/") && visible(p)
+	return (p == cleaned || p == cleaned+"/") && isVisibleASCII(p)
 }
 
-func cleanValue(v string) bool {
-	return v != "" && len(v) <= maxHeaderValue && v == strings.TrimSpace(v) && visible(strings.ReplaceAll(v, " ", ""))
+func isValidHeaderValue(v string) bool {
+	return v != "" && len(v) <= maxHeaderValue && v == strings.TrimSpace(v) && isVisibleASCII(strings.ReplaceAll(v, " ", ""))
 }
 
-func visible(s string) bool {
+func isVisibleASCII(s string) bool {
 	return !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
@@ -123,6 +123,6 @@
 	}
 	return !strings.ContainsFunc(name, func(r rune) bool {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
-		return !letter && !strings.ContainsRune(tokenSigns, r)
+		return !letter && !strings.ContainsRune(tokenSymbols, r)
 	})
 }
--- a/pkg/kqdocument/validate_test.go
+++ b/pkg/kqdocument/validate_test.go
@@ -12,7 +12,7 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-func sound() kqdocument.Document {
+func validDocument() kqdocument.Document {
 	start := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
 	return kqdocument.Document{
 		Teams:    []kqdocument.Team{{Name: "shop", MaxRoutes: 5}},
@@ -29,14 +29,14 @@
 	}
 }
 
-// An operator makes a slip in a form. Each is told at its field before anything
-// is committed; a node would otherwise meet it while calls run.
-func TestEachFaultIsToldAtItsField(t *testing.T) {
-	if problems := kqdocument.Validate(sound()); len(problems) > 0 {
-		t.Fatalf("sound document: %v", problems)
+// Guards against mistakes of operators that reach the nodes. Each must be reported at
+// its field before the document is committed.
+func TestEachProblemIsReportedAtItsField(t *testing.T) {
+	if problems := kqdocument.Validate(validDocument()); len(problems) > 0 {
+		t.Fatalf("the valid document has problems: %v", problems)
 	}
 	far := time.Date(12026, 1, 1, 0, 0, 0, 0, time.UTC)
-	for want, spoil := range map[string]func(*kqdocument.Document){
+	for want, corrupt := range map[string]func(*kqdocument.Document){
 		"teams[0].name":                 func(d *kqdocument.Document) { d.Teams[0].Name = kqname.Team(strings.Repeat("x", 65)) },
 		"teams[0].max_routes":           func(d *kqdocument.Document) { d.Teams[0].MaxRoutes = 1 },
 		"teams[0].max_rollouts":         func(d *kqdocument.Document) { d.Teams[0].MaxRollouts = -1 },
@@ -65,22 +65,23 @@
 		"rollouts[0].service":           func(d *kqdocument.Document) { d.Services[0].Version = "" },
 	} {
 		t.Run(want, func(t *testing.T) {
-			d := sound()
-			spoil(&d)
+			d := validDocument()
+			corrupt(&d)
 			problems := kqdocument.Validate(d)
 			if !slices.ContainsFunc(problems, func(p kqdocument.Problem) bool { return p.Path == want }) {
 				t.Errorf("problems %v, want one at %s", problems, want)
 			}
 			if again := kqdocument.Validate(d); !slices.Equal(problems, again) {
-				t.Errorf("a second look tells %v", again)
+				t.Errorf("a second validation returned other problems: %v", again)
 			}
 		})
 	}
 }
 
-// A file is cut, typed wrong, or far too large. It is refused whole with one
-// error; a field that stands twice would else quietly drop the first.
-func TestParseRefuses(t *testing.T) {
+// Guards against malformed files that are accepted in part: truncated, misspelled or too
+// large ones, and duplicate fields, of which the JSON library would drop the first
+// silently.
+func TestParseRefusesMalformedDocuments(t *testing.T) {
 	for text, want := range map[string]error{
 		`{"services":[`:                                 kqdocument.ErrSyntax,
 		`{"servises":[]}`:                               kqdocument.ErrSyntax,
