--- a/internal/peer/kqexchange/exchange.go
+++ b/internal/peer/kqexchange/exchange.go
@@ -38,7 +38,8 @@
 	Versions interface {
 		// Newest returns the highest version whose root this node holds.
 		Newest() kqname.ConfigVersion
-		// Heard is called with the newest version in each heartbeat of a peer.
+		// Heard is called with the newest version in each heartbeat, or answer to
+		// one, of a peer.
 		Heard(v kqname.ConfigVersion, from kqname.Address)
 		// Answered is called with each peer that answered a heartbeat and the newest
 		// version in the answer.
@@ -80,8 +81,9 @@
 
 // New returns an exchanger that registers its methods on server and sends through
 // client, with a heartbeat to each neighbour per interval. Contacts are addresses
-// that get heartbeats while no live peer is known, and one of them from time to
-// time later on, so that two parts of a fleet that dropped each other join again.
+// that get heartbeats while every known peer is dead or none is known, and one of them
+// from time to time later on, so that two parts of a fleet that dropped each other
+// join again.
 func New(server *kqpeer.Server, client *kqpeer.Client, table *kqmember.Table, overlay *kqoverlay.Overlay,
 	versions Versions, budget Budget, contacts []kqname.Address, interval time.Duration,
 ) *Exchanger {
@@ -134,7 +136,8 @@
 func (e *Exchanger) Announce(ctx context.Context) { e.send(ctx, e.dequeue(maxQueue)) }
 
 // tick sends the heartbeats that are due on a beat: to all neighbours, to a random
-// live member or, without one, to all contacts, and to the members to be probed.
+// member that is not dead or, without one, to all contacts, and to the members to be
+// probed. It also prunes dead members and closes idle connections.
 func (e *Exchanger) tick(ctx context.Context, beat int, now time.Time) {
 	neighbours := e.overlay.Neighbours()
 	e.detectFailures(neighbours, now)
--- a/internal/peer/kqexchange/heartbeat.go
+++ b/internal/peer/kqexchange/heartbeat.go
@@ -17,7 +17,8 @@
 
 type (
 	// heartbeat holds the sender's incarnation, the hash of its member table, the
-	// newest configuration version that it knows and the one that it has applied.
+	// newest configuration version whose root it holds, and the version in its own
+	// record.
 	heartbeat struct {
 		Incarnation uint64               `cbor:"1,keyasint"`
 		Records     uint64               `cbor:"2,keyasint"`
--- a/internal/peer/kqoverlay/overlay.go
+++ b/internal/peer/kqoverlay/overlay.go
@@ -33,15 +33,16 @@
 	return o
 }
 
-// Neighbours returns the live members that this node is linked to.
+// Neighbours returns the members that this node is linked to, chosen among all that
+// are not dead.
 func (o *Overlay) Neighbours() []kqmember.Member {
 	alive, _ := o.choose()
 	return o.records(alive)
 }
 
 // Lost returns the dead members that would be neighbours if they were alive. This
-// node probes only these, so that a few nodes probe each dead member however large
-// the fleet is.
+// node probes them, so that a few nodes probe each dead member however large the
+// fleet is.
 func (o *Overlay) Lost() []kqmember.Member {
 	_, lost := o.choose()
 	return o.records(lost)
--- a/internal/peer/kqspread/spreader.go
+++ b/internal/peer/kqspread/spreader.go
@@ -55,7 +55,7 @@
 		mu        sync.Mutex
 		receivers map[Topic][]Receiver
 		seen      map[messageID]bool
-		// recent is a ring of the ids in seen; next is the position of the oldest.
+		// recent is a ring of the ids in seen; next is the index to overwrite.
 		recent      []messageID
 		next        int
 		queue       []message
--- a/internal/store/kqstandin/serve.go
+++ b/internal/store/kqstandin/serve.go
@@ -96,7 +96,8 @@
 	http.Error(w, err.Error(), http.StatusBadRequest)
 }
 
-// serve runs one call; wait bounds both a watch and the ttl of a lease.
+// serve runs one call. WaitMS is the wait of a watch or the ttl of a lease, at most
+// maxWait.
 func (s *Standin) serve(ctx context.Context, verb string, c Call) (a Answer, err error) {
 	wait := min(time.Duration(max(c.WaitMS, 0))*time.Millisecond, maxWait)
 	switch verb {
