--- a/internal/run/kqnode/adapter.go
+++ b/internal/run/kqnode/adapter.go
@@ -15,50 +15,50 @@
 )
 
 type (
-	// Adapter joins a node to a platform whose operators, upstreams and callers
-	// speak forms of their own. Parts that are nil stay this program's.
+	// Adapter connects a node to a platform whose operators, upstreams and callers
+	// use formats of their own. A nil part keeps this program's own format.
 	Adapter struct {
-		// Dialect is what callers and upstreams say in their headers. Callers and
-		// the local upstream then share one listener, the entry's.
+		// Dialect reads and writes the headers of callers and upstreams. With it,
+		// callers and the local upstream share one listener, the entry's.
 		Dialect kqcall.Dialect
-		// Announcements reads what the local upstream says of itself.
+		// Announcements parses the local upstream's announcements.
 		Announcements Announcements
-		// Operators reads the document and the orders that operators write into
-		// the store themselves, and Lister follows them.
+		// Operators decodes the document and the rollout orders that operators write
+		// to the store directly; Lister lists and follows those entries.
 		Operators kqorigin.Decoder
 		Lister    kqstore.Lister
-		// Answered has f told of each call to the store: its kind, and its answer's
-		// status or 0 where none came.
+		// Answered registers f, which is called after each call to the store with the
+		// call's kind and the answer's status, or 0 without an answer.
 		Answered func(f func(call string, status int))
-		// Reports writes for operators how their orders stand.
+		// Reports encodes the state of an order for operators.
 		Reports Reports
 	}
 
-	// Announcements reads a request of the local upstream, and reports false for
-	// one that is no announcement.
+	// Announcements parses a request of the local upstream. The bool is false for a
+	// request that is not an announcement.
 	Announcements interface {
 		Read(uri string, body []byte) (kqlocal.Announcement, bool, error)
 	}
 
-	// Reports gives the key and the value that tell operators of an order.
+	// Reports returns the store key and value that report an order's state to operators.
 	Reports interface {
 		Report(s kqname.Service, to kqname.UpstreamVersion, state kqboard.State) (key string, value []byte, err error)
 	}
 )
 
-// WithAdapter joins the node to a platform by an adapter.
+// WithAdapter connects the node to a platform with formats of its own.
 func WithAdapter(a Adapter) Option { return func(n *Node) { n.adapter = a } }
 
-// storeAnswered counts a call to the store, and notes when the store is lost and
-// regained.
-func (n *Node) storeAnswered(call string, status int) {
+// recordStoreCall counts a call to the store, and logs when the store becomes
+// unavailable and when it is available again.
+func (n *Node) recordStoreCall(call string, status int) {
 	n.metrics.StoreAnswered(call, status)
-	lost := status == 0 || status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests
-	if n.storeLost.Swap(lost) == lost {
+	unavailable := status == 0 || status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests
+	if n.storeUnavailable.Swap(unavailable) == unavailable {
 		return
 	}
 	entry := n.logger.Part("store").WithFields(logrus.Fields{"event": "store", "call": call, "status": status})
-	if lost {
+	if unavailable {
 		entry.Warn("Store does not answer.")
 	} else {
 		entry.Info("Store answers again.")
@@ -68,12 +68,13 @@
 	}
 }
 
-// tellStore notes now and then which calls this node has made to the store.
-func (n *Node) tellStore(time.Time) {
+// logStoreCalls logs how many calls of each kind and status this node has made to the
+// store.
+func (n *Node) logStoreCalls(time.Time) {
 	n.logger.Part("store").WithFields(logrus.Fields{"event": "store_calls", "calls": n.metrics.StoreCalls()}).Info("Calls to the store so far.")
 }
 
-// serveReady answers whoever places callers.
+// serveReady answers readiness probes.
 func (n *Node) serveReady(ctx *fasthttp.RequestCtx) {
 	switch {
 	case string(ctx.Path()) != n.settings.Node.ReadyPath:
--- a/internal/run/kqnode/admin.go
+++ b/internal/run/kqnode/admin.go
@@ -9,8 +9,8 @@
 	"github.com/kumquatgw/kumquatgw/internal/security/kqreload"
 )
 
-// joinAdmin joins the admin server, where the settings switch it on.
-func (n *Node) joinAdmin() error {
+// setUpAdmin creates the admin server if the settings enable it.
+func (n *Node) setUpAdmin() error {
 	if n.listeners.admin == nil {
 		return nil
 	}
@@ -20,7 +20,7 @@
 		reloader, err := kqreload.New([]string{n.settings.Admin.Tokens}, operators.Load,
 			kqreload.WithEvery(n.settings.TLS.ReloadEvery), kqreload.WithFailed(func(err error) {
 				n.security.ReloadFailed("tokens")
-				log.WithError(err).Warn("Kept the operators in use: their file cannot be taken in.")
+				log.WithError(err).Warn("Cannot load the operators' token file; the current tokens stay in use.")
 			}))
 		if err != nil {
 			return fmt.Errorf("join admin: %w", err)
@@ -37,11 +37,11 @@
 	return nil
 }
 
-func (n *Node) runAdmin(ctx context.Context, keep func(part string, f func())) {
+func (n *Node) runAdmin(ctx context.Context, supervise func(part string, f func())) {
 	if n.tokens != nil {
-		keep("tokens", func() { n.tokens.Run(ctx) })
+		supervise("tokens", func() { n.tokens.Run(ctx) })
 	}
 	if n.admin != nil {
-		keep("admin", func() { n.admin.Run(ctx) })
+		supervise("admin", func() { n.admin.Run(ctx) })
 	}
 }
--- a/internal/run/kqnode/announce.go
+++ b/internal/run/kqnode/announce.go
@@ -13,16 +13,16 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// pending keeps announcements while a starting node does not know yet which
-// upstreams have left. It is safe for concurrent use.
-type pending struct {
-	mu      sync.Mutex
-	learned bool
-	held    map[kqname.Instance]kqlocal.Announcement
+// pendingAnnouncements holds announcements until a starting node has learned which
+// upstreams left before it started. It is safe for concurrent use.
+type pendingAnnouncements struct {
+	mu              sync.Mutex
+	departuresKnown bool
+	byInstance      map[kqname.Instance]kqlocal.Announcement
 }
 
-// serveAnnouncement takes an announcement in a platform's own form. One that
-// cannot be read, or names an upstream of another service, names no upstream.
+// serveAnnouncement serves an announcement in the platform's own format. It refuses
+// one that cannot be parsed or that names another service.
 func (n *Node) serveAnnouncement(ctx *fasthttp.RequestCtx) {
 	a, ok, err := n.adapter.Announcements.Read(string(ctx.Request.Header.RequestURI()), ctx.PostBody())
 	if !ok {
@@ -44,22 +44,22 @@
 	ctx.SetBodyString("{}")
 }
 
-// announce takes in an announcement. That an upstream leaves takes effect, and is
-// held beyond this process, before the upstream has its answer.
+// announce applies an announcement. A departure takes effect, and is stored outside
+// this process, before the upstream gets its answer.
 func (n *Node) announce(a kqlocal.Announcement) error {
 	now := time.Now()
 	leaves := a.Gone || a.Draining
-	if !leaves && n.pending.keep(a) {
+	if !leaves && n.pendingAnnouncements.hold(a) {
 		return nil
 	}
 	if leaves {
-		// What was announced before must not come into force after the goodbye.
-		held := n.pending.drop(a.Instance)
+		// An earlier announcement must not take effect after the departure.
+		held := n.pendingAnnouncements.remove(a.Instance)
 		if a.Born == 0 {
 			a.Born = max(held.Born, n.local.Born(a.Instance))
 		}
 		if a.Born == 0 {
-			// Nobody knows when it started, but it did before now.
+			// The start time is unknown; now is an upper bound.
 			a.Born = now.UnixMilli()
 		}
 	}
@@ -75,52 +75,52 @@
 	return nil
 }
 
-// learnDepartures finds out which upstreams have left before this process
-// started, and takes in what was announced meanwhile.
+// learnDepartures learns which upstreams left before this process started, and then
+// applies the announcements held meanwhile.
 func (n *Node) learnDepartures(ctx context.Context) {
 	now := time.Now()
 	for _, d := range n.distribution.departures.Learn(ctx) {
 		n.local.Left(d.Instance, d.Born, now)
 	}
-	for _, a := range n.pending.open() {
+	for _, a := range n.pendingAnnouncements.release() {
 		if err := n.local.Announce(a, time.Now()); err != nil {
 			n.logger.Part("upstream").WithError(err).Warn("Announcement refused.")
 		}
 	}
 }
 
-// keep holds an announcement back and reports whether it did.
-func (p *pending) keep(a kqlocal.Announcement) bool {
+// hold holds an announcement unless departures are known, and reports whether it did.
+func (p *pendingAnnouncements) hold(a kqlocal.Announcement) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.learned {
+	if p.departuresKnown {
 		return false
 	}
-	if p.held == nil {
-		p.held = make(map[kqname.Instance]kqlocal.Announcement)
+	if p.byInstance == nil {
+		p.byInstance = make(map[kqname.Instance]kqlocal.Announcement)
 	}
-	p.held[a.Instance] = a
+	p.byInstance[a.Instance] = a
 	return true
 }
 
-// drop forgets what an upstream announced, and returns it.
-func (p *pending) drop(instance kqname.Instance) kqlocal.Announcement {
+// remove removes and returns the held announcement of an upstream.
+func (p *pendingAnnouncements) remove(instance kqname.Instance) kqlocal.Announcement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a := p.held[instance]
-	delete(p.held, instance)
+	a := p.byInstance[instance]
+	delete(p.byInstance, instance)
 	return a
 }
 
-// open returns what was held back, and holds nothing back from now on.
-func (p *pending) open() []kqlocal.Announcement {
+// release returns the held announcements and stops holding new ones.
+func (p *pendingAnnouncements) release() []kqlocal.Announcement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.learned = true
-	list := make([]kqlocal.Announcement, 0, len(p.held))
-	for _, a := range p.held {
+	p.departuresKnown = true
+	list := make([]kqlocal.Announcement, 0, len(p.byInstance))
+	for _, a := range p.byInstance {
 		list = append(list, a)
 	}
-	p.held = nil
+	p.byInstance = nil
 	return list
 }
--- a/internal/run/kqnode/body.go
+++ b/internal/run/kqnode/body.go
@@ -11,72 +11,77 @@
 )
 
 const (
-	// defaultBodies is the room for bodies, in bytes, where no memory is stated: four
-	// of the largest.
-	defaultBodies = 256 << 20
-	// bodyShare is the part of the memory that bodies may take: what the library has
-	// read and not collected yet takes as much again, and the rest is the process's.
-	bodyShare = 4
-	// entryRoom is how long a caller's body waits for room: about as long as one takes
-	// to be sent on.
-	entryRoom = 250 * time.Millisecond
-	// roomAfter is what callers are told whose bodies there is no room for.
-	roomAfter = time.Second
-	// noBody is the size of body, in bytes, that is left to those without room.
-	noBody = 1
+	// defaultBodyMemory is the memory for bodies, in bytes, if the settings state none:
+	// four of the largest bodies.
+	defaultBodyMemory = 256 << 20
+	// bodyMemoryDivisor leaves a quarter of the memory to bodies: what the HTTP library
+	// has read and is not garbage-collected yet takes as much again, and the process
+	// needs the rest.
+	bodyMemoryDivisor = 4
+	// entryBodyWait is how long a caller's body waits for memory: about the time that
+	// it takes to send one on.
+	entryBodyWait = 250 * time.Millisecond
+	// noMemoryRetryAfter is the Retry-After of a call refused for lack of body memory.
+	noMemoryRetryAfter = time.Second
+	// rejectedBodyLimit is the body limit, in bytes, of a request without reserved
+	// memory; the HTTP library rejects a larger body.
+	rejectedBodyLimit = 1
 )
 
-// bodyMemory is how many bytes of bodies the node may hold at once.
+// bodyMemory returns how many bytes of bodies the node may hold at once.
 func bodyMemory(s kqsettings.Settings) int {
 	switch {
 	case s.Call.BodyMemory > 0:
 		return s.Call.BodyMemory
 	case s.Node.Memory > 0:
-		return s.Node.Memory / bodyShare
+		return s.Node.Memory / bodyMemoryDivisor
 	default:
-		return defaultBodies
+		return defaultBodyMemory
 	}
 }
 
-// connectionShare is the part of the memory, in eighths, that bodies and the buffers of
-// connections may take together: the program itself and what is not collected yet take
-// the rest.
-const connectionShare = 5
+// connectionMemoryEighths is the part of the memory, in eighths, that bodies and
+// connections' buffers may take together; the program itself and uncollected garbage
+// take the rest.
+const connectionMemoryEighths = 5
 
-// newBodies returns the bound on what callers may have the node hold.
-func (n *Node) newBodies() *kqbody.Bound {
+// newBodyBound returns the bound on the memory that callers' bodies may take.
+func (n *Node) newBodyBound() *kqbody.Bound {
 	var options []kqbody.Option
 	if memory := n.settings.Node.Memory; memory > 0 {
-		options = append(options, kqbody.WithConnections(memory/8*connectionShare, n.callers))
+		options = append(options, kqbody.WithConnections(memory/8*connectionMemoryEighths, n.callConnections))
 	}
 	return kqbody.New(bodyMemory(n.settings), options...)
 }
 
-// callers returns how many connections the servers of calls have open.
-func (n *Node) callers() int { return n.open(RoleEntry) + n.open(RoleLocal) + n.open(RoleGate) }
+// callConnections returns the number of open connections of the servers for calls.
+func (n *Node) callConnections() int {
+	return n.openConnections(RoleEntry) + n.openConnections(RoleLocal) + n.openConnections(RoleGate)
+}
 
-// takeRoom takes room for a request's body before it is read, or leaves it none. A
-// gate waits for long: while it does, the node that calls holds the body, and a
-// refusal in the midst of it would leave the call's end unknown.
-func (n *Node) takeRoom(wait time.Duration) func(*fasthttp.RequestHeader) fasthttp.RequestConfig {
+// reserveBody reserves memory for a request's body before it is read, or limits the
+// body to rejectedBodyLimit. A gate waits much longer than an entry: the calling node
+// holds the body meanwhile, and a refusal while it sends would leave the call's outcome
+// unknown.
+func (n *Node) reserveBody(wait time.Duration) func(*fasthttp.RequestHeader) fasthttp.RequestConfig {
 	return func(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
 		if h.ContentLength() > n.settings.Call.MaxBody || n.bodies.Take(h, wait, n.settings.Call.ReadTimeout) {
 			return fasthttp.RequestConfig{}
 		}
-		return fasthttp.RequestConfig{MaxRequestBodySize: noBody}
+		return fasthttp.RequestConfig{MaxRequestBodySize: rejectedBodyLimit}
 	}
 }
 
-// noMemory is the outcome of a call whose body there is no room for.
-func noMemory() kqcall.Outcome {
+// noMemoryOutcome returns the outcome of a call refused for lack of body memory.
+func noMemoryOutcome() kqcall.Outcome {
 	o := kqcall.Refuse(kqcall.NoMemory)
-	o.RetryAfter = roomAfter
+	o.RetryAfter = noMemoryRetryAfter
 	return o
 }
 
-// noRoom reports whether a body that was refused as too large is within the bound on
-// one.
-func (n *Node) noRoom(ctx *fasthttp.RequestCtx) bool {
+// lackedMemory reports whether a body rejected as too large was rejected for lack of
+// memory: it is within the configured limit.
+func (n *Node) lackedMemory(ctx *fasthttp.RequestCtx) bool {
 	length := ctx.Request.Header.ContentLength()
-	return length > noBody && length <= n.settings.Call.MaxBody
+	return length > rejectedBodyLimit && length <= n.settings.Call.MaxBody
 }
--- a/internal/run/kqnode/call.go
+++ b/internal/run/kqnode/call.go
@@ -23,16 +23,15 @@
 )
 
 const (
-	announcePath = "/kq/announce"
-	baseline     = "baseline"
-	exactSlots   = "exact"
-	// serverIdle is longer than the clients keep idle connections, so that the
-	// client is the one to close: a server that closes first could cut a call
-	// that was just being sent.
-	serverIdle = time.Minute
-	// headerSize bounds a call's head, in bytes: 16 KB of the caller's own, and what
-	// nodes add on the way to a gate.
-	headerSize = 18 << 10
+	announcePath   = "/kq/announce"
+	policyBaseline = "baseline"
+	slotsExact     = "exact"
+	// serverIdleTimeout exceeds the clients' idle timeout, so that the client closes
+	// first: a server that closes first could cut off a call that is being sent.
+	serverIdleTimeout = time.Minute
+	// maxHeaderSize bounds a call's header, in bytes: 16 KB of the caller's own, and
+	// what nodes add on the way to a gate.
+	maxHeaderSize = 18 << 10
 )
 
 type (
@@ -40,30 +39,31 @@
 		entry, local, gate, ready *fasthttp.Server
 	}
 
-	// quiet logs the library's remarks on broken connections, which anybody
-	// can cause at any rate, at the lowest level.
-	quiet struct{ log *logrus.Entry }
+	// debugLogger logs the HTTP library's messages on broken connections at debug
+	// level, since any caller can cause them at any rate.
+	debugLogger struct{ log *logrus.Entry }
 )
 
 // Printf implements fasthttp.Logger.
-func (q quiet) Printf(format string, args ...any) { q.log.Debugf(format, args...) }
+func (l debugLogger) Printf(format string, args ...any) { l.log.Debugf(format, args...) }
 
-// joinCalls joins the call flow: match, admit, pick, send, judge and answer.
-func (n *Node) joinCalls() {
+// setUpCalls assembles the call flow: match a route, admit, pick an upstream, send,
+// judge the result and answer.
+func (n *Node) setUpCalls() {
 	n.local = kqlocal.New(n.settings.Member.UpstreamTTL, func(list []kqmember.Upstream) {
 		n.table.Update(func(m *kqmember.Member) { m.Upstreams = list })
 	})
-	n.hangup = kqhangup.New()
-	gate := []kqgate.Option{kqgate.WithWithdrawer(n.local), kqgate.WithObserver(n.rollouts), kqgate.WithGuard(n.rollouts), kqgate.WithHangup(n.hangup), kqgate.WithCounter(n.metrics), kqgate.WithKeeper(n.keeper)}
+	n.callWatch = kqhangup.New()
+	gate := []kqgate.Option{kqgate.WithWithdrawer(n.local), kqgate.WithObserver(n.rollouts), kqgate.WithGuard(n.rollouts), kqgate.WithHangup(n.callWatch), kqgate.WithCounter(n.metrics), kqgate.WithKeeper(n.keeper)}
 	entry := append(n.entryTLSOptions(), kqentry.WithCounter(n.metrics), kqentry.WithSplitter(n.rollouts),
-		kqentry.WithDomain(n.settings.Node.Domain), kqentry.WithHangup(n.hangup),
+		kqentry.WithDomain(n.settings.Node.Domain), kqentry.WithHangup(n.callWatch),
 		kqentry.WithForged(n.security.Forged), kqentry.WithKeeper(n.keeper))
 	nesting := kqnesting.New()
 	gate, entry = append(gate, kqgate.WithNesting(nesting)), append(entry, kqentry.WithNesting(nesting))
-	if n.settings.Call.Slots == exactSlots {
+	if n.settings.Call.Slots == slotsExact {
 		gate = append(gate, kqgate.WithExactSlots())
 	}
-	if n.settings.Call.Policy == baseline {
+	if n.settings.Call.Policy == policyBaseline {
 		gate, entry = append(gate, kqgate.WithBaseline()), append(entry, kqentry.WithBaseline())
 	}
 	n.recorder = kqrecord.New(n.logger.Part("call"), n.logger.Part("gate"), n.settings.Log.Sample, n.settings.Log.PerReason, n.metrics)
@@ -78,22 +78,22 @@
 	n.gate = kqgate.New(n.local, gate...)
 	n.entry = kqentry.New(n.settings.Node.Name, n.replica, n.table, n.gate, entry...)
 	n.servers = callServers{
-		entry: n.server(n.entry.ServeOutside, n.metrics.Ended, entryRoom),
-		local: n.server(n.serveLocal, n.metrics.Ended, entryRoom),
-		gate:  n.server(n.gate.Serve, n.metrics.Gated, n.settings.Call.ReadTimeout/2),
-		ready: n.server(n.serveReady, func(kqcall.Outcome) {}, 0),
+		entry: n.newServer(n.entry.ServeOutside, n.metrics.Ended, entryBodyWait),
+		local: n.newServer(n.serveLocal, n.metrics.Ended, entryBodyWait),
+		gate:  n.newServer(n.gate.Serve, n.metrics.Gated, n.settings.Call.ReadTimeout/2),
+		ready: n.newServer(n.serveReady, func(kqcall.Outcome) {}, 0),
 	}
 }
 
-func (n *Node) server(handler fasthttp.RequestHandler, count func(kqcall.Outcome), room time.Duration) *fasthttp.Server {
+func (n *Node) newServer(handler fasthttp.RequestHandler, count func(kqcall.Outcome), bodyWait time.Duration) *fasthttp.Server {
 	return &fasthttp.Server{
-		Handler: kqconnection.Serve(n.kept(handler, count)), Name: "kumquatgw", ReadTimeout: n.settings.Call.ReadTimeout, IdleTimeout: serverIdle,
+		Handler: kqconnection.Serve(n.recoverPanics(handler, count)), Name: "kumquatgw", ReadTimeout: n.settings.Call.ReadTimeout, IdleTimeout: serverIdleTimeout,
 		MaxRequestBodySize: n.settings.Call.MaxBody, NoDefaultServerHeader: true, CloseOnShutdown: true,
-		DisablePreParseMultipartForm: true, ReadBufferSize: headerSize, ErrorHandler: n.refuse(count), HeaderReceived: n.takeRoom(room), Logger: quiet{n.logger.Part("call")},
+		DisablePreParseMultipartForm: true, ReadBufferSize: maxHeaderSize, ErrorHandler: n.readErrorHandler(count), HeaderReceived: n.reserveBody(bodyWait), Logger: debugLogger{n.logger.Part("call")},
 	}
 }
 
-// serveLocal takes the announcements and the calls of the local upstream.
+// serveLocal serves the local upstream's announcements and calls.
 func (n *Node) serveLocal(ctx *fasthttp.RequestCtx) {
 	if n.adapter.Announcements != nil {
 		n.serveAnnouncement(ctx)
@@ -108,7 +108,7 @@
 	if err == nil {
 		now := time.Now()
 		err = n.local.Announce(a, now)
-		// A drain takes effect before the upstream has its answer.
+		// A drain must take effect before the upstream gets its answer.
 		n.gate.Sweep(now)
 	}
 	if err != nil {
@@ -122,11 +122,11 @@
 	start(func() error { return s.gate.Serve(l.gate) })
 }
 
-// refuse answers, and counts, what the library could not read as a call. Such
-// a call never reaches an entry or a gate, which count all others.
-func (n *Node) refuse(count func(kqcall.Outcome)) func(*fasthttp.RequestCtx, error) {
+// readErrorHandler answers and counts requests that the HTTP library could not read.
+// They never reach an entry or a gate, which count all others.
+func (n *Node) readErrorHandler(count func(kqcall.Outcome)) func(*fasthttp.RequestCtx, error) {
 	return func(ctx *fasthttp.RequestCtx, err error) {
-		o := n.unread(ctx, errors.Join(err, kqconnection.ReadError(ctx.Conn())))
+		o := n.readErrorOutcome(ctx, errors.Join(err, kqconnection.ReadError(ctx.Conn())))
 		n.bodies.Give(&ctx.Request.Header)
 		count(o)
 		c := &kqcall.Call{Request: &ctx.Request, Response: &ctx.Response}
@@ -134,21 +134,22 @@
 	}
 }
 
-// unread is the outcome of a call that was not read whole, by what kept it from that.
-func (n *Node) unread(ctx *fasthttp.RequestCtx, err error) kqcall.Outcome {
+// readErrorOutcome returns the outcome of a call that could not be read whole, by the
+// error that stopped the reading.
+func (n *Node) readErrorOutcome(ctx *fasthttp.RequestCtx, err error) kqcall.Outcome {
 	var small *fasthttp.ErrSmallBuffer
 	var network net.Error
 	switch {
 	case errors.Is(err, kqconnection.ErrNoRoom):
-		return noMemory()
-	case errors.Is(err, fasthttp.ErrBodyTooLarge) && n.noRoom(ctx):
-		return noMemory()
+		return noMemoryOutcome()
+	case errors.Is(err, fasthttp.ErrBodyTooLarge) && n.lackedMemory(ctx):
+		return noMemoryOutcome()
 	case errors.Is(err, fasthttp.ErrBodyTooLarge) || errors.As(err, &small):
 		return kqcall.Refuse(kqcall.TooLarge)
 	case !errors.As(err, &network):
 		return kqcall.Refuse(kqcall.Malformed)
 	case !network.Timeout():
-		// The caller has broken off.
+		// The caller has disconnected.
 		return kqcall.Refuse(kqcall.Cancelled)
 	case n.leaving.Load():
 		return kqcall.Refuse(kqcall.Draining)
--- a/internal/run/kqnode/collect.go
+++ b/internal/run/kqnode/collect.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// collectEvery is the mean time between two collections by one node with an
+	// collectPeriod is the mean time between two collections by one node with an
 	// admin server.
-	collectEvery = time.Hour
-	// collectAge is how long a replaced version's objects are kept at least.
-	collectAge = 24 * time.Hour
+	collectPeriod = time.Hour
+	// collectMinAge is the minimum time for which a replaced version's objects are kept.
+	collectMinAge = 24 * time.Hour
 )
 
-// collect takes old objects off the platform now and then. Without it the
-// ledger of commits would come to the platform's bound on a value within weeks,
-// and operators could commit no more. Only nodes with an admin server do it, so
-// that the platform's load does not grow with the fleet; several at once do no
-// harm. The time is drawn, so that nodes which start together do not meet.
+// collect periodically deletes old objects from the platform. Without it the ledger of
+// commits would reach the platform's limit on a value's size within weeks, and every
+// further commit would fail. Only nodes with an admin server collect, so that the
+// platform's load does not grow with the fleet; concurrent collections are harmless.
+// The pause is random, so that nodes which start together collect at different times.
 func (n *Node) collect(ctx context.Context) {
 	if n.admin == nil {
 		return
@@ -30,11 +30,11 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(rand.N(2 * collectEvery)):
+		case <-time.After(rand.N(2 * collectPeriod)):
 		}
-		done, err := kqcommit.New(n.store).Collect(ctx, n.store, time.Now().Add(-collectAge))
+		done, err := kqcommit.New(n.store).Collect(ctx, n.store, time.Now().Add(-collectMinAge))
 		if err != nil {
-			log.WithError(err).Warn("Collected in part or not at all; the next time goes on.")
+			log.WithError(err).Warn("Collection failed or is incomplete; the next one continues.")
 			continue
 		}
 		log.Infof("Collected %d objects of %d versions.", done.Objects, done.Roots)
--- a/internal/run/kqnode/config.go
+++ b/internal/run/kqnode/config.go
@@ -27,16 +27,16 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// strategyDirect lets every node watch the platform and take the whole document.
+// strategyDirect makes every node watch the platform and fetch the whole document.
 const strategyDirect = "direct"
 
-// prefetchPoll is how often a starting node looks whether it has a version.
+// prefetchPoll is how often a starting node checks whether it has a version.
 const prefetchPoll = 20 * time.Millisecond
 
-// fillPause is the longest pause before a reader asks again for what it lacks.
-const fillPause = 2 * time.Second
+// maxFillPause is the longest pause before a reader retries to fetch what it lacks.
+const maxFillPause = 2 * time.Second
 
-// distribution is how versions reach this node and go on to others.
+// distribution holds the parts that receive versions and pass them on to other nodes.
 type distribution struct {
 	distributor *kqdistribute.Distributor
 	reader      *kqreader.Reader
@@ -48,15 +48,15 @@
 	direct      bool
 }
 
-// lists is a store that also lists.
-type lists struct {
+// listerStore is a store that can also list entries.
+type listerStore struct {
 	kqstore.Store
 	kqstore.Lister
 }
 
-// joinConfig joins the configuration flow: receive, verify, resolve, stage and
-// swap; and the membership beside it.
-func (n *Node) joinConfig() {
+// setUpConfig assembles the configuration flow (receive, verify, resolve, stage and
+// swap) and the membership.
+func (n *Node) setUpConfig() {
 	log := n.logger.Part("config")
 	c := n.settings.Config
 	direct := c.Strategy == strategyDirect
@@ -64,14 +64,14 @@
 		n.metrics.PlatformFailed()
 		log.WithError(err).Debug("Platform did not answer.")
 	}
-	// The receiver needs what is made from the store's objects below.
+	// receive is assigned below, since it depends on objects made from the store.
 	var receive func(context.Context, kqresource.Root)
-	store, watcher := n.versions(func(ctx context.Context, r kqresource.Root) { receive(ctx, r) }, platformFailed)
+	store, watcher := n.newVersionSource(func(ctx context.Context, r kqresource.Root) { receive(ctx, r) }, platformFailed)
 	fetcher := kqfetch.New(n.peers, n.client, n.table, store, n.budget, c.PlatformRate, c.ExpectedNodes)
 	if maker, ok := store.(kqfetch.Maker); ok {
 		fetcher.TakeWhole(maker)
 	}
-	n.replica = kqreplica.New(n.source(direct, store, fetcher), n.replicaOptions(direct)...)
+	n.replica = kqreplica.New(n.replicaSource(direct, store, fetcher), n.replicaOptions(direct)...)
 	fetcher.Serve(n.replica)
 	overlay := kqoverlay.New(n.table)
 	d := kqdistribute.New(n.peers, n.client, n.table, overlay, n.budget, n.replica, func(v kqname.ConfigVersion, err error) {
@@ -85,39 +85,39 @@
 			}
 		}
 	}
-	n.exchange = kqexchange.New(n.peers, n.client, n.table, overlay, d, n.budget, n.contacts(), n.settings.Member.Heartbeat)
+	n.exchange = kqexchange.New(n.peers, n.client, n.table, overlay, d, n.budget, n.seedAddresses(), n.settings.Member.Heartbeat)
 	n.spreader = kqspread.New(n.peers, n.client, n.settings.Node.Name, overlay, n.metrics.SpreadDropped)
-	reader := kqreader.New(n.store, n.table, watcher, c.StartSpread, n.exchange.Contact, n.reads, platformFailed)
+	reader := kqreader.New(n.store, n.table, watcher, c.StartSpread, n.exchange.Contact, n.setReader, platformFailed)
 	n.distribution = distribution{distributor: d, reader: reader, watcher: watcher, fetcher: fetcher, direct: direct}
 	if n.adapter.Lister != nil {
-		n.distribution.register = n.joinRegister(platformFailed)
-		n.distribution.follower = kqfollower.New(n.table, watcher, n.reads)
-		n.distribution.departures = kqdeparture.New(n.entries(), n.peers, n.client, n.table)
+		n.distribution.register = n.newRegister(platformFailed)
+		n.distribution.follower = kqfollower.New(n.table, watcher, n.setReader)
+		n.distribution.departures = kqdeparture.New(n.storeWithLister(), n.peers, n.client, n.table)
 	}
 }
 
-// versions returns where versions' objects come from last, and who follows new
-// versions: the commits of our own console, or the keys that the platform's
-// operators write.
-func (n *Node) versions(receive func(context.Context, kqresource.Root), failed func(error)) (kqfetch.Platform, kqreader.Watcher) {
+// newVersionSource returns the source of versions' objects that no peer provides, and
+// the watcher of new versions. Both read the commits of this program's console or,
+// with an adapter, the keys that the platform's operators write.
+func (n *Node) newVersionSource(receive func(context.Context, kqresource.Root), failed func(error)) (kqfetch.Platform, kqreader.Watcher) {
 	if n.adapter.Operators == nil {
 		return kqcommit.New(n.store), kqwatch.New(n.store, receive, failed)
 	}
 	log := n.logger.Part("config")
 	refused := func(key string, err error) {
 		n.metrics.ConfigRefused("invalid")
-		log.WithError(err).Warnf("Refused %s.", key)
+		log.WithError(err).Warnf("Refused the value of key %s.", key)
 	}
 	origin := kqorigin.New(n.adapter.Lister, n.adapter.Operators, receive, refused, failed)
 	return origin, origin
 }
 
-// entries is the store with its lists.
-func (n *Node) entries() lists { return lists{n.store, n.adapter.Lister} }
+// storeWithLister returns the store combined with the adapter's lister.
+func (n *Node) storeWithLister() listerStore { return listerStore{n.store, n.adapter.Lister} }
 
-// joinRegister lets the node find its peers through the store, where the
-// platform gives no seeds.
-func (n *Node) joinRegister(failed func(error)) *kqregister.Register {
+// newRegister returns a register through which the node finds its peers in the store,
+// for platforms that provide no seeds.
+func (n *Node) newRegister(failed func(error)) *kqregister.Register {
 	self := n.table.Self()
 	known := func(to kqname.Address) (peers int, known bool) {
 		for _, m := range n.table.Members() {
@@ -128,7 +128,7 @@
 		}
 		return peers, known
 	}
-	return kqregister.New(n.entries(), self.Node, self.Control, known, n.exchange.Contact, failed)
+	return kqregister.New(n.storeWithLister(), self.Node, self.Control, known, n.exchange.Contact, failed)
 }
 
 func (n *Node) replicaOptions(direct bool) []kqreplica.Option {
@@ -139,7 +139,7 @@
 			n.metrics.Version(s.Version())
 			n.table.SetConfig(n.settings.Node.Name, s.Version())
 			n.logger.Part("config").WithFields(logrus.Fields{"event": "applied", "version": s.Version()}).Info("Version is in force.")
-			n.rollouts.adopt(s)
+			n.rollouts.adoptConfig(s)
 		}),
 	}
 	if own := n.settings.Node.Service; own != "" {
@@ -151,15 +151,16 @@
 	return options
 }
 
-func (n *Node) source(direct bool, store kqfetch.Platform, fetcher *kqfetch.Fetcher) kqreplica.Source {
+func (n *Node) replicaSource(direct bool, store kqfetch.Platform, fetcher *kqfetch.Fetcher) kqreplica.Source {
 	if direct {
 		return store
 	}
 	return fetcher
 }
 
-// reads lets the node hold the whole document while it reads for the others.
-func (n *Node) reads(ctx context.Context, on bool) {
+// setReader sets whether the node reads versions for other nodes. A reader holds the
+// whole document; setReader retries until it is complete or ctx ends.
+func (n *Node) setReader(ctx context.Context, on bool) {
 	n.replica.HoldAll(on)
 	n.table.Update(func(m *kqmember.Member) { m.Reader = on })
 	for on && ctx.Err() == nil {
@@ -167,15 +168,16 @@
 		if err == nil {
 			return
 		}
-		n.logger.Part("config").WithError(err).Debug("Does not hold the whole document yet.")
+		n.logger.Part("config").WithError(err).Debug("The whole document is not held yet.")
 		select {
 		case <-ctx.Done():
-		case <-time.After(rand.N(fillPause)):
+		case <-time.After(rand.N(maxFillPause)):
 		}
 	}
 }
 
-// prefetch takes over the hosts of the service's peers once, at the start.
+// prefetch fetches, once at the start, the routes of the hosts that peers of the same
+// service hold.
 func (n *Node) prefetch(ctx context.Context) {
 	for n.Version() == 0 {
 		select {
@@ -185,12 +187,12 @@
 		}
 	}
 	for _, h := range n.distribution.fetcher.PeerHosts(ctx) {
-		// A host that does not come now comes with its first call.
+		// A host that cannot be fetched now is fetched with its first call.
 		_, _ = n.Want(ctx, h)
 	}
 }
 
-func (n *Node) contacts() []kqname.Address {
+func (n *Node) seedAddresses() []kqname.Address {
 	list := make([]kqname.Address, 0, len(n.settings.Member.Seeds))
 	for _, s := range n.settings.Member.Seeds {
 		list = append(list, kqname.Address(s))
@@ -198,24 +200,24 @@
 	return list
 }
 
-func (n *Node) runConfig(ctx context.Context, keep func(part string, f func())) {
-	keep("exchange", func() { n.exchange.Run(ctx) })
-	keep("spread", func() { n.spreader.Run(ctx) })
+func (n *Node) runConfig(ctx context.Context, supervise func(part string, f func())) {
+	supervise("exchange", func() { n.exchange.Run(ctx) })
+	supervise("spread", func() { n.spreader.Run(ctx) })
 	if n.distribution.register != nil {
-		keep("register", func() { n.distribution.register.Run(ctx) })
+		supervise("register", func() { n.distribution.register.Run(ctx) })
 	}
 	if n.distribution.direct {
-		keep("watch", func() { n.distribution.watcher.Run(ctx) })
+		supervise("watch", func() { n.distribution.watcher.Run(ctx) })
 		return
 	}
-	keep("distribute", func() { n.distribution.distributor.Run(ctx) })
+	supervise("distribute", func() { n.distribution.distributor.Run(ctx) })
 	if n.settings.Config.Prefetch {
-		keep("prefetch", func() { n.prefetch(ctx) })
+		supervise("prefetch", func() { n.prefetch(ctx) })
 	}
 	if n.distribution.follower != nil {
-		keep("departures", func() { n.learnDepartures(ctx) })
-		keep("follow", func() { n.distribution.follower.Run(ctx) })
+		supervise("departures", func() { n.learnDepartures(ctx) })
+		supervise("follow", func() { n.distribution.follower.Run(ctx) })
 		return
 	}
-	keep("reader", func() { n.distribution.reader.Run(ctx) })
+	supervise("reader", func() { n.distribution.reader.Run(ctx) })
 }
--- a/internal/run/kqnode/doc.go
+++ b/internal/run/kqnode/doc.go
@@ -1,6 +1,6 @@
-// Package kqnode joins the parts of one node: listeners, the configuration
-// flow, the call flow, membership and the admin server.
+// Package kqnode assembles one node from its parts: listeners, configuration
+// flow, call flow, membership and admin server.
 //
-// Each flow is put together in a file of its own: config.go, call.go and
-// admin.go; node.go starts and stops them.
+// config.go, call.go and admin.go assemble one flow each; node.go starts and
+// stops them.
 package kqnode
--- a/internal/run/kqnode/drain.go
+++ b/internal/run/kqnode/drain.go
@@ -16,89 +16,89 @@
 )
 
 const (
-	// settleFor is how long a connection takes at most from its first packet to
-	// its being accepted and its call's being begun.
-	settleFor = 100 * time.Millisecond
-	// callerGrace is how long callers from outside are given at least to go
-	// elsewhere when the node leaves: whoever places them asks once a second
-	// whether the node is ready and needs two answers. callerQuiet without a call
-	// tells that they have gone; where too few other nodes are ready they stay,
-	// and are served until closeMargin before the end: a call that is taken then has
-	// as long to be answered as all but the slowest take.
-	callerGrace = 2200 * time.Millisecond
-	callerQuiet = 700 * time.Millisecond
-	closeMargin = 2300 * time.Millisecond
-	emptyPoll   = 10 * time.Millisecond
-	// ownGrace is how long callers are given where nobody asks whether the node
-	// is ready.
-	ownGrace = time.Second
-	// lastAnswers is how long calls that were cancelled have for their answers, and
-	// goodbyeFor how long the others are told of the end; both are part of stopMargin.
-	lastAnswers = 150 * time.Millisecond
-	goodbyeFor  = 200 * time.Millisecond
-	// operatorsFor is how long operators' requests have for their answers once the
-	// calls are over: as long as the platform may take for a change.
-	operatorsFor = 2 * time.Second
+	// acceptGrace is the longest time from a connection's first packet until it is
+	// accepted and its call has begun.
+	acceptGrace = 100 * time.Millisecond
+	// minCallerGrace is the shortest time that callers from outside get to move to
+	// other nodes when the node leaves: the readiness probe runs once a second and
+	// must fail twice. callerQuietPeriod without a call means that they have moved.
+	// If too few other nodes are ready they stay, and are served until closeMargin
+	// before the end, which is time enough for all but the slowest calls.
+	minCallerGrace    = 2200 * time.Millisecond
+	callerQuietPeriod = 700 * time.Millisecond
+	closeMargin       = 2300 * time.Millisecond
+	drainPoll         = 10 * time.Millisecond
+	// noProbeGrace is how long callers get to close their connections if nothing
+	// probes the node's readiness.
+	noProbeGrace = time.Second
+	// cancelGrace is how long cancelled calls have to be answered, and goodbyeTimeout
+	// how long the final announcement may take; both are part of killMargin.
+	cancelGrace    = 150 * time.Millisecond
+	goodbyeTimeout = 200 * time.Millisecond
+	// adminShutdownTimeout is how long operators' requests have to be answered after
+	// the calls: as long as the platform may take for a change.
+	adminShutdownTimeout = 2 * time.Second
 )
 
-// leaveCalls ends the call flow without cutting a call. Closing a connection
-// that looks idle may meet a call that is on its way, whose caller could not
-// tell whether it ran. So each response asks first for its connection to be
-// closed, and the servers stay until the others have let go of theirs, or have
-// had the time to: nodes keep an idle connection for kqsend.IdleFor only.
-func (n *Node) leaveCalls(ctx context.Context) error {
+// drainCalls ends the call flow without cutting off a call. Closing a connection that
+// looks idle may race with a call on its way, whose caller could not tell whether it
+// ran. So each response first asks for its connection to be closed, and the gate's
+// server waits until other nodes have closed theirs, at most until their idle
+// connections have timed out after kqsend.IdleFor.
+func (n *Node) drainCalls(ctx context.Context) error {
 	n.gate.Leave()
-	n.quiesce(ctx, RoleEntry, RoleLocal)
-	err := n.finish(ctx, n.entry.Calls, map[Role]*fasthttp.Server{RoleEntry: n.servers.entry, RoleLocal: n.servers.local})
+	n.stopAccepting(ctx, RoleEntry, RoleLocal)
+	err := n.drainServers(ctx, n.entry.Calls, map[Role]*fasthttp.Server{RoleEntry: n.servers.entry, RoleLocal: n.servers.local})
 	n.entry.Close()
-	n.emptied(ctx, kqsend.IdleFor+sweepEvery, RoleGate)
-	n.quiesce(ctx, RoleGate)
-	return errors.Join(err, n.finish(ctx, n.hangup.Count, map[Role]*fasthttp.Server{RoleGate: n.servers.gate}))
+	n.awaitNoConnections(ctx, kqsend.IdleFor+sweepPeriod, RoleGate)
+	n.stopAccepting(ctx, RoleGate)
+	return errors.Join(err, n.drainServers(ctx, n.callWatch.Count, map[Role]*fasthttp.Server{RoleGate: n.servers.gate}))
 }
 
-// finish shuts servers down. Calls that outlast the time for it are cancelled, and their
-// callers told so: cut off by the end of the process, they would have no answer.
-func (n *Node) finish(ctx context.Context, calls func() int, servers map[Role]*fasthttp.Server) error {
-	busy := func() int { return calls() + n.early(servers) }
-	n.quiet(ctx, busy, servers)
+// drainServers shuts servers down. Calls that exceed ctx's deadline are cancelled and
+// answered as such; cut off by the end of the process, they would have no answer.
+func (n *Node) drainServers(ctx context.Context, calls func() int, servers map[Role]*fasthttp.Server) error {
+	busy := func() int { return calls() + n.pipelinedCalls(servers) }
+	n.awaitIdle(ctx, busy, servers)
 	if ctx.Err() != nil {
-		return n.cutShort(busy, servers)
+		return n.cancelCalls(busy, servers)
 	}
-	err := shutdown(ctx, servers)
+	err := shutdownServers(ctx, servers)
 	if errors.Is(err, context.DeadlineExceeded) {
-		err = errors.Join(err, n.cutShort(busy, servers))
+		err = errors.Join(err, n.cancelCalls(busy, servers))
 	}
 	return err
 }
 
-// cutShort ends the calls that are still under way, and the reading of those that callers
-// still send, and lets both have their answers. A server that is shut down before would
-// close a connection with its next answer, whatever else is due on it. All of it has
-// lastAnswers: a process that takes longer is killed in its leave.
-func (n *Node) cutShort(busy func() int, servers map[Role]*fasthttp.Server) error {
-	ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
+// cancelCalls cancels the calls in flight, stops reading those that callers still send,
+// and waits for the answers of both before it shuts the servers down: a server that is
+// shutting down closes a connection with its next answer, even if more are due on it. It
+// takes at most cancelGrace; a process that takes longer is killed before it has left.
+func (n *Node) cancelCalls(busy func() int, servers map[Role]*fasthttp.Server) error {
+	ctx, cancel := context.WithTimeout(context.Background(), cancelGrace)
 	defer cancel()
 	var err error
 	if busy() > 0 {
-		n.note(logrus.Fields{"event": "leaving", "step": "cancelled"}, "Leaving: calls that take longer are cancelled.")
+		n.logEvent(logrus.Fields{"event": "leaving", "step": "cancelled"}, "Leaving: calls that take longer are cancelled.")
 		err = fmt.Errorf("drain: calls were cancelled: %w", context.DeadlineExceeded)
 	}
-	n.hangup.Cancel(kqcall.Draining)
+	n.callWatch.Cancel(kqcall.Draining)
 	for role := range servers {
 		if l, ok := n.connections[role]; ok {
 			l.EndReading(time.Now())
 		}
 	}
-	ticker := time.NewTicker(emptyPoll)
+	ticker := time.NewTicker(drainPoll)
 	defer ticker.Stop()
 	for busy() > 0 && ctx.Err() == nil {
 		<-ticker.C
 	}
-	return errors.Join(err, shutdown(ctx, servers))
+	return errors.Join(err, shutdownServers(ctx, servers))
 }
 
-// early returns how many calls are served before their turn on their connections.
-func (n *Node) early(servers map[Role]*fasthttp.Server) int {
+// pipelinedCalls returns how many pipelined calls are served, or wait with their answers,
+// ahead of their turn on their connections.
+func (n *Node) pipelinedCalls(servers map[Role]*fasthttp.Server) int {
 	count := 0
 	for role := range servers {
 		if l, ok := n.connections[role]; ok {
@@ -108,20 +108,21 @@
 	return count
 }
 
-// quiet closes listeners and returns once no call has been under way for a while. From
-// its shutdown on a server closes each connection with the next answer, also one on
-// which its caller has sent two calls; until then the entry sees to both. Connections
-// on which nothing has come by now are closed: the library would wait for them.
-func (n *Node) quiet(ctx context.Context, calls func() int, servers map[Role]*fasthttp.Server) {
+// awaitIdle closes listeners and returns once no call has been in flight for acceptGrace,
+// or ctx ends. A server that is shutting down closes each connection with its next
+// answer, even if the caller has pipelined two calls; until then the entry answers both.
+// Connections that have sent nothing by then are closed, since the HTTP library would
+// wait for them.
+func (n *Node) awaitIdle(ctx context.Context, calls func() int, servers map[Role]*fasthttp.Server) {
 	for role := range servers {
 		if l, ok := n.connections[role]; ok {
 			_ = l.Close()
 			l.InOrder()
 		}
 	}
-	ticker := time.NewTicker(emptyPoll)
+	ticker := time.NewTicker(drainPoll)
 	defer ticker.Stop()
-	for last := time.Now(); time.Since(last) < settleFor && ctx.Err() == nil; {
+	for last := time.Now(); time.Since(last) < acceptGrace && ctx.Err() == nil; {
 		<-ticker.C
 		if calls() > 0 {
 			last = time.Now()
@@ -134,39 +135,40 @@
 	}
 }
 
-// deserted returns once callers come no more, or when it is time to close.
-func (n *Node) deserted(ctx context.Context) {
+// awaitCallersGone returns once callers from outside have stopped calling, or when it is
+// time to close.
+func (n *Node) awaitCallersGone(ctx context.Context) {
 	began := time.Now()
 	if n.adapter.Dialect == nil {
-		// Our own callers learn of it from the answers alone.
-		n.emptied(ctx, ownGrace, RoleEntry)
+		// Without a platform's dialect, callers learn of the leave only from answers.
+		n.awaitNoConnections(ctx, noProbeGrace, RoleEntry)
 		return
 	}
 	end, _ := ctx.Deadline()
-	ticker := time.NewTicker(emptyPoll)
+	ticker := time.NewTicker(drainPoll)
 	defer ticker.Stop()
 	for now := range ticker.C {
-		if now.Sub(began) >= callerGrace && n.entry.Quiet(now) >= callerQuiet || now.After(end.Add(-closeMargin)) {
+		if now.Sub(began) >= minCallerGrace && n.entry.Quiet(now) >= callerQuietPeriod || now.After(end.Add(-closeMargin)) {
 			return
 		}
 	}
 }
 
-// open returns how many connections of a role are open.
-func (n *Node) open(r Role) int {
+// openConnections returns the number of open connections of a role.
+func (n *Node) openConnections(r Role) int {
 	if l, ok := n.connections[r]; ok {
 		return l.Open()
 	}
 	return 0
 }
 
-// emptied returns once a role has no connections, or after at most a while.
-func (n *Node) emptied(ctx context.Context, most time.Duration, r Role) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+// awaitNoConnections returns once a role has no open connections, or after the timeout.
+func (n *Node) awaitNoConnections(ctx context.Context, timeout time.Duration, r Role) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	ticker := time.NewTicker(emptyPoll)
+	ticker := time.NewTicker(drainPoll)
 	defer ticker.Stop()
-	for n.open(r) > 0 {
+	for n.openConnections(r) > 0 {
 		select {
 		case <-ctx.Done():
 			return
@@ -175,8 +177,8 @@
 	}
 }
 
-// shutdown closes idle connections and waits for the calls in flight.
-func shutdown(ctx context.Context, servers map[Role]*fasthttp.Server) error {
+// shutdownServers closes idle connections and waits for the calls in flight.
+func shutdownServers(ctx context.Context, servers map[Role]*fasthttp.Server) error {
 	var errs []error
 	for _, server := range servers {
 		if err := server.ShutdownWithContext(ctx); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -186,22 +188,22 @@
 	return errors.Join(errs...)
 }
 
-// quiesce lets nobody connect to some listeners any more and waits until those
-// who just did have their calls begun. Closed without it, a listener would
-// reset connections that it has not accepted yet, and cut the calls on them.
-func (n *Node) quiesce(ctx context.Context, roles ...Role) {
+// stopAccepting blocks new connections to the roles' listeners and waits until the calls
+// of those just made have begun. Closed without it, a listener would reset connections
+// that it has not accepted yet and cut off the calls on them.
+func (n *Node) stopAccepting(ctx context.Context, roles ...Role) {
 	for _, role := range roles {
 		l, ok := n.callListeners[role]
 		if !ok {
 			continue
 		}
 		if err := kqquiesce.Quiesce(l); err != nil {
-			n.log.WithError(err).Debug("Closes without a wait.")
+			n.log.WithError(err).Debug("Cannot block new connections; listeners close without a wait.")
 			return
 		}
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(settleFor):
+	case <-time.After(acceptGrace):
 	}
 }
--- a/internal/run/kqnode/leave.go
+++ b/internal/run/kqnode/leave.go
@@ -10,67 +10,68 @@
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
 )
 
-// leave lets callers go elsewhere first, and the local upstream be used meanwhile:
-// it is well, and out of reach while its node is away. Then it tells the others, so
-// that they stop sending, and waits for the calls in flight. The other way round,
-// calls would meet a closed gate.
+// leave first waits for callers to move to other nodes. The local upstream stays in use
+// meanwhile: it is healthy, and out of reach once its node is gone. Then leave announces
+// the departure, so that other nodes stop sending, and waits for the calls in flight. In
+// the reverse order, calls would reach a closed gate.
 func (n *Node) leave() error {
 	n.leaving.Store(true)
-	n.note(logrus.Fields{"event": "leaving", "step": "begun", "within_ms": n.drainTimeout().Milliseconds()}, "Leaving.")
+	n.logEvent(logrus.Fields{"event": "leaving", "step": "begun", "within_ms": n.drainTimeout().Milliseconds()}, "Leaving.")
 	ctx, cancel := context.WithTimeout(context.Background(), n.drainTimeout())
 	defer cancel()
-	// What panics on the way must not keep the calls from being finished.
-	n.keeper.Try("leave", func() { n.farewell(ctx) })
+	// A panic in one step must not keep the calls in flight from finishing.
+	n.keeper.Try("leave", func() { n.divertTraffic(ctx) })
 	var err error
-	n.keeper.Try("leave", func() { err = n.leaveCalls(ctx) })
-	n.step("no calls are taken")
-	n.keeper.Try("leave", n.goodbye)
+	n.keeper.Try("leave", func() { err = n.drainCalls(ctx) })
+	n.logLeaveStep("no calls are taken")
+	n.keeper.Try("leave", n.announceDead)
 	n.keeper.Try("leave", func() { n.distribution.reader.Close(ctx) })
-	return errors.Join(err, n.leaveAdmin(ctx))
+	return errors.Join(err, n.shutdownAdmin(ctx))
 }
 
-// farewell lets callers go elsewhere, and then tells the others.
-func (n *Node) farewell(ctx context.Context) {
+// divertTraffic waits for callers to move to other nodes, and then announces the
+// departure to those nodes.
+func (n *Node) divertTraffic(ctx context.Context) {
 	n.entry.Leave()
-	n.deserted(ctx)
+	n.awaitCallersGone(ctx)
 	n.entry.Refuse()
-	n.step("callers have gone, or had the time to")
+	n.logLeaveStep("callers have gone, or had the time to")
 	n.table.Update(func(m *kqmember.Member) { m.State = kqmember.Leaving })
 	n.exchange.Announce(ctx)
-	n.rollouts.leave(ctx)
-	n.step("the others know")
+	n.rollouts.releaseLeases(ctx)
+	n.logLeaveStep("the others know")
 }
 
-// goodbye spares the others the suspicion. The calls may have used up the time for the
-// leave; the others must be told all the same.
-func (n *Node) goodbye() {
-	ctx, cancel := context.WithTimeout(context.Background(), goodbyeFor)
+// announceDead announces the end of the process, so that other nodes need not suspect it
+// first. It has a timeout of its own, since calls may have used up the time for the leave.
+func (n *Node) announceDead() {
+	ctx, cancel := context.WithTimeout(context.Background(), goodbyeTimeout)
 	defer cancel()
 	n.table.Update(func(m *kqmember.Member) { m.State = kqmember.Dead })
 	n.exchange.Announce(ctx)
 }
 
-// leaveAdmin answers what operators have asked. Their browsers open connections ahead,
-// which the library waits for: these are not worth the whole time.
-func (n *Node) leaveAdmin(ctx context.Context) error {
+// shutdownAdmin waits for the answers to operators' requests. Its timeout is short, since
+// the HTTP library also waits for the connections that browsers open in advance.
+func (n *Node) shutdownAdmin(ctx context.Context) error {
 	if n.admin == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, operatorsFor)
+	ctx, cancel := context.WithTimeout(ctx, adminShutdownTimeout)
 	defer cancel()
 	if err := n.admin.Shutdown(ctx); !errors.Is(err, context.DeadlineExceeded) {
 		return err
 	}
-	n.step("operators' connections are closed")
+	n.logLeaveStep("operators' connections are closed")
 	return nil
 }
 
-// drainTimeout is how long calls in flight may take at shutdown. A process that
-// is killed meanwhile would cut them and say no goodbye.
+// drainTimeout returns how long calls in flight may take at shutdown. It ends before the
+// process is killed, which would cut them off and skip the final announcement.
 func (n *Node) drainTimeout() time.Duration {
 	s := n.settings.Node
 	if s.KillAfter == 0 {
 		return s.DrainTimeout
 	}
-	return min(s.DrainTimeout, max(s.KillAfter-stopMargin, s.KillAfter/2))
+	return min(s.DrainTimeout, max(s.KillAfter-killMargin, s.KillAfter/2))
 }
--- a/internal/run/kqnode/listen.go
+++ b/internal/run/kqnode/listen.go
@@ -14,7 +14,7 @@
 
 func (n *Node) listen() error {
 	s := n.settings.Node
-	// Draining needs plain TCP; see kqquiesce.
+	// Blocking new connections requires plain TCP; see kqquiesce.
 	var config net.ListenConfig
 	config.SetMultipathTCP(false)
 	for _, l := range []struct {
@@ -38,17 +38,17 @@
 		}
 		bare := opened
 		if tcp, ok := opened.(*net.TCPListener); ok && l.role != RoleControl && l.role != RoleAdmin && l.role != RoleReady {
-			n.callListeners[l.role], n.connections[l.role] = tcp, kqconnection.New(tcp, kqconnection.WithRoom(n.bodies, entryRoom))
+			n.callListeners[l.role], n.connections[l.role] = tcp, kqconnection.New(tcp, kqconnection.WithRoom(n.bodies, entryBodyWait))
 			bare = n.connections[l.role]
 		}
-		*l.to = kqacceptor.New(n.wrap(l.role, bare), func(err error) { n.acceptFailed(l.role, err) })
+		*l.to = kqacceptor.New(n.wrap(l.role, bare), func(err error) { n.logAcceptFailure(l.role, err) })
 	}
 	return nil
 }
 
-// acceptFailed notes that a listener cannot take connections for now.
-func (n *Node) acceptFailed(r Role, err error) {
-	n.note(logrus.Fields{"event": "accept_failed", "listener": r, logrus.ErrorKey: err}, "Cannot take connections for now.")
+// logAcceptFailure logs that a listener cannot accept connections for now.
+func (n *Node) logAcceptFailure(r Role, err error) {
+	n.logEvent(logrus.Fields{"event": "accept_failed", "listener": r, logrus.ErrorKey: err}, "Cannot accept connections for now.")
 }
 
 func (l listeners) close() {
@@ -59,4 +59,4 @@
 	}
 }
 
-func address(l net.Listener) kqname.Address { return kqname.Address(l.Addr().String()) }
+func listenAddress(l net.Listener) kqname.Address { return kqname.Address(l.Addr().String()) }
--- a/internal/run/kqnode/node.go
+++ b/internal/run/kqnode/node.go
@@ -38,43 +38,43 @@
 )
 
 const (
-	// RoleControl is where peers connect.
+	// RoleControl is the listener for peers.
 	RoleControl Role = "control"
-	// RoleGate is where other nodes send calls.
+	// RoleGate is the listener for calls from other nodes.
 	RoleGate Role = "gate"
-	// RoleEntry is where callers connect.
+	// RoleEntry is the listener for callers from outside.
 	RoleEntry Role = "entry"
-	// RoleLocal is where the local upstream connects.
+	// RoleLocal is the listener for the local upstream.
 	RoleLocal Role = "local"
-	// RoleReady is where whoever places callers asks whether the node is ready.
+	// RoleReady is the listener for readiness probes.
 	RoleReady Role = "ready"
-	// RoleAdmin is where operators connect.
+	// RoleAdmin is the listener for operators.
 	RoleAdmin Role = "admin"
 
-	sweepEvery = 250 * time.Millisecond
-	// acquaintance is how long a node waits to hear of its peers' upstreams before
-	// it says that it is ready; they announce themselves within two seconds.
-	acquaintance = 3 * time.Second
-	// storeCallsEvery is the pause between two lines on the calls to the store.
-	storeCallsEvery = 10 * time.Second
-	// stopMargin is left of the time until the kill for the goodbye and the end
-	// of the process on a slow server.
-	stopMargin = 700 * time.Millisecond
-	// notableEvery is the pause between two lines that tell the last notable events
-	// again: calls that fail at the highest rate the settings allow fill what
-	// collectors keep of a node, 125 KB, in four seconds.
-	notableEvery = 3 * time.Second
+	sweepPeriod = 250 * time.Millisecond
+	// peerDiscoveryTimeout bounds how long a starting node waits for its peers'
+	// upstreams before it reports ready; they are announced within two seconds.
+	peerDiscoveryTimeout = 3 * time.Second
+	// storeCallsLogPeriod is the pause between two log lines that count the calls to the store.
+	storeCallsLogPeriod = 10 * time.Second
+	// killMargin is the part of the time until the kill that is reserved for the final
+	// announcement and the process's exit on a slow server.
+	killMargin = 700 * time.Millisecond
+	// recentEventsLogPeriod is the pause between two log lines that repeat the latest
+	// events. Calls that fail at the highest rate the settings allow fill the 125 KB
+	// that log collectors keep of a node in four seconds.
+	recentEventsLogPeriod = 3 * time.Second
 )
 
-// errPanicked ends a node whose listener panicked.
-var errPanicked = errors.New("listener panicked")
+// errListenerPanicked is the error of Run after a panic in a listener.
+var errListenerPanicked = errors.New("listener panicked")
 
-// ErrKilled is the cause of Run's context that ends a node without a goodbye,
-// the way a lost server does.
+// ErrKilled is a cause for Run's context that ends a node without a drain or a final
+// announcement, like the loss of its server.
 var ErrKilled = errors.New("node killed")
 
 type (
-	// Node is one kumquatgw process beside its upstream.
+	// Node is one kumquatgw process, on the same server as its upstream.
 	Node struct {
 		settings kqsettings.Settings
 		store    kqstore.Store
@@ -82,51 +82,51 @@
 		log      *logrus.Entry
 		metrics  *kqmetric.Metrics
 
-		listeners    listeners
-		table        *kqmember.Table
-		peers        *kqpeer.Server
-		client       *kqpeer.Client
-		spreader     *kqspread.Spreader
-		exchange     *kqexchange.Exchanger
-		replica      *kqreplica.Replica
-		budget       *kqbudget.Budget
-		distribution distribution
-		peerOptions  []kqpeer.ClientOption
-		local        *kqlocal.Upstreams
-		gate         *kqgate.Gate
-		entry        *kqentry.Entry
-		hangup       *kqhangup.Watch
-		servers      callServers
-		rollouts     *rollouts
-		admin        *kqadmin.Admin
-		identity     *kqidentity.Identity
-		security     *kqmetric.Security
-		tokens       *kqreload.Reloader
-		leaving      atomic.Bool
-		started      time.Time
-		wrap         func(Role, net.Listener) net.Listener
-		adapter      Adapter
-		pending      pending
-		recorder     *kqrecord.Recorder
-		keeper       *kqkeeper.Keeper
-		bodies       *kqbody.Bound
-		storeLost    atomic.Bool
-		notable      kqnotable.Notable
-		processes    processes
-		// unwritten counts the log's lines that its output did not take, and
-		// toldUnwritten is how many the log told of.
-		unwritten     func() uint64
-		toldUnwritten uint64
-		// callListeners are the bare listeners that take calls, and connections what
-		// is over them.
+		listeners            listeners
+		table                *kqmember.Table
+		peers                *kqpeer.Server
+		client               *kqpeer.Client
+		spreader             *kqspread.Spreader
+		exchange             *kqexchange.Exchanger
+		replica              *kqreplica.Replica
+		budget               *kqbudget.Budget
+		distribution         distribution
+		peerOptions          []kqpeer.ClientOption
+		local                *kqlocal.Upstreams
+		gate                 *kqgate.Gate
+		entry                *kqentry.Entry
+		callWatch            *kqhangup.Watch
+		servers              callServers
+		rollouts             *rollouts
+		admin                *kqadmin.Admin
+		identity             *kqidentity.Identity
+		security             *kqmetric.Security
+		tokens               *kqreload.Reloader
+		leaving              atomic.Bool
+		started              time.Time
+		wrap                 func(Role, net.Listener) net.Listener
+		adapter              Adapter
+		pendingAnnouncements pendingAnnouncements
+		recorder             *kqrecord.Recorder
+		keeper               *kqkeeper.Keeper
+		bodies               *kqbody.Bound
+		storeUnavailable     atomic.Bool
+		recentEvents         kqnotable.History
+		memberProcesses      memberProcesses
+		// unwrittenLines returns the number of log lines that the log's output did not
+		// accept, and loggedUnwritten is the number that was last logged.
+		unwrittenLines  func() uint64
+		loggedUnwritten uint64
+		// callListeners holds the TCP listeners for calls, and connections the
+		// wrappers that track their connections.
 		callListeners map[Role]*net.TCPListener
 		connections   map[Role]*kqconnection.Listener
 	}
 
-	// Role names what a listener is for.
+	// Role names the purpose of a listener.
 	Role string
 
-	// Option sets up a Node.
+	// Option configures a Node.
 	Option func(*Node)
 
 	listeners struct {
@@ -134,102 +134,103 @@
 	}
 )
 
-// WithLogger sets where the node logs.
+// WithLogger sets the node's logger.
 func WithLogger(l *kqlog.Logger) Option { return func(n *Node) { n.logger = l } }
 
-// WithUnwritten tells how many of the log's lines its output did not take.
+// WithUnwritten sets the function that returns how many log lines the log's output
+// did not accept.
 func WithUnwritten(count func() uint64) Option {
-	return func(n *Node) { n.unwritten = count; n.metrics.Unwritten(count) }
+	return func(n *Node) { n.unwrittenLines = count; n.metrics.Unwritten(count) }
 }
 
-// WithListener lets wrap replace each listener that the node opens, so that a
-// test can break its connections.
+// WithListener replaces each listener that the node opens by the result of wrap, so
+// that a test can break its connections.
 func WithListener(wrap func(Role, net.Listener) net.Listener) Option {
 	return func(n *Node) { n.wrap = wrap }
 }
 
-// WithPeerOptions sets up how the node connects to its peers.
+// WithPeerOptions sets the options of the client that connects to peers.
 func WithPeerOptions(options ...kqpeer.ClientOption) Option {
 	return func(n *Node) { n.peerOptions = options }
 }
 
-// New opens the node's listeners and joins its parts; Run starts it.
+// New opens the node's listeners and assembles its parts. Run starts the node.
 func New(settings kqsettings.Settings, store kqstore.Store, options ...Option) (*Node, error) {
 	n := &Node{
 		settings: settings, store: store, logger: kqlog.Discard(), metrics: kqmetric.New(), started: time.Now(),
 		wrap:          func(_ Role, l net.Listener) net.Listener { return l },
 		callListeners: make(map[Role]*net.TCPListener), connections: make(map[Role]*kqconnection.Listener),
-		unwritten: func() uint64 { return 0 },
+		unwrittenLines: func() uint64 { return 0 },
 	}
 	for _, o := range options {
 		o(n)
 	}
 	n.logger = n.logger.WithNode(string(settings.Node.Name))
 	n.log = n.logger.Part("node")
-	n.keeper = kqkeeper.New(n.panicked)
-	n.bodies = n.newBodies()
+	n.keeper = kqkeeper.New(n.recordPanic)
+	n.bodies = n.newBodyBound()
 	if err := n.listen(); err != nil {
 		n.listeners.close()
 		return nil, fmt.Errorf("start node %s: %w", settings.Node.Name, err)
 	}
-	if err := n.joinTLS(); err != nil {
+	if err := n.setUpTLS(); err != nil {
 		n.listeners.close()
 		return nil, fmt.Errorf("start node %s: %w", settings.Node.Name, err)
 	}
 	n.table = kqmember.NewTable(kqmember.Member{
 		Node: settings.Node.Name, Domain: settings.Node.Domain, Region: settings.Node.Region, Service: settings.Node.Service,
-		Control: advertised(settings.Node.ControlAddress, n.listeners.control),
-		Gate:    advertised(settings.Node.GateAddress, n.listeners.gate),
+		Control: advertisedAddress(settings.Node.ControlAddress, n.listeners.control),
+		Gate:    advertisedAddress(settings.Node.GateAddress, n.listeners.gate),
 		Link:    settings.Node.Link, Cores: settings.Node.Cores,
-		// A node that was replaced must win over its former self's records,
-		// and it keeps nothing: its start time does.
+		// The records of a replaced node must supersede those of its previous
+		// process. Nothing is persisted, so the start time orders them.
 		Incarnation: uint64(n.started.UnixMilli()), Process: uint64(n.started.UnixMilli()),
 	})
 	n.table.OnNews(n.logMember)
 	if n.adapter.Answered != nil {
-		n.adapter.Answered(n.storeAnswered)
+		n.adapter.Answered(n.recordStoreCall)
 	}
 	n.budget = kqbudget.New(settings.Member.SendBudget, n.metrics, func() { n.metrics.BudgetBound("send") })
 	n.peers = kqpeer.NewServer(n.budget, n.peerServerOptions()...)
 	n.client = kqpeer.NewClient(settings.Node.Name, n.budget, append(n.peerClientOptions(), n.peerOptions...)...)
-	n.joinConfig()
-	n.rollouts = n.joinRollouts()
-	n.joinCalls()
-	n.joinReport()
-	if err := n.joinAdmin(); err != nil {
+	n.setUpConfig()
+	n.rollouts = n.newRollouts()
+	n.setUpCalls()
+	n.handleReports()
+	if err := n.setUpAdmin(); err != nil {
 		n.listeners.close()
 		return nil, fmt.Errorf("start node %s: %w", settings.Node.Name, err)
 	}
 	return n, nil
 }
 
-// Run serves until ctx ends, and then leaves: new work goes elsewhere first,
-// and what is in flight is finished.
+// Run serves until ctx ends and then drains, unless the cause is ErrKilled: new
+// calls are diverted to other nodes first, and calls in flight finish.
 func (n *Node) Run(ctx context.Context) error {
 	n.log.WithFields(logrus.Fields{"event": "started", "settings": n.settings.Shown()}).Infof("Started as %s in %s.", n.settings.Node.Name, n.settings.Node.Domain)
-	n.notable.Add("started", n.started)
+	n.recentEvents.Add("started", n.started)
 	background, stop := context.WithCancel(n.keeper.With(context.Background()))
 	defer stop()
 	var group conc.WaitGroup
-	keep := func(part string, f func()) {
+	supervise := func(part string, f func()) {
 		group.Go(func() { n.keeper.Keep(background, part, f) })
 	}
-	n.runConfig(background, keep)
-	keep("sweep", func() { every(background, sweepEvery, n.sweep) })
-	keep("collect", func() { n.collect(background) })
-	keep("notable", func() { every(background, notableEvery, n.tellNotable) })
+	n.runConfig(background, supervise)
+	supervise("sweep", func() { runEvery(background, sweepPeriod, n.sweep) })
+	supervise("collect", func() { n.collect(background) })
+	supervise("notable", func() { runEvery(background, recentEventsLogPeriod, n.logRecentEvents) })
 	if n.adapter.Answered != nil {
-		keep("store_calls", func() { every(background, storeCallsEvery, n.tellStore) })
+		supervise("store_calls", func() { runEvery(background, storeCallsLogPeriod, n.logStoreCalls) })
 	}
-	keep("hangup", func() { n.hangup.Run(background) })
-	keep("tls", func() { n.runTLS(background) })
-	n.runAdmin(background, keep)
-	n.rollouts.run(background, keep)
+	supervise("hangup", func() { n.callWatch.Run(background) })
+	supervise("tls", func() { n.runTLS(background) })
+	n.runAdmin(background, supervise)
+	n.rollouts.run(background, supervise)
 	failed := make(chan error, 8)
 	serve := func(f func() error) {
 		group.Go(func() {
-			// A listener that panics is not started again; the calls are finished.
-			err := errPanicked
+			// A listener that panics is not restarted; the node drains and stops.
+			err := errListenerPanicked
 			n.keeper.Try("listener", func() { err = f() })
 			if err != nil {
 				failed <- err
@@ -256,22 +257,22 @@
 	n.client.Close()
 	n.listeners.close()
 	group.Wait()
-	n.stopped(ctx, err)
+	n.logStopped(ctx, err)
 	return err
 }
 
-// Reload takes over the settings that may change while the node runs: those of
-// the log.
+// Reload applies the settings that may change while the node runs: those of the
+// log.
 func (n *Node) Reload(s kqsettings.Settings) error {
 	if err := n.logger.SetLevel(s.Log.Level); err != nil {
 		return fmt.Errorf("reload settings: %w", err)
 	}
 	n.recorder.Set(s.Log.Sample, s.Log.PerReason)
-	n.note(logrus.Fields{"event": "reload", "settings": s.Shown()}, "Settings were read again.")
+	n.logEvent(logrus.Fields{"event": "reload", "settings": s.Shown()}, "Settings reloaded.")
 	return nil
 }
 
-// logMember notes what this node believes of a member from now on.
+// logMember logs the new state of a member.
 func (n *Node) logMember(m kqmember.Member) {
 	n.logRestart(m)
 	upstreams := make([]string, 0, len(m.Upstreams))
@@ -287,17 +288,18 @@
 	}).Info("Member changed.")
 }
 
-// Ready reports whether the node has a configuration, knows whom to send calls to,
-// and is not leaving.
+// Ready reports whether the node has a configuration, has finished discovering its
+// peers' upstreams, and is not leaving.
 func (n *Node) Ready() bool {
-	return n.replica.Current().Version() > 0 && !n.leaving.Load() && n.acquainted(time.Now())
+	return n.replica.Current().Version() > 0 && !n.leaving.Load() && n.peerDiscoveryDone(time.Now())
 }
 
-// acquainted reports whether the node knows an upstream to send calls to, or has
-// had the time to hear of one. A node that has just started would else refuse all
-// that comes in the moment between its configuration and its peers' answers.
-func (n *Node) acquainted(now time.Time) bool {
-	if n.adapter.Dialect == nil || now.Sub(n.started) >= acquaintance {
+// peerDiscoveryDone reports whether the node knows an upstream on another node or has
+// waited peerDiscoveryTimeout for one; only a node with a platform's dialect waits.
+// Without the wait, a node that has just started would refuse all calls between
+// receiving its configuration and its peers' answers.
+func (n *Node) peerDiscoveryDone(now time.Time) bool {
+	if n.adapter.Dialect == nil || now.Sub(n.started) >= peerDiscoveryTimeout {
 		return true
 	}
 	for _, m := range n.table.Members() {
@@ -311,7 +313,8 @@
 // Name returns the node's name.
 func (n *Node) Name() kqname.Node { return n.settings.Node.Name }
 
-// Want makes sure that the node holds a host's routes.
+// Want fetches a host's routes unless the node holds them, and returns the snapshot
+// with them.
 func (n *Node) Want(ctx context.Context, host kqname.Host) (*kqsnapshot.Snapshot, error) {
 	return n.replica.Want(ctx, host, time.Now())
 }
@@ -328,24 +331,24 @@
 // Metrics returns the node's counters.
 func (n *Node) Metrics() *kqmetric.Metrics { return n.metrics }
 
-// EntryAddress returns where callers connect.
-func (n *Node) EntryAddress() kqname.Address { return address(n.listeners.entry) }
+// EntryAddress returns the address for callers from outside.
+func (n *Node) EntryAddress() kqname.Address { return listenAddress(n.listeners.entry) }
 
-// LocalAddress returns where the local upstream connects.
-func (n *Node) LocalAddress() kqname.Address { return address(n.listeners.local) }
+// LocalAddress returns the address for the local upstream.
+func (n *Node) LocalAddress() kqname.Address { return listenAddress(n.listeners.local) }
 
-// GateAddress returns where other nodes send calls.
-func (n *Node) GateAddress() kqname.Address { return address(n.listeners.gate) }
+// GateAddress returns the address for calls from other nodes.
+func (n *Node) GateAddress() kqname.Address { return listenAddress(n.listeners.gate) }
 
-// ControlAddress returns where peers connect.
-func (n *Node) ControlAddress() kqname.Address { return address(n.listeners.control) }
+// ControlAddress returns the address for peers.
+func (n *Node) ControlAddress() kqname.Address { return listenAddress(n.listeners.control) }
 
-// AdminAddress returns where operators connect, "" where admin is off.
+// AdminAddress returns the address for operators, or "" if the admin server is off.
 func (n *Node) AdminAddress() kqname.Address {
 	if n.listeners.admin == nil {
 		return ""
 	}
-	return address(n.listeners.admin)
+	return listenAddress(n.listeners.admin)
 }
 
 func (n *Node) sweep(now time.Time) {
@@ -360,9 +363,9 @@
 	n.replica.Sweep(now.Add(-n.settings.Config.InterestIdle))
 }
 
-func advertised(set kqname.Address, l net.Listener) kqname.Address {
+func advertisedAddress(set kqname.Address, l net.Listener) kqname.Address {
 	if set != "" {
 		return set
 	}
-	return address(l)
+	return listenAddress(l)
 }
--- a/internal/run/kqnode/panic.go
+++ b/internal/run/kqnode/panic.go
@@ -11,22 +11,22 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
 )
 
-// panicked counts a panic that was caught and, now and then, notes it.
-func (n *Node) panicked(p kqkeeper.Panic) {
+// recordPanic counts a recovered panic, and logs it if it has a stack: repeated panics of
+// a part come without one.
+func (n *Node) recordPanic(p kqkeeper.Panic) {
 	n.metrics.Panicked(p.Part)
 	if p.Stack == "" {
 		return
 	}
-	n.note(logrus.Fields{"event": "panic", "panicked": p.Part, "panic": p.Value, "stack": p.Stack}, fmt.Sprintf("Panic in %s: %s.", p.Part, p.Value))
+	n.logEvent(logrus.Fields{"event": "panic", "panicked": p.Part, "panic": p.Value, "stack": p.Stack}, fmt.Sprintf("Panic in %s: %s.", p.Part, p.Value))
 }
 
-// Keep runs a part of the program beside the node, again where it panics.
+// Keep runs a part of the program until it returns, and restarts it after a panic.
 func (n *Node) Keep(ctx context.Context, part string, f func()) { n.keeper.Keep(ctx, part, f) }
 
-// kept has a request that panics end alone. The library that serves requests does
-// not catch a panic, which would end the process. Whether the call ran is not known
-// here.
-func (n *Node) kept(handler fasthttp.RequestHandler, count func(kqcall.Outcome)) fasthttp.RequestHandler {
+// recoverPanics limits a panic to the request that caused it. The HTTP library does not
+// recover panics, so one would end the process. Whether the call ran is unknown then.
+func (n *Node) recoverPanics(handler fasthttp.RequestHandler, count func(kqcall.Outcome)) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		n.bodies.Serve(&ctx.Request.Header)
 		defer n.bodies.Give(&ctx.Request.Header)
--- /dev/null
+++ b/internal/run/kqnode/recent_events.go
@@ -0,0 +1,103 @@
+package kqnode
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
+	"github.com/kumquatgw/kumquatgw/pkg/kqname"
+)
+
+type (
+	// memberProcesses holds the last known state of each member's process. A killed
+	// process cannot log its own end, so its peers log it.
+	memberProcesses struct {
+		mu   sync.Mutex
+		last map[kqname.Node]memberProcess
+	}
+
+	memberProcess struct {
+		started uint64
+		state   kqmember.State
+		since   time.Time
+	}
+)
+
+// Signalled logs a signal sent to the process. Without the line, a process ended by a
+// signal cannot be told from one that ended by itself.
+func (n *Node) Signalled(s os.Signal) {
+	n.logEvent(logrus.Fields{"event": "signal", "signal": s.String(), "leaving": n.leaving.Load()}, fmt.Sprintf("Signal %v.", s))
+}
+
+// logEvent logs an event of the process with the number of calls in flight and of
+// callers' connections, and keeps it for logRecentEvents.
+func (n *Node) logEvent(fields logrus.Fields, text string) {
+	now := time.Now()
+	n.recentEvents.Add(text, now)
+	fields["calls"], fields["callers"] = n.callWatch.Count(), n.openConnections(RoleEntry)
+	fields["up_ms"] = now.Sub(n.started).Milliseconds()
+	n.log.WithFields(fields).Info(text)
+}
+
+// logLeaveStep logs that the leave has reached a step.
+func (n *Node) logLeaveStep(name string) {
+	n.logEvent(logrus.Fields{"event": "leaving", "step": name}, "Leaving: "+name+".")
+}
+
+// logStopped logs the end of the process and the calls still in flight, which are cut
+// off.
+func (n *Node) logStopped(ctx context.Context, err error) {
+	fields := logrus.Fields{"event": "stopped", "cause": context.Cause(ctx)}
+	if err != nil {
+		fields["error"] = err.Error()
+	}
+	n.logEvent(fields, "Stopped.")
+}
+
+func (n *Node) logRecentEvents(now time.Time) {
+	lines := n.unwrittenLines()
+	if more := lines - n.loggedUnwritten; more > 0 {
+		n.loggedUnwritten = lines
+		n.recentEvents.Add(fmt.Sprintf("%d log lines were not written.", more), now)
+	}
+	if events := n.recentEvents.Recent(now); len(events) > 0 {
+		n.log.WithFields(logrus.Fields{"event": "notable", "events": events}).Info("Recent events.")
+	}
+}
+
+// logRestart logs that a member runs a new process, with the last known state of the
+// previous one. If that was not dead, the process ended without a final announcement and
+// its calls were cut off.
+func (n *Node) logRestart(m kqmember.Member) {
+	now := time.Now()
+	previous, restarted := n.memberProcesses.observe(m, now)
+	if !restarted || m.Node == n.settings.Node.Name {
+		return
+	}
+	text := fmt.Sprintf("Member %s has a new process; the previous one was %s.", m.Node, previous.state)
+	n.recentEvents.Add(text, now)
+	n.logger.Part("member").WithFields(logrus.Fields{
+		"event": "restarted", "member": m.Node, "was": previous.state.String(), "was_for_ms": now.Sub(previous.since).Milliseconds(),
+		"goodbye": previous.state == kqmember.Dead, "process": m.Process, "former": previous.started,
+	}).Info(text)
+}
+
+// observe records a member's process. It returns the one last known and whether that was
+// another process.
+func (p *memberProcesses) observe(m kqmember.Member, now time.Time) (memberProcess, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.last == nil {
+		p.last = make(map[kqname.Node]memberProcess)
+	}
+	previous, known := p.last[m.Node]
+	if !known || previous.started != m.Process || previous.state != m.State {
+		p.last[m.Node] = memberProcess{started: m.Process, state: m.State, since: now}
+	}
+	return previous, known && previous.started != m.Process && previous.started != 0 && m.Process != 0
+}
--- a/internal/run/kqnode/report.go
+++ b/internal/run/kqnode/report.go
@@ -21,11 +21,11 @@
 )
 
 var (
-	// ErrNoMember tells that the node knows no member of that name.
-	ErrNoMember = errors.New("no such member")
+	// ErrUnknownMember is returned for a node name that no known member has.
+	ErrUnknownMember = errors.New("no such member")
 
-	// reported are the counters that a report holds.
-	reported = []string{
+	// reportedCounters are the counters included in a report.
+	reportedCounters = []string{
 		"kumquatgw_calls_total", "kumquatgw_gate_calls_total", "kumquatgw_config_refused_total", "kumquatgw_admin_refused_total",
 		"kumquatgw_peer_refused_total", "kumquatgw_reload_failures_total", "kumquatgw_platform_failures_total",
 	}
@@ -33,40 +33,40 @@
 
 type reportRequest struct{}
 
-// joinReport answers peers whose operators look at this node.
-func (n *Node) joinReport() {
+// handleReports serves this node's report to peers whose operators request it.
+func (n *Node) handleReports() {
 	kqpeer.Handle(n.peers, reportMethod, func(context.Context, kqname.Node, reportRequest) (kqview.Report, error) {
-		return n.report()
+		return n.ownReport()
 	})
 }
 
-// Report returns a member's report, asked of that member.
+// Report returns a member's report, fetched from that member.
 func (n *Node) Report(ctx context.Context, node kqname.Node) (kqview.Report, error) {
 	if node == n.settings.Node.Name {
-		return n.report()
+		return n.ownReport()
 	}
 	for _, m := range n.table.Members() {
 		if m.Node == node {
 			return kqpeer.Call[reportRequest, kqview.Report](ctx, n.client, m.Control, reportMethod, reportRequest{})
 		}
 	}
-	return kqview.Report{}, fmt.Errorf("report of %s: %w", node, ErrNoMember)
+	return kqview.Report{}, fmt.Errorf("report of %s: %w", node, ErrUnknownMember)
 }
 
-func (n *Node) report() (kqview.Report, error) {
+func (n *Node) ownReport() (kqview.Report, error) {
 	r := kqview.Report{
 		Node: n.settings.Node.Name, Version: n.Version(), Since: n.metrics.Since(), Started: n.started, Ready: n.Ready(),
 	}
 	families, err := n.metrics.Registry().Gather()
 	if err != nil {
-		return r, fmt.Errorf("report: %w", err)
+		return r, fmt.Errorf("gather counters: %w", err)
 	}
 	for _, f := range families {
-		if !slices.Contains(reported, f.GetName()) {
+		if !slices.Contains(reportedCounters, f.GetName()) {
 			continue
 		}
 		for _, m := range f.GetMetric() {
-			if c, ok := countOf(f.GetName(), m); ok {
+			if c, ok := reportedCount(f.GetName(), m); ok {
 				r.Counts = append(r.Counts, c)
 			}
 		}
@@ -77,8 +77,9 @@
 	return r, nil
 }
 
-// countOf passes over counters at 0 and calls that were answered.
-func countOf(name string, m *dto.Metric) (kqview.Count, bool) {
+// reportedCount converts a counter for a report. It returns false for counters at 0 and
+// for answered calls.
+func reportedCount(name string, m *dto.Metric) (kqview.Count, bool) {
 	var labels []string
 	for _, l := range m.GetLabel() {
 		if l.GetValue() == "answered" {
--- a/internal/run/kqnode/rollout.go
+++ b/internal/run/kqnode/rollout.go
@@ -24,12 +24,12 @@
 
 const (
 	rolloutTick = 100 * time.Millisecond
-	// tellEvery is how often an owner repeats its progress, for whoever missed
-	// it or has just started.
-	tellEvery = time.Second
-	// settle is how long a node that has just met a plan listens before it may
-	// step it without the platform.
-	settle = 3 * time.Second
+	// progressPeriod is how often an owner repeats its progress, for nodes that missed
+	// it or have just started.
+	progressPeriod = time.Second
+	// offlineStepDelay is how long a node must have known a plan before it may step
+	// the plan while the platform is down.
+	offlineStepDelay = 3 * time.Second
 )
 
 type (
@@ -38,38 +38,40 @@
 		board *kqboard.Board
 		owner *kqowner.Owner
 
-		// told is when this node last told of a plan; only tick uses it.
-		told map[kqplan.ID]time.Time
-		// reported is the state that operators were last told of an order; only
-		// work uses it.
-		reported map[kqplan.ID]kqboard.State
-		answered atomic.Int64
-		relayed  relay
-		settling *settling
+		// progressSentAt is when this node last published a plan's progress; only tick
+		// uses it.
+		progressSentAt map[kqplan.ID]time.Time
+		// reportedStates holds the state of each order last reported to operators; only
+		// syncPlatform uses it.
+		reportedStates   map[kqplan.ID]kqboard.State
+		lastAnswer       atomic.Int64
+		relayed          statusRelay
+		oldVersionDrains *oldVersionDrains
 	}
 )
 
-// joinRollouts joins the rollout flow: count, collect, weigh, step and tell.
-func (n *Node) joinRollouts() *rollouts {
+// newRollouts assembles the rollout flow: count calls, collect and weigh evidence, step
+// and publish.
+func (n *Node) newRollouts() *rollouts {
 	self := kqledger.Source{Node: n.settings.Node.Name, Boot: uint64(n.started.UnixNano())}
-	r := &rollouts{node: n, board: kqboard.New(self, n.table), told: make(map[kqplan.ID]time.Time), reported: make(map[kqplan.ID]kqboard.State), settling: newSettling()}
+	r := &rollouts{node: n, board: kqboard.New(self, n.table), progressSentAt: make(map[kqplan.ID]time.Time), reportedStates: make(map[kqplan.ID]kqboard.State), oldVersionDrains: newOldVersionDrains()}
 	r.owner = kqowner.New(n.settings.Node.Name, n.store, r.board)
-	n.metrics.Registry().MustRegister(r.gauge())
-	n.spreader.Subscribe(topicEvidence, r.hearEvidence)
-	n.spreader.Subscribe(topicProgress, r.hearProgress)
-	n.spreader.Subscribe(topicWorking, r.hearWorking)
+	n.metrics.Registry().MustRegister(r.stateGauge())
+	n.spreader.Subscribe(topicEvidence, r.handleEvidence)
+	n.spreader.Subscribe(topicProgress, r.handleProgress)
+	n.spreader.Subscribe(topicWorking, r.handleWorking)
 	return r
 }
 
-// Rollouts returns the rollouts of the services that the node holds, and what
-// the owners of others have told.
+// Rollouts returns the rollouts of the services that the node holds, and the last
+// statuses that the owners of other rollouts published.
 func (n *Node) Rollouts() []kqboard.Status {
-	return n.rollouts.relayed.beside(n.rollouts.board.Statuses(time.Now()))
+	return n.rollouts.relayed.mergeInto(n.rollouts.board.Statuses(time.Now()))
 }
 
 // Split implements kqentry.Splitter.
 func (r *rollouts) Split(s kqresource.Service, _ *kqcall.Call) kqpick.Target {
-	return r.board.Split(s, time.Now(), random{})
+	return r.board.Split(s, time.Now(), globalRandom{})
 }
 
 // Refuses implements kqgate.Guard.
@@ -88,45 +90,46 @@
 	r.board.Observe(o, started, warm)
 }
 
-func (r *rollouts) adopt(s *kqsnapshot.Snapshot) { r.board.Adopt(s.Services(), time.Now()) }
+func (r *rollouts) adoptConfig(s *kqsnapshot.Snapshot) { r.board.Adopt(s.Services(), time.Now()) }
 
-func (r *rollouts) run(ctx context.Context, keep func(part string, f func())) {
-	keep("rollout", func() { every(ctx, rolloutTick, r.tick) })
-	keep("rollout_work", func() { every(ctx, rolloutTick, func(now time.Time) { r.work(ctx, now) }) })
+func (r *rollouts) run(ctx context.Context, supervise func(part string, f func())) {
+	supervise("rollout", func() { runEvery(ctx, rolloutTick, r.tick) })
+	supervise("rollout_work", func() { runEvery(ctx, rolloutTick, func(now time.Time) { r.syncPlatform(ctx, now) }) })
 }
 
-// tick weighs the evidence and, on plans that this node owns, decides.
+// tick weighs the evidence for each plan, and steps the plans that this node owns.
 func (r *rollouts) tick(now time.Time) {
 	for _, v := range r.board.Views(now) {
 		id := v.Plan.ID
-		if r.collects(v) {
+		if r.collectsEvidence(v) {
 			r.board.Weigh(id, now)
 		}
 		if report, ok := r.board.Report(id, now); ok {
 			r.report(v, evidenceMessage{id, report})
 		}
-		owner := r.owns(v, now)
+		owner := r.mayStep(v, now)
 		if owner {
 			r.board.Step(id, now)
 			r.board.Owned(id, r.node.settings.Node.Name, now)
 		}
 		text, changed := r.board.Event(id)
 		if changed {
-			r.node.logger.Part("rollout").WithFields(r.inputs(id, now)).Info(text)
+			r.node.logger.Part("rollout").WithFields(r.decisionFields(id, now)).Info(text)
 		}
-		// A node that has just met a plan tells that it knows nothing of it, and
-		// those who know more answer.
-		_, met := r.told[id]
-		if changed || !met || owner && now.Sub(r.told[id]) >= tellEvery {
-			r.told[id] = now
-			r.tell(id, owner, now)
+		// A node that is new to a plan publishes its empty progress, and nodes that
+		// know more answer.
+		_, published := r.progressSentAt[id]
+		if changed || !published || owner && now.Sub(r.progressSentAt[id]) >= progressPeriod {
+			r.progressSentAt[id] = now
+			r.publishProgress(id, owner, now)
 		}
-		r.tellWorking(v, now)
+		r.sendWorking(v, now)
 	}
 }
 
-// inputs are what a plan's decisions rest on, as far as this node knows it.
-func (r *rollouts) inputs(id kqplan.ID, now time.Time) logrus.Fields {
+// decisionFields returns the log fields with the inputs of a plan's decisions, as far as
+// this node knows them.
+func (r *rollouts) decisionFields(id kqplan.ID, now time.Time) logrus.Fields {
 	s, _ := r.board.Status(id, now)
 	return logrus.Fields{
 		"rollout": s.Rollout, "step": s.Step, "owner": s.Owner,
@@ -136,14 +139,16 @@
 	}
 }
 
-// owns reports whether this node may step a plan: it holds the lease or, while
-// the platform is away, it is the first by name of those that could.
-func (r *rollouts) owns(v kqboard.View, now time.Time) bool {
+// mayStep reports whether this node may step a plan. It may if it holds the lease. While
+// the platform is down, a node that has known the plan for offlineStepDelay may if it was
+// the last owner or, after kqowner.TTL without a message from another owner, if it is the
+// first of the service's nodes by name.
+func (r *rollouts) mayStep(v kqboard.View, now time.Time) bool {
 	holds, down := r.owner.Holds(v.Plan.ID, now)
 	if holds {
 		return true
 	}
-	if !down || now.Sub(v.Seen) < settle {
+	if !down || now.Sub(v.Seen) < offlineStepDelay {
 		return false
 	}
 	self := r.node.settings.Node.Name
@@ -153,16 +158,16 @@
 	return v.Owner == self || r.rank(v.Plan.Service) == 0
 }
 
-// rank returns how many live nodes beside upstreams of the service come before
-// this one, or -1 where no upstream of it stands beside this node.
+// rank returns this node's position by name among the live nodes with a local upstream
+// of the service, or -1 if it has none.
 func (r *rollouts) rank(service kqname.Service) int {
-	return slices.IndexFunc(r.beside(service), func(m kqmember.Member) bool {
+	return slices.IndexFunc(r.serviceNodes(service), func(m kqmember.Member) bool {
 		return m.Node == r.node.settings.Node.Name
 	})
 }
 
-// beside returns the live nodes beside upstreams of the service, by name.
-func (r *rollouts) beside(service kqname.Service) []kqmember.Member {
+// serviceNodes returns the live nodes with a local upstream of the service, by name.
+func (r *rollouts) serviceNodes(service kqname.Service) []kqmember.Member {
 	var nodes []kqmember.Member
 	for _, m := range r.node.table.Members() {
 		if m.State == kqmember.Alive && slices.ContainsFunc(m.Upstreams, func(u kqmember.Upstream) bool { return u.Service == service }) {
@@ -172,41 +177,41 @@
 	return nodes
 }
 
-// gone reports whether a node that owned a rollout has left or died, so that
-// another need not wait for its lease to lapse.
-func (r *rollouts) gone(owner kqname.Node) bool {
+// hasLeft reports whether a node that owned a rollout has left or died, so that another
+// need not wait for its lease to expire.
+func (r *rollouts) hasLeft(owner kqname.Node) bool {
 	m, ok := r.node.table.Find(owner)
 	return ok && m.State >= kqmember.Leaving
 }
 
-// leave gives up the rollouts that this node owns, so that others may go on with
-// them at once.
-func (r *rollouts) leave(ctx context.Context) {
+// releaseLeases gives up the rollouts that this node owns, so that other nodes can
+// continue them at once.
+func (r *rollouts) releaseLeases(ctx context.Context) {
 	for _, v := range r.board.Views(time.Now()) {
 		if err := r.owner.Leave(ctx, v.Plan.ID); err != nil {
-			r.node.logger.Part("rollout").WithError(err).Info("Lease was not given back; it lapses.")
+			r.node.logger.Part("rollout").WithError(err).Info("Lease was not released; it will expire.")
 		}
 	}
 }
 
-// work does each plan's calls to the platform, in a goroutine of its own: the
-// platform may be slow, and the reflex must not wait for it.
-func (r *rollouts) work(ctx context.Context, now time.Time) {
+// syncPlatform makes each plan's calls to the platform, in a goroutine of its own: the
+// platform may be slow, and tick must not wait for it.
+func (r *rollouts) syncPlatform(ctx context.Context, now time.Time) {
 	if r.node.leaving.Load() {
 		return
 	}
 	for _, v := range r.board.Views(now) {
 		rank := r.rank(v.Plan.Service)
-		quiet := now.Sub(v.Heard) >= kqowner.TTL || v.Owner == r.node.settings.Node.Name || r.gone(v.Owner)
-		candidate := rank >= 0 && quiet && now.Sub(v.Seen) >= time.Duration(min(rank, 20))*rolloutTick*3
+		available := now.Sub(v.Heard) >= kqowner.TTL || v.Owner == r.node.settings.Node.Name || r.hasLeft(v.Owner)
+		candidate := rank >= 0 && available && now.Sub(v.Seen) >= time.Duration(min(rank, 20))*rolloutTick*3
 		if err := r.owner.Work(ctx, v, candidate, now); err != nil {
-			r.node.logger.Part("rollout").WithError(err).Debug("Platform did not settle.")
+			r.node.logger.Part("rollout").WithError(err).Debug("Platform calls for a rollout failed.")
 		}
-		r.tellOperators(ctx, v, rank, now)
+		r.reportOrder(ctx, v, rank, now)
 	}
 }
 
-func every(ctx context.Context, period time.Duration, f func(now time.Time)) {
+func runEvery(ctx context.Context, period time.Duration, f func(now time.Time)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
@@ -219,7 +224,7 @@
 	}
 }
 
-type random struct{}
+type globalRandom struct{}
 
 // Float64 implements kqshare.Random.
-func (random) Float64() float64 { return rand.Float64() }
+func (globalRandom) Float64() float64 { return rand.Float64() }
--- a/internal/run/kqnode/rollout_message.go
+++ b/internal/run/kqnode/rollout_message.go
@@ -21,17 +21,18 @@
 	topicEvidence kqspread.Topic = "rollout.evidence"
 	topicProgress kqspread.Topic = "rollout.progress"
 
-	// answerEvery bounds how often a node answers peers that lack progress, and
-	// answering how many nodes of a service do: were all to answer, each restart
-	// would cost a message from every node to every node.
-	answerEvery = time.Second
-	answering   = 3
-	// collecting is how many nodes of a service, beside the rollout's owner, get
-	// and weigh its evidence. Were evidence to flood, each rollout would cost every node of
-	// the fleet each gate's report, once a tick: ten gates of two routes some
-	// 4 KB a second out of the 16 KB that a node has for all control.
-	collecting = 5
-	// maxRelayed bounds the rollouts of services that this node does not hold.
+	// answerPeriod bounds how often a node answers peers that lack progress, and
+	// answeringNodes how many nodes of a service answer. If all did, each restart would
+	// cost a message from every node to every node.
+	answerPeriod   = time.Second
+	answeringNodes = 3
+	// collectingNodes is how many nodes of a service, besides the rollout's owner, receive
+	// and weigh its evidence. If evidence were flooded, each rollout would cost every node
+	// of the fleet each gate's report once a tick: ten gates of two routes cost some 4 KB/s
+	// of the 16 KB/s that a node has for all control traffic.
+	collectingNodes = 5
+	// maxRelayed bounds the statuses kept of rollouts whose services this node does not
+	// hold.
 	maxRelayed = 1000
 )
 
@@ -44,27 +45,27 @@
 	progressMessage struct {
 		Plan     kqplan.ID           `cbor:"1,keyasint"`
 		Progress kqprogress.Progress `cbor:"2,keyasint"`
-		// Owner tells that the sender owns the rollout. Status is then what
-		// operators read of it, for nodes that do not hold its service.
+		// Owner is true if the sender owns the rollout. Status then holds what operators
+		// read of it, for nodes that do not hold its service.
 		Owner  bool            `cbor:"3,keyasint,omitempty"`
 		Status *kqboard.Status `cbor:"4,keyasint,omitempty"`
 	}
 
-	// relay keeps what owners told of rollouts, so that operators may ask any
-	// node. It is safe for concurrent use.
-	relay struct {
-		mu   sync.Mutex
-		held map[kqname.Rollout]kqboard.Status
+	// statusRelay keeps the rollout statuses that owners publish, so that operators can
+	// query any node. It is safe for concurrent use.
+	statusRelay struct {
+		mu       sync.Mutex
+		statuses map[kqname.Rollout]kqboard.Status
 	}
 
-	// gauge counts the rollouts that a node holds by their state.
-	gauge struct {
+	// stateGauge counts the rollouts that a node holds, by state.
+	stateGauge struct {
 		rollouts *rollouts
 		desc     *prometheus.Desc
 	}
 )
 
-func (r *rollouts) tell(id kqplan.ID, owner bool, now time.Time) {
+func (r *rollouts) publishProgress(id kqplan.ID, owner bool, now time.Time) {
 	p, ok := r.board.Progress(id)
 	if !ok {
 		return
@@ -78,25 +79,27 @@
 	r.publish(topicProgress, m)
 }
 
-// collects reports whether this node gets the evidence of all gates.
-func (r *rollouts) collects(v kqboard.View) bool {
+// collectsEvidence reports whether this node receives the evidence of all gates.
+func (r *rollouts) collectsEvidence(v kqboard.View) bool {
 	rank := r.rank(v.Plan.Service)
-	return rank >= 0 && rank < collecting || v.Owner == r.node.settings.Node.Name
+	return rank >= 0 && rank < collectingNodes || v.Owner == r.node.settings.Node.Name
 }
 
 // report sends this gate's evidence to the nodes that weigh it.
-func (r *rollouts) report(v kqboard.View, m evidenceMessage) { r.send(v, collecting, topicEvidence, m) }
+func (r *rollouts) report(v kqboard.View, m evidenceMessage) {
+	r.sendToService(v, collectingNodes, topicEvidence, m)
+}
 
-// send sends a message of a rollout to the first few nodes of its service, and to its
-// owner.
-func (r *rollouts) send(v kqboard.View, first int, topic kqspread.Topic, m any) {
+// sendToService sends a message of a rollout to the first nodes of its service by name,
+// and to its owner.
+func (r *rollouts) sendToService(v kqboard.View, first int, topic kqspread.Topic, m any) {
 	payload, err := cbor.Marshal(m)
 	if err != nil {
-		r.node.logger.Part("rollout").WithError(err).Warnf("Message %s cannot be encoded.", topic)
+		r.node.logger.Part("rollout").WithError(err).Warnf("Cannot encode a message of topic %s.", topic)
 		return
 	}
 	var to []kqname.Address
-	for i, n := range r.beside(v.Plan.Service) {
+	for i, n := range r.serviceNodes(v.Plan.Service) {
 		if n.Node != r.node.settings.Node.Name && (i < first || n.Node == v.Owner) {
 			to = append(to, n.Control)
 		}
@@ -104,70 +107,70 @@
 	r.node.spreader.Send(context.Background(), topic, payload, to)
 }
 
-func (r *rollouts) hearEvidence(_ kqname.Node, payload []byte) {
+func (r *rollouts) handleEvidence(_ kqname.Node, payload []byte) {
 	var m evidenceMessage
 	if cbor.Unmarshal(payload, &m) == nil {
 		r.board.Merge(m.Plan, m.Report)
 	}
 }
 
-// hearProgress joins what a peer knows, and answers one that lacks something:
-// a restarted node must not send to a version that was taken back.
-func (r *rollouts) hearProgress(from kqname.Node, payload []byte) {
+// handleProgress merges a peer's progress, and answers a peer that lacks some: a
+// restarted node must not send calls to a version that was rolled back.
+func (r *rollouts) handleProgress(from kqname.Node, payload []byte) {
 	var m progressMessage
 	if cbor.Unmarshal(payload, &m) != nil {
 		return
 	}
 	now := time.Now()
 	if m.Status != nil {
-		r.relayed.keep(*m.Status)
+		r.relayed.store(*m.Status)
 	}
 	if m.Owner {
 		r.board.Owned(m.Plan, from, now)
 	}
 	if _, stale := r.board.Join(m.Plan, m.Progress); stale {
-		r.answer(m.Plan, now)
+		r.answerStale(m.Plan, now)
 	}
 }
 
-func (r *rollouts) answer(id kqplan.ID, now time.Time) {
+func (r *rollouts) answerStale(id kqplan.ID, now time.Time) {
 	s, ok := r.board.Status(id, now)
-	if rank := r.rank(s.Service); !ok || rank < 0 || rank >= answering {
+	if rank := r.rank(s.Service); !ok || rank < 0 || rank >= answeringNodes {
 		return
 	}
-	last := r.answered.Load()
-	if now.UnixNano()-last >= int64(answerEvery) && r.answered.CompareAndSwap(last, now.UnixNano()) {
-		r.tell(id, false, now)
+	last := r.lastAnswer.Load()
+	if now.UnixNano()-last >= int64(answerPeriod) && r.lastAnswer.CompareAndSwap(last, now.UnixNano()) {
+		r.publishProgress(id, false, now)
 	}
 }
 
-// publish sends a message on its way. Every message tells the whole state, so
-// that the next one makes up for one that is lost.
+// publish floods a message to all nodes. Each message holds the whole state, so that the
+// next one makes up for a lost one.
 func (r *rollouts) publish(topic kqspread.Topic, message any) {
 	payload, err := cbor.Marshal(message)
 	if err != nil {
-		r.node.logger.Part("rollout").WithError(err).Warn("Message cannot be encoded.")
+		r.node.logger.Part("rollout").WithError(err).Warn("Cannot encode a message.")
 		return
 	}
 	r.node.spreader.Publish(context.Background(), topic, payload)
 }
 
-func (l *relay) keep(s kqboard.Status) {
+func (l *statusRelay) store(s kqboard.Status) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.held == nil {
-		l.held = make(map[kqname.Rollout]kqboard.Status)
+	if l.statuses == nil {
+		l.statuses = make(map[kqname.Rollout]kqboard.Status)
 	}
-	if _, ok := l.held[s.Rollout]; ok || len(l.held) < maxRelayed {
-		l.held[s.Rollout] = s
+	if _, ok := l.statuses[s.Rollout]; ok || len(l.statuses) < maxRelayed {
+		l.statuses[s.Rollout] = s
 	}
 }
 
-// beside adds to a node's own rollouts those of services that it does not hold.
-func (l *relay) beside(own []kqboard.Status) []kqboard.Status {
+// mergeInto adds the relayed statuses of other rollouts to a node's own, and sorts them.
+func (l *statusRelay) mergeInto(own []kqboard.Status) []kqboard.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, s := range l.held {
+	for name, s := range l.statuses {
 		if !slices.ContainsFunc(own, func(o kqboard.Status) bool { return o.Rollout == name }) {
 			own = append(own, s)
 		}
@@ -176,15 +179,15 @@
 	return own
 }
 
-func (r *rollouts) gauge() *gauge {
-	return &gauge{rollouts: r, desc: prometheus.NewDesc("kumquatgw_rollouts", "Rollouts that this node holds, by state.", []string{"state"}, nil)}
+func (r *rollouts) stateGauge() *stateGauge {
+	return &stateGauge{rollouts: r, desc: prometheus.NewDesc("kumquatgw_rollouts", "Rollouts that this node holds, by state.", []string{"state"}, nil)}
 }
 
 // Describe implements prometheus.Collector.
-func (g *gauge) Describe(out chan<- *prometheus.Desc) { out <- g.desc }
+func (g *stateGauge) Describe(out chan<- *prometheus.Desc) { out <- g.desc }
 
 // Collect implements prometheus.Collector.
-func (g *gauge) Collect(out chan<- prometheus.Metric) {
+func (g *stateGauge) Collect(out chan<- prometheus.Metric) {
 	counts := make(map[kqboard.State]int)
 	for _, s := range g.rollouts.board.Statuses(time.Now()) {
 		counts[s.State]++
--- a/internal/run/kqnode/rollout_report.go
+++ b/internal/run/kqnode/rollout_report.go
@@ -12,15 +12,15 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
-// reporters is how many nodes of a service look whether operators have been told
-// of an order. The first tells; the others do in its place if it cannot.
-const reporters = 3
+// reportingNodes is how many nodes of a service, besides the rollout's owner, report the
+// final state of an order, so that it is reported even if one of them cannot.
+const reportingNodes = 3
 
-// tellOperators writes for operators how an order stands, where the platform
-// has them read it from the store. A final state is told only once it is
-// settled, so that all who tell it tell the same, and that a rollout is done once
-// nothing is at work at its old version: operators then stop the old upstreams.
-func (r *rollouts) tellOperators(ctx context.Context, v kqboard.View, rank int, now time.Time) {
+// reportOrder writes the state of an order to the store, on platforms where operators
+// read it there. A final state is reported only once it is settled, so that all nodes
+// report the same one. A rollout is reported as done only once no call is in flight at
+// its old version, since operators then stop the old upstreams.
+func (r *rollouts) reportOrder(ctx context.Context, v kqboard.View, rank int, now time.Time) {
 	if r.node.adapter.Reports == nil || v.Plan.Duration == 0 || v.Gone {
 		return
 	}
@@ -32,18 +32,18 @@
 		state = kqboard.TakenBack
 	}
 	owner, _ := r.owner.Holds(v.Plan.ID, now)
-	if r.reported[v.Plan.ID] == state || rank < 0 || !owner && (state == kqboard.Running || rank >= reporters) {
+	if r.reportedStates[v.Plan.ID] == state || rank < 0 || !owner && (state == kqboard.Running || rank >= reportingNodes) {
 		return
 	}
-	if state == kqboard.Done && !r.settling.over(v.Plan, now) {
+	if state == kqboard.Done && !r.oldVersionDrains.isOver(v.Plan, now) {
 		return
 	}
 	if err := r.writeReport(ctx, v, state); err != nil {
-		r.node.logger.Part("rollout").WithError(err).Debug("Operators were not told.")
+		r.node.logger.Part("rollout").WithError(err).Debug("Order state was not reported.")
 		return
 	}
-	r.reported[v.Plan.ID] = state
-	r.node.logger.Part("rollout").Infof("Told operators that order %s of %s is %s.", v.Plan.Name, v.Plan.Service, state)
+	r.reportedStates[v.Plan.ID] = state
+	r.node.logger.Part("rollout").Infof("Reported that order %s of %s is %s.", v.Plan.Name, v.Plan.Service, state)
 }
 
 func (r *rollouts) writeReport(ctx context.Context, v kqboard.View, state kqboard.State) error {
--- a/internal/run/kqnode/tls.go
+++ b/internal/run/kqnode/tls.go
@@ -13,10 +13,10 @@
 	"github.com/kumquatgw/kumquatgw/internal/security/kqreload"
 )
 
-// joinTLS loads the node's identity, where the settings name one, and puts the
-// gate's listener behind it.
-func (n *Node) joinTLS() error {
-	n.security = kqmetric.NewSecurity(n.metrics.Registry(), n.certificateExpires)
+// setUpTLS loads the node's identity, if the settings name one, and makes the gate's
+// listener require mutual TLS.
+func (n *Node) setUpTLS() error {
+	n.security = kqmetric.NewSecurity(n.metrics.Registry(), n.certificateExpiry)
 	if !n.settings.TLS.On() {
 		return nil
 	}
@@ -29,10 +29,10 @@
 		}),
 		kqidentity.WithReload(kqreload.WithEvery(n.settings.TLS.ReloadEvery), kqreload.WithFailed(func(err error) {
 			n.security.ReloadFailed("certificate")
-			log.WithError(err).Warn("Kept the certificate in use: its files cannot be taken in.")
+			log.WithError(err).Warn("Cannot load the certificate files; the current certificate stays in use.")
 		})))
 	if err != nil {
-		return fmt.Errorf("join tls: %w", err)
+		return fmt.Errorf("set up tls: %w", err)
 	}
 	n.identity = identity
 	n.listeners.gate = tls.NewListener(n.listeners.gate, identity.Mutual())
@@ -66,7 +66,7 @@
 	}
 }
 
-// adminTLS returns what the admin server proves itself by, nil without TLS.
+// adminTLS returns the TLS configuration of the admin server, or nil without TLS.
 func (n *Node) adminTLS() *tls.Config {
 	if n.identity == nil {
 		return nil
@@ -74,7 +74,7 @@
 	return n.identity.Public()
 }
 
-func (n *Node) certificateExpires() time.Time {
+func (n *Node) certificateExpiry() time.Time {
 	if n.identity == nil {
 		return time.Time{}
 	}
--- a/internal/run/kqnotable/doc.go
+++ b/internal/run/kqnotable/doc.go
@@ -1,4 +1,4 @@
-// Package kqnotable remembers the few events of a process that explain most of what
-// its callers may complain of: its start, signals, the steps of its leave, peers that
-// came back without a goodbye.
+// Package kqnotable keeps the few recent events of a process that explain most problems
+// of its callers: its start, signals, the steps of its shutdown, and peers that restarted
+// without announcing their departure.
 package kqnotable
