--- a/internal/run/kqnode/announce_test.go
+++ b/internal/run/kqnode/announce_test.go
@@ -19,10 +19,10 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// spoken reads announcements of the form "name ready" and "name gone".
-type spoken struct{}
+// textAnnouncements parses announcements of the form "name ready" and "name gone".
+type textAnnouncements struct{}
 
-func (spoken) Read(_ string, body []byte) (kqlocal.Announcement, bool, error) {
+func (textAnnouncements) Read(_ string, body []byte) (kqlocal.Announcement, bool, error) {
 	name, state, _ := strings.Cut(string(body), " ")
 	a := kqlocal.Announcement{Instance: kqname.Instance(name), Gone: state == "gone"}
 	if !a.Gone {
@@ -31,27 +31,28 @@
 	return a, true, nil
 }
 
-// silent is a platform's operators who have written nothing.
-type silent struct{}
+// emptyOperators decodes the entries of a platform whose operators have written nothing.
+type emptyOperators struct{}
 
-func (silent) Prefix() string { return "operators/" }
+func (emptyOperators) Prefix() string { return "operators/" }
 
-func (silent) Document(kqstore.Entry) (kqdocument.Document, kqname.ConfigVersion, bool, error) {
+func (emptyOperators) Document(kqstore.Entry) (kqdocument.Document, kqname.ConfigVersion, bool, error) {
 	return kqdocument.Document{}, 0, false, nil
 }
 
-func (silent) Order(kqstore.Entry) (kqdocument.Rollout, bool, error) {
+func (emptyOperators) Order(kqstore.Entry) (kqdocument.Rollout, bool, error) {
 	return kqdocument.Rollout{}, false, nil
 }
 
-// adapted runs a node beside a service over a store of its own platform.
-func adapted(t *testing.T, name string, store *kqstandin.Standin) (node *kqnode.Node, stop func()) {
+// startAdapted starts a node for an upstream of the service "store", with an adapter to
+// a platform. stop kills it without a drain.
+func startAdapted(t *testing.T, name string, store *kqstandin.Standin) (node *kqnode.Node, stop func()) {
 	t.Helper()
 	s := kqsettings.Default()
 	s.Node.Name, s.Node.Domain, s.Node.Service = kqname.Node(name), "one", "store"
 	s.Node.EntryListen, s.Node.LocalListen, s.Node.GateListen, s.Node.ControlListen = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 	s.Node.DrainTimeout = time.Second
-	node, err := kqnode.New(s, store, kqnode.WithAdapter(kqnode.Adapter{Announcements: spoken{}, Operators: silent{}, Lister: store}))
+	node, err := kqnode.New(s, store, kqnode.WithAdapter(kqnode.Adapter{Announcements: textAnnouncements{}, Operators: emptyOperators{}, Lister: store}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,19 +66,19 @@
 	return node, stop
 }
 
-func say(t *testing.T, node *kqnode.Node, what string) {
+func sendAnnouncement(t *testing.T, node *kqnode.Node, text string) {
 	t.Helper()
-	resp, err := http.Post(fmt.Sprintf("http://%s/announce", node.LocalAddress()), "text/plain", strings.NewReader(what))
+	resp, err := http.Post(fmt.Sprintf("http://%s/announce", node.LocalAddress()), "text/plain", strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		t.Fatalf("%s: status %d", what, resp.StatusCode)
+		t.Fatalf("%s: status %d", text, resp.StatusCode)
 	}
 }
 
-func serves(node *kqnode.Node) bool {
+func hasUpstream(node *kqnode.Node) bool {
 	for _, m := range node.Members() {
 		if m.Node == node.Name() {
 			return len(m.Upstreams) > 0
@@ -86,60 +87,59 @@
 	return false
 }
 
-// A node starts while the store and its peers are out of reach, so that it holds
-// back what its upstream announces, and the upstream says goodbye meanwhile.
-// Taken in afterwards, the older announcement would bring the upstream back, and
-// callers' work would be lost in its shutdown.
-func TestGoodbyeWhileAnnouncementsAreHeldBack(t *testing.T) {
+// A node that starts while the store and its peers are unreachable holds announcements.
+// If the upstream leaves meanwhile, its held announcement must not be applied later: that
+// would bring the upstream back, and calls would be lost in its shutdown.
+func TestDepartureWhileAnnouncementsAreHeld(t *testing.T) {
 	store := kqstandin.New()
 	store.SetFaults(kqstandin.Faults{Down: true})
-	node, stop := adapted(t, "a", store)
+	node, stop := startAdapted(t, "a", store)
 	defer stop()
-	say(t, node, "one ready")
-	say(t, node, "one gone")
+	sendAnnouncement(t, node, "one ready")
+	sendAnnouncement(t, node, "one gone")
 	store.SetFaults(kqstandin.Faults{})
-	say(t, node, "two ready")
-	await(t, "the other upstream is taken in", func() bool { return serves(node) })
-	say(t, node, "two gone")
-	if serves(node) {
-		t.Error("the upstream that said goodbye is back")
+	sendAnnouncement(t, node, "two ready")
+	await(t, "the other upstream is announced", func() bool { return hasUpstream(node) })
+	sendAnnouncement(t, node, "two gone")
+	if hasUpstream(node) {
+		t.Error("the upstream that left is listed again")
 	}
 }
 
-// A node is killed right after it acknowledged its upstream's goodbye. The process
-// that follows must not take the upstream's late announcement for a healthy one's:
-// calls would reach an upstream that ends within seconds.
+// A node is killed right after it acknowledged its upstream's departure. Its next process
+// must not accept a late announcement of that upstream: calls would reach an upstream that
+// ends within seconds.
 func TestGoodbyeOutlivesTheProcess(t *testing.T) {
 	store := kqstandin.New()
-	node, stop := adapted(t, "a", store)
-	say(t, node, "one ready")
-	await(t, "the upstream is taken in", func() bool { return serves(node) })
-	say(t, node, "one gone")
+	node, stop := startAdapted(t, "a", store)
+	sendAnnouncement(t, node, "one ready")
+	await(t, "the upstream is announced", func() bool { return hasUpstream(node) })
+	sendAnnouncement(t, node, "one gone")
 	stop()
-	node, stop = adapted(t, "a", store)
+	node, stop = startAdapted(t, "a", store)
 	defer stop()
-	say(t, node, "one ready")
-	say(t, node, "two ready")
-	await(t, "another upstream is taken in", func() bool { return serves(node) })
-	say(t, node, "two gone")
-	if serves(node) {
-		t.Error("the upstream that said goodbye is back")
+	sendAnnouncement(t, node, "one ready")
+	sendAnnouncement(t, node, "two ready")
+	await(t, "another upstream is announced", func() bool { return hasUpstream(node) })
+	sendAnnouncement(t, node, "two gone")
+	if hasUpstream(node) {
+		t.Error("the upstream that left is listed again")
 	}
 }
 
-// A node starts, hears as the first word of its upstream that it says goodbye,
-// without the time of its start, and then an announcement that was on its way for
-// seconds. Taken in, it would bring calls to an upstream that is about to end.
-func TestAnnouncementThatComesAfterTheGoodbye(t *testing.T) {
+// The first message of an upstream to a new node is its departure, without a start time,
+// and an announcement delayed for seconds follows. If the node accepted it, calls would
+// reach an upstream that is about to end.
+func TestLateAnnouncementAfterDeparture(t *testing.T) {
 	store := kqstandin.New()
-	node, stop := adapted(t, "a", store)
+	node, stop := startAdapted(t, "a", store)
 	defer stop()
-	say(t, node, "two ready")
-	await(t, "another upstream is taken in", func() bool { return serves(node) })
-	say(t, node, "two gone")
-	say(t, node, "one gone")
-	say(t, node, "one ready")
-	if serves(node) {
-		t.Error("the upstream that said goodbye is back")
+	sendAnnouncement(t, node, "two ready")
+	await(t, "another upstream is announced", func() bool { return hasUpstream(node) })
+	sendAnnouncement(t, node, "two gone")
+	sendAnnouncement(t, node, "one gone")
+	sendAnnouncement(t, node, "one ready")
+	if hasUpstream(node) {
+		t.Error("the upstream that left is listed again")
 	}
 }
--- a/internal/run/kqnode/forged_test.go
+++ b/internal/run/kqnode/forged_test.go
@@ -25,12 +25,11 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// A caller from outside sets the headers by which nodes speak to each other: it
-// wants to be served first, to seem another caller, to have no deadline or to
-// reach another service. Its call must go exactly as one without them, and be
-// counted.
+// A caller from outside sets the internal headers of nodes, to gain priority, to pose as
+// another caller, to have no deadline or to reach another service. Its call must be served
+// exactly like one without them, and be counted.
 func TestForgedHeaders(t *testing.T) {
-	s := newSecured(t)
+	s := newTLSFleet(t)
 	front, back := s.start(t, "front", ""), s.start(t, "back", "")
 	s.commit(t)
 	var mu sync.Mutex
@@ -44,7 +43,7 @@
 		}
 	}))
 	t.Cleanup(upstream.Close)
-	announce(t, back.Node.LocalAddress(), kqname.Address(strings.TrimPrefix(upstream.URL, "http://")))
+	keepAnnouncing(t, back.Node.LocalAddress(), kqname.Address(strings.TrimPrefix(upstream.URL, "http://")))
 	call := func(forged map[string]string) (int, map[string]string) {
 		q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+string(front.Node.EntryAddress())+"/", nil)
 		if err != nil {
@@ -62,7 +61,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		got := maps.Clone(seen)
-		// These two differ from call to call.
+		// These two headers differ from call to call.
 		delete(got, kqcall.HeaderID)
 		delete(got, kqcall.HeaderTimeout)
 		return a.StatusCode, got
@@ -76,13 +75,14 @@
 	if status != http.StatusOK || !maps.Equal(got, want) {
 		t.Errorf("status %d, the upstream sees %v with forged headers and %v without", status, got, want)
 	}
-	if n := counter(t, front, "kumquatgw_forged_headers_total"); n != 1 {
-		t.Errorf("counted %v times, want 1", n)
+	if n := counterValue(t, front, "kumquatgw_forged_headers_total"); n != 1 {
+		t.Errorf("counted %v calls with forged headers, want 1", n)
 	}
 }
 
-// announce keeps an upstream of the service store known to a node.
-func announce(t *testing.T, node, upstream kqname.Address) {
+// keepAnnouncing announces an upstream of the service "store" to a node until the test
+// ends.
+func keepAnnouncing(t *testing.T, node, upstream kqname.Address) {
 	t.Helper()
 	body, err := json.Marshal(kqlocal.Announcement{Service: "store", Version: "v1", Address: upstream, Slots: 4})
 	if err != nil {
@@ -104,10 +104,11 @@
 	t.Cleanup(func() { stop(); group.Wait() })
 }
 
-// A client sends its headers byte by byte, to hold connections of an entry. It
-// is told so and cut off, its call is counted as not run, and others are served.
+// A caller holds an entry's connection by not finishing its headers. It must get a 408
+// answer with the reason too_slow, its call must be counted, and other callers must be
+// served.
 func TestSlowHeadersAtTheEntry(t *testing.T) {
-	s := newSecured(t)
+	s := newTLSFleet(t)
 	front := s.start(t, "front", "store")
 	s.commit(t)
 	conn, err := net.Dial("tcp", string(front.Node.EntryAddress()))
@@ -116,7 +117,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: store\r\nX-Slow: ")
-	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	_ = conn.SetReadDeadline(time.Now().Add(awaitTimeout))
 	a, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatalf("read refusal: %v", err)
@@ -125,28 +126,28 @@
 	if a.StatusCode != http.StatusRequestTimeout || a.Header.Get(kqcall.HeaderReason) != string(kqcall.TooSlow) {
 		t.Errorf("status %d, reason %q; want 408, too_slow", a.StatusCode, a.Header.Get(kqcall.HeaderReason))
 	}
-	if n := counter(t, front, "kumquatgw_calls_total"); n != 1 {
+	if n := counterValue(t, front, "kumquatgw_calls_total"); n != 1 {
 		t.Errorf("counted %v calls, want 1", n)
 	}
 	await(t, "others are served", func() bool {
-		return get(t.Context(), "http://"+string(front.Node.EntryAddress())+"/") == http.StatusOK
+		return getStatus(t.Context(), "http://"+string(front.Node.EntryAddress())+"/") == http.StatusOK
 	})
 }
 
-// A caller gives up on a call that runs on another server. Over TLS the entry's
-// closing shows at the gate as bytes and not as an end, so the gate would let
-// the upstream go on for nobody; it must notice, and count the call cancelled.
-func TestHangupCrossesTLS(t *testing.T) {
-	s := newSecured(t)
+// A caller disconnects during a call that runs on another server. Over TLS, the gate reads
+// the entry's close as bytes and not as an end of the stream. It must still detect the
+// disconnect and count the call as cancelled, and not let the upstream work on in vain.
+func TestDisconnectIsDetectedOverTLS(t *testing.T) {
+	s := newTLSFleet(t)
 	front, back := s.start(t, "front", ""), s.start(t, "back", "store")
 	s.commit(t)
 	url := "http://" + string(front.Node.EntryAddress()) + "/"
-	await(t, "calls are answered", func() bool { return get(t.Context(), url) == http.StatusOK })
+	await(t, "calls are answered", func() bool { return getStatus(t.Context(), url) == http.StatusOK })
 	before := back.Upstream.Runs()[""]
 	back.Upstream.SetBehaviour(kqupstream.Behaviour{Work: 2 * time.Second})
 	ctx, cancel := context.WithCancel(t.Context())
 	var group conc.WaitGroup
-	group.Go(func() { get(ctx, url) })
+	group.Go(func() { getStatus(ctx, url) })
 	await(t, "the call runs", func() bool { return back.Upstream.Runs()[""] > before })
 	cancel()
 	group.Wait()
--- a/internal/run/kqnode/fuzz_test.go
+++ b/internal/run/kqnode/fuzz_test.go
@@ -15,17 +15,17 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
 )
 
-// methods are all that peers may ask a node for.
-var methods = []string{"m.b", "m.c", "m.n", "c.p", "c.r", "c.o", "c.h", "s.o", "s.d"}
+// peerMethods are the RPC methods that peers may call.
+var peerMethods = []string{"m.b", "m.c", "m.n", "c.p", "c.r", "c.o", "c.h", "s.o", "s.d"}
 
-// plain sends and receives bytes as they are.
-type plain struct{}
+// rawEncoding sends and receives bytes unchanged.
+type rawEncoding struct{}
 
-func (plain) Marshal(m drpc.Message) ([]byte, error)      { return *m.(*[]byte), nil }
-func (plain) Unmarshal(data []byte, m drpc.Message) error { *m.(*[]byte) = data; return nil }
+func (rawEncoding) Marshal(m drpc.Message) ([]byte, error)      { return *m.(*[]byte), nil }
+func (rawEncoding) Unmarshal(data []byte, m drpc.Message) error { *m.(*[]byte) = data; return nil }
 
-// FuzzPeerMessages sends messages as a broken peer could. The node may refuse
-// them, and must go on: a panic would take a server's calls with it.
+// FuzzPeerMessages sends messages that a faulty peer could send. The node may reject them
+// but must not panic, which would end all calls of its server.
 func FuzzPeerMessages(f *testing.F) {
 	s := kqsettings.Default()
 	s.Node.Name, s.Node.Domain = "fuzzed", "one"
@@ -39,7 +39,7 @@
 	go func() { defer close(done); _ = n.Run(ctx) }()
 	f.Cleanup(func() { kill(kqnode.ErrKilled); <-done })
 
-	for method := range methods {
+	for method := range peerMethods {
 		for _, body := range []any{
 			map[int]any{1: "peer", 2: map[int]any{1: 1, 2: []int{1, 2}, 3: 9, 4: 1}},
 			map[int]any{1: "peer", 2: map[int]any{1: []uint64{1, 2, 3}}},
@@ -67,8 +67,8 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		var answer []byte
-		// An error is an answer too; what matters is the node's next one.
-		_ = conn.Invoke(ctx, methods[int(method)%len(methods)], plain{}, &data, &answer)
+		// An error is a valid answer; the node must only keep running.
+		_ = conn.Invoke(ctx, peerMethods[int(method)%len(peerMethods)], rawEncoding{}, &data, &answer)
 		if n.Ready() {
 			t.Fatal("a message made an empty node ready")
 		}
--- a/internal/run/kqnode/listen_test.go
+++ b/internal/run/kqnode/listen_test.go
@@ -15,34 +15,34 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
 )
 
-// failing is a listener that fails with an error while it is set.
-type failing struct {
+// failingListener is a listener whose Accept fails with acceptErr while that is set.
+type failingListener struct {
 	net.Listener
-	with atomic.Pointer[error]
+	acceptErr atomic.Pointer[error]
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	c, err := f.Listener.Accept()
-	if with := f.with.Load(); with != nil && err == nil {
+	if acceptErr := f.acceptErr.Load(); acceptErr != nil && err == nil {
 		_ = c.Close()
-		return nil, *with
+		return nil, *acceptErr
 	}
 	return c, err
 }
 
-// The entry cannot accept. For lack of descriptors, which passes, the node waits, and
-// serves again; where its listener has failed for good it leaves in order and says why,
-// and does not serve on in part.
+// The entry's listener fails to accept. After a temporary failure, such as a lack of file
+// descriptors, the node must serve again. After a permanent one it must drain and return
+// the error, and not keep running without its entry.
 func TestListenerFails(t *testing.T) {
 	for name, c := range map[string]struct {
-		with error
-		ends bool
+		acceptErr error
+		ends      bool
 	}{
-		"no descriptors": {syscall.EMFILE, false}, "no memory": {syscall.ENOMEM, false}, "for good": {syscall.EBADF, true},
+		"no descriptors": {syscall.EMFILE, false}, "no memory": {syscall.ENOMEM, false}, "permanent": {syscall.EBADF, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var entry *failing
+			var entry *failingListener
 			s := kqsettings.Default()
 			s.Node.Name, s.Node.Domain, s.Node.Region = "a", "one", "one"
 			s.Node.EntryListen, s.Node.LocalListen, s.Node.GateListen, s.Node.ControlListen = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
@@ -50,7 +50,7 @@
 				if r != kqnode.RoleEntry {
 					return l
 				}
-				entry = &failing{Listener: l}
+				entry = &failingListener{Listener: l}
 				return entry
 			}))
 			if err != nil {
@@ -60,23 +60,23 @@
 			defer stop()
 			ended := make(chan error, 1)
 			go func() { ended <- n.Run(ctx) }()
-			entry.with.Store(&c.with)
+			entry.acceptErr.Store(&c.acceptErr)
 			for range 3 {
 				if conn, err := net.Dial("tcp", string(n.EntryAddress())); err == nil {
 					_ = conn.Close()
 				}
 			}
 			if c.ends {
-				if err := <-ended; !errors.Is(err, c.with) {
-					t.Errorf("the node ended with %v, want %v", err, c.with)
+				if err := <-ended; !errors.Is(err, c.acceptErr) {
+					t.Errorf("the node ended with %v, want %v", err, c.acceptErr)
 				}
 				return
 			}
 			time.Sleep(200 * time.Millisecond)
-			entry.with.Store(nil)
+			entry.acceptErr.Store(nil)
 			a, err := http.Get("http://" + string(n.EntryAddress()) + "/")
 			if err != nil {
-				t.Fatalf("a call afterwards: %v", err)
+				t.Fatalf("call after a temporary failure: %v", err)
 			}
 			_ = a.Body.Close()
 			stop()
--- a/internal/run/kqnode/report_test.go
+++ b/internal/run/kqnode/report_test.go
@@ -6,10 +6,10 @@
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqview"
 )
 
-// A node far from the operator's own refuses what it hears. The operator looks
-// at it through any other node and finds the reason without logging in there.
+// A node refuses configuration. An operator must be able to read the reason in that node's
+// report through any other node, without access to its server.
 func TestReportOfAnotherNode(t *testing.T) {
-	s := newSecured(t)
+	s := newTLSFleet(t)
 	near, far := s.start(t, "near", ""), s.start(t, "far", "")
 	s.commit(t)
 	far.Node.Metrics().ConfigRefused("invalid")
@@ -24,6 +24,6 @@
 		t.Errorf("report %+v, want %+v first", r, want)
 	}
 	if _, err := near.Node.Report(t.Context(), "nobody"); err == nil {
-		t.Error("a node that is not there reports")
+		t.Error("an unknown node has a report")
 	}
 }
--- a/internal/run/kqnode/rollout_fault_test.go
+++ b/internal/run/kqnode/rollout_fault_test.go
@@ -12,22 +12,22 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// until polls until the condition holds on every server.
-func (w *town) until(what string, holds func(s *kqfleet.Server) bool) {
-	w.t.Helper()
-	for end := time.Now().Add(rolloutPatience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+// awaitAll waits until the condition holds on every server.
+func (f *rolloutFleet) awaitAll(what string, holds func(s *kqfleet.Server) bool) {
+	f.t.Helper()
+	for end := time.Now().Add(rolloutTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		all := true
-		for _, s := range w.Servers() {
+		for _, s := range f.Servers() {
 			all = all && holds(s)
 		}
 		if all {
 			return
 		}
 	}
-	w.t.Fatalf("never: %s; last %+v", what, w.Servers()[0].Node.Rollouts())
+	f.t.Fatalf("timed out waiting for: %s; last %+v", what, f.Servers()[0].Node.Rollouts())
 }
 
-func runs(servers []*kqfleet.Server) int {
+func upstreamRuns(servers []*kqfleet.Server) int {
 	sum := 0
 	for _, s := range servers {
 		for _, n := range s.Upstream.Runs() {
@@ -37,7 +37,7 @@
 	return sum
 }
 
-func share(s *kqfleet.Server) float64 {
+func rolloutShare(s *kqfleet.Server) float64 {
 	list := s.Node.Rollouts()
 	if len(list) != 1 {
 		return 0
@@ -45,101 +45,101 @@
 	return list[0].Share
 }
 
-// The server that owns the move is lost without a word in the middle of it. If
-// nobody went on, the move would hang at the small share past its deadline.
-func TestOwnerDiesInTheMiddle(t *testing.T) {
+// The server that owns the rollout is lost without a drain while the rollout runs. If no
+// other node took over, the rollout would stay at the small share past its deadline.
+func TestRolloutOwnerDies(t *testing.T) {
 	t.Parallel()
-	w := newTown(t, kqupstream.Behaviour{Work: 2 * time.Millisecond})
-	w.commit(0, plan(time.Now(), 9*time.Second))
-	w.ready()
+	f := newRolloutFleet(t, kqupstream.Behaviour{Work: 2 * time.Millisecond})
+	f.commit(0, rolloutPlan(time.Now(), 9*time.Second))
+	f.awaitReady()
 	var owner kqname.Node
-	w.until("an owner steps", func(s *kqfleet.Server) bool {
+	f.awaitAll("an owner has stepped the rollout", func(s *kqfleet.Server) bool {
 		list := s.Node.Rollouts()
 		if len(list) == 1 && list[0].Owner != "" {
 			owner = list[0].Owner
 		}
-		return share(s) > 0
+		return rolloutShare(s) > 0
 	})
-	for _, s := range w.Servers() {
+	for _, s := range f.Servers() {
 		if s.Spec.Node == owner {
 			s.Kill()
-			w.lost = s
+			f.killed = s
 		}
 	}
-	if s := w.await(kqboard.Done); s.Owner == owner {
-		t.Errorf("done by %s, which was lost", owner)
+	if s := f.await(kqboard.Done); s.Owner == owner {
+		t.Errorf("done by owner %s, which was killed", owner)
 	}
 }
 
-// A version turns bad while the platform's service is away. Nobody can store
-// that it is taken back, and callers must not wait for that: its traffic ends at
-// once, and a server that restarts meanwhile does not begin with it again.
+// A version starts to fail while the platform is down, so that its rollback cannot be
+// stored. Its traffic must end at once all the same, and a node that restarts meanwhile
+// must not send calls to it again.
 func TestBadVersionGetsNothingWhileThePlatformIsAway(t *testing.T) {
 	t.Parallel()
-	w := newTown(t, kqupstream.Behaviour{Work: 2 * time.Millisecond})
-	w.commit(0, plan(time.Now(), 40*time.Second))
-	w.load()
-	w.until("the small share", func(s *kqfleet.Server) bool { return share(s) > 0 })
-	w.Platform.SetFaults(kqstandin.Faults{Down: true})
-	for _, s := range w.next {
+	f := newRolloutFleet(t, kqupstream.Behaviour{Work: 2 * time.Millisecond})
+	f.commit(0, rolloutPlan(time.Now(), 40*time.Second))
+	f.startLoad()
+	f.awaitAll("the small share of traffic", func(s *kqfleet.Server) bool { return rolloutShare(s) > 0 })
+	f.Platform.SetFaults(kqstandin.Faults{Down: true})
+	for _, s := range f.next {
 		s.Upstream.SetBehaviour(kqupstream.Behaviour{Work: 2 * time.Millisecond, FailShare: 0.7})
 	}
-	w.until("no share", func(s *kqfleet.Server) bool { return share(s) == 0 })
-	for _, s := range w.Servers() {
+	f.awaitAll("no share of traffic", func(s *kqfleet.Server) bool { return rolloutShare(s) == 0 })
+	for _, s := range f.Servers() {
 		if list := s.Node.Rollouts(); list[0].State != kqboard.Running {
-			t.Errorf("%s tells %q before it is stored", s.Spec.Node, list[0].State)
+			t.Errorf("%s reports %q before it is stored", s.Spec.Node, list[0].State)
 		}
 	}
-	before := runs(w.next)
-	again := w.Servers()[0]
+	before := upstreamRuns(f.next)
+	again := f.Servers()[0]
 	again.Stop()
-	fresh, err := w.Restart(again)
+	fresh, err := f.Restart(again)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.until("the restarted server knows that it gets nothing", func(*kqfleet.Server) bool {
+	f.awaitAll("the restarted node knows that the version gets no traffic", func(*kqfleet.Server) bool {
 		list := fresh.Node.Rollouts()
 		return len(list) == 1 && strings.HasPrefix(list[0].Why, "no traffic any more")
 	})
-	if after := runs(w.next); after != before {
-		t.Errorf("a version without a share ran %d more calls", after-before)
+	if after := upstreamRuns(f.next); after != before {
+		t.Errorf("a version without a share of the traffic ran %d more calls", after-before)
 	}
-	w.Platform.SetFaults(kqstandin.Faults{})
-	w.await(kqboard.TakenBack)
+	f.Platform.SetFaults(kqstandin.Faults{})
+	f.await(kqboard.TakenBack)
 }
 
-// All servers of the new version are lost at once in the middle of a move, and
-// some of the old ones. Callers must be served by what is left.
+// All upstreams of the new version and one of the old one drain at once while a rollout
+// runs. The remaining upstreams must serve all calls.
 func TestNewUpstreamsDieInAHerd(t *testing.T) {
 	t.Parallel()
-	w := newTown(t, kqupstream.Behaviour{Work: 2 * time.Millisecond})
-	// Long enough for the upstreams to be gone well before the move would end.
-	w.commit(0, plan(time.Now(), 12*time.Second))
-	w.load()
-	w.until("a larger share", func(s *kqfleet.Server) bool { return share(s) > 0.2 })
-	for _, s := range w.next {
+	f := newRolloutFleet(t, kqupstream.Behaviour{Work: 2 * time.Millisecond})
+	// Long enough for the upstreams to be gone well before the rollout would end.
+	f.commit(0, rolloutPlan(time.Now(), 12*time.Second))
+	f.startLoad()
+	f.awaitAll("a larger share of traffic", func(s *kqfleet.Server) bool { return rolloutShare(s) > 0.2 })
+	for _, s := range f.next {
 		s.Upstream.Drain()
 	}
-	w.Servers()[2].Upstream.Drain()
-	w.until("no new upstream is left", func(s *kqfleet.Server) bool { return s.Node.Version() > 0 })
-	s := w.awaitEnd()
-	if n := w.failed.Load(); n > 0 {
+	f.Servers()[2].Upstream.Drain()
+	f.awaitAll("no new upstream is left", func(s *kqfleet.Server) bool { return s.Node.Version() > 0 })
+	s := f.awaitEnd()
+	if n := f.failed.Load(); n > 0 {
 		t.Errorf("%d calls failed", n)
 	}
 	if s.State == kqboard.Done {
-		t.Errorf("a version without an upstream is done: %+v", s)
+		t.Errorf("the rollout to a version without upstreams is done: %+v", s)
 	}
 }
 
-// A version answers ten times slower from its first call, and its upstreams have
-// only just started. Were that put down to their start, callers would wait for
-// most of a minute until the slowness counts.
+// A version is more than ten times slower from its first call, and its upstreams have just
+// started. If that were attributed to a cold start, the slow answers would not count as
+// evidence for most of a minute.
 func TestFarSlowerIsToldFromAColdStart(t *testing.T) {
 	t.Parallel()
-	w := newTown(t, kqupstream.Behaviour{Work: 30 * time.Millisecond})
-	w.commit(0, plan(time.Now(), 90*time.Second))
-	w.load()
-	if s := w.await(kqboard.TakenBack); !strings.Contains(s.Why, "far slower than a cold start") {
-		t.Errorf("taken back for another reason: %s", s.Why)
+	f := newRolloutFleet(t, kqupstream.Behaviour{Work: 30 * time.Millisecond})
+	f.commit(0, rolloutPlan(time.Now(), 90*time.Second))
+	f.startLoad()
+	if s := f.await(kqboard.TakenBack); !strings.Contains(s.Why, "far slower than a cold start") {
+		t.Errorf("rolled back for another reason: %s", s.Why)
 	}
 }
--- a/internal/run/kqnode/rollout_test.go
+++ b/internal/run/kqnode/rollout_test.go
@@ -19,22 +19,24 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-const rolloutPatience = 20 * time.Second
+const rolloutTimeout = 20 * time.Second
 
-// town is a small fleet of one service with an old and a new version.
-type town struct {
+// rolloutFleet is a fleet of one service, with three upstreams of an old version and three
+// of a new one.
+type rolloutFleet struct {
 	*kqfleet.Fleet
-	t      *testing.T
+	t *testing.T
+	// next holds the servers of the new version.
 	next   []*kqfleet.Server
 	failed atomic.Int64
-	// lost is a server that was killed.
-	lost *kqfleet.Server
+	// killed is a server that the test killed; await ignores it.
+	killed *kqfleet.Server
 }
 
-func newTown(t *testing.T, v2 kqupstream.Behaviour) *town {
+func newRolloutFleet(t *testing.T, v2 kqupstream.Behaviour) *rolloutFleet {
 	t.Helper()
-	w := &town{Fleet: kqfleet.New(), t: t}
-	t.Cleanup(func() { _ = w.Close() })
+	f := &rolloutFleet{Fleet: kqfleet.New(), t: t}
+	t.Cleanup(func() { _ = f.Close() })
 	for i := range 6 {
 		spec := kqfleet.Spec{
 			Node: kqname.Node(fmt.Sprintf("shed-%d", i)), Domain: "d1", Region: "r1", Service: "shed", Version: "v1", Slots: 6,
@@ -43,20 +45,20 @@
 		if i >= 3 {
 			spec.Version, spec.Behaviour = "v2", v2
 		}
-		s, err := w.Start(spec)
+		s, err := f.Start(spec)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if i >= 3 {
-			w.next = append(w.next, s)
+			f.next = append(f.next, s)
 		}
 	}
-	return w
+	return f
 }
 
-func (w *town) commit(base kqname.ConfigVersion, rollouts ...kqdocument.Rollout) {
-	w.t.Helper()
-	_, err := kqcommit.New(w.Platform).Commit(context.Background(), kqcommit.Request{
+func (f *rolloutFleet) commit(base kqname.ConfigVersion, rollouts ...kqdocument.Rollout) {
+	f.t.Helper()
+	_, err := kqcommit.New(f.Platform).Commit(context.Background(), kqcommit.Request{
 		ID: fmt.Sprintf("change-%d", base), Base: base, Author: "test", Reason: "test", At: time.Now(),
 		Document: kqdocument.Document{
 			Teams:    []kqdocument.Team{{Name: "team"}},
@@ -67,36 +69,36 @@
 		},
 	})
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 }
 
-func plan(from time.Time, window time.Duration) kqdocument.Rollout {
+func rolloutPlan(from time.Time, window time.Duration) kqdocument.Rollout {
 	return kqdocument.Rollout{
 		Name: "move", Team: "team", Service: "shed", From: "v1", To: "v2", Policy: "first",
 		Start: from, Deadline: from.Add(window),
 	}
 }
 
-// ready waits until all nodes have the configuration and know each other.
-func (w *town) ready() {
-	w.t.Helper()
-	for _, s := range w.Servers() {
-		for end := time.Now().Add(rolloutPatience); s.Node.Version() == 0 || len(s.Node.Members()) < len(w.Servers()); time.Sleep(5 * time.Millisecond) {
+// awaitReady waits until all nodes have the configuration and know each other.
+func (f *rolloutFleet) awaitReady() {
+	f.t.Helper()
+	for _, s := range f.Servers() {
+		for end := time.Now().Add(rolloutTimeout); s.Node.Version() == 0 || len(s.Node.Members()) < len(f.Servers()); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				w.t.Fatalf("%s never got the configuration", s.Spec.Node)
+				f.t.Fatalf("%s did not get the configuration and all members in time", s.Spec.Node)
 			}
 		}
 	}
 }
 
-// load calls until the test ends, some 300 calls a second.
-func (w *town) load() {
-	w.t.Helper()
-	w.ready()
+// startLoad makes some 300 calls a second until the test ends.
+func (f *rolloutFleet) startLoad() {
+	f.t.Helper()
+	f.awaitReady()
 	ctx, stop := context.WithCancel(context.Background())
 	var group conc.WaitGroup
-	w.t.Cleanup(func() { stop(); group.Wait() })
+	f.t.Cleanup(func() { stop(); group.Wait() })
 	for i := range 4 {
 		group.Go(func() {
 			ticker := time.NewTicker(12 * time.Millisecond)
@@ -108,28 +110,28 @@
 				case <-ticker.C:
 				}
 				req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-				req.SetRequestURI("http://" + string(w.Servers()[i].Node.EntryAddress()) + "/stock")
+				req.SetRequestURI("http://" + string(f.Servers()[i].Node.EntryAddress()) + "/stock")
 				req.Header.SetHost("shed")
 				req.UseHostHeader = true
 				if err := fasthttp.DoTimeout(req, resp, 5*time.Second); err != nil || resp.StatusCode() != fasthttp.StatusOK {
-					w.failed.Add(1)
+					f.failed.Add(1)
 				}
 			}
 		})
 	}
 }
 
-// awaitEnd waits until every node tells the same final state.
-func (w *town) awaitEnd() kqboard.Status {
-	w.t.Helper()
-	return w.await(kqboard.Done, kqboard.TakenBack)
+// awaitEnd waits until every node reports the same final state.
+func (f *rolloutFleet) awaitEnd() kqboard.Status {
+	f.t.Helper()
+	return f.await(kqboard.Done, kqboard.TakenBack)
 }
 
-func (w *town) await(want ...kqboard.State) kqboard.Status {
-	w.t.Helper()
-	servers := slices.DeleteFunc(w.Servers(), func(s *kqfleet.Server) bool { return s == w.lost })
+func (f *rolloutFleet) await(want ...kqboard.State) kqboard.Status {
+	f.t.Helper()
+	servers := slices.DeleteFunc(f.Servers(), func(s *kqfleet.Server) bool { return s == f.killed })
 	var last []kqboard.Status
-	for end := time.Now().Add(rolloutPatience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(rolloutTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		agreed := 0
 		first := servers[0].Node.Rollouts()
 		for _, s := range servers {
@@ -142,40 +144,40 @@
 			return last[0]
 		}
 	}
-	w.t.Fatalf("rollouts never all became %q; %d calls failed; last %+v", want, w.failed.Load(), last)
+	f.t.Fatalf("not all nodes report the rollout as %q; %d calls failed; last %+v", want, f.failed.Load(), last)
 	return kqboard.Status{}
 }
 
-// A team starts a good new version beside the old one and gives a time by which
-// the traffic is to be on it. If the move did not end by itself, operators would
-// have to watch it, and the old version's servers would stay bound.
+// A team starts a healthy new version next to the old one, with a deadline for moving the
+// traffic. The rollout must finish by itself; otherwise operators would have to watch it,
+// and the old version's servers would stay in use.
 func TestGoodVersionGetsAllTraffic(t *testing.T) {
 	t.Parallel()
-	w := newTown(t, kqupstream.Behaviour{Work: 2 * time.Millisecond})
-	w.commit(0, plan(time.Now().Add(time.Second), 5*time.Second))
-	w.load()
-	w.await(kqboard.Done)
-	if n := w.failed.Load(); n > 0 {
-		t.Errorf("%d calls failed in the course of a good move", n)
+	f := newRolloutFleet(t, kqupstream.Behaviour{Work: 2 * time.Millisecond})
+	f.commit(0, rolloutPlan(time.Now().Add(time.Second), 5*time.Second))
+	f.startLoad()
+	f.await(kqboard.Done)
+	if n := f.failed.Load(); n > 0 {
+		t.Errorf("%d calls failed during the rollout of a healthy version", n)
 	}
-	old, next := runs(w.Servers()[:3]), runs(w.next)
-	for end := time.Now().Add(rolloutPatience); runs(w.next) < next+100 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	old, next := upstreamRuns(f.Servers()[:3]), upstreamRuns(f.next)
+	for end := time.Now().Add(rolloutTimeout); upstreamRuns(f.next) < next+100 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 	}
-	// Calls that were on their way when the move was done may still arrive.
-	if more := runs(w.Servers()[:3]) - old; more > 10 {
-		t.Errorf("the old version ran %d calls after the move was done", more)
+	// Calls in flight when the rollout was done may still arrive.
+	if more := upstreamRuns(f.Servers()[:3]) - old; more > 10 {
+		t.Errorf("the old version ran %d calls after the rollout was done", more)
 	}
 }
 
-// A new version fails half of its calls. Callers notice for as long as it gets
-// any, so the move must end by itself, on all nodes, with the old version.
+// A new version fails half of its calls. Callers see errors while it gets traffic, so the
+// rollout must be rolled back automatically on all nodes.
 func TestFailingVersionIsTakenBack(t *testing.T) {
 	t.Parallel()
-	w := newTown(t, kqupstream.Behaviour{Work: 2 * time.Millisecond, FailShare: 0.5})
-	w.commit(0, plan(time.Now(), 30*time.Second))
-	w.load()
-	s := w.await(kqboard.TakenBack)
+	f := newRolloutFleet(t, kqupstream.Behaviour{Work: 2 * time.Millisecond, FailShare: 0.5})
+	f.commit(0, rolloutPlan(time.Now(), 30*time.Second))
+	f.startLoad()
+	s := f.await(kqboard.TakenBack)
 	if s.Share != 0 || s.Step > 1 {
-		t.Errorf("taken back at step %d with share %v, want at the small share", s.Step, s.Share)
+		t.Errorf("rolled back at step %d with share %v, want step 1 at most and no share", s.Step, s.Share)
 	}
 }
--- a/internal/run/kqnode/tls_test.go
+++ b/internal/run/kqnode/tls_test.go
@@ -23,18 +23,18 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-const patience = 10 * time.Second
+const awaitTimeout = 10 * time.Second
 
-// secured is a fleet whose nodes have certificates of one authority.
-type secured struct {
+// tlsFleet is a fleet whose nodes have certificates of one authority.
+type tlsFleet struct {
 	*kqfleet.Fleet
 	authority *kqauthority.Authority
 	folder    string
 }
 
-func newSecured(t *testing.T, seeds ...string) *secured {
+func newTLSFleet(t *testing.T, seeds ...string) *tlsFleet {
 	t.Helper()
-	s := &secured{authority: newAuthority(t), folder: t.TempDir()}
+	s := &tlsFleet{authority: newAuthority(t), folder: t.TempDir()}
 	ca := writeCA(t, s.folder, s.authority)
 	s.Fleet = kqfleet.New(kqfleet.WithSettings(func(n *kqsettings.Settings) {
 		s.issue(t, n.Node.Name)
@@ -53,7 +53,7 @@
 	return s
 }
 
-func (s *secured) issue(t *testing.T, node kqname.Node) {
+func (s *tlsFleet) issue(t *testing.T, node kqname.Node) {
 	t.Helper()
 	pair, err := s.authority.Issue(kqauthority.Subject{Node: node, Addresses: []string{"127.0.0.1"}}, time.Now(), time.Hour)
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (s *secured) start(t *testing.T, node kqname.Node, service kqname.Service) *kqfleet.Server {
+func (s *tlsFleet) start(t *testing.T, node kqname.Node, service kqname.Service) *kqfleet.Server {
 	t.Helper()
 	server, err := s.Start(kqfleet.Spec{
 		Node: node, Domain: "one", Region: "one", Service: service, Version: "v1", Slots: 8,
@@ -76,7 +76,7 @@
 	return server
 }
 
-func (s *secured) commit(t *testing.T) {
+func (s *tlsFleet) commit(t *testing.T) {
 	t.Helper()
 	d := kqdocument.Document{
 		Teams:    []kqdocument.Team{{Name: "shop"}},
@@ -89,22 +89,21 @@
 	}
 }
 
-// A process outside the fleet has a certificate that some other authority
-// signed, or none. It tries to join, to give a node orders and to send a call
-// with forged internal headers straight to a gate. Without the check it would
-// appear among the members and take callers' traffic; it must get nothing, and
-// nothing may change.
+// A process outside the fleet has a certificate of another authority, or none. It tries to
+// join the fleet and to send a call with forged internal headers straight to a gate.
+// Without the check it would become a member and receive callers' traffic. It must not
+// join, its calls must not run, and each refusal must be counted.
 func TestForeignCertificate(t *testing.T) {
-	s := newSecured(t)
+	s := newTLSFleet(t)
 	home := s.start(t, "home", "store")
 	s.commit(t)
 
-	foreign := newSecured(t, string(home.Node.ControlAddress()))
+	foreign := newTLSFleet(t, string(home.Node.ControlAddress()))
 	stranger := foreign.start(t, "stranger", "")
-	await(t, "a refused certificate is counted", func() bool { return counter(t, home, "kumquatgw_peer_refused_total") > 0 })
+	await(t, "a refused certificate is counted", func() bool { return counterValue(t, home, "kumquatgw_peer_refused_total") > 0 })
 	for _, server := range []*kqfleet.Server{home, stranger} {
 		if got := len(server.Node.Members()); got != 1 {
-			t.Errorf("%s knows %d members, want only itself", server.Spec.Node, got)
+			t.Errorf("%s sees %d members, want only itself", server.Spec.Node, got)
 		}
 	}
 
@@ -112,78 +111,77 @@
 		"none":    {InsecureSkipVerify: true},
 		"foreign": {InsecureSkipVerify: true, Certificates: []tls.Certificate{foreign.certificate(t, "stranger")}},
 	} {
-		refused := counter(t, home, "kumquatgw_peer_refused_total")
-		if answer, err := forge(client, home.Node.GateAddress(), name); err == nil {
+		refused := counterValue(t, home, "kumquatgw_peer_refused_total")
+		if answer, err := callGate(client, home.Node.GateAddress(), name); err == nil {
 			t.Errorf("gate answered a caller with certificate %s: %q", name, answer)
 		}
-		await(t, "the refusal is counted", func() bool { return counter(t, home, "kumquatgw_peer_refused_total") > refused })
+		await(t, "the refusal is counted", func() bool { return counterValue(t, home, "kumquatgw_peer_refused_total") > refused })
 	}
 	own := &tls.Config{InsecureSkipVerify: true, Certificates: []tls.Certificate{s.certificate(t, "home")}}
 	await(t, "the gate answers the fleet's own certificate", func() bool {
-		answer, err := forge(own, home.Node.GateAddress(), "own")
+		answer, err := callGate(own, home.Node.GateAddress(), "own")
 		return err == nil && strings.Contains(answer, "200")
 	})
 	runs := home.Upstream.Runs()
 	if runs["none"] != 0 || runs["foreign"] != 0 || runs["own"] == 0 {
-		t.Errorf("runs are %v, want only those of the fleet's own certificate", runs)
+		t.Errorf("upstream ran %v, want only calls with the fleet's own certificate", runs)
 	}
 }
 
-// A certificate nears its end and is replaced on both servers of a call's way
-// while callers are at work. If open connections were dropped, or the pair were
-// read half, callers would see cut calls; every call must have its answer, and
-// new connections must show the new certificate.
+// The certificates of both nodes on a call's path are replaced under load. If open
+// connections were dropped, or a half-written pair were loaded, calls would be cut off.
+// Every call must be answered, and new connections must use the new certificate.
 func TestCertificateReplacedUnderLoad(t *testing.T) {
-	s := newSecured(t)
+	s := newTLSFleet(t)
 	front, back := s.start(t, "front", ""), s.start(t, "back", "store")
 	s.commit(t)
-	s.underLoad(t, front, func(goOn func()) {
+	s.underLoad(t, front, func(awaitMoreCalls func()) {
 		for range 3 {
-			s.replace(t, front, back)
-			goOn()
+			s.replaceCertificates(t, front, back)
+			awaitMoreCalls()
 		}
 	})
 }
 
-// The fleet's CA itself is exchanged under load: nodes trust both, then take
-// certificates of the new one, then forget the old one. A step out of order
-// would part nodes from each other; no call may be lost.
+// The fleet's CA is replaced under load: nodes trust both CAs, then get certificates of
+// the new one, then stop trusting the old one. A step out of order would make nodes refuse
+// each other. No call may be lost.
 func TestAuthorityReplacedUnderLoad(t *testing.T) {
-	s := newSecured(t)
+	s := newTLSFleet(t)
 	front, back := s.start(t, "front", ""), s.start(t, "back", "store")
 	s.commit(t)
 	old, next := s.authority, newAuthority(t)
-	s.underLoad(t, front, func(goOn func()) {
-		s.trust(t, old, next)
-		// A node that has not looked yet would refuse the new certificates;
-		// renewing under the old CA shows that both have looked.
-		s.replace(t, front, back)
-		goOn()
+	s.underLoad(t, front, func(awaitMoreCalls func()) {
+		s.writeTrustedCAs(t, old, next)
+		// A node that has not reloaded its files yet would refuse certificates of the new
+		// CA. Renewing under the old CA shows that both nodes have reloaded.
+		s.replaceCertificates(t, front, back)
+		awaitMoreCalls()
 		s.authority = next
-		s.replace(t, front, back)
-		goOn()
-		s.trust(t, next)
-		s.replace(t, front, back)
-		goOn()
+		s.replaceCertificates(t, front, back)
+		awaitMoreCalls()
+		s.writeTrustedCAs(t, next)
+		s.replaceCertificates(t, front, back)
+		awaitMoreCalls()
 	})
 }
 
-// underLoad runs change while callers are at work, and fails the test for each
-// call that has no answer. goOn waits until many more calls were answered.
-func (s *secured) underLoad(t *testing.T, front *kqfleet.Server, change func(goOn func())) {
+// underLoad runs change while callers make calls, and fails the test if any call is not
+// answered. awaitMoreCalls adds callers and waits until 50 more calls are answered.
+func (s *tlsFleet) underLoad(t *testing.T, front *kqfleet.Server, change func(awaitMoreCalls func())) {
 	t.Helper()
 	url := fmt.Sprintf("http://%s/", front.Node.EntryAddress())
-	await(t, "calls are answered", func() bool { return get(t.Context(), url) == http.StatusOK })
+	await(t, "calls are answered", func() bool { return getStatus(t.Context(), url) == http.StatusOK })
 	ctx, stop := context.WithCancel(t.Context())
 	var group conc.WaitGroup
 	var answered, lost atomic.Int64
-	// Each caller more needs a connection more to the gate, so that what was
-	// replaced is in use and not only the connections from before.
+	// Each further caller needs another connection to the gate, so that the replaced
+	// certificates are used, and not only connections from before.
 	more := func() {
 		for range 8 {
 			group.Go(func() {
 				for ctx.Err() == nil {
-					if get(t.Context(), url) == http.StatusOK {
+					if getStatus(t.Context(), url) == http.StatusOK {
 						answered.Add(1)
 					} else {
 						lost.Add(1)
@@ -196,7 +194,7 @@
 	change(func() {
 		more()
 		reached := answered.Load()
-		await(t, "calls go on", func() bool { return answered.Load() > reached+50 })
+		await(t, "50 more calls are answered", func() bool { return answered.Load() > reached+50 })
 	})
 	stop()
 	group.Wait()
@@ -206,8 +204,8 @@
 	}
 }
 
-// replace issues new certificates and waits until they are in use.
-func (s *secured) replace(t *testing.T, servers ...*kqfleet.Server) {
+// replaceCertificates issues new certificates and waits until they are in use.
+func (s *tlsFleet) replaceCertificates(t *testing.T, servers ...*kqfleet.Server) {
 	t.Helper()
 	for _, server := range servers {
 		old := s.serial(t, server)
@@ -216,8 +214,8 @@
 	}
 }
 
-// trust writes the authorities that nodes believe.
-func (s *secured) trust(t *testing.T, authorities ...*kqauthority.Authority) {
+// writeTrustedCAs replaces the file of the CAs that nodes trust.
+func (s *tlsFleet) writeTrustedCAs(t *testing.T, authorities ...*kqauthority.Authority) {
 	t.Helper()
 	var bundle []byte
 	for _, a := range authorities {
@@ -232,7 +230,7 @@
 	}
 }
 
-func (s *secured) certificate(t *testing.T, node string) tls.Certificate {
+func (s *tlsFleet) certificate(t *testing.T, node string) tls.Certificate {
 	t.Helper()
 	certificate, key := kqauthority.Paths(s.folder, node)
 	pair, err := tls.LoadX509KeyPair(certificate, key)
@@ -242,8 +240,8 @@
 	return pair
 }
 
-// serial returns the serial number of the certificate that a node shows.
-func (s *secured) serial(t *testing.T, server *kqfleet.Server) string {
+// serial returns the serial number of the certificate that a node presents.
+func (s *tlsFleet) serial(t *testing.T, server *kqfleet.Server) string {
 	t.Helper()
 	conn, err := tls.Dial("tcp", string(server.Node.GateAddress()), &tls.Config{InsecureSkipVerify: true})
 	if err != nil {
@@ -271,14 +269,14 @@
 	return certificate
 }
 
-// forge sends a call with internal headers straight to a gate.
-func forge(c *tls.Config, gate kqname.Address, work string) (string, error) {
-	conn, err := tls.DialWithDialer(&net.Dialer{Timeout: patience}, "tcp", string(gate), c)
+// callGate sends a call with internal headers straight to a gate.
+func callGate(c *tls.Config, gate kqname.Address, work string) (string, error) {
+	conn, err := tls.DialWithDialer(&net.Dialer{Timeout: awaitTimeout}, "tcp", string(gate), c)
 	if err != nil {
 		return "", err
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(awaitTimeout))
 	fmt.Fprintf(conn, "GET / HTTP/1.1\r\nHost: store\r\n%s: %s\r\n"+
 		"Kq-Call: x;outsider;store;store;;;i;;;5000000;0;\r\n\r\n", kqupstream.HeaderWork, work)
 	answer := make([]byte, 512)
@@ -286,7 +284,7 @@
 	return string(answer[:n]), err
 }
 
-func get(ctx context.Context, url string) int {
+func getStatus(ctx context.Context, url string) int {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0
@@ -300,7 +298,7 @@
 	return a.StatusCode
 }
 
-func counter(t *testing.T, s *kqfleet.Server, name string) float64 {
+func counterValue(t *testing.T, s *kqfleet.Server, name string) float64 {
 	t.Helper()
 	families, err := s.Node.Metrics().Registry().Gather()
 	if err != nil {
@@ -319,10 +317,10 @@
 
 func await(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(awaitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	t.Fatalf("waited %s until %s", patience, what)
+	t.Fatalf("waited %s until %s", awaitTimeout, what)
 }
--- a/internal/run/kqnode/notable_test.go
+++ b/internal/run/kqnode/unwritten_test.go
@@ -9,8 +9,8 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
 )
 
-// The log's collector stalls, and lines are lost before anybody can read them. Nobody
-// reads in the log that it was not written, so a counter tells it.
+// Log lines are lost when the log's collector stalls. The log itself cannot show that, so
+// a metric must count them.
 func TestUnwrittenLinesAreCounted(t *testing.T) {
 	s := kqsettings.Default()
 	s.Node.Name, s.Node.Domain = "counted", "one"
@@ -31,10 +31,10 @@
 	for _, f := range families {
 		if f.GetName() == "kumquatgw_log_lines_unwritten_total" {
 			if got := f.GetMetric()[0].GetCounter().GetValue(); got != 7 {
-				t.Errorf("counted %v, want 7", got)
+				t.Errorf("counted %v unwritten lines, want 7", got)
 			}
 			return
 		}
 	}
-	t.Error("there is no such counter")
+	t.Error("the counter of unwritten lines is missing")
 }
