--- a/internal/run/kqearly/early.go
+++ b/internal/run/kqearly/early.go
@@ -1,6 +1,6 @@
-// Package kqearly has a node's process outlive the reload signal from its first
-// moment: whoever changes settings may signal a process that has just started, and by
-// default it would end. It is for main packages, which import it for its effect.
+// Package kqearly keeps a node's process alive when it gets the reload signal, SIGHUP,
+// during its start: by default the signal would end a process that does not listen for it
+// yet. Main packages import it for its side effect.
 package kqearly
 
 import (
@@ -9,14 +9,14 @@
 	"syscall"
 )
 
-// taken is nothing that anybody reads: settings are read after it is made, so that a
-// signal before them tells nothing new. It is made before the packages that take long
-// to be ready, as this one needs few others.
-var _ = taken()
+// The channel is never read: settings are loaded after it is created, so that an earlier
+// signal to reload them is redundant. This package imports few others, so that it is
+// initialized before packages that take long to initialize.
+var _ = catchHangup()
 
-func taken() chan os.Signal {
+func catchHangup() chan os.Signal {
 	c := make(chan os.Signal, 1)
-	// Other commands end with their terminal.
+	// Other commands must end when their terminal closes.
 	if len(os.Args) > 1 && os.Args[1] == "node" {
 		signal.Notify(c, syscall.SIGHUP)
 	}
--- a/internal/run/kqearly/early_test.go
+++ b/internal/run/kqearly/early_test.go
@@ -15,8 +15,8 @@
 
 const childVariable = "KQEARLY_CHILD"
 
-// TestMain lets the test's own program be a process that has come no further than its
-// main function.
+// TestMain lets the test binary run as a child process that has only reached its main
+// function.
 func TestMain(m *testing.M) {
 	if os.Getenv(childVariable) != "" {
 		fmt.Println("up")
@@ -26,16 +26,15 @@
 	os.Exit(m.Run())
 }
 
-// Settings are changed while a node starts, and it is told of that before it listens
-// for the signal. By default the process would end; whoever runs it sees a process
-// that ended by itself, and a server that is ready later. A command at a terminal ends
-// with it, as users expect.
-func TestReloadSignalBeforeTheStart(t *testing.T) {
-	// Run where the signal is ignored, as under nohup, the processes would inherit that. One
-	// that is taken here is back to its default in them.
-	taken := make(chan os.Signal, 1)
-	signal.Notify(taken, syscall.SIGHUP)
-	defer signal.Stop(taken)
+// A starting node gets the reload signal before it listens for it. By default the process
+// would end, which looks like a crash, and its server would be ready later. Other commands
+// must still end with their terminal, as users expect.
+func TestReloadSignalDuringStart(t *testing.T) {
+	// If this process ignores the signal, as under nohup, its children would inherit that.
+	// A signal that is caught here has its default action in them.
+	caught := make(chan os.Signal, 1)
+	signal.Notify(caught, syscall.SIGHUP)
+	defer signal.Stop(caught)
 	for command, want := range map[string]string{"node": "", "demo": "signal: hangup"} {
 		c := exec.CommandContext(t.Context(), os.Args[0], command)
 		c.Env = append(os.Environ(), childVariable+"=1")
