--- a/internal/run/kqnode/drain.go
+++ b/internal/run/kqnode/drain.go
@@ -31,10 +31,10 @@
 	// noProbeGrace is how long callers get to close their connections if nothing
 	// probes the node's readiness.
 	noProbeGrace = time.Second
-	// cancelGrace is how long cancelled calls have to be answered, and goodbyeTimeout
+	// cancelGrace is how long cancelled calls have to be answered, and finalAnnounceTimeout
 	// how long the final announcement may take; both are part of killMargin.
-	cancelGrace    = 150 * time.Millisecond
-	goodbyeTimeout = 200 * time.Millisecond
+	cancelGrace          = 150 * time.Millisecond
+	finalAnnounceTimeout = 200 * time.Millisecond
 	// adminShutdownTimeout is how long operators' requests have to be answered after
 	// the calls: as long as the platform may take for a change.
 	adminShutdownTimeout = 2 * time.Second
--- a/internal/run/kqnode/leave.go
+++ b/internal/run/kqnode/leave.go
@@ -45,7 +45,7 @@
 // announceDead announces the end of the process, so that other nodes need not suspect it
 // first. It has a timeout of its own, since calls may have used up the time for the leave.
 func (n *Node) announceDead() {
-	ctx, cancel := context.WithTimeout(context.Background(), goodbyeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), finalAnnounceTimeout)
 	defer cancel()
 	n.table.Update(func(m *kqmember.Member) { m.State = kqmember.Dead })
 	n.exchange.Announce(ctx)
