--- a/internal/lab/kqsoak/doc.go
+++ b/internal/lab/kqsoak/doc.go
@@ -1,3 +1,3 @@
-// Package kqsoak draws a plan of faults from one seed, for a fleet of processes on
-// one machine. It has neither clock nor network.
+// Package kqsoak generates a fault plan from a seed, for a fleet of processes on one
+// server. It uses neither a clock nor the network.
 package kqsoak
--- a/internal/lab/kqsoak/plan.go
+++ b/internal/lab/kqsoak/plan.go
@@ -10,57 +10,62 @@
 )
 
 const (
-	// Leave stops a node by SIGTERM, and starts it again For after it has ended.
+	// Leave stops a node with SIGTERM and restarts it For after it has exited.
 	Leave Kind = "leave"
-	// Reload sends a node SIGHUP; Changed first gives it other settings.
+	// Reload sends SIGHUP to a node, after changing its settings if Changed is set.
 	Reload Kind = "reload"
-	// Settings changes a node's settings without a signal.
+	// Settings changes a node's settings file without a signal.
 	Settings Kind = "settings"
-	// Versions commits versions of the document one after another, over For.
+	// Versions commits versions of the document one after another for a duration of
+	// For.
 	Versions Kind = "versions"
-	// Drain stops a node's upstream by SIGTERM; another comes For after it has ended.
+	// Drain stops a node's upstream with SIGTERM and starts another one For after it
+	// has exited.
 	Drain Kind = "drain"
-	// KillNode ends a node by SIGKILL, and start it again after For.
+	// KillNode kills a node with SIGKILL and restarts it after For.
 	KillNode Kind = "kill_node"
-	// KillUpstream is the same for an upstream.
+	// KillUpstream kills an upstream with SIGKILL and restarts it after For.
 	KillUpstream Kind = "kill_upstream"
-	// PauseNode stops a node by SIGSTOP and lets it go on after For.
+	// PauseNode suspends a node with SIGSTOP and resumes it after For.
 	PauseNode Kind = "pause_node"
-	// PauseUpstream is the same for an upstream.
+	// PauseUpstream suspends an upstream with SIGSTOP and resumes it after For.
 	PauseUpstream Kind = "pause_upstream"
-	// PauseStore is the same for the store.
+	// PauseStore suspends the store with SIGSTOP and resumes it after For.
 	PauseStore Kind = "pause_store"
-	// Line harms the connections to a node by Mode for a time; Role tells which.
+	// Line applies the proxy's Mode to the connections to a node's address, given by
+	// Role, for a duration of For.
 	Line Kind = "line"
-	// StoreLine is the same for all connections to the store.
+	// StoreLine applies the proxy's Mode to all connections to the store for a duration
+	// of For.
 	StoreLine Kind = "store_line"
 
-	// firstFault leaves callers the time to use every route once.
+	// firstFault gives callers the time to use every route once.
 	firstFault = 500 * time.Millisecond
-	// leaveTakes bounds what a node's leave, pause and start take: its target is not
-	// drawn again meanwhile. It is a guess that only spreads the faults.
-	leaveTakes = 7 * time.Second
-	// drainTakes is the same for an upstream.
-	drainTakes = 6 * time.Second
-	// leaveLooks is the span after SIGTERM in which reloads are aimed at a leave,
-	// which takes 2 to 4 s.
-	leaveLooks = 4 * time.Second
-	// Youngest is the least age of a starting process that is sent a signal: before,
-	// its program may not have begun, and the signal's default is not its doing.
-	Youngest = 150 * time.Millisecond
-	// startLooks is the span in which reloads are aimed at a starting node.
-	startLooks = 900 * time.Millisecond
+	// leaveTime bounds how long a node's leave, pause and restart take; the node is not
+	// chosen again until then. The value is an estimate that only spreads the faults.
+	leaveTime = 7 * time.Second
+	// drainTime is the same bound for an upstream.
+	drainTime = 6 * time.Second
+	// leaveWindow is the time after SIGTERM in which reloads are scheduled, so that
+	// they hit a node's leave, which takes 2 to 4 s.
+	leaveWindow = 4 * time.Second
+	// MinSignalAge is the least age of a starting process that is sent a signal. Before
+	// that age its program may not yet run, and the signal's default action would not
+	// be the program's fault.
+	MinSignalAge = 150 * time.Millisecond
+	// startWindow is the time in which reloads are scheduled for a starting node.
+	startWindow = 900 * time.Millisecond
 )
 
 type (
-	// Kind names a fault.
+	// Kind is the kind of a fault.
 	Kind string
 
-	// Role names a node's address.
+	// Role is the role of one of a node's addresses.
 	Role string
 
 	// Fault is one fault, At after the start of the plan. Target is the number of a
-	// node, of an upstream, which has its node's number, or of nothing.
+	// node, or of the upstream of that node; kinds without a target ignore it.
 	Fault struct {
 		At      time.Duration `json:"at"`
 		Kind    Kind          `json:"kind"`
@@ -69,120 +74,122 @@
 		Changed bool          `json:"changed,omitempty"`
 		Mode    kqproxy.Mode  `json:"mode,omitempty"`
 		Role    Role          `json:"role,omitempty"`
-		// AfterStart are the ages of the process that a Leave starts at which it is
-		// sent SIGHUP.
+		// AfterStart lists the ages at which the process that a Leave restarts is sent
+		// SIGHUP.
 		AfterStart []time.Duration `json:"after_start,omitempty"`
 	}
 
-	// Options tell what a plan is for.
+	// Options are the parameters of a plan.
 	Options struct {
 		Seed  uint64
 		Nodes int
-		// For is the span in which faults begin.
+		// For is the time in which faults begin.
 		For time.Duration
-		// Planned leaves out all but planned work.
+		// Planned restricts the plan to planned work, without unplanned faults.
 		Planned bool
 	}
 
-	// Plan is a list of faults in the order of their time.
+	// Plan is a list of faults ordered by their start time.
 	Plan []Fault
 
-	drawer struct {
+	generator struct {
 		options Options
 		random  *rand.Rand
-		// busy and draining are until when a node's and an upstream's fault lasts.
+		// busy and draining hold, for each node and each upstream, when its latest
+		// fault ends.
 		busy, draining []time.Duration
 		plan           Plan
 	}
 )
 
-// Draw returns the plan of these options, the same one each time.
-func Draw(o Options) Plan {
-	d := &drawer{
+// Generate returns the plan for the options; equal options give equal plans.
+func Generate(o Options) Plan {
+	g := &generator{
 		options: o, random: rand.New(rand.NewPCG(o.Seed, uint64(o.Nodes))),
 		busy: make([]time.Duration, o.Nodes), draining: make([]time.Duration, o.Nodes),
 	}
-	for at := firstFault; at < o.For; at += d.between(100*time.Millisecond, time.Second) {
-		d.scene(at)
+	for at := firstFault; at < o.For; at += g.between(100*time.Millisecond, time.Second) {
+		g.addNext(at)
 	}
-	d.rollout()
-	slices.SortStableFunc(d.plan, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
-	return d.plan
+	g.addRollout()
+	slices.SortStableFunc(g.plan, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
+	return g.plan
 }
 
-// scene draws what begins at a moment.
-func (d *drawer) scene(at time.Duration) {
-	if !d.options.Planned && d.random.IntN(2) == 0 {
-		d.disaster(at)
+// addNext adds a random fault that begins at a given time.
+func (g *generator) addNext(at time.Duration) {
+	if !g.options.Planned && g.random.IntN(2) == 0 {
+		g.addUnplanned(at)
 		return
 	}
-	switch n := d.random.IntN(100); {
+	switch n := g.random.IntN(100); {
 	case n < 25:
-		d.leaves(at, 1, 0)
+		g.addLeaves(at, 1, 0)
 	case n < 35:
-		d.leaves(at, 2, 0)
+		g.addLeaves(at, 2, 0)
 	case n < 45:
-		d.leaves(at, 2, 2*time.Second)
+		g.addLeaves(at, 2, 2*time.Second)
 	case n < 65:
-		d.add(Fault{At: at, Kind: Reload, Target: d.node(), Changed: d.random.IntN(2) == 0})
+		g.add(Fault{At: at, Kind: Reload, Target: g.randomNode(), Changed: g.random.IntN(2) == 0})
 	case n < 75:
-		d.add(Fault{At: at, Kind: Settings, Target: d.node(), Changed: true})
+		g.add(Fault{At: at, Kind: Settings, Target: g.randomNode(), Changed: true})
 	case n < 85:
-		d.add(Fault{At: at, Kind: Versions, For: d.between(500*time.Millisecond, 4*time.Second)})
+		g.add(Fault{At: at, Kind: Versions, For: g.between(500*time.Millisecond, 4*time.Second)})
 	default:
-		d.drain(at)
+		g.addDrain(at)
 	}
 }
 
-// leaves has some nodes leave within a span, and looks at their leaves with reloads.
-func (d *drawer) leaves(at time.Duration, count int, within time.Duration) {
+// addLeaves schedules the leaves of some nodes within a time span, with reloads during
+// each leave.
+func (g *generator) addLeaves(at time.Duration, count int, within time.Duration) {
 	for range count {
-		target, ok := d.free(at, d.busy)
+		target, ok := g.pickIdle(at, g.busy)
 		if !ok {
 			return
 		}
-		f := Fault{At: at + d.between(0, within), Kind: Leave, Target: target, For: d.between(0, 1500*time.Millisecond)}
-		for range d.random.IntN(3) {
-			f.AfterStart = append(f.AfterStart, Youngest+d.between(0, startLooks))
+		f := Fault{At: at + g.between(0, within), Kind: Leave, Target: target, For: g.between(0, 1500*time.Millisecond)}
+		for range g.random.IntN(3) {
+			f.AfterStart = append(f.AfterStart, MinSignalAge+g.between(0, startWindow))
 		}
-		d.busy[target] = f.At + f.For + leaveTakes
-		d.add(f)
-		for range d.random.IntN(4) {
-			d.add(Fault{At: f.At + d.between(0, leaveLooks), Kind: Reload, Target: target, Changed: d.random.IntN(2) == 0})
+		g.busy[target] = f.At + f.For + leaveTime
+		g.add(f)
+		for range g.random.IntN(4) {
+			g.add(Fault{At: f.At + g.between(0, leaveWindow), Kind: Reload, Target: target, Changed: g.random.IntN(2) == 0})
 		}
 	}
 }
 
-func (d *drawer) drain(at time.Duration) {
-	if target, ok := d.free(at, d.draining); ok {
-		f := Fault{At: at, Kind: Drain, Target: target, For: d.between(0, time.Second)}
-		d.draining[target] = f.At + f.For + drainTakes
-		d.add(f)
+func (g *generator) addDrain(at time.Duration) {
+	if target, ok := g.pickIdle(at, g.draining); ok {
+		f := Fault{At: at, Kind: Drain, Target: target, For: g.between(0, time.Second)}
+		g.draining[target] = f.At + f.For + drainTime
+		g.add(f)
 	}
 }
 
-// free draws a target whose fault is over. At most half of all have one at a time,
-// so that calls have somewhere to go.
-func (d *drawer) free(at time.Duration, busy []time.Duration) (int, bool) {
-	var list []int
+// pickIdle picks a random target without a current fault. At most half of all targets
+// have a fault at a time, so that calls can still be served.
+func (g *generator) pickIdle(at time.Duration, busy []time.Duration) (int, bool) {
+	var idle []int
 	for i, until := range busy {
-		if until <= at && !d.options.Lined(i) {
-			list = append(list, i)
+		if until <= at && !g.options.HasGateProxy(i) {
+			idle = append(idle, i)
 		}
 	}
-	if len(list) <= len(busy)/2-d.options.lined() {
+	if len(idle) <= len(busy)/2-g.options.gateProxies() {
 		return 0, false
 	}
-	return list[d.random.IntN(len(list))], true
+	return idle[g.random.IntN(len(idle))], true
 }
 
-func (d *drawer) node() int { return d.random.IntN(d.options.Nodes) }
+func (g *generator) randomNode() int { return g.random.IntN(g.options.Nodes) }
 
-func (d *drawer) between(least, most time.Duration) time.Duration {
+func (g *generator) between(least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
 	}
-	return least + time.Duration(d.random.Int64N(int64(most-least))).Round(time.Millisecond)
+	return least + time.Duration(g.random.Int64N(int64(most-least))).Round(time.Millisecond)
 }
 
-func (d *drawer) add(f Fault) { d.plan = append(d.plan, f) }
+func (g *generator) add(f Fault) { g.plan = append(g.plan, f) }
--- a/internal/lab/kqsoak/plan_test.go
+++ b/internal/lab/kqsoak/plan_test.go
@@ -8,31 +8,31 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqsoak"
 )
 
-// Somebody plays a seed again to see what it found, and other faults come. The run is
-// clean, and nobody learns what went wrong the first time.
-func TestASeedDrawsTheSamePlan(t *testing.T) {
+// A seed that gives a different plan on each run cannot reproduce a failure: the second
+// run comes out clean, and the cause of the first failure stays unknown.
+func TestSeedDeterminesThePlan(t *testing.T) {
 	for seed := range uint64(50) {
 		o := kqsoak.Options{Seed: seed, Nodes: 4, For: 30 * time.Second}
-		if a, b := kqsoak.Draw(o), kqsoak.Draw(o); !reflect.DeepEqual(a, b) {
-			t.Fatalf("seed %d drew\n%v\nand\n%v", seed, a, b)
+		if a, b := kqsoak.Generate(o), kqsoak.Generate(o); !reflect.DeepEqual(a, b) {
+			t.Fatalf("seed %d generated two plans:\n%v\nand\n%v", seed, a, b)
 		}
-		if reflect.DeepEqual(kqsoak.Draw(o), kqsoak.Draw(kqsoak.Options{Seed: seed + 1, Nodes: 4, For: o.For})) {
-			t.Errorf("seeds %d and %d draw the same", seed, seed+1)
+		if reflect.DeepEqual(kqsoak.Generate(o), kqsoak.Generate(kqsoak.Options{Seed: seed + 1, Nodes: 4, For: o.For})) {
+			t.Errorf("seeds %d and %d generate the same plan", seed, seed+1)
 		}
 	}
 }
 
-// A soak finds only what its faults reach: reloads that meet leaving and starting
-// nodes, and leaves that overlap. If the plan drew none, its runs would be clean for
-// nothing.
-func TestPlansReachLeavingAndStartingNodes(t *testing.T) {
+// A soak run finds only bugs that its faults reach. Without reloads of leaving and of
+// starting nodes and without overlapping leaves, a clean run would prove nothing about
+// them.
+func TestPlansReloadLeavingAndStartingNodes(t *testing.T) {
 	reloads, starts, overlaps := 0, 0, 0
 	for seed := range uint64(20) {
 		var last time.Duration
 		leaves := make(map[int]time.Duration)
-		for _, f := range kqsoak.Draw(kqsoak.Options{Seed: seed, Nodes: 4, For: 20 * time.Second, Planned: true}) {
+		for _, f := range kqsoak.Generate(kqsoak.Options{Seed: seed, Nodes: 4, For: 20 * time.Second, Planned: true}) {
 			if f.At < last || f.Target < 0 || f.Target > 3 {
-				t.Fatalf("seed %d: %+v after %v", seed, f, last)
+				t.Fatalf("seed %d: fault %+v is out of order after %v, or its target does not exist", seed, f, last)
 			}
 			last = f.At
 			switch f.Kind {
@@ -52,6 +52,6 @@
 		}
 	}
 	if reloads < 40 || starts < 40 || overlaps < 20 {
-		t.Errorf("20 plans reload a leaving node %d times, a starting one %d times, and %d leaves overlap", reloads, starts, overlaps)
+		t.Errorf("20 plans have %d reloads of leaving nodes, %d of starting nodes and %d overlapping leaves; want at least 40, 40 and 20", reloads, starts, overlaps)
 	}
 }
--- a/internal/lab/kqsoakcheck/call.go
+++ b/internal/lab/kqsoakcheck/call.go
@@ -10,71 +10,72 @@
 	answered = "answered"
 	notRun   = "not_run"
 	unknown  = "unknown"
-	// timeout is the reason of calls whose time was up.
+	// timeout is the reason given for calls that ran out of time.
 	timeout = "timeout"
 )
 
-// refused reports whether the caller was told that the call has not run and never
-// will. An upstream's own refusal has the result "answered".
-func (c *Call) refused() bool {
-	return c.Complete && (c.Status == http.StatusServiceUnavailable || c.Status == http.StatusTooManyRequests) && c.Result != answered
+// isRefused reports whether the caller was told that the call has not run and will not
+// run. A refusal by the upstream itself has the result "answered".
+func (c *Call) isRefused() bool {
+	return c.AnswerRead && (c.Status == http.StatusServiceUnavailable || c.Status == http.StatusTooManyRequests) && c.Result != answered
 }
 
-// lost reports whether the call has no answer, though it was sent whole.
-func (c *Call) lost() bool {
+// isLost reports whether the request was sent completely but got no answer, or an
+// answer with the result "unknown" for another reason than the route's timeout.
+func (c *Call) isLost() bool {
 	switch {
-	case !c.Complete:
-		return c.Whole
+	case !c.AnswerRead:
+		return c.RequestSent
 	case c.Result == unknown:
-		return c.Reason != timeout || c.Ended-c.Sent < c.Allowed
+		return c.Reason != timeout || c.Ended-c.Sent < c.Timeout
 	default:
 		return false
 	}
 }
 
-func (j *Judge) count(c Call) {
-	j.tally.Calls++
+func (ck *Checker) countCall(c Call) {
+	ck.tally.Calls++
 	switch {
-	case !c.Complete:
-		j.tally.Cut++
+	case !c.AnswerRead:
+		ck.tally.Cut++
 	case c.Result == unknown:
-		j.tally.Unknown++
+		ck.tally.Unknown++
 	case c.Result == notRun:
-		j.tally.NotRun++
+		ck.tally.NotRun++
 	default:
-		j.tally.Answered++
+		ck.tally.Answered++
 	}
 	if c.Reason != "" {
-		j.tally.Reasons[c.Reason]++
+		ck.tally.Reasons[c.Reason]++
 	}
-	j.ends = append(j.ends, end{sent: c.Sent, answered: c.Complete && c.Status == http.StatusOK})
+	ck.outcomes = append(ck.outcomes, outcome{sent: c.Sent, answered: c.AnswerRead && c.Status == http.StatusOK})
 }
 
-// excused reports whether an unplanned fault touched the call's way: the node that
-// took it, those where it ran, or, where it ran nowhere, any to which it may have
-// been on its way.
-func (j *Judge) excused(s *story) bool {
-	if len(s.runs) == 0 {
-		return j.touched(Any, s.call.Sent, s.call.Ended)
+// isExcused reports whether an unplanned fault affected the call: at the node that
+// accepted it or at a node where it ran or, if it ran nowhere, at any node, since it
+// may have been on its way there.
+func (ck *Checker) isExcused(rec *callRecord) bool {
+	if len(rec.runs) == 0 {
+		return ck.hadFault(AnyNode, rec.call.Sent, rec.call.Ended)
 	}
-	return j.touched(s.call.Node, s.call.Sent, s.call.Ended) || slices.ContainsFunc(s.runs, func(r Run) bool {
-		return j.touched(r.Node, s.call.Sent, s.call.Ended)
+	return ck.hadFault(rec.call.Node, rec.call.Sent, rec.call.Ended) || slices.ContainsFunc(rec.runs, func(r Run) bool {
+		return ck.hadFault(r.Node, rec.call.Sent, rec.call.Ended)
 	})
 }
 
-// touched reports whether a node, or any, had an unplanned fault in a span of time, or
-// shortly before.
-func (j *Judge) touched(node int, from, to time.Duration) bool {
-	return slices.ContainsFunc(j.touches, func(t Touch) bool {
-		return (node == Any || t.Node == node) && t.From <= to && (t.To == 0 || from <= t.To+reunion)
+// hadFault reports whether a node, or any node for AnyNode, had an unplanned fault
+// during a time span or up to faultGrace before it.
+func (ck *Checker) hadFault(node int, from, to time.Duration) bool {
+	return slices.ContainsFunc(ck.faults, func(f Fault) bool {
+		return (node == AnyNode || f.Node == node) && f.From <= to && (f.To == 0 || from <= f.To+faultGrace)
 	})
 }
 
-func (j *Judge) add(k Kind, at time.Duration, text string, s *story) {
-	v := Violation{Kind: k, At: at, Text: text, Runs: slices.Clone(s.runs)}
-	if s.call != nil {
-		c := *s.call
+func (ck *Checker) addLocked(k Kind, at time.Duration, text string, rec *callRecord) {
+	v := Violation{Kind: k, At: at, Text: text, Runs: slices.Clone(rec.runs)}
+	if rec.call != nil {
+		c := *rec.call
 		v.Call = &c
 	}
-	j.violations = append(j.violations, v)
+	ck.violations = append(ck.violations, v)
 }
--- a/internal/lab/kqsoakcheck/check.go
+++ b/internal/lab/kqsoakcheck/check.go
@@ -8,71 +8,77 @@
 )
 
 const (
-	// Lost is a call that was sent whole and whose connection ended without a whole
-	// answer, or that was answered "unknown", with planned work only around it.
+	// Lost is a call whose request was sent completely, but whose connection ended
+	// before a complete answer or which was answered "unknown", while no unplanned
+	// fault could explain it.
 	Lost Kind = "LOST"
-	// Twice is a call that is not idempotent and ran twice.
+	// Twice is a non-idempotent call that ran twice.
 	Twice Kind = "TWICE"
-	// Crossed is a call that got another one's answer.
+	// Crossed is a call that received the answer to another call.
 	Crossed Kind = "CROSSED"
-	// False is a call that was said not to have run, and did, before or later.
+	// False is a call that was reported as not run but ran, before or after that
+	// report.
 	False Kind = "FALSE"
-	// Late is a call that began at an upstream long after its goodbye.
+	// Late is a call that began to run at an upstream long after the upstream's
+	// goodbye.
 	Late Kind = "LATE"
-	// Ended is a process that ended by itself, or not as it was told to.
+	// Ended is a process that exited without being asked to, or not in the way it
+	// should.
 	Ended Kind = "ENDED"
 	// FellBack is a node that went back to an older version of the configuration.
 	FellBack Kind = "FELL_BACK"
-	// Exposed is a call that ran at a bad version though its badness had long shown.
+	// Exposed is a call that ran at a bad version long after that version had run
+	// enough calls to be detected as bad.
 	Exposed Kind = "EXPOSED"
 	// Unrecovered is a fleet that does not answer calls after the last fault.
 	Unrecovered Kind = "UNRECOVERED"
 
-	// lateAfter is how long after its goodbye a call may still reach an upstream.
-	lateAfter = 2 * time.Second
-	// showsAfter is how many runs show a bad version's badness, half of whose answers
-	// are failures, and exposedAfter how long it may be used from then on.
-	showsAfter   = 20
-	exposedAfter = 10 * time.Second
-	// reunion is how long after the end of an unplanned fault its calls may be lost.
-	reunion = 3 * time.Second
-	// settles is how long after a call's end its runs are known: upstreams tell over
-	// a pipe.
-	settles = 300 * time.Millisecond
+	// goodbyeGrace is how long after its goodbye an upstream may still receive calls.
+	goodbyeGrace = 2 * time.Second
+	// runsToDetect is how many runs are enough to detect a bad version, half of whose
+	// answers are failures; exposureGrace is how long it may still be used after that.
+	runsToDetect  = 20
+	exposureGrace = 10 * time.Second
+	// faultGrace is how long after the end of an unplanned fault calls may still be
+	// lost because of it.
+	faultGrace = 3 * time.Second
+	// runReportDelay is how long after a call's end all its runs are known. Upstreams
+	// report them over a pipe.
+	runReportDelay = 300 * time.Millisecond
 
-	// Any stands for every node, where a call's way is not known.
-	Any = -1
+	// AnyNode matches every node, for calls whose path through the fleet is unknown.
+	AnyNode = -1
 )
 
 type (
-	// Kind names a violation.
+	// Kind is the kind of a violation.
 	Kind string
 
-	// Call is one call as its caller saw it.
+	// Call is one call as observed by its caller.
 	Call struct {
-		Work       string        `json:"work"`
+		WorkID     string        `json:"work"`
 		Node       int           `json:"node"`
 		Route      string        `json:"route"`
 		Idempotent bool          `json:"idempotent"`
-		Habit      string        `json:"habit"`
-		Uses       int           `json:"uses"`
+		ConnMode   string        `json:"habit"`
+		ConnUses   int           `json:"uses"`
 		Sent       time.Duration `json:"sent"`
 		Ended      time.Duration `json:"ended"`
-		// Allowed is the time after which the route lets a call be given up.
-		Allowed time.Duration `json:"allowed"`
-		// Whole tells that all of the request was written, Complete that all of an
-		// answer was read.
-		Whole    bool   `json:"whole"`
-		Complete bool   `json:"complete"`
-		Status   int    `json:"status,omitempty"`
-		Result   string `json:"result,omitempty"`
-		Reason   string `json:"reason,omitempty"`
-		// Answers names the work whose answer it is, as its head and body tell.
-		Answers []string `json:"answers,omitempty"`
-		Error   string   `json:"error,omitempty"`
+		// Timeout is the route's timeout, after which the call may be abandoned.
+		Timeout time.Duration `json:"allowed"`
+		// RequestSent reports that the whole request was written, AnswerRead that a
+		// whole answer was read.
+		RequestSent bool   `json:"whole"`
+		AnswerRead  bool   `json:"complete"`
+		Status      int    `json:"status,omitempty"`
+		Result      string `json:"result,omitempty"`
+		Reason      string `json:"reason,omitempty"`
+		// AnswerIDs are the work ids named in the answer's header and body.
+		AnswerIDs []string `json:"answers,omitempty"`
+		Error     string   `json:"error,omitempty"`
 	}
 
-	// Run is one run of a call, as its upstream told; Ended is 0 while it lasts.
+	// Run is one run of a call as reported by its upstream; Ended is 0 until it ends.
 	Run struct {
 		Upstream string        `json:"upstream"`
 		Node     int           `json:"node"`
@@ -80,7 +86,8 @@
 		Ended    time.Duration `json:"ended,omitempty"`
 	}
 
-	// Violation is what must not be, with the story of its call.
+	// Violation is a broken guarantee, with the call that it concerns and the call's
+	// runs.
 	Violation struct {
 		Kind Kind          `json:"kind"`
 		At   time.Duration `json:"at"`
@@ -89,124 +96,126 @@
 		Runs []Run         `json:"runs,omitempty"`
 	}
 
-	// Touch is an unplanned fault at a node or its upstream; To is 0 while it lasts.
-	Touch struct {
+	// Fault is the time span of an unplanned fault at a node or its upstream; To is 0
+	// until the fault ends.
+	Fault struct {
 		Node     int
 		From, To time.Duration
 	}
 
-	// Tally counts calls by how they ended.
+	// Tally counts calls by outcome.
 	Tally struct {
 		Calls    int `json:"calls"`
 		Answered int `json:"answered"`
 		NotRun   int `json:"not_run"`
 		Unknown  int `json:"unknown"`
 		Cut      int `json:"cut"`
-		// Excused were cut or unknown around unplanned faults, or out of time.
+		// Excused counts lost calls that an unplanned fault explains.
 		Excused int `json:"excused"`
 		Runs    int `json:"runs"`
-		// Reasons counts what was not answered by its reason.
+		// Reasons counts unanswered calls by the reason given.
 		Reasons map[string]int `json:"reasons"`
 	}
 
-	// Judge takes in what is seen and keeps what must not be. It is safe for
-	// concurrent use.
-	Judge struct {
-		mu         sync.Mutex
-		stories    map[string]*story
-		goodbyes   map[string]time.Duration
-		touches    []Touch
-		bad        map[string]*showing
-		pending    []*story
-		tally      Tally
-		ends       []end
-		violations []Violation
+	// Checker records observations and collects violations. It is safe for concurrent
+	// use.
+	Checker struct {
+		mu           sync.Mutex
+		records      map[string]*callRecord
+		goodbyes     map[string]time.Duration
+		faults       []Fault
+		badUpstreams map[string]*badUpstream
+		pending      []*callRecord
+		tally        Tally
+		outcomes     []outcome
+		violations   []Violation
 	}
 
-	story struct {
+	callRecord struct {
 		call *Call
 		runs []Run
-		// fixed is known before the call's end: a run may come before its call's
-		// other words do.
+		// idempotent is set before the call ends, since the report of a run may arrive
+		// before that of its call.
 		idempotent bool
 	}
 
-	// showing is how often a bad version's upstream ran calls, and when it had shown.
-	showing struct {
-		runs  int
-		shown time.Duration
+	// badUpstream counts the runs at an upstream of a bad version and holds when they
+	// had become enough to detect it.
+	badUpstream struct {
+		runs       int
+		detectedAt time.Duration
 	}
 
-	end struct {
+	outcome struct {
 		sent     time.Duration
 		answered bool
 	}
 )
 
-// New returns a judge who has seen nothing.
-func New() *Judge {
-	return &Judge{
-		stories: make(map[string]*story), goodbyes: make(map[string]time.Duration),
-		bad: make(map[string]*showing), tally: Tally{Reasons: make(map[string]int)},
+// New returns a Checker without observations.
+func New() *Checker {
+	return &Checker{
+		records: make(map[string]*callRecord), goodbyes: make(map[string]time.Duration),
+		badUpstreams: make(map[string]*badUpstream), tally: Tally{Reasons: make(map[string]int)},
 	}
 }
 
-// Sends notes that a call is about to be sent.
-func (j *Judge) Sends(work string, idempotent bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.stories[work] = &story{idempotent: idempotent}
+// CallSent records that a call is about to be sent.
+func (ck *Checker) CallSent(work string, idempotent bool) {
+	ck.mu.Lock()
+	defer ck.mu.Unlock()
+	ck.records[work] = &callRecord{idempotent: idempotent}
 }
 
-// Began notes that an upstream began to run a call.
-func (j *Judge) Began(work, upstream string, node int, at time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	s, ok := j.stories[work]
+// Began records that an upstream began to run a call.
+func (ck *Checker) Began(work, upstream string, node int, at time.Duration) {
+	ck.mu.Lock()
+	defer ck.mu.Unlock()
+	rec, ok := ck.records[work]
 	if !ok {
-		j.add(Crossed, at, fmt.Sprintf("%s ran %q, which nobody sent", upstream, work), &story{})
+		ck.addLocked(Crossed, at, fmt.Sprintf("%s ran %q, which no caller sent", upstream, work), &callRecord{})
 		return
 	}
-	j.tally.Runs++
-	s.runs = append(s.runs, Run{Upstream: upstream, Node: node, Began: at})
-	if len(s.runs) == 2 && !s.idempotent {
-		j.add(Twice, at, work+" is not idempotent and ran twice", s)
+	ck.tally.Runs++
+	rec.runs = append(rec.runs, Run{Upstream: upstream, Node: node, Began: at})
+	if len(rec.runs) == 2 && !rec.idempotent {
+		ck.addLocked(Twice, at, work+" is not idempotent and ran twice", rec)
 	}
-	if s.call != nil && s.call.refused() {
-		j.add(False, at, work+" was said not to have run, and ran afterwards", s)
+	if rec.call != nil && rec.call.isRefused() {
+		ck.addLocked(False, at, work+" was reported as not run but ran afterwards", rec)
 	}
-	if b, ok := j.bad[upstream]; ok {
-		j.expose(b, s, upstream, at)
+	if b, ok := ck.badUpstreams[upstream]; ok {
+		ck.checkExposure(b, rec, upstream, at)
 	}
-	if left, ok := j.goodbyes[upstream]; ok && at > left+lateAfter && !j.touched(node, left, at) {
-		j.add(Late, at, fmt.Sprintf("%s began %v after the goodbye of %s", work, at-left, upstream), s)
+	if left, ok := ck.goodbyes[upstream]; ok && at > left+goodbyeGrace && !ck.hadFault(node, left, at) {
+		ck.addLocked(Late, at, fmt.Sprintf("%s began %v after the goodbye of %s", work, at-left, upstream), rec)
 	}
 }
 
-// Bad tells that an upstream is of a bad version.
-func (j *Judge) Bad(upstream string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.bad[upstream] = &showing{}
+// MarkBad marks an upstream as running a bad version.
+func (ck *Checker) MarkBad(upstream string) {
+	ck.mu.Lock()
+	defer ck.mu.Unlock()
+	ck.badUpstreams[upstream] = &badUpstream{}
 }
 
-// expose judges a run at a bad version's upstream.
-func (j *Judge) expose(b *showing, s *story, upstream string, at time.Duration) {
-	if b.runs++; b.runs == showsAfter {
-		b.shown = at
+// checkExposure checks a run at an upstream of a bad version.
+func (ck *Checker) checkExposure(b *badUpstream, rec *callRecord, upstream string, at time.Duration) {
+	if b.runs++; b.runs == runsToDetect {
+		b.detectedAt = at
 	}
-	if b.shown > 0 && at > b.shown+exposedAfter {
-		j.add(Exposed, at, fmt.Sprintf("%s ran a call %v after its badness had shown", upstream, at-b.shown), s)
+	if b.detectedAt > 0 && at > b.detectedAt+exposureGrace {
+		ck.addLocked(Exposed, at, fmt.Sprintf("%s ran a call %v after it had run enough calls to be detected as bad", upstream, at-b.detectedAt), rec)
 	}
 }
 
-// RunEnded notes that an upstream ended a run.
-func (j *Judge) RunEnded(work, upstream string, at time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if s, ok := j.stories[work]; ok {
-		for i := range s.runs {
-			if r := &s.runs[i]; r.Upstream == upstream && r.Ended == 0 {
+// RunEnded records that an upstream ended a run.
+func (ck *Checker) RunEnded(work, upstream string, at time.Duration) {
+	ck.mu.Lock()
+	defer ck.mu.Unlock()
+	if rec, ok := ck.records[work]; ok {
+		for i := range rec.runs {
+			if r := &rec.runs[i]; r.Upstream == upstream && r.Ended == 0 {
 				r.Ended = at
 				return
 			}
@@ -214,112 +223,113 @@
 	}
 }
 
-// Goodbye notes that a node acknowledged an upstream's leaving.
-func (j *Judge) Goodbye(upstream string, at time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.goodbyes[upstream] = at
+// Goodbye records that a node acknowledged an upstream's goodbye.
+func (ck *Checker) Goodbye(upstream string, at time.Duration) {
+	ck.mu.Lock()
+	defer ck.mu.Unlock()
+	ck.goodbyes[upstream] = at
 }
 
-// Touch notes the beginning of an unplanned fault at a node and returns what notes
-// its end.
-func (j *Judge) Touch(node int, from time.Duration) func(to time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	at := len(j.touches)
-	j.touches = append(j.touches, Touch{Node: node, From: from})
+// Fault records the start of an unplanned fault at a node and returns the function that
+// records its end.
+func (ck *Checker) Fault(node int, from time.Duration) func(to time.Duration) {
+	ck.mu.Lock()
+	defer ck.mu.Unlock()
+	at := len(ck.faults)
+	ck.faults = append(ck.faults, Fault{Node: node, From: from})
 	return func(to time.Duration) {
-		j.mu.Lock()
-		defer j.mu.Unlock()
-		j.touches[at].To = to
+		ck.mu.Lock()
+		defer ck.mu.Unlock()
+		ck.faults[at].To = to
 	}
 }
 
-// Call notes how a call ended.
-func (j *Judge) Call(c Call) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	s := j.stories[c.Work]
-	if s == nil {
-		s = &story{idempotent: c.Idempotent}
-		j.stories[c.Work] = s
+// Call records the outcome of a call.
+func (ck *Checker) Call(c Call) {
+	ck.mu.Lock()
+	defer ck.mu.Unlock()
+	rec := ck.records[c.WorkID]
+	if rec == nil {
+		rec = &callRecord{idempotent: c.Idempotent}
+		ck.records[c.WorkID] = rec
 	}
-	s.call = &c
-	j.count(c)
-	for _, other := range c.Answers {
-		if other != c.Work {
-			j.add(Crossed, c.Ended, fmt.Sprintf("%s got the answer to %q", c.Work, other), s)
+	rec.call = &c
+	ck.countCall(c)
+	for _, other := range c.AnswerIDs {
+		if other != c.WorkID {
+			ck.addLocked(Crossed, c.Ended, fmt.Sprintf("%s got the answer to %q", c.WorkID, other), rec)
 		}
 	}
-	if c.refused() && len(s.runs) > 0 {
-		j.add(False, c.Ended, c.Work+" was said not to have run, and had", s)
+	if c.isRefused() && len(rec.runs) > 0 {
+		ck.addLocked(False, c.Ended, c.WorkID+" was reported as not run but had run", rec)
 	}
-	if c.lost() {
-		j.pending = append(j.pending, s)
+	if c.isLost() {
+		ck.pending = append(ck.pending, rec)
 	}
 }
 
-// End notes that a process ended that was not told to, or not as it should.
-func (j *Judge) End(name, status string, at time.Duration) {
-	j.Add(Ended, at, name+" ended: "+status)
+// Exited records a process that exited without being asked to, or not in the way it
+// should.
+func (ck *Checker) Exited(name, status string, at time.Duration) {
+	ck.AddViolation(Ended, at, name+" ended: "+status)
 }
 
-// Add notes what was found to be so already.
-func (j *Judge) Add(k Kind, at time.Duration, text string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.add(k, at, text, &story{})
+// AddViolation adds a violation that the caller detected itself.
+func (ck *Checker) AddViolation(k Kind, at time.Duration, text string) {
+	ck.mu.Lock()
+	defer ck.mu.Unlock()
+	ck.addLocked(k, at, text, &callRecord{})
 }
 
-// Settle judges the calls whose runs are known by now.
-func (j *Judge) Settle(now time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	rest := j.pending[:0]
-	for _, s := range j.pending {
+// EvaluatePending checks the unanswered calls whose runs are all known by now.
+func (ck *Checker) EvaluatePending(now time.Duration) {
+	ck.mu.Lock()
+	defer ck.mu.Unlock()
+	rest := ck.pending[:0]
+	for _, rec := range ck.pending {
 		switch {
-		case now < s.call.Ended+settles:
-			rest = append(rest, s)
-		case j.excused(s):
-			j.tally.Excused++
+		case now < rec.call.Ended+runReportDelay:
+			rest = append(rest, rec)
+		case ck.isExcused(rec):
+			ck.tally.Excused++
 		default:
-			j.add(Lost, s.call.Ended, s.call.Work+" was sent whole and has no answer of its upstream's", s)
+			ck.addLocked(Lost, rec.call.Ended, rec.call.WorkID+" was sent completely but got no answer from its upstream", rec)
 		}
 	}
-	j.pending = rest
+	ck.pending = rest
 }
 
-// Recovered tells a violation unless the given share of calls sent within a span was
-// answered.
-func (j *Judge) Recovered(from, to time.Duration, least float64) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	all, answered := 0, 0
-	for _, e := range j.ends {
+// CheckRecovery adds a violation unless at least the given share of the calls sent
+// within a time span was answered.
+func (ck *Checker) CheckRecovery(from, to time.Duration, minShare float64) {
+	ck.mu.Lock()
+	defer ck.mu.Unlock()
+	total, answered := 0, 0
+	for _, e := range ck.outcomes {
 		if e.sent >= from && e.sent < to {
-			all++
+			total++
 			if e.answered {
 				answered++
 			}
 		}
 	}
-	if float64(answered) < least*float64(all) || all == 0 {
-		j.add(Unrecovered, to, fmt.Sprintf("%d of %d calls were answered that were sent from %v to %v", answered, all, from, to), &story{})
+	if float64(answered) < minShare*float64(total) || total == 0 {
+		ck.addLocked(Unrecovered, to, fmt.Sprintf("%d of %d calls sent from %v to %v were answered", answered, total, from, to), &callRecord{})
 	}
 }
 
-// Violations returns what must not be, so far.
-func (j *Judge) Violations() []Violation {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return append([]Violation(nil), j.violations...)
+// Violations returns the violations found so far.
+func (ck *Checker) Violations() []Violation {
+	ck.mu.Lock()
+	defer ck.mu.Unlock()
+	return append([]Violation(nil), ck.violations...)
 }
 
 // Tally returns the counts so far.
-func (j *Judge) Tally() Tally {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	t := j.tally
+func (ck *Checker) Tally() Tally {
+	ck.mu.Lock()
+	defer ck.mu.Unlock()
+	t := ck.tally
 	t.Reasons = maps.Clone(t.Reasons)
 	return t
 }
--- a/internal/lab/kqsoakcheck/check_test.go
+++ b/internal/lab/kqsoakcheck/check_test.go
@@ -12,123 +12,146 @@
 
 func answer(work string) kqsoakcheck.Call {
 	return kqsoakcheck.Call{
-		Work: work, Node: 1, Sent: 10 * second, Ended: 11 * second, Allowed: 5 * second,
-		Whole: true, Complete: true, Status: 200, Result: "answered", Answers: []string{work, work},
+		WorkID: work, Node: 1, Sent: 10 * second, Ended: 11 * second, Timeout: 5 * second,
+		RequestSent: true, AnswerRead: true, Status: 200, Result: "answered", AnswerIDs: []string{work, work},
 	}
 }
 
 func refusal(work string) kqsoakcheck.Call {
 	c := answer(work)
-	c.Status, c.Result, c.Reason, c.Answers = 503, "not_run", "draining", nil
+	c.Status, c.Result, c.Reason, c.AnswerIDs = 503, "not_run", "draining", nil
 	return c
 }
 
 func cut(work string) kqsoakcheck.Call {
-	return kqsoakcheck.Call{Work: work, Node: 1, Sent: 10 * second, Ended: 11 * second, Whole: true, Error: "EOF"}
+	return kqsoakcheck.Call{WorkID: work, Node: 1, Sent: 10 * second, Ended: 11 * second, RequestSent: true, Error: "EOF"}
 }
 
-// Each case is what callers and upstreams saw of one call, "a". A check that misses
-// its case, or takes a sound call for a broken one, makes every run worthless.
-func TestJudge(t *testing.T) {
+// Each case lists what callers and upstreams observed about one call, "a". A check that
+// misses a violation, or reports one for a correct call, makes the result of every soak
+// run worthless.
+func TestChecker(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		see  func(*kqsoakcheck.Judge)
-		want []kqsoakcheck.Kind
+		name    string
+		observe func(*kqsoakcheck.Checker)
+		want    []kqsoakcheck.Kind
 	}{
-		{"answered", func(j *kqsoakcheck.Judge) { j.Began("a", "u", 2, 10*second); j.Call(answer("a")) }, nil},
-		{"refused", func(j *kqsoakcheck.Judge) { j.Call(refusal("a")) }, nil},
-		{"refused by its upstream", func(j *kqsoakcheck.Judge) {
-			j.Began("a", "u", 2, 10*second)
+		{"answered", func(checker *kqsoakcheck.Checker) {
+			checker.Began("a", "u", 2, 10*second)
+			checker.Call(answer("a"))
+		}, nil},
+		{"refused", func(checker *kqsoakcheck.Checker) { checker.Call(refusal("a")) }, nil},
+		{"refused by its upstream", func(checker *kqsoakcheck.Checker) {
+			checker.Began("a", "u", 2, 10*second)
 			a := answer("a")
 			a.Status = 503
-			j.Call(a)
+			checker.Call(a)
 		}, nil},
-		{"refused and had run", func(j *kqsoakcheck.Judge) { j.Began("a", "u", 2, 10*second); j.Call(refusal("a")) }, []kqsoakcheck.Kind{kqsoakcheck.False}},
-		{"refused and ran later", func(j *kqsoakcheck.Judge) { j.Call(refusal("a")); j.Began("a", "u", 2, 12*second) }, []kqsoakcheck.Kind{kqsoakcheck.False}},
-		{"ran twice", func(j *kqsoakcheck.Judge) {
-			j.Began("a", "u", 2, 10*second)
-			j.Began("a", "v", 3, 10*second)
-			j.Call(answer("a"))
+		{"refused and had run", func(checker *kqsoakcheck.Checker) {
+			checker.Began("a", "u", 2, 10*second)
+			checker.Call(refusal("a"))
+		}, []kqsoakcheck.Kind{kqsoakcheck.False}},
+		{"refused and ran later", func(checker *kqsoakcheck.Checker) {
+			checker.Call(refusal("a"))
+			checker.Began("a", "u", 2, 12*second)
+		}, []kqsoakcheck.Kind{kqsoakcheck.False}},
+		{"ran twice", func(checker *kqsoakcheck.Checker) {
+			checker.Began("a", "u", 2, 10*second)
+			checker.Began("a", "v", 3, 10*second)
+			checker.Call(answer("a"))
 		}, []kqsoakcheck.Kind{kqsoakcheck.Twice}},
-		{"another's answer", func(j *kqsoakcheck.Judge) {
+		{"answered with another call's answer", func(checker *kqsoakcheck.Checker) {
 			a := answer("a")
-			a.Answers[1] = "b"
-			j.Call(a)
+			a.AnswerIDs[1] = "b"
+			checker.Call(a)
 		}, []kqsoakcheck.Kind{kqsoakcheck.Crossed}},
-		{"a run that nobody asked for", func(j *kqsoakcheck.Judge) { j.Began("b", "u", 2, 10*second) }, []kqsoakcheck.Kind{kqsoakcheck.Crossed}},
-		{"late", func(j *kqsoakcheck.Judge) { j.Goodbye("u", 5*second); j.Began("a", "u", 2, 10*second) }, []kqsoakcheck.Kind{kqsoakcheck.Late}},
-		{"soon after the goodbye", func(j *kqsoakcheck.Judge) { j.Goodbye("u", 9*second); j.Began("a", "u", 2, 10*second) }, nil},
-		{"cut", func(j *kqsoakcheck.Judge) { j.Call(cut("a")) }, []kqsoakcheck.Kind{kqsoakcheck.Lost}},
-		{"not sent whole", func(j *kqsoakcheck.Judge) {
+		{"run without a caller", func(checker *kqsoakcheck.Checker) { checker.Began("b", "u", 2, 10*second) }, []kqsoakcheck.Kind{kqsoakcheck.Crossed}},
+		{"ran long after the goodbye", func(checker *kqsoakcheck.Checker) {
+			checker.Goodbye("u", 5*second)
+			checker.Began("a", "u", 2, 10*second)
+		}, []kqsoakcheck.Kind{kqsoakcheck.Late}},
+		{"ran soon after the goodbye", func(checker *kqsoakcheck.Checker) {
+			checker.Goodbye("u", 9*second)
+			checker.Began("a", "u", 2, 10*second)
+		}, nil},
+		{"connection cut", func(checker *kqsoakcheck.Checker) { checker.Call(cut("a")) }, []kqsoakcheck.Kind{kqsoakcheck.Lost}},
+		{"request not sent completely", func(checker *kqsoakcheck.Checker) {
 			a := cut("a")
-			a.Whole = false
-			j.Call(a)
+			a.RequestSent = false
+			checker.Call(a)
 		}, nil},
-		{"answered unknown", func(j *kqsoakcheck.Judge) {
+		{"answered unknown", func(checker *kqsoakcheck.Checker) {
 			a := answer("a")
-			a.Status, a.Result, a.Reason, a.Answers = 502, "unknown", "cut", nil
-			j.Call(a)
+			a.Status, a.Result, a.Reason, a.AnswerIDs = 502, "unknown", "cut", nil
+			checker.Call(a)
+		}, []kqsoakcheck.Kind{kqsoakcheck.Lost}},
+		{"cut at a killed node", func(checker *kqsoakcheck.Checker) { checker.Fault(1, 10*second); checker.Call(cut("a")) }, nil},
+		{"cut soon after a fault", func(checker *kqsoakcheck.Checker) {
+			checker.Fault(1, second)(8 * second)
+			checker.Call(cut("a"))
+		}, nil},
+		{"cut long after a fault", func(checker *kqsoakcheck.Checker) {
+			checker.Fault(1, second)(6 * second)
+			checker.Call(cut("a"))
 		}, []kqsoakcheck.Kind{kqsoakcheck.Lost}},
-		{"cut at a killed node", func(j *kqsoakcheck.Judge) { j.Touch(1, 10*second); j.Call(cut("a")) }, nil},
-		{"cut soon after a fault", func(j *kqsoakcheck.Judge) { j.Touch(1, second)(8 * second); j.Call(cut("a")) }, nil},
-		{"cut long after a fault", func(j *kqsoakcheck.Judge) { j.Touch(1, second)(6 * second); j.Call(cut("a")) }, []kqsoakcheck.Kind{kqsoakcheck.Lost}},
-		{"cut while its upstream is killed", func(j *kqsoakcheck.Judge) {
-			j.Touch(2, 10*second)
-			j.Began("a", "u", 2, 10*second)
-			j.Call(cut("a"))
+		{"cut while its upstream is killed", func(checker *kqsoakcheck.Checker) {
+			checker.Fault(2, 10*second)
+			checker.Began("a", "u", 2, 10*second)
+			checker.Call(cut("a"))
 		}, nil},
-		{"cut beside another's fault", func(j *kqsoakcheck.Judge) {
-			j.Touch(3, 10*second)
-			j.Began("a", "u", 2, 10*second)
-			j.Call(cut("a"))
+		{"cut during a fault at another node", func(checker *kqsoakcheck.Checker) {
+			checker.Fault(3, 10*second)
+			checker.Began("a", "u", 2, 10*second)
+			checker.Call(cut("a"))
 		}, []kqsoakcheck.Kind{kqsoakcheck.Lost}},
-		{"a process ended", func(j *kqsoakcheck.Judge) { j.End("node-0", "signal: hangup", second) }, []kqsoakcheck.Kind{kqsoakcheck.Ended}},
-		{"nothing answered at the end", func(j *kqsoakcheck.Judge) {
-			j.Call(refusal("a"))
-			j.Recovered(9*second, 12*second, 0.95)
+		{"process exited", func(checker *kqsoakcheck.Checker) { checker.Exited("node-0", "signal: hangup", second) }, []kqsoakcheck.Kind{kqsoakcheck.Ended}},
+		{"no call answered at the end", func(checker *kqsoakcheck.Checker) {
+			checker.Call(refusal("a"))
+			checker.CheckRecovery(9*second, 12*second, 0.95)
 		}, []kqsoakcheck.Kind{kqsoakcheck.Unrecovered}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			j := kqsoakcheck.New()
-			j.Sends("a", false)
-			c.see(j)
-			j.Settle(20 * second)
+			checker := kqsoakcheck.New()
+			checker.CallSent("a", false)
+			c.observe(checker)
+			checker.EvaluatePending(20 * second)
 			var got []kqsoakcheck.Kind
-			for _, v := range j.Violations() {
+			for _, v := range checker.Violations() {
 				got = append(got, v.Kind)
 			}
 			if !slices.Equal(got, c.want) {
-				t.Errorf("found %v, want %v", got, c.want)
+				t.Errorf("violations %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A bad version that goes on being used is what a rollout is there to prevent.
-func TestBadVersionsAreUsedNoMoreOnceTheyShow(t *testing.T) {
-	j := kqsoakcheck.New()
-	j.Bad("u")
-	j.Sends("a", true)
+// A bad version that stays in use after its failures are detectable is what rollouts
+// must prevent.
+func TestUseOfADetectedBadVersionIsAViolation(t *testing.T) {
+	checker := kqsoakcheck.New()
+	checker.MarkBad("u")
+	checker.CallSent("a", true)
 	for i := range 20 {
-		j.Began("a", "u", 2, time.Duration(i)*second)
+		checker.Began("a", "u", 2, time.Duration(i)*second)
 	}
-	j.Began("a", "u", 2, 28*second)
-	if v := j.Violations(); len(v) > 0 {
-		t.Errorf("found %+v too soon", v)
+	checker.Began("a", "u", 2, 28*second)
+	if v := checker.Violations(); len(v) > 0 {
+		t.Errorf("violations %+v, want none yet", v)
 	}
-	j.Began("a", "u", 2, 30*second)
-	if v := j.Violations(); len(v) != 1 || v[0].Kind != kqsoakcheck.Exposed {
-		t.Errorf("found %+v, want %s", v, kqsoakcheck.Exposed)
+	checker.Began("a", "u", 2, 30*second)
+	if v := checker.Violations(); len(v) != 1 || v[0].Kind != kqsoakcheck.Exposed {
+		t.Errorf("violations %+v, want one of kind %s", v, kqsoakcheck.Exposed)
 	}
 }
 
-// A call that may run twice does; it is not held against it.
+// An idempotent call may run twice without a violation.
 func TestIdempotentCallsMayRunTwice(t *testing.T) {
-	j := kqsoakcheck.New()
-	j.Sends("a", true)
-	j.Began("a", "u", 2, second)
-	j.Began("a", "v", 3, 2*second)
-	if v := j.Violations(); len(v) > 0 {
-		t.Errorf("found %+v", v)
+	checker := kqsoakcheck.New()
+	checker.CallSent("a", true)
+	checker.Began("a", "u", 2, second)
+	checker.Began("a", "v", 3, 2*second)
+	if v := checker.Violations(); len(v) > 0 {
+		t.Errorf("violations %+v, want none", v)
 	}
 }
--- a/internal/lab/kqsoakcheck/doc.go
+++ b/internal/lab/kqsoakcheck/doc.go
@@ -1,3 +1,4 @@
-// Package kqsoakcheck judges calls by what their callers and the upstreams saw. It has
-// neither clock nor network; times are counted from the start of a run.
+// Package kqsoakcheck checks the calls of a soak run against what callers and upstreams
+// recorded about them. It uses neither a clock nor the network; all times are offsets
+// from the start of the run.
 package kqsoakcheck
--- a/internal/lab/kqsoakrun/caller.go
+++ b/internal/lab/kqsoakrun/caller.go
@@ -94,7 +94,7 @@
 // answered sends one call to a node and reports whether it was answered.
 func (c *caller) answered(node int, r route) bool {
 	call, ok := c.ask(node, r)
-	return ok && call.Complete && call.Status == http.StatusOK
+	return ok && call.AnswerRead && call.Status == http.StatusOK
 }
 
 // ask sends one call to a node, and reports false where it takes no connection.
@@ -114,14 +114,14 @@
 	c.serial++
 	c.uses++
 	call := kqsoakcheck.Call{
-		Work: fmt.Sprintf("%s-%d", c.name, c.serial), Node: c.node, Route: r.host + r.path, Idempotent: r.idempotent,
-		Habit: string(c.habit), Uses: c.uses, Allowed: routeTimeout, Sent: c.soak.now(),
+		WorkID: fmt.Sprintf("%s-%d", c.name, c.serial), Node: c.node, Route: r.host + r.path, Idempotent: r.idempotent,
+		ConnMode: string(c.habit), ConnUses: c.uses, Timeout: routeTimeout, Sent: c.soak.now(),
 	}
-	c.soak.judge.Sends(call.Work, call.Idempotent)
-	request := c.request(r, call.Work)
+	c.soak.checker.CallSent(call.WorkID, call.Idempotent)
+	request := c.request(r, call.WorkID)
 	_ = c.conn.SetDeadline(time.Now().Add(patience))
 	_, err := io.WriteString(c.conn, request)
-	call.Whole = err == nil
+	call.RequestSent = err == nil
 	goesOn := false
 	if err == nil {
 		goesOn, err = c.answer(&call)
@@ -130,7 +130,7 @@
 	if err != nil {
 		call.Error = err.Error()
 	}
-	c.soak.judge.Call(call)
+	c.soak.checker.Call(call)
 	if !goesOn {
 		c.hangUp()
 	}
@@ -158,18 +158,18 @@
 	if err != nil {
 		return false, fmt.Errorf("read body: %w", err)
 	}
-	call.Complete, call.Status = true, a.StatusCode
+	call.AnswerRead, call.Status = true, a.StatusCode
 	call.Result, call.Reason = a.Header.Get(kqcall.HeaderResult), a.Header.Get(kqcall.HeaderReason)
 	if call.Result == string(kqcall.Answered) {
-		call.Answers = []string{a.Header.Get(kqupstream.HeaderWork)}
+		call.AnswerIDs = []string{a.Header.Get(kqupstream.HeaderWork)}
 		if words := strings.Fields(string(body)); a.StatusCode == http.StatusOK && len(words) == 3 {
-			call.Answers = append(call.Answers, words[2])
+			call.AnswerIDs = append(call.AnswerIDs, words[2])
 		} else if a.StatusCode == http.StatusOK {
 			return false, fmt.Errorf("body %.80q: %w", body, errNoAnswer)
 		}
 	}
 	if c.reader.Buffered() > 0 {
-		call.Answers = append(call.Answers, "more bytes than one answer")
+		call.AnswerIDs = append(call.AnswerIDs, "more bytes than one answer")
 	}
 	return !a.Close, nil
 }
--- a/internal/lab/kqsoakrun/disasters.go
+++ b/internal/lab/kqsoakrun/disasters.go
@@ -33,7 +33,7 @@
 	for _, n := range s.nodes {
 		n.lines = make(map[kqsoak.Role]*line)
 		for _, role := range []kqsoak.Role{kqsoak.RoleControl, kqsoak.RoleGate} {
-			if role == kqsoak.RoleGate && !s.options.Lined(n.number) {
+			if role == kqsoak.RoleGate && !s.options.HasGateProxy(n.number) {
 				continue
 			}
 			if p, err = kqproxy.New(""); err != nil {
@@ -72,7 +72,7 @@
 	}
 	life.Lock()
 	defer life.Unlock()
-	ended := s.judge.Touch(n.number, s.now())
+	ended := s.checker.Fault(n.number, s.now())
 	if f.Kind == kqsoak.KillUpstream {
 		s.children.kill(n.upstream.process())
 	} else {
@@ -105,7 +105,7 @@
 		c = n.process()
 	}
 	if f.Kind != kqsoak.PauseStore {
-		ended := s.judge.Touch(n.number, s.now())
+		ended := s.checker.Fault(n.number, s.now())
 		defer func() { ended(s.now()) }()
 	}
 	err := c.Signal(syscall.SIGSTOP)
@@ -119,7 +119,7 @@
 	l := s.storeLine
 	if f.Kind == kqsoak.Line {
 		l = n.lines[f.Role]
-		ended := s.judge.Touch(n.number, s.now())
+		ended := s.checker.Fault(n.number, s.now())
 		defer func() { ended(s.now()) }()
 	}
 	l.mu.Lock()
--- a/internal/lab/kqsoakrun/document.go
+++ b/internal/lab/kqsoakrun/document.go
@@ -107,7 +107,7 @@
 // rollout orders a move to a version half of whose answers are failures.
 func (s *Soak) rollout(ctx context.Context, n *node, f kqsoak.Fault) error {
 	name := "bad-" + n.name
-	s.judge.Bad(name)
+	s.checker.MarkBad(name)
 	c, err := n.launchUpstream(name, "--upstream-version", string(badVersion), "--fail-share", failShare)
 	if err != nil {
 		return err
--- a/internal/lab/kqsoakrun/faults.go
+++ b/internal/lab/kqsoakrun/faults.go
@@ -40,7 +40,7 @@
 	if !sleep(ctx, recovery+watched) {
 		return nil
 	}
-	s.judge.Recovered(from, s.now()-time.Second, leastShare)
+	s.checker.CheckRecovery(from, s.now()-time.Second, leastShare)
 	return nil
 }
 
@@ -81,14 +81,14 @@
 	n.life.Lock()
 	defer n.life.Unlock()
 	c := n.process()
-	time.Sleep(kqsoak.Youngest - c.Age())
+	time.Sleep(kqsoak.MinSignalAge - c.Age())
 	if err := c.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	select {
 	case <-c.Ended():
 	case <-time.After(endWithin):
-		s.judge.End(n.name, fmt.Sprintf("not %v after SIGTERM", endWithin), s.now())
+		s.checker.Exited(n.name, fmt.Sprintf("not %v after SIGTERM", endWithin), s.now())
 		s.children.kill(c)
 	}
 	if !sleep(ctx, f.For) {
--- a/internal/lab/kqsoakrun/prober.go
+++ b/internal/lab/kqsoakrun/prober.go
@@ -44,11 +44,11 @@
 			}
 			call, ok := c.ask(i, probe(number))
 			switch {
-			case !ok || s.nodes[i].process() != process || !call.Complete:
+			case !ok || s.nodes[i].process() != process || !call.AnswerRead:
 			case call.Status == http.StatusOK:
 				known[i].number = max(known[i].number, number)
 			case call.Status == http.StatusNotFound && number <= known[i].number:
-				s.judge.Add(kqsoakcheck.FellBack, call.Ended, fmt.Sprintf("%s had version %d and does not know its route %v", s.nodes[i].name, number, call.Work))
+				s.checker.AddViolation(kqsoakcheck.FellBack, call.Ended, fmt.Sprintf("%s had version %d and does not know its route %v", s.nodes[i].name, number, call.WorkID))
 			}
 		}
 		sleep(ctx, probeEvery)
--- a/internal/lab/kqsoakrun/process.go
+++ b/internal/lab/kqsoakrun/process.go
@@ -97,7 +97,7 @@
 		}
 		s.tell(event{Event: "ended", Target: name, Text: status})
 		if !c.Told() || err != nil && !s.killed(c) {
-			s.judge.End(name, status, s.now())
+			s.checker.Exited(name, status, s.now())
 		}
 	})
 }
@@ -161,7 +161,7 @@
 		n.soak.children.remove(c)
 		status := fmt.Sprint(c.Status())
 		if !c.Told() {
-			n.soak.judge.End(n.name, status+" while it started", n.soak.now())
+			n.soak.checker.Exited(n.name, status+" while it started", n.soak.now())
 		}
 		return fmt.Errorf("%s: %w: %s", n.name, errNotStarted, status)
 	case <-time.After(startWithin):
@@ -188,7 +188,7 @@
 
 // reload tells a process of the node that its settings changed, once it is old enough.
 func (n *node) reload(c *kqchild.Child) {
-	time.Sleep(kqsoak.Youngest - c.Age())
+	time.Sleep(kqsoak.MinSignalAge - c.Age())
 	if c.Over() {
 		return
 	}
@@ -244,11 +244,11 @@
 	case kqupstream.Listening:
 		close(up)
 	case kqupstream.Begun:
-		n.soak.judge.Began(e.Work, name, n.number, at)
+		n.soak.checker.Began(e.Work, name, n.number, at)
 	case kqupstream.Ended:
-		n.soak.judge.RunEnded(e.Work, name, at)
+		n.soak.checker.RunEnded(e.Work, name, at)
 	case kqupstream.Goodbye:
-		n.soak.judge.Goodbye(name, at)
+		n.soak.checker.Goodbye(name, at)
 		n.soak.tell(event{Event: "goodbye", Target: name})
 	}
 }
--- a/internal/lab/kqsoakrun/soak.go
+++ b/internal/lab/kqsoakrun/soak.go
@@ -49,7 +49,7 @@
 		folder  string
 		command string
 		began   time.Time
-		judge   *kqsoakcheck.Judge
+		checker   *kqsoakcheck.Checker
 
 		storeURL string
 		store    *kqchild.Child
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("keep time line: %w", err)
 	}
-	s := &Soak{options: o, program: program, folder: folder, command: command, began: time.Now(), judge: kqsoakcheck.New(), timeline: timeline{file: f}}
+	s := &Soak{options: o, program: program, folder: folder, command: command, began: time.Now(), checker: kqsoakcheck.New(), timeline: timeline{file: f}}
 	s.children.all, s.children.killed = make(map[*kqchild.Child]bool), make(map[*kqchild.Child]bool)
 	for i := range o.Nodes {
 		n := &node{soak: s, number: i, name: fmt.Sprintf("node-%d", i), addresses: make(map[string]string)}
@@ -139,7 +139,7 @@
 // error is ErrViolated where something that must hold did not.
 func (s *Soak) Run(ctx context.Context) (Report, error) {
 	defer func() { _ = s.timeline.file.Close() }()
-	plan := kqsoak.Draw(s.options)
+	plan := kqsoak.Generate(s.options)
 	r := Report{Seed: s.options.Seed, Command: s.command, Folder: s.folder, Nodes: s.options.Nodes, Faults: make(map[kqsoak.Kind]int)}
 	for _, f := range plan {
 		r.Faults[f.Kind]++
@@ -148,7 +148,7 @@
 	s.children.end()
 	s.closeLines()
 	s.group.Wait()
-	r.Seconds, r.Calls, r.Violations = s.now().Seconds(), s.judge.Tally(), s.judge.Violations()
+	r.Seconds, r.Calls, r.Violations = s.now().Seconds(), s.checker.Tally(), s.checker.Violations()
 	if err == nil && len(r.Violations) > 0 {
 		err = ErrViolated
 	}
@@ -193,16 +193,16 @@
 	stop()
 	callers.Wait()
 	time.Sleep(2 * aftermath / 3)
-	s.judge.Settle(s.now())
+	s.checker.EvaluatePending(s.now())
 	return errors.Join(err, context.Cause(outer))
 }
 
 // look judges what is known by now, until something must not be.
 func (s *Soak) look(ctx context.Context, violated chan<- struct{}) {
 	for ctx.Err() == nil {
-		s.judge.Settle(s.now())
-		if len(s.judge.Violations()) > 0 {
-			s.tell(event{Event: "violation", Text: s.judge.Violations()[0].Text})
+		s.checker.EvaluatePending(s.now())
+		if len(s.checker.Violations()) > 0 {
+			s.tell(event{Event: "violation", Text: s.checker.Violations()[0].Text})
 			close(violated)
 			return
 		}
