--- a/internal/lab/kqchild/child.go
+++ b/internal/lab/kqchild/child.go
@@ -15,35 +15,35 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Child is a process that this one started. It is safe for concurrent use.
+// Child is a process started by this one. It is safe for concurrent use.
 type Child struct {
-	command *exec.Cmd
-	ended   chan struct{}
-	status  error
-	told    atomic.Bool
-	group   conc.WaitGroup
-	began   time.Time
+	command      *exec.Cmd
+	ended        chan struct{}
+	status       error
+	endRequested atomic.Bool
+	group        conc.WaitGroup
+	started      time.Time
 }
 
-// lines hands on whole lines, and keeps all in a file.
-type lines struct {
-	mu   sync.Mutex
-	keep io.Writer
-	rest []byte
-	each func(string)
+// lineWriter copies output to a writer and calls onLine with each complete line.
+type lineWriter struct {
+	mu      sync.Mutex
+	output  io.Writer
+	partial []byte
+	onLine  func(string)
 }
 
-// Start runs a program; its standard output and error go to keep, and each line of
-// its standard output to each.
-func Start(program string, arguments []string, keep io.Writer, each func(string)) (*Child, error) {
-	c := &Child{command: exec.Command(program, arguments...), ended: make(chan struct{}), began: time.Now()}
-	shared := &lines{keep: keep, each: each}
-	c.command.Stdout, c.command.Stderr = shared, keep
-	// In a group of its own, so that a terminal's interrupt reaches the parent alone,
-	// which then ends its children.
+// Start runs a program. Its standard output and error are written to output, and each
+// line of its standard output is passed to onLine.
+func Start(program string, arguments []string, output io.Writer, onLine func(string)) (*Child, error) {
+	c := &Child{command: exec.Command(program, arguments...), ended: make(chan struct{}), started: time.Now()}
+	stdout := &lineWriter{output: output, onLine: onLine}
+	c.command.Stdout, c.command.Stderr = stdout, output
+	// A process group of its own keeps a terminal's interrupt from reaching the child.
+	// The parent receives it and ends its children.
 	c.command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := c.command.Start(); err != nil {
-		return nil, fmt.Errorf("start %v: %w", arguments, err)
+		return nil, fmt.Errorf("start process %v: %w", arguments, err)
 	}
 	c.group.Go(func() {
 		c.status = c.command.Wait()
@@ -52,31 +52,31 @@
 	return c, nil
 }
 
-// ID returns the process's id.
+// ID returns the process id.
 func (c *Child) ID() int { return c.command.Process.Pid }
 
-// Signal sends a signal; a process that has ended gets none.
+// Signal sends a signal. It does nothing if the process has ended.
 func (c *Child) Signal(s syscall.Signal) error {
 	if s == syscall.SIGTERM || s == syscall.SIGKILL {
-		c.told.Store(true)
+		c.endRequested.Store(true)
 	}
 	if err := c.command.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		return fmt.Errorf("signal %v: %w", s, err)
+		return fmt.Errorf("send signal %v: %w", s, err)
 	}
 	return nil
 }
 
-// Told reports whether the process was told to end.
-func (c *Child) Told() bool { return c.told.Load() }
+// EndRequested reports whether the process was sent SIGTERM or SIGKILL.
+func (c *Child) EndRequested() bool { return c.endRequested.Load() }
 
-// Ended is closed once the process has ended.
+// Ended returns a channel that is closed once the process has ended.
 func (c *Child) Ended() <-chan struct{} { return c.ended }
 
 // Age returns how long ago the process was started.
-func (c *Child) Age() time.Duration { return time.Since(c.began) }
+func (c *Child) Age() time.Duration { return time.Since(c.started) }
 
-// Over reports whether the process has ended.
-func (c *Child) Over() bool {
+// HasEnded reports whether the process has ended.
+func (c *Child) HasEnded() bool {
 	select {
 	case <-c.ended:
 		return true
@@ -85,30 +85,31 @@
 	}
 }
 
-// Status returns how the process ended, nil for a status of 0. It waits for the end.
+// Status waits for the process to end and returns nil for exit status 0, otherwise an
+// error.
 func (c *Child) Status() error {
 	<-c.ended
 	return c.status
 }
 
-// Kill ends the process at once and waits for that.
+// Kill sends SIGKILL and waits for the process to end.
 func (c *Child) Kill() {
 	_ = c.Signal(syscall.SIGKILL)
 	<-c.ended
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(p []byte) (int, error) {
+func (l *lineWriter) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, _ = l.keep.Write(p)
-	l.rest = append(l.rest, p...)
+	_, _ = l.output.Write(p)
+	l.partial = append(l.partial, p...)
 	for {
-		end := bytes.IndexByte(l.rest, '\n')
+		end := bytes.IndexByte(l.partial, '\n')
 		if end < 0 {
 			return len(p), nil
 		}
-		l.each(string(l.rest[:end]))
-		l.rest = l.rest[end+1:]
+		l.onLine(string(l.partial[:end]))
+		l.partial = l.partial[end+1:]
 	}
 }
--- a/internal/lab/kqchild/doc.go
+++ b/internal/lab/kqchild/doc.go
@@ -1,3 +1,3 @@
-// Package kqchild starts processes, follows their output line by line, and ends them
-// by their ids.
+// Package kqchild starts processes, reads their output line by line, and ends them by
+// their process ids.
 package kqchild
--- a/internal/lab/kqsoak/plan.go
+++ b/internal/lab/kqsoak/plan.go
@@ -41,8 +41,9 @@
 
 	// firstFault gives callers the time to use every route once.
 	firstFault = 500 * time.Millisecond
-	// leaveTime bounds how long a node's leave, pause and restart take; the node is not
-	// chosen again until then. The value is an estimate that only spreads the faults.
+	// leaveTime bounds how long a node's leave, the pause after it and the restart
+	// take; the node is not chosen again until then. The value is an estimate that only
+	// spreads the faults.
 	leaveTime = 7 * time.Second
 	// drainTime is the same bound for an upstream.
 	drainTime = 6 * time.Second
--- a/internal/lab/kqsoakcheck/call.go
+++ b/internal/lab/kqsoakcheck/call.go
@@ -66,7 +66,7 @@
 // hadFault reports whether a node, or any node for AnyNode, had an unplanned fault
 // during a time span or up to faultGrace before it.
 func (ck *Checker) hadFault(node int, from, to time.Duration) bool {
-	return slices.ContainsFunc(ck.faults, func(f Fault) bool {
+	return slices.ContainsFunc(ck.disruptions, func(f Disruption) bool {
 		return (node == AnyNode || f.Node == node) && f.From <= to && (f.To == 0 || from <= f.To+faultGrace)
 	})
 }
--- a/internal/lab/kqsoakcheck/check.go
+++ b/internal/lab/kqsoakcheck/check.go
@@ -27,8 +27,8 @@
 	Ended Kind = "ENDED"
 	// FellBack is a node that went back to an older version of the configuration.
 	FellBack Kind = "FELL_BACK"
-	// Exposed is a call that ran at a bad version long after that version had run
-	// enough calls to be detected as bad.
+	// Exposed is a call that ran at an upstream of a bad version, long after that
+	// upstream had run enough calls for the version to be detected as bad.
 	Exposed Kind = "EXPOSED"
 	// Unrecovered is a fleet that does not answer calls after the last fault.
 	Unrecovered Kind = "UNRECOVERED"
@@ -73,7 +73,8 @@
 		Status      int    `json:"status,omitempty"`
 		Result      string `json:"result,omitempty"`
 		Reason      string `json:"reason,omitempty"`
-		// AnswerIDs are the work ids named in the answer's header and body.
+		// AnswerIDs are the work ids named in the answer's header and body, and a note
+		// if more bytes followed the answer.
 		AnswerIDs []string `json:"answers,omitempty"`
 		Error     string   `json:"error,omitempty"`
 	}
@@ -96,9 +97,9 @@
 		Runs []Run         `json:"runs,omitempty"`
 	}
 
-	// Fault is the time span of an unplanned fault at a node or its upstream; To is 0
-	// until the fault ends.
-	Fault struct {
+	// Disruption is the time span of an unplanned fault at a node or its upstream; To
+	// is 0 until the fault ends.
+	Disruption struct {
 		Node     int
 		From, To time.Duration
 	}
@@ -123,7 +124,7 @@
 		mu           sync.Mutex
 		records      map[string]*callRecord
 		goodbyes     map[string]time.Duration
-		faults       []Fault
+		disruptions  []Disruption
 		badUpstreams map[string]*badUpstream
 		pending      []*callRecord
 		tally        Tally
@@ -139,8 +140,8 @@
 		idempotent bool
 	}
 
-	// badUpstream counts the runs at an upstream of a bad version and holds when they
-	// had become enough to detect it.
+	// badUpstream counts the runs at an upstream of a bad version. detectedAt is when
+	// the count reached runsToDetect, 0 before that.
 	badUpstream struct {
 		runs       int
 		detectedAt time.Duration
@@ -230,17 +231,17 @@
 	ck.goodbyes[upstream] = at
 }
 
-// Fault records the start of an unplanned fault at a node and returns the function that
-// records its end.
-func (ck *Checker) Fault(node int, from time.Duration) func(to time.Duration) {
+// Disruption records the start of an unplanned fault at a node and returns the function
+// that records its end.
+func (ck *Checker) Disruption(node int, from time.Duration) func(to time.Duration) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
-	at := len(ck.faults)
-	ck.faults = append(ck.faults, Fault{Node: node, From: from})
+	at := len(ck.disruptions)
+	ck.disruptions = append(ck.disruptions, Disruption{Node: node, From: from})
 	return func(to time.Duration) {
 		ck.mu.Lock()
 		defer ck.mu.Unlock()
-		ck.faults[at].To = to
+		ck.disruptions[at].To = to
 	}
 }
 
@@ -271,7 +272,7 @@
 // Exited records a process that exited without being asked to, or not in the way it
 // should.
 func (ck *Checker) Exited(name, status string, at time.Duration) {
-	ck.AddViolation(Ended, at, name+" ended: "+status)
+	ck.AddViolation(Ended, at, name+" did not exit as expected: "+status)
 }
 
 // AddViolation adds a violation that the caller detected itself.
--- a/internal/lab/kqsoakcheck/check_test.go
+++ b/internal/lab/kqsoakcheck/check_test.go
@@ -85,22 +85,22 @@
 			a.Status, a.Result, a.Reason, a.AnswerIDs = 502, "unknown", "cut", nil
 			checker.Call(a)
 		}, []kqsoakcheck.Kind{kqsoakcheck.Lost}},
-		{"cut at a killed node", func(checker *kqsoakcheck.Checker) { checker.Fault(1, 10*second); checker.Call(cut("a")) }, nil},
+		{"cut at a killed node", func(checker *kqsoakcheck.Checker) { checker.Disruption(1, 10*second); checker.Call(cut("a")) }, nil},
 		{"cut soon after a fault", func(checker *kqsoakcheck.Checker) {
-			checker.Fault(1, second)(8 * second)
+			checker.Disruption(1, second)(8 * second)
 			checker.Call(cut("a"))
 		}, nil},
 		{"cut long after a fault", func(checker *kqsoakcheck.Checker) {
-			checker.Fault(1, second)(6 * second)
+			checker.Disruption(1, second)(6 * second)
 			checker.Call(cut("a"))
 		}, []kqsoakcheck.Kind{kqsoakcheck.Lost}},
 		{"cut while its upstream is killed", func(checker *kqsoakcheck.Checker) {
-			checker.Fault(2, 10*second)
+			checker.Disruption(2, 10*second)
 			checker.Began("a", "u", 2, 10*second)
 			checker.Call(cut("a"))
 		}, nil},
 		{"cut during a fault at another node", func(checker *kqsoakcheck.Checker) {
-			checker.Fault(3, 10*second)
+			checker.Disruption(3, 10*second)
 			checker.Began("a", "u", 2, 10*second)
 			checker.Call(cut("a"))
 		}, []kqsoakcheck.Kind{kqsoakcheck.Lost}},
--- a/internal/lab/kqsoakrun/caller.go
+++ b/internal/lab/kqsoakrun/caller.go
@@ -19,32 +19,33 @@
 )
 
 const (
-	// patience is longer than any route lets a call take.
-	patience    = routeTimeout + 5*time.Second
-	dialTimeout = time.Second
-	shortest    = 5 * time.Millisecond
-	longest     = time.Second
-	longestBody = 4 << 10
-	// pause is the mean time between a caller's calls.
-	pause = 30 * time.Millisecond
-
-	// keeper uses one connection until it ends, opener a new one for each call.
-	keeper habit = "keeper"
-	opener habit = "opener"
+	// callDeadline is longer than any route lets a call take.
+	callDeadline = routeTimeout + 5*time.Second
+	dialTimeout  = time.Second
+	minWork      = 5 * time.Millisecond
+	maxWork      = time.Second
+	maxBody      = 4 << 10
+	// meanPause is the mean time between two calls of a caller.
+	meanPause = 30 * time.Millisecond
+
+	// reuseConn uses one connection until it is closed; connPerCall opens a new one for
+	// each call.
+	reuseConn   connMode = "keeper"
+	connPerCall connMode = "opener"
 )
 
-var errNoAnswer = errors.New("not an upstream's answer")
+var errNoAnswer = errors.New("body is not an upstream's answer")
 
 type (
-	habit string
+	connMode string
 
-	// caller sends one call after another.
+	// caller sends calls one after another.
 	caller struct {
-		soak   *Soak
-		name   string
-		habit  habit
-		random *rand.Rand
-		serial int
+		soak     *Soak
+		name     string
+		connMode connMode
+		random   *rand.Rand
+		serial   int
 
 		conn   net.Conn
 		reader *bufio.Reader
@@ -53,24 +54,24 @@
 	}
 )
 
-// run calls until ctx ends; the call in flight is finished.
+// run sends calls until ctx ends, and then finishes the call in flight.
 func (c *caller) run(ctx context.Context) {
-	defer c.hangUp()
+	defer c.closeConn()
 	for ctx.Err() == nil {
 		if !c.connect() {
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
 		c.call(routes[c.random.IntN(len(routes))])
-		if c.habit == opener {
-			c.hangUp()
+		if c.connMode == connPerCall {
+			c.closeConn()
 		}
-		time.Sleep(time.Duration(c.random.Int64N(int64(2 * pause))))
+		time.Sleep(time.Duration(c.random.Int64N(int64(2 * meanPause))))
 	}
 }
 
-// connect takes a node by chance unless there is a connection. A connection that is
-// refused has carried nothing.
+// connect connects to a random node unless a connection is open, and reports whether
+// there is one. A refused connection carried no call, so it is not recorded.
 func (c *caller) connect() bool {
 	if c.conn != nil {
 		return true
@@ -84,29 +85,31 @@
 	return true
 }
 
-func (c *caller) hangUp() {
+func (c *caller) closeConn() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// answered sends one call to a node and reports whether it was answered.
-func (c *caller) answered(node int, r route) bool {
-	call, ok := c.ask(node, r)
+// callSucceeds sends one call to a node and reports whether it was answered with status
+// 200.
+func (c *caller) callSucceeds(node int, r route) bool {
+	call, ok := c.callNode(node, r)
 	return ok && call.AnswerRead && call.Status == http.StatusOK
 }
 
-// ask sends one call to a node, and reports false where it takes no connection.
-func (c *caller) ask(node int, r route) (kqsoakcheck.Call, bool) {
-	c.hangUp()
+// callNode sends one call to a node over a new connection. It reports false if the node
+// accepts no connection.
+func (c *caller) callNode(node int, r route) (kqsoakcheck.Call, bool) {
+	c.closeConn()
 	conn, err := net.DialTimeout("tcp", c.soak.nodes[node].address("entry"), dialTimeout)
 	if err != nil {
 		return kqsoakcheck.Call{}, false
 	}
 	c.conn, c.reader, c.node, c.uses = conn, bufio.NewReader(conn), node, 0
 	call := c.call(r)
-	c.hangUp()
+	c.closeConn()
 	return call, true
 }
 
@@ -115,40 +118,40 @@
 	c.uses++
 	call := kqsoakcheck.Call{
 		WorkID: fmt.Sprintf("%s-%d", c.name, c.serial), Node: c.node, Route: r.host + r.path, Idempotent: r.idempotent,
-		ConnMode: string(c.habit), ConnUses: c.uses, Timeout: routeTimeout, Sent: c.soak.now(),
+		ConnMode: string(c.connMode), ConnUses: c.uses, Timeout: routeTimeout, Sent: c.soak.now(),
 	}
 	c.soak.checker.CallSent(call.WorkID, call.Idempotent)
 	request := c.request(r, call.WorkID)
-	_ = c.conn.SetDeadline(time.Now().Add(patience))
+	_ = c.conn.SetDeadline(time.Now().Add(callDeadline))
 	_, err := io.WriteString(c.conn, request)
 	call.RequestSent = err == nil
-	goesOn := false
+	reusable := false
 	if err == nil {
-		goesOn, err = c.answer(&call)
+		reusable, err = c.readAnswer(&call)
 	}
 	call.Ended = c.soak.now()
 	if err != nil {
 		call.Error = err.Error()
 	}
 	c.soak.checker.Call(call)
-	if !goesOn {
-		c.hangUp()
+	if !reusable {
+		c.closeConn()
 	}
 	return call
 }
 
 func (c *caller) request(r route, work string) string {
-	ms := float64(shortest.Milliseconds()) * math.Pow(float64(longest/shortest), c.random.Float64())
+	ms := float64(minWork.Milliseconds()) * math.Pow(float64(maxWork/minWork), c.random.Float64())
 	head := fmt.Sprintf("Host: %s\r\n%s: %s\r\n%s: %d\r\n", r.host, kqupstream.HeaderWork, work, kqupstream.HeaderWorkMS, int(ms))
 	if r.idempotent {
 		return "GET " + r.path + " HTTP/1.1\r\n" + head + "\r\n"
 	}
-	body := strings.Repeat("x", c.random.IntN(longestBody))
+	body := strings.Repeat("x", c.random.IntN(maxBody))
 	return fmt.Sprintf("POST %s HTTP/1.1\r\n%sContent-Length: %d\r\n\r\n%s", r.path, head, len(body), body)
 }
 
-// answer reads an answer and reports whether its connection may be used again.
-func (c *caller) answer(call *kqsoakcheck.Call) (bool, error) {
+// readAnswer reads an answer and reports whether the connection can be reused.
+func (c *caller) readAnswer(call *kqsoakcheck.Call) (bool, error) {
 	a, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return false, fmt.Errorf("read head: %w", err)
--- a/internal/lab/kqsoakrun/children.go
+++ b/internal/lab/kqsoakrun/children.go
@@ -11,63 +11,65 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqchild"
 )
 
-var errOver = errors.New("the run is over")
+var errRunOver = errors.New("the run is over")
 
-// start starts a process unless the run is over: nobody would end it.
+// start starts a process unless the run is over, since nothing would end the process
+// then.
 func (c *children) start(f func() (*kqchild.Child, error)) (*kqchild.Child, error) {
 	c.Lock()
 	defer c.Unlock()
 	if c.over {
-		return nil, errOver
+		return nil, errRunOver
 	}
-	one, err := f()
+	child, err := f()
 	if err == nil {
-		c.all[one] = true
+		c.all[child] = true
 	}
-	return one, err
+	return child, err
 }
 
-func (c *children) remove(one *kqchild.Child) {
+func (c *children) remove(child *kqchild.Child) {
 	c.Lock()
 	defer c.Unlock()
-	delete(c.all, one)
+	delete(c.all, child)
 }
 
-// kill ends a process as a fault; its status is not judged.
-func (c *children) kill(one *kqchild.Child) {
+// kill kills a process as part of a fault, so that its exit status is not checked.
+func (c *children) kill(child *kqchild.Child) {
 	c.Lock()
-	c.killed[one] = true
+	c.wasKilled[child] = true
 	c.Unlock()
-	one.Kill()
+	child.Kill()
 }
 
-// killed reports whether a process was ended as a fault.
-func (s *Soak) killed(one *kqchild.Child) bool {
+// wasKilled reports whether a process was killed as part of a fault or at the end of
+// the run.
+func (s *Soak) wasKilled(child *kqchild.Child) bool {
 	s.children.Lock()
 	defer s.children.Unlock()
-	return s.children.killed[one]
+	return s.children.wasKilled[child]
 }
 
-// end ends every process that still runs. One that is paused is ended as well.
+// end kills every process that still runs, including suspended ones.
 func (c *children) end() {
 	c.Lock()
 	c.over = true
 	var group conc.WaitGroup
-	for one := range c.all {
-		c.killed[one] = true
-		group.Go(one.Kill)
+	for child := range c.all {
+		c.wasKilled[child] = true
+		group.Go(child.Kill)
 	}
 	c.Unlock()
 	group.Wait()
 }
 
-// memory returns how many processes run and their resident memory in MB.
+// memory returns the number of running processes and their resident memory in MB.
 func (c *children) memory() (int, float64) {
 	c.Lock()
 	defer c.Unlock()
 	kb := 0
-	for one := range c.all {
-		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", one.ID()))
+	for child := range c.all {
+		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", child.ID()))
 		if err != nil {
 			continue
 		}
--- a/internal/lab/kqsoakrun/doc.go
+++ b/internal/lab/kqsoakrun/doc.go
@@ -1,3 +1,3 @@
-// Package kqsoakrun plays a plan of faults against real processes on one machine, with
-// callers at work, and checks meanwhile what callers and upstreams see.
+// Package kqsoakrun runs a fault plan against real processes on one server while
+// callers send calls, and checks during the run what callers and upstreams observe.
 package kqsoakrun
--- a/internal/lab/kqsoakrun/document.go
+++ b/internal/lab/kqsoakrun/document.go
@@ -20,13 +20,13 @@
 	version    = kqname.UpstreamVersion("v1")
 	badVersion = kqname.UpstreamVersion("v2")
 	failShare  = "0.5"
-	// rolloutDelay lets all nodes have the plan before its start.
-	rolloutDelay = time.Second
-	routeTimeout = 5 * time.Second
-	commitWithin = 10 * time.Second
+	// rolloutDelay is long enough for all nodes to receive the plan before its start.
+	rolloutDelay  = time.Second
+	routeTimeout  = 5 * time.Second
+	commitTimeout = 10 * time.Second
 )
 
-// route is one that callers use.
+// route is a route that callers use.
 type route struct {
 	host, path string
 	idempotent bool
@@ -46,9 +46,9 @@
 	}
 )
 
-// document is the fleet's; each number gives another version, which changes nothing
-// for callers but the split of a route whose parts are alike, and a route of its own,
-// which tells that it is in force.
+// document returns the fleet's document for a version number. Two versions differ only
+// in the weights of a route whose services are equivalent, and in a probe route for
+// each version, which shows that the version is in force.
 func document(number int, rollouts []kqdocument.Rollout) kqdocument.Document {
 	d := kqdocument.Document{
 		Teams:    []kqdocument.Team{{Name: team}},
@@ -79,11 +79,11 @@
 	return d
 }
 
-// commit puts the next version in force.
+// commit commits the next version of the document.
 func (s *Soak) commit(ctx context.Context) error {
 	s.versions.Lock()
 	defer s.versions.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, commitWithin)
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	s.versions.number++
 	o, err := kqcommit.New(kqstoreclient.New(s.storeURL)).Commit(ctx, kqcommit.Request{
@@ -97,14 +97,14 @@
 	if o.Status == kqcommit.Committed {
 		s.versions.committed = s.versions.number
 	}
-	s.tell(event{Event: "committed", Text: fmt.Sprintf("%s as version %d", o.Status, o.Version)})
+	s.logEvent(event{Event: "committed", Text: fmt.Sprintf("%s as version %d", o.Status, o.Version)})
 	if o.Status != kqcommit.Committed {
 		return fmt.Errorf("commit version: %s %v: %w", o.Status, o.Problems, errNotCommitted)
 	}
 	return nil
 }
 
-// rollout orders a move to a version half of whose answers are failures.
+// rollout commits a rollout to a bad version, half of whose answers are failures.
 func (s *Soak) rollout(ctx context.Context, n *node, f kqsoak.Fault) error {
 	name := "bad-" + n.name
 	s.checker.MarkBad(name)
@@ -120,10 +120,10 @@
 	})
 	s.versions.Unlock()
 	for end := s.now() + f.For + rolloutDelay; s.now() < end; {
-		// The store may be away.
+		// The store may be unavailable during a fault.
 		if err := s.commit(ctx); err == nil {
 			sleep(ctx, end-s.now())
-		} else if s.tell(event{Event: "not committed", Text: err.Error()}); !sleep(ctx, versionsEvery) {
+		} else if s.logEvent(event{Event: "not committed", Text: err.Error()}); !sleep(ctx, versionInterval) {
 			return nil
 		}
 	}
--- a/internal/lab/kqsoakrun/faults.go
+++ b/internal/lab/kqsoakrun/faults.go
@@ -11,11 +11,11 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqsoak"
 )
 
-// versionsEvery is the pause between two versions of a series.
-const versionsEvery = 300 * time.Millisecond
+// versionInterval is the pause between two versions of a series.
+const versionInterval = 300 * time.Millisecond
 
-// faults plays the plan, and then watches the fleet recover.
-func (s *Soak) faults(ctx context.Context, plan kqsoak.Plan) error {
+// playPlan plays the plan and then checks that the fleet recovers.
+func (s *Soak) playPlan(ctx context.Context, plan kqsoak.Plan) error {
 	began := s.now()
 	var group conc.WaitGroup
 	errs := make(chan error, len(plan))
@@ -24,7 +24,7 @@
 			break
 		}
 		group.Go(func() {
-			if err := s.fault(ctx, f); err != nil && ctx.Err() == nil {
+			if err := s.playFault(ctx, f); err != nil && ctx.Err() == nil {
 				errs <- fmt.Errorf("play %s: %w", f.Kind, err)
 			}
 		})
@@ -35,39 +35,39 @@
 		return err
 	default:
 	}
-	s.tell(event{Event: "last fault ended"})
-	from := s.now() + recovery
-	if !sleep(ctx, recovery+watched) {
+	s.logEvent(event{Event: "last fault ended"})
+	from := s.now() + recoveryTime
+	if !sleep(ctx, recoveryTime+recoveryWindow) {
 		return nil
 	}
-	s.checker.CheckRecovery(from, s.now()-time.Second, leastShare)
+	s.checker.CheckRecovery(from, s.now()-time.Second, minAnsweredShare)
 	return nil
 }
 
-// fault plays one fault to its end.
-func (s *Soak) fault(ctx context.Context, f kqsoak.Fault) error {
+// playFault plays one fault to its end.
+func (s *Soak) playFault(ctx context.Context, f kqsoak.Fault) error {
 	n := s.nodes[f.Target]
-	s.tell(event{Event: "fault", Target: n.name, Fault: &f})
+	s.logEvent(event{Event: "fault", Target: n.name, Fault: &f})
 	switch f.Kind {
 	case kqsoak.Leave:
 		return s.leave(ctx, n, f)
 	case kqsoak.Drain:
 		return s.drain(ctx, n, f)
 	case kqsoak.Versions:
-		return s.series(ctx, f.For)
+		return s.commitSeries(ctx, f.For)
 	case kqsoak.KillNode, kqsoak.KillUpstream:
 		return s.kill(ctx, n, f)
 	case kqsoak.PauseNode, kqsoak.PauseUpstream, kqsoak.PauseStore:
 		return s.pause(ctx, n, f)
 	case kqsoak.Line, kqsoak.StoreLine:
-		return s.harm(ctx, n, f)
+		return s.disrupt(ctx, n, f)
 	case kqsoak.Rollout:
 		return s.rollout(ctx, n, f)
 	case kqsoak.Settings:
-		return n.change()
+		return n.changeSettings()
 	case kqsoak.Reload:
 		if f.Changed {
-			if err := n.change(); err != nil {
+			if err := n.changeSettings(); err != nil {
 				return err
 			}
 		}
@@ -78,8 +78,8 @@
 
 // leave stops a node and starts it again.
 func (s *Soak) leave(ctx context.Context, n *node, f kqsoak.Fault) error {
-	n.life.Lock()
-	defer n.life.Unlock()
+	n.lifecycle.Lock()
+	defer n.lifecycle.Unlock()
 	c := n.process()
 	time.Sleep(kqsoak.MinSignalAge - c.Age())
 	if err := c.Signal(syscall.SIGTERM); err != nil {
@@ -87,8 +87,8 @@
 	}
 	select {
 	case <-c.Ended():
-	case <-time.After(endWithin):
-		s.checker.Exited(n.name, fmt.Sprintf("not %v after SIGTERM", endWithin), s.now())
+	case <-time.After(exitTimeout):
+		s.checker.Exited(n.name, fmt.Sprintf("still running %v after SIGTERM", exitTimeout), s.now())
 		s.children.kill(c)
 	}
 	if !sleep(ctx, f.For) {
@@ -97,17 +97,17 @@
 	return n.start(f.AfterStart)
 }
 
-// drain stops an upstream, and starts another in its place.
+// drain stops an upstream and starts another in its place.
 func (s *Soak) drain(ctx context.Context, n *node, f kqsoak.Fault) error {
-	n.upstream.life.Lock()
-	defer n.upstream.life.Unlock()
+	n.upstream.lifecycle.Lock()
+	defer n.upstream.lifecycle.Unlock()
 	c := n.upstream.process()
 	if err := c.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	select {
 	case <-c.Ended():
-	case <-time.After(endWithin):
+	case <-time.After(exitTimeout):
 		s.children.kill(c)
 	}
 	if !sleep(ctx, f.For) {
@@ -116,21 +116,21 @@
 	return n.startUpstream()
 }
 
-// series commits versions one after another for a while.
-func (s *Soak) series(ctx context.Context, length time.Duration) error {
-	for end := s.now() + length; s.now() < end; {
+// commitSeries commits versions one after another for a given time.
+func (s *Soak) commitSeries(ctx context.Context, duration time.Duration) error {
+	for end := s.now() + duration; s.now() < end; {
 		if err := s.commit(ctx); err != nil {
-			// An operator tries again; the store may be away.
-			s.tell(event{Event: "not committed", Text: err.Error()})
+			// An operator would retry; the store may be unavailable during a fault.
+			s.logEvent(event{Event: "not committed", Text: err.Error()})
 		}
-		if !sleep(ctx, versionsEvery) {
+		if !sleep(ctx, versionInterval) {
 			return nil
 		}
 	}
 	return nil
 }
 
-// sleep reports false if ctx ended first.
+// sleep waits for a duration and reports false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/lab/kqsoakrun/prober.go
+++ b/internal/lab/kqsoakrun/prober.go
@@ -11,29 +11,33 @@
 )
 
 const (
-	// probeHost has a route for each of the last versions, which so tells callers
-	// whether a node has that version or a later one.
-	probeHost  = "version.example"
-	probesKept = 60
-	probeEvery = 25 * time.Millisecond
+	// probeHost has a route for each of the latest versions. Whether a node answers a
+	// version's route shows whether it has that version or a later one.
+	probeHost     = "version.example"
+	probesKept    = 60
+	probeInterval = 25 * time.Millisecond
 )
 
-// seen is the newest version that a process of a node is known to have had.
-type seen struct {
+// knownVersion is the newest version that a process of a node is known to have had.
+type knownVersion struct {
 	process *kqchild.Child
 	number  int
 }
 
+// probe returns the route that documents have from this version on, until probesKept
+// newer versions exist.
 func probe(number int) route { return route{probeHost, fmt.Sprintf("/from-%d/", number), true} }
 
-// probe asks nodes for routes of the newest version, and for those that they have had.
+// probe calls nodes on the route of the newest version and on that of the newest
+// version they are known to have had, and reports a node that went back to an older
+// version.
 func (s *Soak) probe(ctx context.Context, c *caller) {
-	known := make([]seen, len(s.nodes))
+	known := make([]knownVersion, len(s.nodes))
 	for ctx.Err() == nil {
 		i := c.random.IntN(len(s.nodes))
 		process := s.nodes[i].process()
 		if known[i].process != process {
-			known[i] = seen{process: process}
+			known[i] = knownVersion{process: process}
 		}
 		s.versions.Lock()
 		newest := s.versions.committed
@@ -42,15 +46,15 @@
 			if number == 0 || newest-number > probesKept/2 {
 				continue
 			}
-			call, ok := c.ask(i, probe(number))
+			call, ok := c.callNode(i, probe(number))
 			switch {
 			case !ok || s.nodes[i].process() != process || !call.AnswerRead:
 			case call.Status == http.StatusOK:
 				known[i].number = max(known[i].number, number)
 			case call.Status == http.StatusNotFound && number <= known[i].number:
-				s.checker.AddViolation(kqsoakcheck.FellBack, call.Ended, fmt.Sprintf("%s had version %d and does not know its route %v", s.nodes[i].name, number, call.WorkID))
+				s.checker.AddViolation(kqsoakcheck.FellBack, call.Ended, fmt.Sprintf("%s had version %d but answered 404 on that version's route to call %v", s.nodes[i].name, number, call.WorkID))
 			}
 		}
-		sleep(ctx, probeEvery)
+		sleep(ctx, probeInterval)
 	}
 }
--- a/internal/lab/kqsoakrun/process.go
+++ b/internal/lab/kqsoakrun/process.go
@@ -18,13 +18,14 @@
 )
 
 const (
-	// startWithin bounds a process's start, on a busy machine.
-	startWithin = 20 * time.Second
-	// lastRole is the address that a node tells last.
+	// startTimeout bounds a process's start on a busy server.
+	startTimeout = 20 * time.Second
+	// lastRole is the role of the address that a node prints last.
 	lastRole = "admin"
-	// endWithin is longer than a leave may take by the node's settings.
-	endWithin = drainTimeout + 5*time.Second
-	// servesOn is how long a leaving upstream is there; a late call would show.
+	// exitTimeout is longer than the node's settings allow a leave to take.
+	exitTimeout = drainTimeout + 5*time.Second
+	// servesOn is how long a leaving upstream keeps serving, so that a call after its
+	// goodbye would be seen.
 	servesOn = 3 * time.Second
 	slots    = 32
 )
@@ -32,50 +33,51 @@
 var errNotStarted = errors.New("process did not start")
 
 type (
-	// node is a node's process and the upstream beside it.
+	// node is a node's process and the upstream next to it.
 	node struct {
 		soak   *Soak
 		number int
 		name   string
-		// life is held by whoever ends the process and starts the next, on a machine so
-		// slow that faults last longer than the plan thinks.
-		life sync.Mutex
+		// lifecycle is held while the process is ended and the next one started. On a
+		// slow server faults may last longer than the plan assumes and overlap.
+		lifecycle sync.Mutex
 
 		mu        sync.Mutex
 		child     *kqchild.Child
 		addresses map[string]string
 		changes   int
 
-		// lines are what peers reach the node through; they do not change.
-		lines    map[kqsoak.Role]*line
+		// proxies are the proxies through which peers reach the node; the map does not
+		// change.
+		proxies  map[kqsoak.Role]*faultProxy
 		upstream upstream
 	}
 
 	upstream struct {
-		life   sync.Mutex
-		mu     sync.Mutex
-		child  *kqchild.Child
-		starts int
+		lifecycle sync.Mutex
+		mu        sync.Mutex
+		child     *kqchild.Child
+		starts    int
 	}
 )
 
-// output opens the file of a process's output.
+// output opens the file for a process's output.
 func (s *Soak) output(name string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(s.folder, name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("keep output: %w", err)
+		return nil, fmt.Errorf("open output file: %w", err)
 	}
 	return f, nil
 }
 
-// launch starts this very program in another role. The process's end is judged
-// unless it was told to end; watch decides about one that was.
-func (s *Soak) launch(name string, arguments []string, each func(string)) (*kqchild.Child, error) {
+// launch starts this executable with other arguments and writes its output to a file.
+// The caller checks how the process exits, usually with watch.
+func (s *Soak) launch(name string, arguments []string, onLine func(string)) (*kqchild.Child, error) {
 	f, err := s.output(name)
 	if err != nil {
 		return nil, err
 	}
-	c, err := s.children.start(func() (*kqchild.Child, error) { return kqchild.Start(s.program, arguments, f, each) })
+	c, err := s.children.start(func() (*kqchild.Child, error) { return kqchild.Start(s.program, arguments, f, onLine) })
 	if err != nil {
 		return nil, errors.Join(err, f.Close())
 	}
@@ -86,7 +88,8 @@
 	return c, nil
 }
 
-// watch judges how a process ends that was started whole.
+// watch waits for a started process to exit. It records a wrong exit unless the process
+// was asked to end and then exited with status 0 or was killed by a fault.
 func (s *Soak) watch(name string, c *kqchild.Child) {
 	s.group.Go(func() {
 		err := c.Status()
@@ -95,8 +98,8 @@
 		if err != nil {
 			status = err.Error()
 		}
-		s.tell(event{Event: "ended", Target: name, Text: status})
-		if !c.Told() || err != nil && !s.killed(c) {
+		s.logEvent(event{Event: "ended", Target: name, Text: status})
+		if !c.EndRequested() || err != nil && !s.wasKilled(c) {
 			s.checker.Exited(name, status, s.now())
 		}
 	})
@@ -117,28 +120,28 @@
 	case s.storeURL = <-listens:
 		s.store = c
 		return nil
-	case <-time.After(startWithin):
+	case <-time.After(startTimeout):
 		return fmt.Errorf("store: %w", errNotStarted)
 	}
 }
 
-// address returns where the node listens.
+// address returns the address at which the node listens for a role.
 func (n *node) address(role string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.addresses[role]
 }
 
-// start starts the node's process, at the addresses that it had; it is told of changed
-// settings at the given ages.
+// start starts the node's process at the addresses that it had before and sends it
+// SIGHUP at the given ages.
 func (n *node) start(reloads []time.Duration) error {
-	if err := n.write(); err != nil {
+	if err := n.writeSettings(); err != nil {
 		return err
 	}
 	up, found := make(chan struct{}), make(map[string]string)
-	c, err := n.soak.launch(n.name, []string{"node", "--settings", n.file()}, func(line string) {
+	c, err := n.soak.launch(n.name, []string{"node", "--settings", n.settingsFile()}, func(line string) {
 		name, address, _ := strings.Cut(line, " ")
-		if _, again := found[name]; again || name != lastRole && !slices.Contains(roles, name) {
+		if _, known := found[name]; known || name != lastRole && !slices.Contains(roles, name) {
 			return
 		}
 		if found[name] = address; name == lastRole {
@@ -148,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	n.soak.tell(event{Event: "started", Target: n.name, Text: fmt.Sprint("process ", c.ID())})
+	n.soak.logEvent(event{Event: "started", Target: n.name, Text: fmt.Sprint("process ", c.ID())})
 	n.mu.Lock()
 	n.child = c
 	n.mu.Unlock()
@@ -160,18 +163,18 @@
 	case <-c.Ended():
 		n.soak.children.remove(c)
 		status := fmt.Sprint(c.Status())
-		if !c.Told() {
-			n.soak.checker.Exited(n.name, status+" while it started", n.soak.now())
+		if !c.EndRequested() {
+			n.soak.checker.Exited(n.name, status+" during its start", n.soak.now())
 		}
 		return fmt.Errorf("%s: %w: %s", n.name, errNotStarted, status)
-	case <-time.After(startWithin):
+	case <-time.After(startTimeout):
 		return fmt.Errorf("%s: %w", n.name, errNotStarted)
 	}
 	n.mu.Lock()
 	for _, role := range roles {
 		n.addresses[role] = found[role]
-		if l, ok := n.lines[kqsoak.Role(role)]; ok {
-			l.proxy.Aim(found[role])
+		if fp, ok := n.proxies[kqsoak.Role(role)]; ok {
+			fp.proxy.Aim(found[role])
 		}
 	}
 	n.mu.Unlock()
@@ -179,26 +182,26 @@
 	return nil
 }
 
-// process returns the node's process, which may have ended.
+// process returns the node's process, which may have exited.
 func (n *node) process() *kqchild.Child {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.child
 }
 
-// reload tells a process of the node that its settings changed, once it is old enough.
+// reload sends SIGHUP to a process of the node once it has reached MinSignalAge.
 func (n *node) reload(c *kqchild.Child) {
 	time.Sleep(kqsoak.MinSignalAge - c.Age())
-	if c.Over() {
+	if c.HasEnded() {
 		return
 	}
-	n.soak.tell(event{Event: "SIGHUP", Target: n.name})
+	n.soak.logEvent(event{Event: "SIGHUP", Target: n.name})
 	if err := c.Signal(syscall.SIGHUP); err != nil {
-		n.soak.tell(event{Event: "not sent", Target: n.name, Text: err.Error()})
+		n.soak.logEvent(event{Event: "not sent", Target: n.name, Text: err.Error()})
 	}
 }
 
-// startUpstream starts the upstream beside the node, at a new address.
+// startUpstream starts the upstream next to the node, at a new address.
 func (n *node) startUpstream() error {
 	u := &n.upstream
 	u.mu.Lock()
@@ -211,30 +214,30 @@
 	return err
 }
 
-// launchUpstream starts an upstream and waits until it takes calls.
-func (n *node) launchUpstream(name string, more ...string) (*kqchild.Child, error) {
+// launchUpstream starts an upstream and waits until it accepts calls.
+func (n *node) launchUpstream(name string, extra ...string) (*kqchild.Child, error) {
 	up := make(chan struct{})
 	c, err := n.soak.launch(name, append([]string{
 		"upstream", "--service", string(n.service()), "--node", n.address("local"), "--slots", fmt.Sprint(slots),
 		"--tell", "--serves-on", servesOn.String(),
-	}, more...), func(line string) { n.heard(name, line, up) })
+	}, extra...), func(line string) { n.handleEvent(name, line, up) })
 	if err != nil {
 		return nil, err
 	}
-	n.soak.tell(event{Event: "started", Target: name, Text: fmt.Sprint("process ", c.ID())})
+	n.soak.logEvent(event{Event: "started", Target: name, Text: fmt.Sprint("process ", c.ID())})
 	n.soak.watch(name, c)
 	select {
 	case <-up:
 		return c, nil
 	case <-c.Ended():
 		return nil, fmt.Errorf("%s: %w", name, errors.Join(errNotStarted, c.Status()))
-	case <-time.After(startWithin):
+	case <-time.After(startTimeout):
 		return nil, fmt.Errorf("%s: %w", name, errNotStarted)
 	}
 }
 
-// heard takes in what an upstream tells.
-func (n *node) heard(name, line string, up chan<- struct{}) {
+// handleEvent records an event that an upstream printed.
+func (n *node) handleEvent(name, line string, up chan<- struct{}) {
 	var e kqupstream.Event
 	if err := json.Unmarshal([]byte(line), &e); err != nil {
 		return
@@ -249,6 +252,6 @@
 		n.soak.checker.RunEnded(e.Work, name, at)
 	case kqupstream.Goodbye:
 		n.soak.checker.Goodbye(name, at)
-		n.soak.tell(event{Event: "goodbye", Target: name})
+		n.soak.logEvent(event{Event: "goodbye", Target: name})
 	}
 }
--- a/internal/lab/kqsoakrun/settings.go
+++ b/internal/lab/kqsoakrun/settings.go
@@ -12,34 +12,35 @@
 
 const (
 	drainTimeout = 10 * time.Second
-	// nodesPerNet is how many nodes have an address of their own in one net.
-	nodesPerNet = 200
+	// nodesPerSubnet is how many nodes get an address of their own in one subnet.
+	nodesPerSubnet = 200
 )
 
-// roles are the addresses that a node tells.
+// roles are the roles of the addresses that a node prints.
 var roles = []string{"entry", "local", "control", "gate"}
 
-func (n *node) file() string { return filepath.Join(n.soak.folder, n.name+".ini") }
+func (n *node) settingsFile() string { return filepath.Join(n.soak.folder, n.name+".ini") }
 
-// home has the system choose a port, which the node then keeps. Each node has an
-// address of its own, from which no connection goes out: on a shared one, a passing
-// connection may have the port when the node comes back.
-func (n *node) home() string {
-	return fmt.Sprintf("127.1.%d.%d:0", n.number/nodesPerNet, 1+n.number%nodesPerNet)
+// initialAddress has the operating system choose a port, which the node then keeps.
+// Each node has an IP address from which no connection is opened: on a shared one,
+// another process's outgoing connection could hold the port when the node restarts.
+func (n *node) initialAddress() string {
+	return fmt.Sprintf("127.1.%d.%d:0", n.number/nodesPerSubnet, 1+n.number%nodesPerSubnet)
 }
 
 func (n *node) service() kqname.Service { return services[n.number%len(services)] }
 
-// change gives the node other settings, without telling it.
-func (n *node) change() error {
+// changeSettings changes the node's settings file without sending a signal.
+func (n *node) changeSettings() error {
 	n.mu.Lock()
 	n.changes++
 	n.mu.Unlock()
-	return n.write()
+	return n.writeSettings()
 }
 
-// write writes the settings file whole before it takes the old one's place.
-func (n *node) write() error {
+// writeSettings writes the settings to a new file and renames it, so that the node
+// never reads a partial file.
+func (n *node) writeSettings() error {
 	seeds := n.soak.seeds(n)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -47,15 +48,15 @@
 		n.name, n.number%domains, n.service(), drainTimeout)
 	for _, role := range roles {
 		text += fmt.Sprintf("%s_listen = %s\n", role, n.addresses[role])
-		if l, ok := n.lines[kqsoak.Role(role)]; ok {
-			text += fmt.Sprintf("%s_address = %s\n", role, l.proxy.Address())
+		if fp, ok := n.proxies[kqsoak.Role(role)]; ok {
+			text += fmt.Sprintf("%s_address = %s\n", role, fp.proxy.Address())
 		}
 	}
-	text += fmt.Sprintf("[platform]\nurl = %s\n[member]\nseeds = %s\n[log]\nsample = %d\n", n.soak.nodesStore(), seeds, 1+n.changes)
-	if err := os.WriteFile(n.file()+".new", []byte(text), 0o600); err != nil {
+	text += fmt.Sprintf("[platform]\nurl = %s\n[member]\nseeds = %s\n[log]\nsample = %d\n", n.soak.storeURLForNodes(), seeds, 1+n.changes)
+	if err := os.WriteFile(n.settingsFile()+".new", []byte(text), 0o600); err != nil {
 		return fmt.Errorf("write settings: %w", err)
 	}
-	if err := os.Rename(n.file()+".new", n.file()); err != nil {
+	if err := os.Rename(n.settingsFile()+".new", n.settingsFile()); err != nil {
 		return fmt.Errorf("write settings: %w", err)
 	}
 	return nil
@@ -66,10 +67,10 @@
 	text := ""
 	for _, other := range s.nodes[:min(len(s.nodes), 3)] {
 		control := other.address("control")
-		if l, ok := other.lines[kqsoak.RoleControl]; ok && control != other.home() {
-			control = l.proxy.Address()
+		if fp, ok := other.proxies[kqsoak.RoleControl]; ok && control != other.initialAddress() {
+			control = fp.proxy.Address()
 		}
-		if other == n || control == other.home() {
+		if other == n || control == other.initialAddress() {
 			continue
 		}
 		if text != "" {
--- a/internal/lab/kqsoakrun/soak.go
+++ b/internal/lab/kqsoakrun/soak.go
@@ -22,50 +22,53 @@
 
 const (
 	domains = 3
-	// callersPerNode keep the upstreams well below their slots: what is refused is
-	// refused for a fault.
+	// callersPerNode keeps the load well below the upstreams' slots, so that calls are
+	// refused only because of faults.
 	callersPerNode = 8
-	mostCallers    = 160
-	// warmWithin bounds the time until the first call of each route is answered.
-	warmWithin = 60 * time.Second
-	// recovery is the time after the last fault from which on calls are answered, for
-	// as long as the fleet is watched then.
-	recovery   = 10 * time.Second
-	watched    = 3 * time.Second
-	leastShare = 0.95
-	lookEvery  = 50 * time.Millisecond
-	// aftermath is how long a run goes on after a violation, for its story.
-	aftermath = time.Second
+	maxCallers     = 160
+	// warmUpTimeout bounds the time until the first call of each route is answered.
+	warmUpTimeout = 60 * time.Second
+	// recoveryTime is how long the fleet has to recover after the last fault; calls are
+	// then checked for recoveryWindow.
+	recoveryTime     = 10 * time.Second
+	recoveryWindow   = 3 * time.Second
+	minAnsweredShare = 0.95
+	checkInterval    = 50 * time.Millisecond
+	// postViolationTime is how long a run continues after a violation, to record what
+	// follows.
+	postViolationTime = time.Second
 )
 
-// ErrViolated tells that the run ended with violations.
-var ErrViolated = errors.New("what must hold did not")
+// ErrViolated is returned if the run ended with violations.
+var ErrViolated = errors.New("the run ended with violations")
 
 type (
-	// Soak is one run. It is used once.
+	// Soak is one soak run. It is used once.
 	Soak struct {
 		options kqsoak.Options
 		program string
 		folder  string
 		command string
 		began   time.Time
-		checker   *kqsoakcheck.Checker
+		checker *kqsoakcheck.Checker
 
 		storeURL string
 		store    *kqchild.Child
-		// storeLine is what nodes reach the store through, nil for planned work only.
-		storeLine *line
-		nodes     []*node
-		children  children
-		versions  versions
-		timeline  timeline
-		// group holds what follows processes and plays the plan.
+		// storeProxy is the proxy through which nodes reach the store, nil if the plan
+		// has only planned work.
+		storeProxy *faultProxy
+		nodes      []*node
+		children   children
+		versions   versions
+		timeline   timeline
+		// group holds the goroutines that watch processes and play the plan.
 		group conc.WaitGroup
 	}
 
 	versions struct {
 		sync.Mutex
-		// number is that of the last document sent, committed that of the one in force.
+		// number is that of the last document sent, committed that of the last one
+		// committed.
 		number, committed int
 
 		last     kqname.ConfigVersion
@@ -77,15 +80,15 @@
 		file *os.File
 	}
 
-	// children are the processes that run, all started here.
+	// children are the running processes that this run started.
 	children struct {
 		sync.Mutex
-		all    map[*kqchild.Child]bool
-		killed map[*kqchild.Child]bool
-		over   bool
+		all       map[*kqchild.Child]bool
+		wasKilled map[*kqchild.Child]bool
+		over      bool
 	}
 
-	// event is a line of the time line.
+	// event is a line of the timeline.
 	event struct {
 		At     float64       `json:"at"`
 		Event  string        `json:"event"`
@@ -94,7 +97,7 @@
 		Fault  *kqsoak.Fault `json:"fault,omitempty"`
 	}
 
-	// Report is what a run found.
+	// Report is the result of a run.
 	Report struct {
 		Seed       uint64                  `json:"seed"`
 		Command    string                  `json:"command"`
@@ -109,26 +112,27 @@
 	}
 )
 
-// New returns a run of a plan. Its processes are of this program; their output, the
-// time line and the report go to the folder. command is how to play it again.
+// New returns a run of a plan. It runs this executable for all processes; their output,
+// the timeline and the report are written to the folder. command is the command line
+// that repeats the run.
 func New(o kqsoak.Options, folder, command string) (*Soak, error) {
 	program, err := os.Executable()
 	if err != nil {
-		return nil, fmt.Errorf("find this program: %w", err)
+		return nil, fmt.Errorf("locate executable: %w", err)
 	}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return nil, fmt.Errorf("make folder: %w", err)
+		return nil, fmt.Errorf("create folder: %w", err)
 	}
 	f, err := os.Create(filepath.Join(folder, "timeline.jsonl"))
 	if err != nil {
-		return nil, fmt.Errorf("keep time line: %w", err)
+		return nil, fmt.Errorf("create timeline: %w", err)
 	}
 	s := &Soak{options: o, program: program, folder: folder, command: command, began: time.Now(), checker: kqsoakcheck.New(), timeline: timeline{file: f}}
-	s.children.all, s.children.killed = make(map[*kqchild.Child]bool), make(map[*kqchild.Child]bool)
+	s.children.all, s.children.wasKilled = make(map[*kqchild.Child]bool), make(map[*kqchild.Child]bool)
 	for i := range o.Nodes {
 		n := &node{soak: s, number: i, name: fmt.Sprintf("node-%d", i), addresses: make(map[string]string)}
 		for _, role := range roles {
-			n.addresses[role] = n.home()
+			n.addresses[role] = n.initialAddress()
 		}
 		s.nodes = append(s.nodes, n)
 	}
@@ -136,7 +140,7 @@
 }
 
 // Run starts the fleet, plays the plan and ends all processes that it started. The
-// error is ErrViolated where something that must hold did not.
+// error is ErrViolated if there were violations.
 func (s *Soak) Run(ctx context.Context) (Report, error) {
 	defer func() { _ = s.timeline.file.Close() }()
 	plan := kqsoak.Generate(s.options)
@@ -146,7 +150,7 @@
 	}
 	err := s.play(ctx, plan, &r)
 	s.children.end()
-	s.closeLines()
+	s.closeProxies()
 	s.group.Wait()
 	r.Seconds, r.Calls, r.Violations = s.now().Seconds(), s.checker.Tally(), s.checker.Violations()
 	if err == nil && len(r.Violations) > 0 {
@@ -170,43 +174,44 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var callers conc.WaitGroup
-	for i := range min(callersPerNode*len(s.nodes), mostCallers) {
-		c := &caller{soak: s, name: fmt.Sprintf("c%d", i), habit: opener, random: rand.New(rand.NewPCG(s.options.Seed, uint64(i)))}
+	for i := range min(callersPerNode*len(s.nodes), maxCallers) {
+		c := &caller{soak: s, name: fmt.Sprintf("c%d", i), connMode: connPerCall, random: rand.New(rand.NewPCG(s.options.Seed, uint64(i)))}
 		if i%2 == 0 {
-			c.habit = keeper
+			c.connMode = reuseConn
 		}
 		callers.Go(func() { c.run(ctx) })
 	}
-	prober := &caller{soak: s, name: "probe", habit: opener, random: rand.New(rand.NewPCG(s.options.Seed, uint64(mostCallers)))}
+	prober := &caller{soak: s, name: "probe", connMode: connPerCall, random: rand.New(rand.NewPCG(s.options.Seed, uint64(maxCallers)))}
 	callers.Go(func() { s.probe(ctx, prober) })
 	violated := make(chan struct{})
-	callers.Go(func() { s.look(ctx, violated) })
+	callers.Go(func() { s.watchViolations(ctx, violated) })
 	done := make(chan error, 1)
-	s.group.Go(func() { done <- s.faults(ctx, plan) })
+	s.group.Go(func() { done <- s.playPlan(ctx, plan) })
 	var err error
 	select {
 	case <-violated:
-		time.Sleep(aftermath)
+		time.Sleep(postViolationTime)
 	case err = <-done:
 	}
 	r.Processes, r.MemoryMB = s.children.memory()
 	stop()
 	callers.Wait()
-	time.Sleep(2 * aftermath / 3)
+	time.Sleep(2 * postViolationTime / 3)
 	s.checker.EvaluatePending(s.now())
 	return errors.Join(err, context.Cause(outer))
 }
 
-// look judges what is known by now, until something must not be.
-func (s *Soak) look(ctx context.Context, violated chan<- struct{}) {
+// watchViolations evaluates pending calls until the first violation, and then closes
+// violated.
+func (s *Soak) watchViolations(ctx context.Context, violated chan<- struct{}) {
 	for ctx.Err() == nil {
 		s.checker.EvaluatePending(s.now())
 		if len(s.checker.Violations()) > 0 {
-			s.tell(event{Event: "violation", Text: s.checker.Violations()[0].Text})
+			s.logEvent(event{Event: "violation", Text: s.checker.Violations()[0].Text})
 			close(violated)
 			return
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(checkInterval)
 	}
 }
 
@@ -215,13 +220,13 @@
 	if err := s.startStore(); err != nil {
 		return err
 	}
-	if err := s.openLines(); err != nil {
+	if err := s.openProxies(); err != nil {
 		return err
 	}
 	if err := s.commit(ctx); err != nil {
 		return err
 	}
-	// The first tells its address to the others.
+	// The first node's address is the seed of the others.
 	if err := s.nodes[0].start(nil); err != nil {
 		return err
 	}
@@ -241,31 +246,31 @@
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
-	return s.warm(ctx)
+	return s.warmUp(ctx)
 }
 
-// warm waits until each node answers a call of each route.
-func (s *Soak) warm(ctx context.Context) error {
-	end := time.Now().Add(warmWithin)
-	c := &caller{soak: s, name: "warm", habit: opener, random: rand.New(rand.NewPCG(s.options.Seed, 0))}
+// warmUp waits until each node answers a call of each route.
+func (s *Soak) warmUp(ctx context.Context) error {
+	end := time.Now().Add(warmUpTimeout)
+	c := &caller{soak: s, name: "warm", connMode: connPerCall, random: rand.New(rand.NewPCG(s.options.Seed, 0))}
 	for i := range s.nodes {
 		for _, r := range routes {
-			for !c.answered(i, r) {
+			for !c.callSucceeds(i, r) {
 				if ctx.Err() != nil || time.Now().After(end) {
-					return fmt.Errorf("node %d does not answer %s%s: %w", i, r.host, r.path, errNotStarted)
+					return fmt.Errorf("node %d did not answer calls to %s%s: %w", i, r.host, r.path, errNotStarted)
 				}
-				time.Sleep(lookEvery)
+				time.Sleep(checkInterval)
 			}
 		}
 	}
-	s.tell(event{Event: "warm"})
+	s.logEvent(event{Event: "warm"})
 	return nil
 }
 
 func (s *Soak) now() time.Duration { return time.Since(s.began) }
 
-// tell adds a line to the time line.
-func (s *Soak) tell(e event) {
+// logEvent adds a line to the timeline.
+func (s *Soak) logEvent(e event) {
 	s.timeline.Lock()
 	defer s.timeline.Unlock()
 	e.At = s.now().Seconds()
