--- a/internal/lab/kqcut/doc.go
+++ b/internal/lab/kqcut/doc.go
@@ -1,4 +1,4 @@
-// Package kqcut makes a server die the way a lost VM does: every connection
-// breaks at once, whatever is on its way. It also counts the bytes that the
-// connections carry, apart from the code under test.
+// Package kqcut provides a listener that can reset all its connections at once, as when
+// a VM is lost, whatever data is in flight. It also counts the bytes that the
+// connections carry, independently of the code under test.
 package kqcut
--- a/internal/lab/kqcut/listener.go
+++ b/internal/lab/kqcut/listener.go
@@ -7,7 +7,7 @@
 )
 
 type (
-	// Listener is a listener whose connections can be cut together. It is safe
+	// Listener is a net.Listener whose connections can be reset all at once. It is safe
 	// for concurrent use.
 	Listener struct {
 		net.Listener
@@ -24,19 +24,20 @@
 	}
 )
 
-// New returns a listener over l that adds what its connections carry, in both
-// directions, to bytes.
+// New returns a Listener that wraps l and adds the bytes read and written on its
+// connections to bytes.
 func New(l net.Listener, bytes *atomic.Int64) *Listener {
 	return &Listener{Listener: l, bytes: bytes, conns: make(map[*conn]struct{})}
 }
 
-// Accept implements net.Listener. Its errors stay bare, as servers compare them.
+// Accept implements net.Listener. Its errors are not wrapped, since servers compare
+// them.
 func (l *Listener) Accept() (net.Conn, error) {
-	raw, err := l.Listener.Accept()
+	inner, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, listener: l}
+	c := &conn{Conn: inner, listener: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.cut {
@@ -58,7 +59,7 @@
 	}
 }
 
-// NetConn returns the connection beneath.
+// NetConn returns the wrapped connection.
 func (c *conn) NetConn() net.Conn { return c.Conn }
 
 // Read implements net.Conn.
@@ -83,7 +84,7 @@
 	return c.Conn.Close()
 }
 
-// reset drops what is still to be sent, as a lost server would.
+// reset closes the connection and discards unsent data, as when a server is lost.
 func (c *conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/lab/kqfault/doc.go
+++ b/internal/lab/kqfault/doc.go
@@ -1,3 +1,3 @@
-// Package kqfault holds faults that are put into the program on purpose, to see that
-// the soak finds them. A build without the tag kqfault has none of them.
+// Package kqfault defines faults that can be injected into the program, to verify that
+// the soak detects them. Builds without the tag kqfault contain none of them.
 package kqfault
--- a/internal/lab/kqfault/kind.go
+++ b/internal/lab/kqfault/kind.go
@@ -1,17 +1,18 @@
 package kqfault
 
 const (
-	// Reload has a node that was told to stop take the reload signal no more, which
-	// then ends it with its calls.
+	// Reload makes a node stop handling the reload signal once it has been told to
+	// stop. The signal's default action then ends the process and its calls.
 	Reload Kind = "reload"
-	// Repeat has calls sent again that may have run and are not idempotent.
+	// Repeat makes a node retry calls that are not idempotent and may have run.
 	Repeat Kind = "repeat"
-	// Goodbye has a node acknowledge an upstream's goodbye and use it on.
+	// Goodbye makes a node acknowledge an upstream's goodbye but keep sending calls to
+	// it.
 	Goodbye Kind = "goodbye"
 
-	// Variable is the environment variable that names the fault to have.
+	// Variable is the environment variable that selects the fault.
 	Variable = "KUMQUATGW_FAULT"
 )
 
-// Kind names a fault.
+// Kind is the kind of an injected fault.
 type Kind string
--- a/internal/lab/kqfault/none.go
+++ b/internal/lab/kqfault/none.go
@@ -2,5 +2,5 @@
 
 package kqfault
 
-// Planted reports that this program has no such fault.
+// Planted returns false: this build contains no injected faults.
 func Planted(Kind) bool { return false }
--- a/internal/lab/kqproxy/doc.go
+++ b/internal/lab/kqproxy/doc.go
@@ -1,3 +1,3 @@
-// Package kqproxy passes connections on over loopback, and harms them on demand: it
-// delays, holds back, resets or refuses what goes through it.
+// Package kqproxy forwards TCP connections over loopback and injects network faults on
+// demand: it delays, holds back, resets or refuses traffic.
 package kqproxy
--- a/internal/lab/kqproxy/proxy.go
+++ b/internal/lab/kqproxy/proxy.go
@@ -12,34 +12,35 @@
 )
 
 const (
-	// Pass harms nothing.
+	// Pass forwards everything unchanged.
 	Pass Mode = ""
-	// Delay holds each piece of data for a while.
+	// Delay holds back each piece of data for a fixed time.
 	Delay Mode = "delay"
-	// Silence holds back all data both ways until it ends, as a broken line does;
-	// connections stay.
+	// Silence holds back all data in both directions until the mode ends, as a broken
+	// link does. Connections stay open.
 	Silence Mode = "silence"
-	// OneWay holds back what comes from the side that was connected to.
+	// OneWay holds back data from the target to the peers that connected.
 	OneWay Mode = "one_way"
-	// Reset breaks open connections and each new one, once it is there.
+	// Reset resets open connections, and new ones once they are accepted.
 	Reset Mode = "reset"
-	// Down breaks open connections and has nobody listen, as after a process's end.
+	// Down resets open connections and closes the listener, so that new connections are
+	// refused as after a process's end.
 	Down Mode = "down"
 
-	// delay is a far region's trip and more.
+	// delay exceeds the one-way latency to a distant region.
 	delay       = 150 * time.Millisecond
 	dialTimeout = time.Second
-	piece       = 16 << 10
-	// home is an address from which no connection goes out: on another, a passing one
-	// may have the port when the proxy takes it again.
-	home = "127.2.0.1:0"
+	bufferSize  = 16 << 10
+	// listenAddress has an IP address from which no connection is opened: on any other,
+	// an outgoing connection could hold the port when the proxy listens on it again.
+	listenAddress = "127.2.0.1:0"
 )
 
 type (
 	// Mode is how a proxy treats connections.
 	Mode string
 
-	// Proxy passes connections on to a target. It is safe for concurrent use.
+	// Proxy forwards connections to a target. It is safe for concurrent use.
 	Proxy struct {
 		address string
 
@@ -48,23 +49,24 @@
 		mode     Mode
 		changed  chan struct{}
 		listener net.Listener
-		open     map[*pair]bool
+		pairs    map[*connPair]bool
 		closed   bool
 
 		group conc.WaitGroup
 	}
 
-	// pair is one connection that is passed on; there is no far one until data goes.
-	pair struct{ near, far *net.TCPConn }
+	// connPair is a forwarded connection: near was accepted, far was dialed to the
+	// target and is nil until then.
+	connPair struct{ near, far *net.TCPConn }
 )
 
-// New opens a proxy that passes on to a target, which may be told later by Aim.
+// New opens a proxy that forwards to a target. SetTarget may set the target later.
 func New(target string) (*Proxy, error) {
-	l, err := net.Listen("tcp", home)
+	l, err := net.Listen("tcp", listenAddress)
 	if err != nil {
 		return nil, fmt.Errorf("open proxy: %w", err)
 	}
-	p := &Proxy{address: l.Addr().String(), target: target, changed: make(chan struct{}), listener: l, open: make(map[*pair]bool)}
+	p := &Proxy{address: l.Addr().String(), target: target, changed: make(chan struct{}), listener: l, pairs: make(map[*connPair]bool)}
 	p.group.Go(func() { p.accept(l) })
 	return p, nil
 }
@@ -72,67 +74,68 @@
 // Address returns where the proxy listens.
 func (p *Proxy) Address() string { return p.address }
 
-// Aim sets where new connections go.
-func (p *Proxy) Aim(target string) {
+// SetTarget sets the target of new connections.
+func (p *Proxy) SetTarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = target
 }
 
-// Set changes how connections are treated, open ones too.
-func (p *Proxy) Set(m Mode) error {
+// SetMode changes how connections are treated, including open ones.
+func (p *Proxy) SetMode(m Mode) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.mode == m {
 		return nil
 	}
-	was := p.mode
+	previous := p.mode
 	p.mode = m
 	close(p.changed)
 	p.changed = make(chan struct{})
 	if m == Reset || m == Down {
-		p.breakAll()
+		p.resetAll()
 	}
 	if m == Down {
 		return p.listener.Close()
 	}
-	if was == Down {
+	if previous == Down {
 		return p.listen()
 	}
 	return nil
 }
 
-// Close ends the proxy and its connections, and waits for that.
+// Close closes the proxy and its connections and waits until all of its goroutines have
+// ended.
 func (p *Proxy) Close() {
-	p.shut()
+	p.shutdown()
 	p.group.Wait()
 }
 
-func (p *Proxy) shut() {
+func (p *Proxy) shutdown() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
 	p.mode = Pass
 	close(p.changed)
 	p.changed = make(chan struct{})
-	p.breakAll()
+	p.resetAll()
 	_ = p.listener.Close()
 }
 
-// listen takes the address again. The lock is held.
+// listen opens the listener again at the same address. The caller holds mu.
 func (p *Proxy) listen() error {
 	l, err := net.Listen("tcp", p.address)
 	if err != nil {
-		return fmt.Errorf("open proxy again: %w", err)
+		return fmt.Errorf("reopen proxy: %w", err)
 	}
 	p.listener = l
 	p.group.Go(func() { p.accept(l) })
 	return nil
 }
 
-func (p *Proxy) breakAll() {
-	for one := range p.open {
-		one.end(false)
+func (p *Proxy) resetAll() {
+	for cp := range p.pairs {
+		cp.closeBoth(false)
 	}
 }
 
@@ -147,15 +150,15 @@
 			_ = conn.Close()
 			continue
 		}
-		p.group.Go(func() { p.serve(&pair{near: near}) })
+		p.group.Go(func() { p.serve(&connPair{near: near}) })
 	}
 }
 
-// serve passes one connection on until both sides have ended.
-func (p *Proxy) serve(one *pair) {
-	whole := false
-	defer func() { one.end(whole) }()
-	if p.await(true) == Reset {
+// serve forwards one connection until both directions have ended.
+func (p *Proxy) serve(cp *connPair) {
+	complete := false
+	defer func() { cp.closeBoth(complete) }()
+	if p.waitToForward(true) == Reset {
 		return
 	}
 	p.mu.Lock()
@@ -170,34 +173,35 @@
 		_ = conn.Close()
 		return
 	}
-	one.far = far
+	cp.far = far
 	p.mu.Lock()
 	if p.closed || p.mode == Reset || p.mode == Down {
 		p.mu.Unlock()
 		return
 	}
-	p.open[one] = true
+	p.pairs[cp] = true
 	p.mu.Unlock()
 	var group conc.WaitGroup
-	var there, back bool
-	group.Go(func() { there = p.pump(one, one.far, one.near, true) })
-	group.Go(func() { back = p.pump(one, one.near, one.far, false) })
+	var outComplete, backComplete bool
+	group.Go(func() { outComplete = p.forward(cp, cp.far, cp.near, true) })
+	group.Go(func() { backComplete = p.forward(cp, cp.near, cp.far, false) })
 	group.Wait()
-	whole = there && back
+	complete = outComplete && backComplete
 	p.mu.Lock()
-	delete(p.open, one)
+	delete(p.pairs, cp)
 	p.mu.Unlock()
 }
 
-// pump passes data on one way, and the end of it. It reports whether all of it went.
-func (p *Proxy) pump(one *pair, to, from *net.TCPConn, out bool) bool {
-	data := make([]byte, piece)
+// forward copies data in one direction, including the half-close at its end. It reports
+// whether everything was copied.
+func (p *Proxy) forward(cp *connPair, to, from *net.TCPConn, out bool) bool {
+	data := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(data)
-		p.await(out)
+		p.waitToForward(out)
 		if n > 0 {
 			if _, failed := to.Write(data[:n]); failed != nil {
-				one.end(false)
+				cp.closeBoth(false)
 				return false
 			}
 		}
@@ -206,14 +210,15 @@
 		case errors.Is(err, io.EOF):
 			return to.CloseWrite() == nil
 		default:
-			one.end(false)
+			cp.closeBoth(false)
 			return false
 		}
 	}
 }
 
-// await returns once data may go that way, with the mode then.
-func (p *Proxy) await(out bool) Mode {
+// waitToForward waits until the mode lets data pass, to the target if out is set and
+// otherwise from it, and returns the mode at that time.
+func (p *Proxy) waitToForward(out bool) Mode {
 	for {
 		p.mu.Lock()
 		mode, changed := p.mode, p.changed
@@ -230,14 +235,14 @@
 	}
 }
 
-// end closes both sides. Unless all has been passed on, their ends see a broken
-// connection and nothing of what is still on its way.
-func (o *pair) end(whole bool) {
-	for _, c := range []*net.TCPConn{o.near, o.far} {
+// closeBoth closes both connections. Unless complete, it resets them, so that both
+// peers see a broken connection and data in flight is discarded.
+func (cp *connPair) closeBoth(complete bool) {
+	for _, c := range []*net.TCPConn{cp.near, cp.far} {
 		if c == nil {
 			continue
 		}
-		if !whole {
+		if !complete {
 			_ = c.SetLinger(0)
 		}
 		_ = c.Close()
--- a/internal/lab/kqproxy/proxy_test.go
+++ b/internal/lab/kqproxy/proxy_test.go
@@ -12,9 +12,9 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqproxy"
 )
 
-const short = 300 * time.Millisecond
+const answerTimeout = 300 * time.Millisecond
 
-// echo answers each line with the same line.
+// echo starts a server that sends back everything it receives, and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,8 +37,8 @@
 	return l.Addr().String()
 }
 
-func ask(c net.Conn, r *bufio.Reader) error {
-	_ = c.SetDeadline(time.Now().Add(short))
+func exchange(c net.Conn, r *bufio.Reader) error {
+	_ = c.SetDeadline(time.Now().Add(answerTimeout))
 	if _, err := io.WriteString(c, "hello\n"); err != nil {
 		return err
 	}
@@ -46,10 +46,11 @@
 	return err
 }
 
-// A fault that harms less than it says finds nothing, and one that goes on after its
-// end is blamed on the program. Silence holds what is on its way and lets it go
-// afterwards; a reset breaks at once; while down, nobody listens.
-func TestProxyHarmsAndEnds(t *testing.T) {
+// A mode without its full effect would let a soak run find nothing, and one that lasts
+// beyond its end would be blamed on the program under test. Silence must hold back data
+// in flight and release it afterwards; Reset must break connections at once; while
+// Down, connections must be refused.
+func TestModesTakeEffectAndEnd(t *testing.T) {
 	p, err := kqproxy.New(echo(t))
 	if err != nil {
 		t.Fatal(err)
@@ -63,14 +64,14 @@
 			}
 			defer func() { _ = c.Close() }()
 			r := bufio.NewReader(c)
-			if err := ask(c, r); err != nil {
-				t.Fatalf("before: %v", err)
+			if err := exchange(c, r); err != nil {
+				t.Fatalf("call before the fault: %v", err)
 			}
-			if err := p.Set(m); err != nil {
+			if err := p.SetMode(m); err != nil {
 				t.Fatal(err)
 			}
 			began := time.Now()
-			err = ask(c, r)
+			err = exchange(c, r)
 			held := errors.Is(err, os.ErrDeadlineExceeded)
 			switch m {
 			case kqproxy.Silence, kqproxy.OneWay:
@@ -79,40 +80,40 @@
 				}
 			case kqproxy.Delay:
 				if !held && time.Since(began) < 2*100*time.Millisecond {
-					t.Errorf("answered after %v", time.Since(began))
+					t.Errorf("answered after %v, want a delay", time.Since(began))
 				}
 			default:
 				if err == nil || held {
 					t.Errorf("got %v, want a broken connection", err)
 				}
 			}
-			fresh(t, p.Address(), m)
-			if err := p.Set(kqproxy.Pass); err != nil {
+			checkNewConnection(t, p.Address(), m)
+			if err := p.SetMode(kqproxy.Pass); err != nil {
 				t.Fatal(err)
 			}
 			if held {
 				_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 				if _, err := r.ReadString('\n'); err != nil {
-					t.Errorf("what was held: %v", err)
+					t.Errorf("read held data after the fault: %v", err)
 				}
 			}
 		})
 	}
 }
 
-// fresh wants a new connection to be treated by the mode, too. One that is reset may
-// be so before or after the system tells that it is there.
-func fresh(t *testing.T, address string, m kqproxy.Mode) {
+// checkNewConnection checks that the mode applies to a new connection too. A reset can
+// arrive before or after the operating system reports the connection as established.
+func checkNewConnection(t *testing.T, address string, m kqproxy.Mode) {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", address, short)
+	c, err := net.DialTimeout("tcp", address, answerTimeout)
 	if err != nil {
 		if m != kqproxy.Down && m != kqproxy.Reset {
-			t.Errorf("new connection: %v", err)
+			t.Errorf("open new connection: %v", err)
 		}
 		return
 	}
 	defer func() { _ = c.Close() }()
-	err = ask(c, bufio.NewReader(c))
+	err = exchange(c, bufio.NewReader(c))
 	if held := errors.Is(err, os.ErrDeadlineExceeded); m == kqproxy.Down || m == kqproxy.Reset && (err == nil || held) {
 		t.Errorf("new connection in mode %s: %v", m, err)
 	}
--- a/internal/lab/kqsoakrun/process.go
+++ b/internal/lab/kqsoakrun/process.go
@@ -174,7 +174,7 @@
 	for _, role := range roles {
 		n.addresses[role] = found[role]
 		if fp, ok := n.proxies[kqsoak.Role(role)]; ok {
-			fp.proxy.Aim(found[role])
+			fp.proxy.SetTarget(found[role])
 		}
 	}
 	n.mu.Unlock()
--- a/internal/lab/kqsoakrun/unplanned.go
+++ b/internal/lab/kqsoakrun/unplanned.go
@@ -129,7 +129,7 @@
 	fp.mu.Lock()
 	fp.generation++
 	generation := fp.generation
-	err := fp.proxy.Set(f.Mode)
+	err := fp.proxy.SetMode(f.Mode)
 	fp.mu.Unlock()
 	if err != nil {
 		return fmt.Errorf("disrupt connections: %w", err)
@@ -140,7 +140,7 @@
 	if fp.generation != generation {
 		return nil
 	}
-	if err := fp.proxy.Set(kqproxy.Pass); err != nil {
+	if err := fp.proxy.SetMode(kqproxy.Pass); err != nil {
 		return fmt.Errorf("restore connections: %w", err)
 	}
 	s.logEvent(event{Event: "fault ended", Target: n.name, Fault: &f})
--- a/internal/lab/kqtick/doc.go
+++ b/internal/lab/kqtick/doc.go
@@ -1,2 +1,2 @@
-// Package kqtick holds one tick of a rollout as traces record it.
+// Package kqtick defines one tick of a rollout as it is recorded in traces.
 package kqtick
--- a/internal/lab/kqtick/tick.go
+++ b/internal/lab/kqtick/tick.go
@@ -2,7 +2,8 @@
 
 import "github.com/kumquatgw/kumquatgw/internal/rollout/kqevidence"
 
-// Tick is what both versions did in one tick, and the slots that they had.
+// Tick is the input of one rollout tick: the calls of both versions during the tick and
+// the slots that each version has.
 type Tick struct {
 	OldSlots  int               `json:"old_slots"`
 	NewSlots  int               `json:"new_slots"`
