--- a/internal/lab/kqnodes/document.go
+++ b/internal/lab/kqnodes/document.go
@@ -13,9 +13,10 @@
 	team             = kqname.Team("lab")
 )
 
-// Document returns a document of 89 services and 1,958 routes on 89 hosts. Each
-// host leads to its own service and, on two of its routes, to two others.
-// Every number gives another version: one service and one host differ.
+// Document returns a document of 89 services and 1,958 routes on 89 hosts. The routes
+// of each host lead to its own service, except two that lead to two other services.
+// Each number gives another version, in which one service and one route have different
+// timeouts.
 func Document(number int) kqdocument.Document {
 	d := kqdocument.Document{
 		Teams:    []kqdocument.Team{{Name: team}},
@@ -24,13 +25,13 @@
 	for i := range services {
 		d.Services = append(d.Services, kqdocument.Service{Name: service(i), Team: team, Version: "v1", TimeoutMS: 1000})
 		for j := range routesPerService {
-			to := i
+			target := i
 			if j > routesPerService-3 {
-				to = i + j
+				target = i + j
 			}
 			d.Routes = append(d.Routes, kqdocument.Route{
 				Name: kqname.Route(fmt.Sprintf("%s-%02d", service(i), j)), Team: team, Host: host(i),
-				PathPrefix: fmt.Sprintf("/area-%02d/", j), Service: service(to), TimeoutMS: 500,
+				PathPrefix: fmt.Sprintf("/area-%02d/", j), Service: service(target), TimeoutMS: 500,
 			})
 		}
 	}
--- a/internal/lab/kqnodes/fault.go
+++ b/internal/lab/kqnodes/fault.go
@@ -9,11 +9,11 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
 )
 
-// prefetchPause is the time that replaced nodes have before their first calls.
+// prefetchPause is how long replaced nodes run before their first calls.
 const prefetchPause = time.Second
 
-// fault brings about the faults that stand beside the changes.
-func (b *bench) fault(ctx context.Context) error {
+// injectFault runs the faults that take place apart from the changes.
+func (b *bench) injectFault(ctx context.Context) error {
 	switch b.plan.Fault {
 	case FaultPlatformDown:
 		return b.platformDown(ctx)
@@ -24,10 +24,10 @@
 	}
 }
 
-// platformDown replaces a tenth of the nodes while the platform does not
-// answer; the others' seeds are all that the new ones know.
+// platformDown replaces a tenth of the nodes while the platform does not answer. The
+// new nodes know only the addresses of the others as seeds.
 func (b *bench) platformDown(ctx context.Context) error {
-	b.fallen()
+	b.regressions()
 	b.fleet.platform.SetFaults(kqstandin.Faults{Down: true})
 	defer b.fleet.platform.SetFaults(kqstandin.Faults{})
 	time.Sleep(b.plan.Idle / 2)
@@ -36,35 +36,35 @@
 	if err := b.fleet.start(numbers, b.fleet.seeds()); err != nil {
 		return err
 	}
-	took, err := b.fleet.await(ctx, b.version, at, changeWait)
+	took, err := b.fleet.awaitVersion(ctx, b.version, at, changeTimeout)
 	if err != nil {
-		return fmt.Errorf("replace %d nodes without the platform: %w", len(numbers), err)
+		return fmt.Errorf("replace %d nodes while the platform is down: %w", len(numbers), err)
 	}
 	b.run.Replaced, b.run.ReplacedMS = len(numbers), float64(took.Milliseconds())
 	time.Sleep(prefetchPause)
-	var fresh []*member
+	var replaced []*member
 	for _, m := range b.fleet.members() {
 		if slices.Contains(numbers, m.number) {
-			fresh = append(fresh, m)
+			replaced = append(replaced, m)
 		}
 	}
-	waits, err := b.fleet.want(ctx, fresh)
+	waits, err := b.fleet.requestHosts(ctx, replaced)
 	if err != nil {
 		return err
 	}
 	wait := convergence(waits)
 	b.run.FirstCallWait = &wait
-	for _, m := range fresh {
+	for _, m := range replaced {
 		sent, received := m.Metrics().ControlBytes()
-		b.run.ReplacedBytes += float64(sent+received) / float64(len(fresh))
+		b.run.ReplacedBytes += float64(sent+received) / float64(len(replaced))
 	}
 	time.Sleep(b.plan.Idle / 2)
-	b.run.VersionsFallen = b.fallen()
+	b.run.VersionRegressions = b.regressions()
 	return nil
 }
 
-// herdRestart kills every node, commits a version meanwhile and starts all of
-// them again, with the platform's rates in force.
+// herdRestart kills every node, commits a version while they are down, and restarts all
+// of them with the platform's rate limits in force.
 func (b *bench) herdRestart(ctx context.Context) error {
 	numbers := b.fleet.kill(func(int) bool { return true })
 	if _, err := b.commit(ctx); err != nil {
@@ -75,11 +75,11 @@
 	if err := b.fleet.start(numbers, nil); err != nil {
 		return err
 	}
-	took, err := b.fleet.await(ctx, b.version, at, changeWait)
+	took, err := b.fleet.awaitVersion(ctx, b.version, at, changeTimeout)
 	if err != nil {
 		return fmt.Errorf("restart %d nodes: %w", len(numbers), err)
 	}
 	b.run.Replaced, b.run.ReplacedMS = len(numbers), float64(took.Milliseconds())
-	_, err = b.fleet.want(ctx, b.fleet.members())
+	_, err = b.fleet.requestHosts(ctx, b.fleet.members())
 	return err
 }
--- a/internal/lab/kqnodes/fleet.go
+++ b/internal/lab/kqnodes/fleet.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	domains         = 4
-	regions         = 2
-	nodesPerService = 6
-	hostsPerNode    = 3
-	seeds           = 3
-	pollEvery       = 2 * time.Millisecond
-	startTogether   = 16
+	domains           = 4
+	regions           = 2
+	nodesPerService   = 6
+	hostsPerNode      = 3
+	seeds             = 3
+	pollEvery         = 2 * time.Millisecond
+	maxParallelStarts = 16
 )
 
 type (
-	// fleet is the nodes of one run and the platform that they share.
+	// fleet holds the nodes of one run and the platform that they share.
 	fleet struct {
 		platform *kqstandin.Standin
 		store    *meteredStore
 		strategy string
 		prefetch bool
-		// kinds is how many services the nodes stand beside: 6 nodes each, as at
+		// usedServices is how many services have nodes: one for every 6 nodes, as with
 		// 550 nodes and 89 services.
-		kinds int
-		group conc.WaitGroup
+		usedServices int
+		group        conc.WaitGroup
 
 		mu    sync.Mutex
 		nodes []*member
-		// retired sums the control bytes of nodes that were killed.
-		retired uint64
+		// killedBytes sums the control bytes of nodes that were killed.
+		killedBytes uint64
 	}
 
 	member struct {
@@ -53,13 +53,14 @@
 
 func newFleet(strategy string, prefetch bool, count int) *fleet {
 	platform := kqstandin.New()
-	return &fleet{platform: platform, store: &meteredStore{Store: platform}, strategy: strategy, prefetch: prefetch, kinds: min(max(count/nodesPerService, 1), services)}
+	return &fleet{platform: platform, store: &meteredStore{Store: platform}, strategy: strategy, prefetch: prefetch, usedServices: min(max(count/nodesPerService, 1), services)}
 }
 
-// start runs the nodes of the given numbers, some at a time. A node that is
-// started again under its number is a replaced VM: another address, no memory.
+// start starts the nodes with the given numbers, a few in parallel. A node that is
+// started again under its number stands for a replaced VM: it has another address and
+// no state.
 func (f *fleet) start(numbers []int, known []kqname.Address) error {
-	p := pool.New().WithErrors().WithMaxGoroutines(startTogether)
+	p := pool.New().WithErrors().WithMaxGoroutines(maxParallelStarts)
 	for _, i := range numbers {
 		p.Go(func() error { return f.startOne(i, known) })
 	}
@@ -74,7 +75,7 @@
 	s.Node.Name = kqname.Node(fmt.Sprintf("node-%03d", i))
 	s.Node.Domain = kqname.Domain(fmt.Sprintf("domain-%d", i%domains))
 	s.Node.Region = kqname.Region(fmt.Sprintf("region-%d", i%domains%regions))
-	s.Node.Service = service(i % f.kinds)
+	s.Node.Service = service(i % f.usedServices)
 	for _, a := range []*kqname.Address{&s.Node.EntryListen, &s.Node.LocalListen, &s.Node.GateListen, &s.Node.ControlListen} {
 		*a = "127.0.0.1:0"
 	}
@@ -93,19 +94,19 @@
 	f.mu.Unlock()
 	f.group.Go(func() {
 		defer close(m.done)
-		// A killed node has nobody left to tell of its error.
+		// The error is dropped: a node runs until it is killed.
 		_ = n.Run(ctx)
 	})
 	return nil
 }
 
-// kill ends the chosen nodes without a goodbye.
-func (f *fleet) kill(chosen func(number int) bool) []int {
+// kill stops the selected nodes without a goodbye and returns their numbers.
+func (f *fleet) kill(selected func(number int) bool) []int {
 	f.mu.Lock()
 	var numbers []int
 	var killed, kept []*member
 	for _, m := range f.nodes {
-		if chosen(m.number) {
+		if selected(m.number) {
 			numbers, killed = append(numbers, m.number), append(killed, m)
 		} else {
 			kept = append(kept, m)
@@ -119,7 +120,7 @@
 	for _, m := range killed {
 		<-m.done
 		sent, received := m.Metrics().ControlBytes()
-		f.retired += sent + received
+		f.killedBytes += sent + received
 	}
 	return numbers
 }
@@ -136,63 +137,64 @@
 }
 
 func (f *fleet) seeds() []kqname.Address {
-	var list []kqname.Address
+	var addresses []kqname.Address
 	for _, m := range f.members() {
-		if len(list) < seeds {
-			list = append(list, m.ControlAddress())
+		if len(addresses) < seeds {
+			addresses = append(addresses, m.ControlAddress())
 		}
 	}
-	return list
+	return addresses
 }
 
-// await returns how long it took until every node had the version, or how many
-// had not when the time was over.
-func (f *fleet) await(ctx context.Context, v kqname.ConfigVersion, since time.Time, most time.Duration) (time.Duration, error) {
+// awaitVersion waits until every node has at least the given version and returns the
+// time that took since a given moment. After the timeout it returns an error that
+// counts the nodes without the version.
+func (f *fleet) awaitVersion(ctx context.Context, v kqname.ConfigVersion, since time.Time, timeout time.Duration) (time.Duration, error) {
 	waiting := f.members()
 	for {
-		var late []*member
+		var behind []*member
 		for _, m := range waiting {
 			if m.Version() < v {
-				late = append(late, m)
+				behind = append(behind, m)
 			}
 		}
 		took := time.Since(since)
-		if len(late) == 0 {
+		if len(behind) == 0 {
 			return took, nil
 		}
-		if took > most || ctx.Err() != nil {
-			return took, fmt.Errorf("wait %s for version %d: %d nodes do not have it, %s among them", most, v, len(late), late[0].Name())
+		if took > timeout || ctx.Err() != nil {
+			return took, fmt.Errorf("waited %s for version %d: %d nodes do not have it, among them %s", timeout, v, len(behind), behind[0].Name())
 		}
-		waiting = late
+		waiting = behind
 		time.Sleep(pollEvery)
 	}
 }
 
-// want gives nodes traffic for a few hosts, the same for all nodes of a service,
-// and returns how long each first call waited.
-func (f *fleet) want(ctx context.Context, nodes []*member) ([]time.Duration, error) {
-	p := pool.NewWithResults[time.Duration]().WithErrors().WithMaxGoroutines(startTogether)
+// requestHosts makes nodes request a few hosts each, the same ones for all nodes of a
+// service, and returns how long each first request took.
+func (f *fleet) requestHosts(ctx context.Context, nodes []*member) ([]time.Duration, error) {
+	p := pool.NewWithResults[time.Duration]().WithErrors().WithMaxGoroutines(maxParallelStarts)
 	for _, m := range nodes {
 		for j := range hostsPerNode {
 			p.Go(func() (time.Duration, error) {
 				began := time.Now()
-				kind := m.number % f.kinds
-				_, err := m.Want(ctx, host(kind+j*(kind+1)))
+				index := m.number % f.usedServices
+				_, err := m.Want(ctx, host(index+j*(index+1)))
 				return time.Since(began), err
 			})
 		}
 	}
 	waits, err := p.Wait()
 	if err != nil {
-		return nil, fmt.Errorf("want hosts: %w", err)
+		return nil, fmt.Errorf("request hosts: %w", err)
 	}
 	return waits, nil
 }
 
-// controlBytes sums what all nodes sent and received on control links, and what
-// they exchanged with the platform's service.
+// controlBytes sums what all nodes sent and received on control connections and
+// exchanged with the platform's service.
 func (f *fleet) controlBytes() uint64 {
-	total := f.store.bytes.Load() + f.retired
+	total := f.store.bytes.Load() + f.killedBytes
 	for _, m := range f.members() {
 		sent, received := m.Metrics().ControlBytes()
 		total += sent + received
--- a/internal/lab/kqnodes/measure.go
+++ b/internal/lab/kqnodes/measure.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// FaultNone measures the fleet as it is.
+	// FaultNone injects no fault.
 	FaultNone Fault = "none"
-	// FaultTenthAndDomain kills a tenth of the nodes and a whole failure domain
-	// at the moment of a change.
+	// FaultTenthAndDomain kills a tenth of the nodes and a whole failure domain at the
+	// moment of a change.
 	FaultTenthAndDomain Fault = "tenth_and_domain"
-	// FaultPlatformDown takes the platform away and replaces a tenth of the
-	// nodes meanwhile.
+	// FaultPlatformDown makes the platform unavailable and replaces a tenth of the
+	// nodes during that time.
 	FaultPlatformDown Fault = "platform_down"
 	// FaultHerdRestart kills all nodes and starts them again within a second.
 	FaultHerdRestart Fault = "herd_restart"
 
-	// leastIdle is the shortest watch of an idle fleet: three heartbeats of a second.
-	// A watch that is shorter than one counts the bytes of a whole heartbeat, or of
-	// the start, as if they came all the time, and the changes seem to cost less than
-	// nothing.
-	leastIdle  = 3 * time.Second
-	startWait  = 60 * time.Second
-	changeWait = 30 * time.Second
-	// maxReads and maxWrites are the platform's rates, in calls per second.
+	// minIdle is the shortest time for which an idle fleet is measured: three
+	// heartbeats of one second. A time shorter than one heartbeat would count the bytes
+	// of a whole heartbeat, or of the start, as a constant rate, and the cost of
+	// changes would come out negative.
+	minIdle       = 3 * time.Second
+	startTimeout  = 60 * time.Second
+	changeTimeout = 30 * time.Second
+	// maxReads and maxWrites are the platform's rate limits, in calls per second.
 	maxReads  = 2000
 	maxWrites = 300
 )
@@ -39,7 +39,7 @@
 	// Fault is what goes wrong during a measurement.
 	Fault string
 
-	// Plan says what to measure.
+	// Plan configures a measurement.
 	Plan struct {
 		Counts   []int
 		Strategy string
@@ -47,25 +47,25 @@
 		Changes  int
 		// Prefetch lets starting nodes take over the hosts of their peers.
 		Prefetch bool
-		// Idle is how long the settled fleet is watched without changes.
+		// Idle is how long the settled fleet is measured without changes.
 		Idle time.Duration
 		// Gap is the pause between two changes.
 		Gap time.Duration
 	}
 
-	// Measurement runs fleets of growing size. It is used once.
+	// Measurement measures fleets of increasing size. It is used once.
 	Measurement struct {
 		plan Plan
 	}
 
-	// bench is one run under way.
+	// bench is the state of one run.
 	bench struct {
-		plan    Plan
-		fleet   *fleet
-		commits *kqcommit.Committer
-		version kqname.ConfigVersion
-		held    map[string]kqname.ConfigVersion
-		run     Run
+		plan         Plan
+		fleet        *fleet
+		commits      *kqcommit.Committer
+		version      kqname.ConfigVersion
+		lastVersions map[string]kqname.ConfigVersion
+		run          Run
 	}
 
 	// usage is what the fleet has used up to a moment.
@@ -76,51 +76,52 @@
 	}
 )
 
-// New returns a measurement of a plan.
+// New returns a measurement with the given plan.
 func New(p Plan) *Measurement { return &Measurement{plan: p} }
 
-// Run measures each count in turn; told hears of each run as it ends.
-func (m *Measurement) Run(ctx context.Context, told func(Run)) (Result, error) {
+// Run measures each count in turn and calls onRun with each run as it ends.
+func (m *Measurement) Run(ctx context.Context, onRun func(Run)) (Result, error) {
 	r := Result{Strategy: m.plan.Strategy, Fault: string(m.plan.Fault)}
 	for _, count := range m.plan.Counts {
-		run, err := m.once(ctx, count)
+		run, err := m.measure(ctx, count)
 		if err != nil {
 			return r, fmt.Errorf("measure %d nodes: %w", count, err)
 		}
 		r.Runs = append(r.Runs, run)
-		told(run)
+		onRun(run)
 	}
 	r.Slopes = slopes(r.Runs)
 	return r, nil
 }
 
-func (m *Measurement) once(ctx context.Context, count int) (Run, error) {
+func (m *Measurement) measure(ctx context.Context, count int) (Run, error) {
 	before := memory()
 	f := newFleet(m.plan.Strategy, m.plan.Prefetch, count)
 	defer f.close()
 	b := &bench{
 		plan: m.plan, fleet: f, commits: kqcommit.New(f.platform),
-		held: make(map[string]kqname.ConfigVersion), run: Run{Nodes: count},
+		lastVersions: make(map[string]kqname.ConfigVersion), run: Run{Nodes: count},
 	}
 	if _, err := b.commit(ctx); err != nil {
 		return b.run, err
 	}
-	if err := b.settle(ctx, count); err != nil {
+	if err := b.startFleet(ctx, count); err != nil {
 		return b.run, err
 	}
-	idle := b.idle()
+	idleByteRate := b.idleByteRate()
 	b.run.MemoryBytes = (memory() - before) / float64(count)
-	err := b.fault(ctx)
+	err := b.injectFault(ctx)
 	if err == nil {
-		err = b.change(ctx, idle)
+		err = b.measureChanges(ctx, idleByteRate)
 	}
 	c := f.platform.Counts()
 	b.run.PlatformPeakReads, b.run.PlatformPeakWrites, b.run.PlatformRefused = c.PeakReads, c.PeakWrites, c.Refused
 	return b.run, err
 }
 
-// settle starts the fleet, a few nodes first, and gives it traffic.
-func (b *bench) settle(ctx context.Context, count int) error {
+// startFleet starts the fleet, a few nodes first as seeds, and makes its first
+// requests.
+func (b *bench) startFleet(ctx context.Context, count int) error {
 	began := time.Now()
 	first, rest := split(count, seeds)
 	if err := b.fleet.start(first, nil); err != nil {
@@ -129,16 +130,17 @@
 	if err := b.fleet.start(rest, b.fleet.seeds()); err != nil {
 		return err
 	}
-	if _, err := b.fleet.await(ctx, b.version, began, startWait); err != nil {
+	if _, err := b.fleet.awaitVersion(ctx, b.version, began, startTimeout); err != nil {
 		return err
 	}
-	_, err := b.fleet.want(ctx, b.fleet.members())
+	_, err := b.fleet.requestHosts(ctx, b.fleet.members())
 	return err
 }
 
-// idle watches the fleet without changes and returns its bytes per second.
-func (b *bench) idle() float64 {
-	watch := max(b.plan.Idle, leastIdle)
+// idleByteRate measures the fleet without changes, records its usage in the run and
+// returns its control bytes per second and node.
+func (b *bench) idleByteRate() float64 {
+	watch := max(b.plan.Idle, minIdle)
 	time.Sleep(watch / 2)
 	before := b.usage()
 	time.Sleep(watch)
@@ -151,8 +153,9 @@
 	return b.run.Bytes.Idle
 }
 
-// change commits versions one after the other and waits for each everywhere.
-func (b *bench) change(ctx context.Context, idle float64) error {
+// measureChanges commits versions one after another and waits until every node has
+// each.
+func (b *bench) measureChanges(ctx context.Context, idleByteRate float64) error {
 	if b.plan.Fault == FaultPlatformDown {
 		return nil
 	}
@@ -166,12 +169,12 @@
 		if i == b.plan.Changes/2 && b.plan.Fault == FaultTenthAndDomain {
 			b.fleet.kill(func(n int) bool { return n%10 == 7 || n%domains == domains-1 })
 		}
-		took, err := b.fleet.await(ctx, b.version, at, changeWait)
+		took, err := b.fleet.awaitVersion(ctx, b.version, at, changeTimeout)
 		if err != nil {
 			return err
 		}
 		times = append(times, took)
-		b.run.VersionsFallen += b.fallen()
+		b.run.VersionRegressions += b.regressions()
 		time.Sleep(b.plan.Gap)
 	}
 	after := b.usage()
@@ -181,12 +184,12 @@
 	b.run.Convergence = convergence(times)
 	b.run.Bytes.Changing = float64(after.bytes-before.bytes) / seconds / nodes
 	b.run.CPUShareChanging = (after.cpu - before.cpu).Seconds() / seconds / nodes
-	b.run.BytesPerChange = (b.run.Bytes.Changing - idle) * seconds / changes
+	b.run.BytesPerChange = (b.run.Bytes.Changing - idleByteRate) * seconds / changes
 	b.run.PlatformCallsChange = (float64(after.calls-before.calls) - b.run.PlatformCalls*seconds) / changes
 	return nil
 }
 
-// commit puts the next version in force and returns when that was.
+// commit commits the next version and returns the time of the commit.
 func (b *bench) commit(ctx context.Context) (time.Time, error) {
 	at := time.Now()
 	o, err := b.commits.Commit(ctx, kqcommit.Request{
@@ -197,28 +200,29 @@
 		return at, err
 	}
 	if o.Status != kqcommit.Committed {
-		return at, fmt.Errorf("change %s ended as %s", o.RequestID, o.Status)
+		return at, fmt.Errorf("commit of request %s ended with status %s", o.RequestID, o.Status)
 	}
 	b.version = o.Version
 	return at, nil
 }
 
-// fallen counts the nodes whose version is below one that they held.
-func (b *bench) fallen() int {
-	fallen := 0
+// regressions counts the nodes whose version is lower than at the previous call, and
+// records their current versions.
+func (b *bench) regressions() int {
+	regressions := 0
 	for _, m := range b.fleet.members() {
 		key, v := string(m.ControlAddress()), m.Version()
-		if v < b.held[key] {
-			fallen++
+		if v < b.lastVersions[key] {
+			regressions++
 		}
-		b.held[key] = v
+		b.lastVersions[key] = v
 	}
-	return fallen
+	return regressions
 }
 
 func (b *bench) usage() usage {
 	var r syscall.Rusage
-	// The only error is a bad argument, which RUSAGE_SELF is not.
+	// Getrusage fails only for invalid arguments, and RUSAGE_SELF is valid.
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	return usage{
 		at: time.Now(), cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()),
--- a/internal/lab/kqnodes/nodes_test.go
+++ b/internal/lab/kqnodes/nodes_test.go
@@ -11,10 +11,10 @@
 func TestDocumentIsValid(t *testing.T) {
 	d := kqnodes.Document(3)
 	if problems := kqdocument.Validate(d); len(problems) > 0 {
-		t.Fatalf("document: %v", problems[0])
+		t.Fatalf("document is not valid: %v", problems[0])
 	}
 	if len(d.Services) != 89 || len(d.Routes) < 1900 {
-		t.Fatalf("document has %d services and %d routes", len(d.Services), len(d.Routes))
+		t.Fatalf("document has %d services and %d routes, want 89 and at least 1900", len(d.Services), len(d.Routes))
 	}
 }
 
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if run := r.Runs[0]; run.Convergence.Max <= 0 || run.BytesPerChange <= 0 || run.VersionsFallen != 0 {
-		t.Fatalf("run: %+v", run)
+	if run := r.Runs[0]; run.Convergence.Max <= 0 || run.BytesPerChange <= 0 || run.VersionRegressions != 0 {
+		t.Fatalf("run %+v, want convergence and bytes above 0 and no version regressions", run)
 	}
 }
--- a/internal/lab/kqnodes/result.go
+++ b/internal/lab/kqnodes/result.go
@@ -6,24 +6,26 @@
 )
 
 type (
-	// Result is what one measurement found.
+	// Result is the result of one measurement.
 	Result struct {
 		Strategy string `json:"strategy"`
 		Fault    string `json:"fault"`
 		Runs     []Run  `json:"runs"`
-		// Slopes tell how much each figure grows with one more node.
+		// Slopes are how much each figure grows with each additional node.
 		Slopes Slopes `json:"slopes"`
 	}
 
-	// Run is the measurement of one fleet. Bytes are those sent and those
-	// received, with the platform's keys and values; processor time and memory
-	// are the whole process's over its nodes, the stand-in included.
+	// Run is the measurement of one fleet. Bytes count what was sent and what was
+	// received, including the keys and values exchanged with the platform. Processor
+	// time and memory are those of the whole process divided by the number of nodes, so
+	// they include the stand-in.
 	Run struct {
 		Nodes       int         `json:"nodes"`
 		Changes     int         `json:"changes"`
 		Convergence Convergence `json:"convergence_ms"`
 		Bytes       Bytes       `json:"control_bytes_per_node_per_second"`
-		// BytesPerChange is over what the idle fleet would have used, a node.
+		// BytesPerChange is the traffic of one node per change, beyond that of the idle
+		// fleet.
 		BytesPerChange      float64 `json:"control_bytes_per_change"`
 		CPUShare            float64 `json:"cpu_share_per_node"`
 		CPUShareChanging    float64 `json:"cpu_share_per_node_changing"`
@@ -33,24 +35,25 @@
 		PlatformPeakReads   uint64  `json:"platform_peak_reads_per_second"`
 		PlatformPeakWrites  uint64  `json:"platform_peak_writes_per_second"`
 		PlatformRefused     uint64  `json:"platform_refused"`
-		VersionsFallen      int     `json:"versions_fallen"`
+		VersionRegressions  int     `json:"versions_fallen"`
 		Replaced            int     `json:"replaced_nodes,omitempty"`
 		ReplacedMS          float64 `json:"replaced_current_ms,omitempty"`
-		// FirstCallWait is how long replaced nodes' first calls of each host
-		// waited, and ReplacedBytes the control bytes of one until then.
+		// FirstCallWait is how long the first call to each host waited at replaced
+		// nodes; ReplacedBytes is the average control traffic of a replaced node until
+		// then.
 		FirstCallWait *Convergence `json:"first_call_wait_ms,omitempty"`
 		ReplacedBytes float64      `json:"replaced_control_bytes,omitempty"`
 	}
 
-	// Convergence is the time from the commit until the last live node had
-	// the version in force, in milliseconds, over all changes.
+	// Convergence holds percentiles of times in milliseconds. For changes, each time is
+	// that from the commit until the last live node had the version in force.
 	Convergence struct {
 		P50 float64 `json:"p50"`
 		P99 float64 `json:"p99"`
 		Max float64 `json:"max"`
 	}
 
-	// Bytes are control bytes of a node in a second.
+	// Bytes are the control bytes of a node per second.
 	Bytes struct {
 		Idle     float64 `json:"idle"`
 		Changing float64 `json:"changing"`
--- a/internal/lab/kqnodes/store.go
+++ b/internal/lab/kqnodes/store.go
@@ -8,9 +8,9 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
-// meteredStore counts the calls that nodes make to the platform's service and
-// the bytes of their keys and values. The framing of the service's protocol is
-// left out, which favours whoever calls it most.
+// meteredStore counts the calls that nodes make to the platform's service and the bytes
+// of their keys and values. The protocol's framing is not counted, which favours
+// strategies that make many calls.
 type meteredStore struct {
 	kqstore.Store
 	calls, bytes atomic.Uint64
--- a/internal/lab/kqsoakrun/process.go
+++ b/internal/lab/kqsoakrun/process.go
@@ -243,7 +243,7 @@
 		return
 	}
 	at := e.At.Sub(n.soak.began)
-	switch e.Step {
+	switch e.Kind {
 	case kqupstream.Listening:
 		close(up)
 	case kqupstream.Begun:
--- /dev/null
+++ b/internal/lab/kqupstream/event.go
@@ -0,0 +1,63 @@
+package kqupstream
+
+import "time"
+
+const (
+	// HeaderWorkMS is the request header that sets how many milliseconds the call
+	// takes, one minute at most, instead of the upstream's own time.
+	HeaderWorkMS = "Work-Ms"
+
+	// Listening is the event that the upstream starts to accept calls.
+	Listening Kind = "listening"
+	// Begun is the event that a run of a call began.
+	Begun Kind = "begin"
+	// Ended is the event that a run of a call ended.
+	Ended Kind = "end"
+	// Goodbye is the event that the node acknowledged the upstream's goodbye.
+	Goodbye Kind = "goodbye"
+
+	maxWork = time.Minute
+)
+
+type (
+	// Kind is the kind of an Event.
+	Kind string
+
+	// Event is an event in the life cycle of an upstream. Work is set only for runs.
+	Event struct {
+		Kind Kind      `json:"step"`
+		Work string    `json:"work,omitempty"`
+		At   time.Time `json:"at"`
+	}
+
+	// Option configures an Upstream.
+	Option func(*Upstream)
+)
+
+// WithTeller sets a function that receives each event, for runs before the call's work
+// begins and after it has ended. The function must be safe for concurrent use.
+func WithTeller(f func(Event)) Option { return func(u *Upstream) { u.onEvent = f } }
+
+// WithServesOn sets how long a leaving upstream keeps serving, counted from its first
+// goodbye announcement.
+func WithServesOn(d time.Duration) Option { return func(u *Upstream) { u.servesOn = d } }
+
+func (u *Upstream) emit(k Kind, work string) { u.onEvent(Event{Kind: k, Work: work, At: time.Now()}) }
+
+// leave announces the goodbye, and repeats it until servesOn is over: a node that
+// starts in the meantime has not received it.
+func (u *Upstream) leave() {
+	u.draining.Store(true)
+	end, acknowledged := time.Now().Add(u.servesOn), false
+	for {
+		if u.announce() && !acknowledged {
+			acknowledged = true
+			u.emit(Goodbye, "")
+		}
+		left := time.Until(end)
+		if left <= 0 {
+			return
+		}
+		time.Sleep(min(left, announceEvery))
+	}
+}
--- a/internal/lab/kqupstream/upstream.go
+++ b/internal/lab/kqupstream/upstream.go
@@ -20,48 +20,49 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// HeaderWork names a caller's piece of work; the answer echoes it, and the
-// upstream counts how often it ran each.
+// HeaderWork is the request header with the caller's work id. The answer echoes it, and
+// the upstream counts the runs of each id.
 const HeaderWork = "Work-Id"
 
 const (
-	// maxBody is the largest body that an upstream takes, in bytes: the largest that
-	// settings let nodes take.
+	// maxBody is the largest request body that an upstream accepts, in bytes: the
+	// largest limit that settings allow for nodes.
 	maxBody       = 64 << 20
 	announceEvery = 500 * time.Millisecond
-	// defaultServesOn is how long an upstream goes on serving once its goodbye is
-	// acknowledged: the users' upstreams do for two seconds or more. A call that its
-	// gate let in just before the goodbye is written a moment after it, and closed at
-	// once its connection would cut that call, whatever the node does.
+	// defaultServesOn is how long an upstream keeps serving from its first goodbye
+	// announcement; the users' upstreams do so for two seconds or more after the
+	// acknowledgement. A call that the gate admitted just before the goodbye is written
+	// a moment after it. If the upstream closed its connections at once, that call
+	// would be cut whatever the node does.
 	defaultServesOn = 300 * time.Millisecond
 )
 
 type (
-	// Behaviour is how an upstream answers; it may change at any time.
+	// Behaviour configures how an upstream answers. It may change at any time.
 	Behaviour struct {
-		// Work is how long a call takes; ColdWork is added for the first
+		// Work is how long a call takes; ColdWork is added to it during the first
 		// ColdFor after the start.
 		Work     time.Duration `json:"work"`
 		ColdWork time.Duration `json:"cold_work"`
 		ColdFor  time.Duration `json:"cold_for"`
-		// FailShare of calls, from 0 to 1, get status 500; FailPath limits
-		// that to paths with this prefix.
+		// FailShare is the share of calls, from 0 to 1, that get status 500. FailPath
+		// limits them to paths with this prefix.
 		FailShare float64 `json:"fail_share"`
 		FailPath  string  `json:"fail_path"`
-		// SlowAbove running calls, Work is multiplied by SlowFactor; 0 for a
-		// factor of 1 throughout.
+		// SlowAbove is the number of running calls above which Work is multiplied by
+		// SlowFactor. A SlowFactor of 0 disables this.
 		SlowAbove  int     `json:"slow_above"`
 		SlowFactor float64 `json:"slow_factor"`
-		// Shed answers 503 without running the call once more than the slots
-		// are taken.
+		// Shed makes the upstream answer 503, without running the call, while more
+		// calls run than it has slots.
 		Shed bool `json:"shed"`
-		// LongPath is the prefix of paths whose calls take LongWork instead of
-		// Work; an empty one fits none.
+		// LongPath is the prefix of paths whose calls take LongWork instead of Work; an
+		// empty one matches none.
 		LongPath string        `json:"long_path"`
 		LongWork time.Duration `json:"long_work"`
 	}
 
-	// Run is one call that an upstream began to run.
+	// Run is one run of a call, recorded when it begins.
 	Run struct {
 		Work    string
 		Service kqname.Service
@@ -73,7 +74,7 @@
 	Upstream struct {
 		announcement kqlocal.Announcement
 		servesOn     time.Duration
-		teller       func(Event)
+		onEvent      func(Event)
 		node         kqname.Address
 		server       *fasthttp.Server
 		listener     *kqcut.Listener
@@ -81,7 +82,7 @@
 		started      time.Time
 
 		behaviour atomic.Pointer[Behaviour]
-		watcher   atomic.Pointer[func(Run)]
+		onRun     atomic.Pointer[func(Run)]
 		killed    chan struct{}
 		draining  atomic.Bool
 		running   atomic.Int64
@@ -90,15 +91,15 @@
 		runs map[string]int
 	}
 
-	silent struct{}
+	nopLogger struct{}
 )
 
-// Printf implements fasthttp.Logger: broken connections are what an upstream
-// that is killed is for.
-func (silent) Printf(string, ...any) {}
+// Printf implements fasthttp.Logger and discards the message: broken connections are
+// expected of an upstream that is killed.
+func (nopLogger) Printf(string, ...any) {}
 
-// New opens an upstream of a service's version with the given slots; it
-// announces itself to the node whose local address is node.
+// New opens an upstream of a service's version with the given slots. It announces
+// itself to the node whose local address is node.
 func New(service kqname.Service, version kqname.UpstreamVersion, slots int, node kqname.Address, b Behaviour, options ...Option) (*Upstream, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -107,7 +108,7 @@
 	u := &Upstream{
 		announcement: kqlocal.Announcement{Service: service, Version: version, Address: kqname.Address(l.Addr().String()), Slots: slots},
 		servesOn:     defaultServesOn,
-		teller:       func(Event) {},
+		onEvent:      func(Event) {},
 		node:         node,
 		listener:     kqcut.New(l, new(atomic.Int64)),
 		killed:       make(chan struct{}),
@@ -119,31 +120,31 @@
 		o(u)
 	}
 	u.SetBehaviour(b)
-	u.server = &fasthttp.Server{Handler: u.handle, NoDefaultServerHeader: true, IdleTimeout: time.Minute, Logger: silent{}, MaxRequestBodySize: maxBody}
+	u.server = &fasthttp.Server{Handler: u.handle, NoDefaultServerHeader: true, IdleTimeout: time.Minute, Logger: nopLogger{}, MaxRequestBodySize: maxBody}
 	return u, nil
 }
 
-// Address returns where the upstream takes calls.
+// Address returns the address at which the upstream accepts calls.
 func (u *Upstream) Address() kqname.Address { return u.announcement.Address }
 
 // SetBehaviour changes how calls are answered from now on.
 func (u *Upstream) SetBehaviour(b Behaviour) { u.behaviour.Store(&b) }
 
-// OnRun calls f with each call that begins to run from now on.
-func (u *Upstream) OnRun(f func(Run)) { u.watcher.Store(&f) }
+// OnRun sets the function that is called with each call that begins to run from now on.
+func (u *Upstream) OnRun(f func(Run)) { u.onRun.Store(&f) }
 
-// Kill breaks every connection at once and ends Run without draining, the way
-// a lost server does. It may be called once.
+// Kill resets every connection at once and ends Run without draining, as when a server
+// is lost. It may be called once.
 func (u *Upstream) Kill() {
 	close(u.killed)
 	u.listener.Cut()
 }
 
-// Run serves and announces until ctx ends, and then drains.
+// Run serves calls and announces the upstream until ctx ends, and then drains.
 func (u *Upstream) Run(ctx context.Context) error {
 	failed := make(chan error, 1)
 	go func() { failed <- u.server.Serve(u.listener) }()
-	u.tell(Listening, "")
+	u.emit(Listening, "")
 	ticker := time.NewTicker(announceEvery)
 	defer ticker.Stop()
 	for {
@@ -164,13 +165,13 @@
 	}
 }
 
-// Drain makes the upstream announce that it takes no new work.
+// Drain announces that the upstream takes no new calls.
 func (u *Upstream) Drain() {
 	u.draining.Store(true)
 	u.announce()
 }
 
-// Runs returns how often each piece of work ran.
+// Runs returns how often each work id ran.
 func (u *Upstream) Runs() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -193,11 +194,11 @@
 	u.mu.Lock()
 	u.runs[work]++
 	u.mu.Unlock()
-	if f := u.watcher.Load(); f != nil {
+	if f := u.onRun.Load(); f != nil {
 		(*f)(Run{Work: work, Service: u.announcement.Service, Version: u.announcement.Version, At: time.Now()})
 	}
-	u.tell(Begun, work)
-	defer u.tell(Ended, work)
+	u.emit(Begun, work)
+	defer u.emit(Ended, work)
 	time.Sleep(u.duration(b, running, ctx))
 	ctx.Response.Header.Set(HeaderWork, work)
 	if bytes.HasPrefix(ctx.Path(), []byte(b.FailPath)) && rand.Float64() < b.FailShare {
@@ -210,7 +211,7 @@
 func (u *Upstream) duration(b Behaviour, running int64, ctx *fasthttp.RequestCtx) time.Duration {
 	d, path := b.Work, ctx.Path()
 	if ms, err := strconv.Atoi(string(ctx.Request.Header.Peek(HeaderWorkMS))); err == nil && ms > 0 {
-		d = min(time.Duration(ms)*time.Millisecond, longestWork)
+		d = min(time.Duration(ms)*time.Millisecond, maxWork)
 	}
 	if b.LongPath != "" && bytes.HasPrefix(path, []byte(b.LongPath)) {
 		d = b.LongWork
@@ -224,7 +225,8 @@
 	return d
 }
 
-// announce reports whether the node acknowledged it.
+// announce sends the upstream's announcement to its node and reports whether the node
+// acknowledged it.
 func (u *Upstream) announce() bool {
 	a := u.announcement
 	a.Draining = u.draining.Load()
@@ -232,7 +234,7 @@
 	if err != nil {
 		return false
 	}
-	// A node that is away hears of the upstream at the next announcement.
+	// A node that cannot be reached now gets the next announcement.
 	resp, err := u.http.Post("http://"+string(u.node)+"/kq/announce", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return false
