--- a/internal/lab/kqfault/kind.go
+++ b/internal/lab/kqfault/kind.go
@@ -14,5 +14,5 @@
 	Variable = "KUMQUATGW_FAULT"
 )
 
-// Kind is the kind of an injected fault.
+// Kind identifies an injected fault.
 type Kind string
--- a/internal/lab/kqsoak/plan.go
+++ b/internal/lab/kqsoak/plan.go
@@ -59,10 +59,10 @@
 )
 
 type (
-	// Kind is the kind of a fault.
+	// Kind identifies a type of fault.
 	Kind string
 
-	// Role is the role of one of a node's addresses.
+	// Role identifies one of a node's addresses by its use.
 	Role string
 
 	// Fault is one fault, At after the start of the plan. Target is the number of a
--- a/internal/lab/kqsoakcheck/check.go
+++ b/internal/lab/kqsoakcheck/check.go
@@ -33,7 +33,7 @@
 	// Unrecovered is a fleet that does not answer calls after the last fault.
 	Unrecovered Kind = "UNRECOVERED"
 
-	// goodbyeGrace is how long after its goodbye an upstream may still receive calls.
+	// goodbyeGrace is how long after its goodbye an upstream may still be sent calls.
 	goodbyeGrace = 2 * time.Second
 	// runsToDetect is how many runs are enough to detect a bad version, half of whose
 	// answers are failures; exposureGrace is how long it may still be used after that.
@@ -51,7 +51,7 @@
 )
 
 type (
-	// Kind is the kind of a violation.
+	// Kind identifies a type of violation.
 	Kind string
 
 	// Call is one call as observed by its caller.
--- a/internal/lab/kqupstream/event.go
+++ b/internal/lab/kqupstream/event.go
@@ -20,7 +20,7 @@
 )
 
 type (
-	// Kind is the kind of an Event.
+	// Kind identifies a type of event.
 	Kind string
 
 	// Event is an event in the life cycle of an upstream. Work is set only for runs.
