--- a/internal/run/kqcommand/node.go
+++ b/internal/run/kqcommand/node.go
@@ -128,7 +128,7 @@
 	}
 	join, ok := c.adapters[s.Platform.Adapter]
 	if !ok {
-		return s, nil, kqnode.Adapter{}, fmt.Errorf("[platform] adapter: %.64q is not one of this program's: %w", s.Platform.Adapter, kqsettings.ErrSettings)
+		return s, nil, kqnode.Adapter{}, fmt.Errorf("[platform] adapter: %.64q is not one of this program's: %w", s.Platform.Adapter, kqsettings.ErrInvalid)
 	}
 	return join(s)
 }
--- a/internal/run/kqsettings/doc.go
+++ b/internal/run/kqsettings/doc.go
@@ -1,4 +1,4 @@
 // Package kqsettings reads a node's settings from an INI file. Each key is a
-// tagged field, so that one place gives its name, unit, default, bounds and
-// meaning; every fault of a file is told at once.
+// struct field whose tags give its name, unit, default, bounds and description.
+// All errors of a file are reported at once.
 package kqsettings
--- a/internal/run/kqsettings/field.go
+++ b/internal/run/kqsettings/field.go
@@ -17,19 +17,21 @@
 	durationType = reflect.TypeFor[time.Duration]()
 	addressType  = reflect.TypeFor[kqname.Address]()
 	namePackage  = addressType.PkgPath()
-	sizes        = []struct {
+	sizeUnits    = []struct {
 		suffix string
 		bytes  int64
 	}{{"KB", 1 << 10}, {"MB", 1 << 20}, {"GB", 1 << 30}, {"B", 1}}
 )
 
-// field is one setting: its place in the file and in Settings.
+// field is one setting: its section and key in the file, and its field of
+// Settings with the field's tags.
 type field struct {
 	section, key string
 	tag          reflect.StructTag
 	value        reflect.Value
 }
 
+// fields returns all settings of s, in the order of their declaration.
 func fields(s *Settings) []field {
 	var all []field
 	top := reflect.ValueOf(s).Elem()
@@ -44,7 +46,9 @@
 	return all
 }
 
-func (f field) bounds() string {
+// boundsText returns the unit, bounds and allowed words for the example file,
+// in parentheses, or "" if the setting has none.
+func (f field) boundsText() string {
 	var parts []string
 	for _, name := range []string{"unit", "min", "max", "one_of"} {
 		if text := f.tag.Get(name); text != "" {
@@ -66,7 +70,7 @@
 	case f.value.Type() == durationType, f.value.Kind() == reflect.Int:
 		return f.setNumber(text)
 	case f.value.Kind() == reflect.Float64:
-		return f.setFraction(text)
+		return f.setFloat(text)
 	case f.value.Kind() == reflect.Bool:
 		b, err := strconv.ParseBool(text)
 		if err != nil {
@@ -95,6 +99,7 @@
 	return nil
 }
 
+// isAddress reports whether text is an IP address with a port.
 func isAddress(text string) bool {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil || net.ParseIP(host) == nil {
@@ -104,18 +109,20 @@
 	return err == nil
 }
 
+// setNumber parses a whole number, size or duration, checks its bounds and
+// stores it.
 func (f field) setNumber(text string) error {
 	n, err := f.number(text)
 	if err != nil {
 		return err
 	}
 	if low := f.tag.Get("min"); low != "" {
-		if least, err := f.number(low); err == nil && n < least {
+		if minimum, err := f.number(low); err == nil && n < minimum {
 			return fmt.Errorf("%s is under %s", text, low)
 		}
 	}
 	if high := f.tag.Get("max"); high != "" {
-		if most, err := f.number(high); err == nil && n > most {
+		if maximum, err := f.number(high); err == nil && n > maximum {
 			return fmt.Errorf("%s is over %s", text, high)
 		}
 	}
@@ -123,8 +130,8 @@
 	return nil
 }
 
-// setFraction sets a number with a fraction within its bounds.
-func (f field) setFraction(text string) error {
+// setFloat parses a decimal number, checks its bounds and stores it.
+func (f field) setFloat(text string) error {
 	n, err := strconv.ParseFloat(text, 64)
 	low, lowErr := strconv.ParseFloat(f.tag.Get("min"), 64)
 	high, highErr := strconv.ParseFloat(f.tag.Get("max"), 64)
@@ -140,6 +147,9 @@
 	return nil
 }
 
+// number parses a duration to nanoseconds, a size with a suffix of
+// sizeUnits to bytes, or a plain whole number. Only a size may have a decimal
+// point.
 func (f field) number(text string) (int64, error) {
 	if f.value.Type() == durationType {
 		d, err := time.ParseDuration(text)
@@ -148,26 +158,26 @@
 		}
 		return int64(d), nil
 	}
-	factor := int64(1)
+	multiplier := int64(1)
 	if f.tag.Get("unit") == "bytes" {
-		for _, s := range sizes {
+		for _, s := range sizeUnits {
 			if number, ok := strings.CutSuffix(text, s.suffix); ok {
-				text, factor = number, s.bytes
+				text, multiplier = number, s.bytes
 				break
 			}
 		}
 	}
 	text = strings.TrimSpace(text)
-	if part, err := strconv.ParseFloat(text, 64); err == nil && factor > 1 && strings.Contains(text, ".") && math.Abs(part) < 1<<30 {
-		return int64(part * float64(factor)), nil
+	if decimal, err := strconv.ParseFloat(text, 64); err == nil && multiplier > 1 && strings.Contains(text, ".") && math.Abs(decimal) < 1<<30 {
+		return int64(decimal * float64(multiplier)), nil
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return 0, fmt.Errorf("%q is not a whole number%s", text, map[bool]string{true: ", such as 64KB"}[f.tag.Get("unit") == "bytes"])
 	}
-	if n > math.MaxInt64/factor || n < math.MinInt64/factor {
-		// Multiplied, it would wrap round and could end within the bounds.
+	if n > math.MaxInt64/multiplier || n < math.MinInt64/multiplier {
+		// The product would overflow and could end up within the bounds.
 		return 0, fmt.Errorf("%q is far too large", text)
 	}
-	return n * factor, nil
+	return n * multiplier, nil
 }
--- a/internal/run/kqsettings/read.go
+++ b/internal/run/kqsettings/read.go
@@ -9,18 +9,19 @@
 	"gopkg.in/ini.v1"
 )
 
-// ErrSettings is in every error of this package.
-var ErrSettings = errors.New("bad settings")
+// ErrInvalid is wrapped by every error that this package returns.
+var ErrInvalid = errors.New("bad settings")
 
-// reader gathers the faults of one file.
-type reader struct {
-	file   string
-	faults []error
-	// faulty tells by "section.key" which settings have a fault of their own.
-	faulty map[string]bool
+// fileReader collects the errors of one settings file.
+type fileReader struct {
+	file string
+	errs []error
+	// invalid holds, by "section.key", whether a setting's own value is missing
+	// or invalid.
+	invalid map[string]bool
 }
 
-// Default returns the settings of a file that sets nothing.
+// Default returns the default settings; required ones are empty.
 func Default() Settings {
 	var s Settings
 	for _, f := range fields(&s) {
@@ -33,30 +34,30 @@
 	return s
 }
 
-// Read reads settings from an INI file. The error joins every fault of the
-// file, each with file, section and key.
+// Read reads settings from an INI file. The returned error joins all errors of
+// the file, each with file, section and key.
 func Read(file string) (Settings, error) {
 	loaded, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true, AllowDuplicateShadowValues: true}, file)
 	if err != nil {
-		return Settings{}, fmt.Errorf("%s: %w: %w", file, ErrSettings, err)
+		return Settings{}, fmt.Errorf("%s: %w: %w", file, ErrInvalid, err)
 	}
 	s := Default()
-	r := &reader{file: file, faulty: make(map[string]bool)}
+	r := &fileReader{file: file, invalid: make(map[string]bool)}
 	all := fields(&s)
-	r.unknown(loaded, all)
+	r.checkUnknownKeys(loaded, all)
 	for _, f := range all {
-		before := len(r.faults)
-		r.read(loaded, f)
-		r.faulty[f.section+"."+f.key] = len(r.faults) > before
+		before := len(r.errs)
+		r.readField(loaded, f)
+		r.invalid[f.section+"."+f.key] = len(r.errs) > before
 	}
-	r.combinations(s)
-	if len(r.faults) > 0 {
-		return Settings{}, errors.Join(r.faults...)
+	r.checkCombinations(s)
+	if len(r.errs) > 0 {
+		return Settings{}, errors.Join(r.errs...)
 	}
 	return s, nil
 }
 
-// Example returns an INI file that states every key with its default.
+// Example returns an INI file that sets every key to its default.
 func Example() string {
 	s := Default()
 	var b strings.Builder
@@ -66,7 +67,7 @@
 			section = f.section
 			fmt.Fprintf(&b, "[%s]\n", section)
 		}
-		fmt.Fprintf(&b, "; %s%s\n", f.tag.Get("doc"), f.bounds())
+		fmt.Fprintf(&b, "; %s%s\n", f.tag.Get("doc"), f.boundsText())
 		if f.tag.Get("required") == "true" {
 			fmt.Fprintf(&b, "%s = example\n", f.key)
 			continue
@@ -76,38 +77,42 @@
 	return b.String()
 }
 
-func (r *reader) fault(section, key, format string, args ...any) {
-	r.faults = append(r.faults, fmt.Errorf("%s: [%s] %s: %s: %w", r.file, section, key, fmt.Sprintf(format, args...), ErrSettings))
+// addError records an error of one key.
+func (r *fileReader) addError(section, key, format string, args ...any) {
+	r.errs = append(r.errs, fmt.Errorf("%s: [%s] %s: %s: %w", r.file, section, key, fmt.Sprintf(format, args...), ErrInvalid))
 }
 
-func (r *reader) unknown(loaded *ini.File, all []field) {
+// checkUnknownKeys reports sections and keys of the file that no setting has.
+func (r *fileReader) checkUnknownKeys(loaded *ini.File, all []field) {
 	for _, s := range loaded.Sections() {
 		if !slices.ContainsFunc(all, func(f field) bool { return f.section == s.Name() }) && (s.Name() != ini.DefaultSection || len(s.Keys()) > 0) {
-			r.fault(s.Name(), "*", "unknown section")
+			r.addError(s.Name(), "*", "unknown section")
 			continue
 		}
 		for _, k := range s.Keys() {
 			if !slices.ContainsFunc(all, func(f field) bool { return f.section == s.Name() && f.key == k.Name() }) {
-				r.fault(s.Name(), k.Name(), "unknown key")
+				r.addError(s.Name(), k.Name(), "unknown key")
 			}
 		}
 	}
 }
 
-func (r *reader) read(loaded *ini.File, f field) {
+// readField sets one field from the file, or keeps its default if the file does
+// not set it.
+func (r *fileReader) readField(loaded *ini.File, f field) {
 	section := loaded.Section(f.section)
 	if !section.HasKey(f.key) || section.Key(f.key).Value() == "" && f.tag.Get("required") == "true" {
 		if f.tag.Get("required") == "true" {
-			r.fault(f.section, f.key, "is required")
+			r.addError(f.section, f.key, "is required")
 		}
 		return
 	}
 	key := section.Key(f.key)
 	if len(key.ValueWithShadows()) > 1 {
-		r.fault(f.section, f.key, "is set %d times", len(key.ValueWithShadows()))
+		r.addError(f.section, f.key, "is set %d times", len(key.ValueWithShadows()))
 		return
 	}
 	if err := f.set(key.Value()); err != nil {
-		r.fault(f.section, f.key, "%v", err)
+		r.addError(f.section, f.key, "%v", err)
 	}
 }
--- a/internal/run/kqsettings/settings.go
+++ b/internal/run/kqsettings/settings.go
@@ -7,9 +7,10 @@
 )
 
 type (
-	// Settings are all settings of one node. Field tags: key is the name in
-	// the file, default the value without one, min and max the bounds, one_of
-	// the allowed words, and doc the meaning.
+	// Settings holds all settings of one node. The field tags are: key, the name
+	// in the file; default, the value if the file sets none; required, whether it
+	// must be set; unit; min and max, the bounds; one_of, the allowed words; and
+	// doc, the description.
 	Settings struct {
 		Node     Node     `section:"node"`
 		Platform Platform `section:"platform"`
@@ -21,7 +22,8 @@
 		Log      Log      `section:"log"`
 	}
 
-	// Node tells who the node is and where it listens.
+	// Node holds the node's identity, addresses, resource limits and shutdown
+	// times.
 	Node struct {
 		Name           kqname.Node    `key:"name" required:"true" doc:"Unique name of this node."`
 		Domain         kqname.Domain  `key:"domain" required:"true" doc:"Failure domain of this server."`
@@ -42,14 +44,15 @@
 		DrainTimeout   time.Duration  `key:"drain_timeout" default:"30s" min:"1s" max:"10m" doc:"Longest wait for calls in flight at shutdown."`
 	}
 
-	// Platform tells where the platform's key-value service is.
+	// Platform configures access to the platform's key-value service.
 	Platform struct {
 		Adapter string        `key:"adapter" doc:"Name of the adapter for a platform that speaks its own forms; empty speaks ours."`
 		URL     string        `key:"url" default:"http://127.0.0.1:7070" doc:"Base URL of the platform's key-value service."`
 		Timeout time.Duration `key:"timeout" default:"2s" min:"10ms" max:"1m" doc:"Longest wait for one answer; a watch's own wait is added."`
 	}
 
-	// Member tells how nodes keep track of each other.
+	// Member configures membership, announcements of upstreams, and the budgets
+	// for control traffic and configuration memory.
 	Member struct {
 		Seeds        []string      `key:"seeds" doc:"Control addresses of nodes to ask at the start, parted by commas."`
 		Heartbeat    time.Duration `key:"heartbeat" default:"1s" min:"10ms" max:"1m" doc:"Time between two heartbeats to a peer."`
@@ -58,7 +61,7 @@
 		MemoryBudget int           `key:"memory_budget" default:"64MB" min:"1MB" max:"16GB" unit:"bytes" doc:"Bytes of configuration that the node may hold; hosts that were used least go beyond it."`
 	}
 
-	// Config tells how configuration reaches the node.
+	// Config configures the distribution of configuration to the node.
 	Config struct {
 		Strategy      string        `key:"strategy" default:"overlay" one_of:"overlay,direct" doc:"How new versions reach the node: overlay takes them from peers, direct watches the platform and takes the whole document."`
 		InterestIdle  time.Duration `key:"interest_idle" default:"30m" min:"1s" max:"24h" doc:"How long the routes of a host stay without a call for it."`
@@ -68,7 +71,7 @@
 		ExpectedNodes int           `key:"expected_nodes" default:"550" min:"1" max:"100000" doc:"Size of the fleet that a node assumes until it knows better."`
 	}
 
-	// Call bounds the calls that the node serves.
+	// Call configures limits and policies for the calls that the node serves.
 	Call struct {
 		ReadTimeout time.Duration `key:"read_timeout" default:"10s" min:"50ms" max:"10m" doc:"Longest time that a call may take to arrive whole."`
 		MaxBody     int           `key:"max_body" default:"4MB" min:"1KB" max:"64MB" unit:"bytes" doc:"Largest request body that is taken."`
@@ -79,23 +82,23 @@
 		Policy      string        `key:"policy" default:"kumquatgw" one_of:"kumquatgw,baseline" doc:"Decisions under load; baseline (first-come queue, random choice, plain retries) is for comparison only."`
 	}
 
-	// Admin tells where operators connect.
+	// Admin configures the admin server and operators' access to it.
 	Admin struct {
 		Listen kqname.Address `key:"listen" doc:"Where the console, the API and the metrics are served; empty switches them off."`
 		Tokens string         `key:"tokens" doc:"File of operators' hashed tokens, one a line as kumquatgw keys token prints them; read again when it changes. Empty lets nobody use the console and the API."`
 	}
 
-	// TLS tells how the node proves who it is. All empty switches TLS off,
-	// which is allowed on loopback addresses only.
+	// TLS configures mutual authentication of nodes. Without the three files TLS
+	// is off, which is allowed only on loopback addresses or in a trusted network.
 	TLS struct {
-		CA          string        `key:"ca" doc:"PEM file with the certificate of the fleet's CA; read again when it changes."`
-		Certificate string        `key:"certificate" doc:"PEM file with this node's certificate, which names it; read again when it changes."`
-		Key         string        `key:"key" doc:"PEM file with the certificate's private key; read again when it changes."`
-		Trusted     bool          `key:"trusted_network" default:"false" doc:"Whether the network between servers is trusted, so that nodes may listen beyond loopback without TLS."`
-		ReloadEvery time.Duration `key:"reload_every" default:"2s" min:"10ms" max:"10m" doc:"Time between two looks at the files of [tls] and at the tokens."`
+		CA             string        `key:"ca" doc:"PEM file with the certificate of the fleet's CA; read again when it changes."`
+		Certificate    string        `key:"certificate" doc:"PEM file with this node's certificate, which names it; read again when it changes."`
+		Key            string        `key:"key" doc:"PEM file with the certificate's private key; read again when it changes."`
+		TrustedNetwork bool          `key:"trusted_network" default:"false" doc:"Whether the network between servers is trusted, so that nodes may listen beyond loopback without TLS."`
+		ReloadEvery    time.Duration `key:"reload_every" default:"2s" min:"10ms" max:"10m" doc:"Time between two looks at the files of [tls] and at the tokens."`
 	}
 
-	// Log tells how the node logs.
+	// Log configures the node's log.
 	Log struct {
 		Level     string `key:"level" default:"info" one_of:"debug,info,warning,error" doc:"Least severe level that is logged."`
 		Sample    int    `key:"sample" default:"64" min:"0" max:"1000000" doc:"One in that many calls that went well has lines, chosen by its id; 0 leaves out all."`
--- a/internal/run/kqsettings/tls.go
+++ b/internal/run/kqsettings/tls.go
@@ -1,17 +1,18 @@
 package kqsettings
 
-const tlsFiles = 3
+// tlsFileCount is the number of files that TLS needs: CA, certificate and key.
+const tlsFileCount = 3
 
-// tlsGuarded are the listeners that would obey anybody who can reach them:
-// without TLS they must not leave the server. Callers' own listener serves
-// anybody by its nature and obeys none of the internal headers.
-var tlsGuarded = map[string]bool{"gate_listen": true, "control_listen": true, "listen": true}
+// requiresTLS holds the keys of listeners that obey every peer that can connect
+// to them, so without TLS they must listen on loopback. The callers' listener,
+// entry_listen, is open to any caller by design and ignores internal headers.
+var requiresTLS = map[string]bool{"gate_listen": true, "control_listen": true, "listen": true}
 
-// On reports whether TLS is switched on.
-func (t TLS) On() bool { return t.set() == tlsFiles }
+// On reports whether TLS is enabled, that is, whether all three files are set.
+func (t TLS) On() bool { return t.fileCount() == tlsFileCount }
 
-// set counts the files that are named.
-func (t TLS) set() int {
+// fileCount returns how many of the three files are set.
+func (t TLS) fileCount() int {
 	n := 0
 	for _, file := range []string{t.CA, t.Certificate, t.Key} {
 		if file != "" {
