--- a/internal/run/kqcommand/node.go
+++ b/internal/run/kqcommand/node.go
@@ -43,7 +43,7 @@
 			return fmt.Errorf("read settings: %w", err)
 		}
 		limitMemory(s.Node.Memory)
-		output := kqlog.NewAsync(c.out)
+		output := kqlog.NewAsyncWriter(c.out)
 		defer output.Close()
 		logger, err := kqlog.New(output, s.Log.Level, s.Log.Format)
 		if err != nil {
--- a/internal/run/kqlog/async.go
+++ b/internal/run/kqlog/async.go
@@ -10,74 +10,78 @@
 )
 
 const (
-	// queued is how many lines wait for a slow reader of the output: a few
-	// seconds' worth at the rates of the settings, and under 1 MB.
-	queued = 2048
-	// flushFor bounds how long the end of the process waits for the reader.
-	flushFor = 200 * time.Millisecond
+	// maxQueuedLines is how many lines wait for a slow reader of the output: a few
+	// seconds' worth at the default rates of [log], and under 1 MB.
+	maxQueuedLines = 2048
+	// flushTimeout bounds how long Close waits for the reader of the output.
+	flushTimeout = 200 * time.Millisecond
 )
 
-// Async writes lines to an output beside whoever logs. A reader of the output
-// that stalls, or is gone, would otherwise hold up the calls that log; lines that
-// there is no room for are counted and left out. It is safe for concurrent use.
-type Async struct {
+// AsyncWriter writes log lines to an output in the background, so that an output
+// whose reader stalls or is gone does not block the calls that log. Lines that do
+// not fit into the queue are dropped and counted. It is safe for concurrent use.
+type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Uint64
 	once    sync.Once
-	end     chan struct{}
+	stop    chan struct{}
 	done    chan struct{}
 	group   conc.WaitGroup
 }
 
-// NewAsync returns a writer to out, to be closed with Close.
-func NewAsync(out io.Writer) *Async {
-	a := &Async{lines: make(chan []byte, queued), end: make(chan struct{}), done: make(chan struct{})}
+// NewAsyncWriter starts a writer to out; the caller must close it.
+func NewAsyncWriter(out io.Writer) *AsyncWriter {
+	a := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), stop: make(chan struct{}), done: make(chan struct{})}
 	a.group.Go(func() {
 		defer close(a.done)
-		a.run(out)
+		a.writeLoop(out)
 	})
 	return a
 }
 
 // Write implements io.Writer; it never blocks and never fails.
-func (a *Async) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+func (a *AsyncWriter) Write(line []byte) (int, error) {
+	copied := append([]byte(nil), line...)
 	select {
-	case a.lines <- kept:
+	case a.lines <- copied:
 	default:
 		a.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines there was no room for, since the start.
-func (a *Async) Dropped() uint64 { return a.dropped.Load() }
+// Dropped returns how many lines were not written since the start, because the
+// queue was full or the output failed.
+func (a *AsyncWriter) Dropped() uint64 { return a.dropped.Load() }
 
-// Close writes what waits, unless the reader takes too long.
-func (a *Async) Close() {
-	a.once.Do(func() { close(a.end) })
+// Close writes the queued lines and stops, but returns after flushTimeout if the
+// output blocks.
+func (a *AsyncWriter) Close() {
+	a.once.Do(func() { close(a.stop) })
 	select {
 	case <-a.done:
-	case <-time.After(flushFor):
+	case <-time.After(flushTimeout):
 	}
 }
 
-func (a *Async) run(out io.Writer) {
+// writeLoop writes queued lines to out until Close, then the rest of the queue.
+func (a *AsyncWriter) writeLoop(out io.Writer) {
 	for {
 		select {
 		case line := <-a.lines:
-			a.write(out, line)
-		case <-a.end:
+			a.writeLine(out, line)
+		case <-a.stop:
 			for len(a.lines) > 0 {
-				a.write(out, <-a.lines)
+				a.writeLine(out, <-a.lines)
 			}
 			return
 		}
 	}
 }
 
-// write counts a line that the output refuses: there is nowhere else to tell it.
-func (a *Async) write(out io.Writer, line []byte) {
+// writeLine writes one line. A failure is only counted: it cannot be logged, as
+// the log itself failed.
+func (a *AsyncWriter) writeLine(out io.Writer, line []byte) {
 	if _, err := out.Write(line); err != nil {
 		a.dropped.Add(1)
 	}
--- a/internal/run/kqlog/async_test.go
+++ b/internal/run/kqlog/async_test.go
@@ -9,26 +9,26 @@
 	"github.com/kumquatgw/kumquatgw/internal/run/kqlog"
 )
 
-// stalled is an output whose reader takes nothing until it is let go.
-type stalled struct {
-	free chan struct{}
-	mu   sync.Mutex
-	got  bytes.Buffer
+// stalledWriter blocks every write until release is closed.
+type stalledWriter struct {
+	release chan struct{}
+	mu      sync.Mutex
+	got     bytes.Buffer
 }
 
-func (s *stalled) Write(line []byte) (int, error) {
-	<-s.free
+func (s *stalledWriter) Write(line []byte) (int, error) {
+	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got.Write(line)
 }
 
-// The reader of the program's output stalls, as a log collector does that is
-// itself stuck. Calls that log must go on as if nothing were; what there was no
-// room for is counted, and the rest comes once the reader is back.
-func TestStalledReaderHoldsUpNobody(t *testing.T) {
-	out := &stalled{free: make(chan struct{})}
-	a := kqlog.NewAsync(out)
+// A log collector that hangs stops reading the program's output. Calls that log
+// must not block; lines that exceed the queue are counted, and the others are
+// written once the reader resumes.
+func TestStalledOutputBlocksNoLogger(t *testing.T) {
+	out := &stalledWriter{release: make(chan struct{})}
+	a := kqlog.NewAsyncWriter(out)
 	logger, err := kqlog.New(a, "info", "json")
 	if err != nil {
 		t.Fatal(err)
@@ -39,22 +39,23 @@
 		log.Info("A line.")
 	}
 	if a.Dropped() == 0 {
-		t.Error("nothing was left out although nobody reads")
+		t.Error("no line was counted as dropped although the output is stalled")
 	}
-	close(out.free)
+	close(out.release)
 	a.Close()
 	out.mu.Lock()
 	defer out.mu.Unlock()
 	if got := bytes.Count(out.got.Bytes(), []byte("\n")); uint64(got)+a.Dropped() != lines {
-		t.Errorf("%d lines came and %d were left out of %d", got, a.Dropped(), lines)
+		t.Errorf("%d lines were written and %d dropped of %d", got, a.Dropped(), lines)
 	}
 }
 
-// The reader is gone, and each write fails. Nobody may be held up.
-func TestReaderIsGone(t *testing.T) {
+// The reader of the output has closed it, so each write to it fails. Loggers must
+// not block or see an error, and each line is counted as dropped.
+func TestClosedOutputIsNoError(t *testing.T) {
 	r, w := io.Pipe()
 	_ = r.Close()
-	a := kqlog.NewAsync(w)
+	a := kqlog.NewAsyncWriter(w)
 	for range 100 {
 		if _, err := a.Write([]byte("line\n")); err != nil {
 			t.Fatal(err)
@@ -62,6 +63,6 @@
 	}
 	a.Close()
 	if a.Dropped() != 100 {
-		t.Errorf("%d of 100 lines are counted as left out", a.Dropped())
+		t.Errorf("%d of 100 lines were counted as dropped", a.Dropped())
 	}
 }
--- a/internal/run/kqlog/doc.go
+++ b/internal/run/kqlog/doc.go
@@ -1,3 +1,3 @@
-// Package kqlog makes the loggers of the parts: short sentences, as text or
-// JSON, each behind the fixed prefix of its part.
+// Package kqlog creates the loggers of the parts of a node. Lines are text or
+// JSON, and each message is prefixed with the name of its part.
 package kqlog
--- a/internal/run/kqlog/log.go
+++ b/internal/run/kqlog/log.go
@@ -8,23 +8,24 @@
 	"github.com/sirupsen/logrus"
 )
 
-// JSON is the format of one JSON object a line.
+// JSON is the format that writes one JSON object per line.
 const JSON = "json"
 
 type (
-	// Logger makes parts' loggers that share one output.
+	// Logger creates the loggers of a node's parts, which share one output.
 	Logger struct {
 		base *logrus.Logger
 		node string
 	}
 
-	prefixed struct {
+	// prefixFormatter puts the name of the part before each message.
+	prefixFormatter struct {
 		next logrus.Formatter
 	}
 )
 
-// New returns a logger that writes to w at the given level ("debug" to
-// "error"), as "text" or JSON.
+// New returns a logger that writes to w in the format "text" or JSON; level, from
+// "debug" to "error", is the least severe one that is written.
 func New(w io.Writer, level, format string) (*Logger, error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
@@ -33,9 +34,9 @@
 	base := logrus.New()
 	base.SetOutput(w)
 	base.SetLevel(parsed)
-	base.SetFormatter(prefixed{next: &logrus.TextFormatter{FullTimestamp: true, DisableColors: true}})
+	base.SetFormatter(prefixFormatter{next: &logrus.TextFormatter{FullTimestamp: true, DisableColors: true}})
 	if format == JSON {
-		base.SetFormatter(prefixed{next: &logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}})
+		base.SetFormatter(prefixFormatter{next: &logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}})
 	}
 	return &Logger{base: base}, nil
 }
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// Part returns the logger of one part, such as "entry".
+// Part returns the logger of one part of a node, such as "entry". Its lines have
+// the field "part" and, if the node's name is set, "node".
 func (l *Logger) Part(name string) *logrus.Entry {
 	entry := l.base.WithField("part", name)
 	if l.node != "" {
@@ -66,11 +68,11 @@
 	return entry
 }
 
-// WithNode returns a logger whose lines name the node that writes them.
+// WithNode returns a logger whose lines have the node's name in the field "node".
 func (l *Logger) WithNode(name string) *Logger { return &Logger{base: l.base, node: name} }
 
 // Format implements logrus.Formatter.
-func (p prefixed) Format(e *logrus.Entry) ([]byte, error) {
+func (p prefixFormatter) Format(e *logrus.Entry) ([]byte, error) {
 	part, _ := e.Data["part"].(string)
 	copied := *e
 	copied.Message = part + ": " + e.Message
