--- a/internal/run/kqmetric/call.go
+++ b/internal/run/kqmetric/call.go
@@ -13,29 +13,30 @@
 	reasons = kqcall.Reasons()
 )
 
-func newGated() *prometheus.CounterVec {
+func newGateCalls() *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "kumquatgw_gate_calls_total", Help: "Calls at this node's gate by how they ended and why.",
 	}, []string{"result", "reason"})
 }
 
-// Gated counts how a call ended at this node's gate. One call may end at
-// several gates before its caller is told its end, which Ended counts.
+// Gated counts the outcome of a call at this node's gate. A call that is retried
+// has an outcome at several gates, but only one at the entry, which Ended counts.
 func (m *Metrics) Gated(o kqcall.Outcome) {
-	m.gated.WithLabelValues(bounded(o.Result, results), bounded(o.Reason, reasons)).Inc()
+	m.gateCalls.WithLabelValues(labelValue(o.Result, results), labelValue(o.Reason, reasons)).Inc()
 }
 
-// Ended counts a call's end.
+// Ended counts the outcome of a call at this node's entry, from outside or from the local
+// upstream.
 func (m *Metrics) Ended(o kqcall.Outcome) {
-	m.ended.WithLabelValues(bounded(o.Result, results), bounded(o.Reason, reasons)).Inc()
+	m.calls.WithLabelValues(labelValue(o.Result, results), labelValue(o.Reason, reasons)).Inc()
 }
 
-// Retried counts a call that is sent again.
-func (m *Metrics) Retried(r kqcall.Reason) { m.retried.WithLabelValues(bounded(r, reasons)).Inc() }
+// Retried counts a retry by the reason of the attempt before it.
+func (m *Metrics) Retried(r kqcall.Reason) { m.retries.WithLabelValues(labelValue(r, reasons)).Inc() }
 
-// bounded returns a label's value if it is known. Results and reasons come from
-// other nodes too, whose release may know more of them.
-func bounded[T ~string](value T, known []T) string {
+// labelValue returns value if it is known, else "other". Results and reasons also
+// come from other nodes, whose newer release may have values that this one lacks.
+func labelValue[T ~string](value T, known []T) string {
 	if slices.Contains(known, value) {
 		return string(value)
 	}
--- a/internal/run/kqmetric/doc.go
+++ b/internal/run/kqmetric/doc.go
@@ -1,3 +1,3 @@
-// Package kqmetric holds a node's counters and gauges. Label values come from
-// fixed lists, so that no caller can make their number grow.
+// Package kqmetric holds the Prometheus metrics of a node. Label values come from
+// fixed sets, so that callers cannot increase the number of time series.
 package kqmetric
--- a/internal/run/kqmetric/metric.go
+++ b/internal/run/kqmetric/metric.go
@@ -12,35 +12,35 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Metrics are one node's. They are safe for concurrent use.
+// Metrics holds the metrics of one node. It is safe for concurrent use.
 type Metrics struct {
-	registry       *prometheus.Registry
-	ended          *prometheus.CounterVec
-	retried        *prometheus.CounterVec
-	gated          *prometheus.CounterVec
-	configRefused  *prometheus.CounterVec
-	platformFailed prometheus.Counter
-	budgetBound    *prometheus.CounterVec
-	spreadDropped  prometheus.Counter
-	leftOut        prometheus.Counter
-	panics         *prometheus.CounterVec
-	seconds        *prometheus.HistogramVec
-	storeCalls     *prometheus.CounterVec
-	storeMu        sync.Mutex
-	storeCounts    map[string]uint64
-	version        prometheus.Gauge
-	since          atomic.Int64
-	sent, received atomic.Uint64
+	registry                 *prometheus.Registry
+	calls                    *prometheus.CounterVec
+	retries                  *prometheus.CounterVec
+	gateCalls                *prometheus.CounterVec
+	configRefused            *prometheus.CounterVec
+	platformFailed           prometheus.Counter
+	budgetBound              *prometheus.CounterVec
+	spreadDropped            prometheus.Counter
+	suppressedLines          prometheus.Counter
+	panics                   *prometheus.CounterVec
+	stageSeconds             *prometheus.HistogramVec
+	storeCalls               *prometheus.CounterVec
+	storeMu                  sync.Mutex
+	storeCounts              map[string]uint64
+	version                  prometheus.Gauge
+	versionSince             atomic.Int64
+	sentBytes, receivedBytes atomic.Uint64
 }
 
-// New returns metrics in a registry of their own.
+// New returns the metrics in a new registry.
 func New() *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
-		ended: prometheus.NewCounterVec(prometheus.CounterOpts{
+		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kumquatgw_calls_total", Help: "Calls by how they ended and why.",
 		}, []string{"result", "reason"}),
-		retried: prometheus.NewCounterVec(prometheus.CounterOpts{
+		retries: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kumquatgw_call_retries_total", Help: "Calls sent again, by the reason of the try before.",
 		}, []string{"reason"}),
 		configRefused: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -59,41 +59,42 @@
 			Name: "kumquatgw_config_version", Help: "Configuration version in force on this node.",
 		}),
 	}
-	m.gated = newGated()
-	m.leftOut = prometheus.NewCounter(prometheus.CounterOpts{
+	m.gateCalls = newGateCalls()
+	m.suppressedLines = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "kumquatgw_log_lines_left_out_total", Help: "Log lines of calls that were over the rate for their reason.",
 	})
 	m.storeCounts = make(map[string]uint64)
 	m.storeCalls = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "kumquatgw_store_calls_total", Help: "Calls to the platform's store by kind and status, 0 where no answer came.",
 	}, []string{"call", "status"})
-	m.seconds = prometheus.NewHistogramVec(prometheus.HistogramOpts{
+	m.stageSeconds = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name: "kumquatgw_call_seconds", Help: "Time of calls by stage: call is the whole at the entry, queue the wait at the gate, upstream the upstream's.",
 		Buckets: []float64{0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 10},
 	}, []string{"stage"})
 	m.panics = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "kumquatgw_panics_total", Help: "Panics that were caught, by the part that panicked.",
 	}, []string{"part"})
-	m.registry.MustRegister(m.panics, m.leftOut, m.storeCalls, m.seconds)
-	m.registry.MustRegister(m.ended, m.retried, m.gated, m.configRefused, m.platformFailed, m.budgetBound, m.spreadDropped, m.version,
+	m.registry.MustRegister(m.panics, m.suppressedLines, m.storeCalls, m.stageSeconds)
+	m.registry.MustRegister(m.calls, m.retries, m.gateCalls, m.configRefused, m.platformFailed, m.budgetBound, m.spreadDropped, m.version,
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "kumquatgw_control_sent_bytes_total", Help: "Bytes of control traffic sent to peers.",
-		}, func() float64 { return float64(m.sent.Load()) }),
+		}, func() float64 { return float64(m.sentBytes.Load()) }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "kumquatgw_control_received_bytes_total", Help: "Bytes of control traffic received from peers.",
-		}, func() float64 { return float64(m.received.Load()) }),
+		}, func() float64 { return float64(m.receivedBytes.Load()) }),
 	)
 	return m
 }
 
-// Unwritten adds a counter of the log's lines that its output did not take.
+// Unwritten registers a counter of the log lines that the output did not take;
+// count returns their number since the start.
 func (m *Metrics) Unwritten(count func() uint64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "kumquatgw_log_lines_unwritten_total", Help: "Log lines that the standard output did not take: its reader stalls, or is gone.",
 	}, func() float64 { return float64(count()) }))
 }
 
-// Registry returns the registry, to serve it or to add to it.
+// Registry returns the registry, to serve it or to register further metrics.
 func (m *Metrics) Registry() *prometheus.Registry { return m.registry }
 
 // ConfigRefused counts a configuration version that was not applied.
@@ -102,15 +103,16 @@
 // PlatformFailed counts a call to the platform's service that failed.
 func (m *Metrics) PlatformFailed() { m.platformFailed.Inc() }
 
-// BudgetBound counts that a control budget ("send" or "memory") held something
-// back.
+// BudgetBound counts one time that a control budget was exceeded: "send" delayed
+// bulk traffic, or "memory" evicted a host's configuration.
 func (m *Metrics) BudgetBound(budget string) { m.budgetBound.WithLabelValues(budget).Inc() }
 
-// SpreadDropped counts a message to all nodes that could not be passed on.
+// SpreadDropped counts a broadcast message that was dropped: the forwarding queue
+// was full, or the receiver was still busy with the one before.
 func (m *Metrics) SpreadDropped() { m.spreadDropped.Inc() }
 
-// StoreAnswered counts a call to the store; kinds and statuses are the adapter's,
-// of which there are few.
+// StoreAnswered counts a call to the store by kind and status; both come from the
+// adapter's small fixed sets. Status 0 means that no answer came.
 func (m *Metrics) StoreAnswered(call string, status int) {
 	text := strconv.Itoa(status)
 	m.storeCalls.WithLabelValues(call, text).Inc()
@@ -119,44 +121,48 @@
 	m.storeCounts[call+" "+text]++
 }
 
-// StoreCalls returns the calls to the store since the start by kind and status.
+// StoreCalls returns the number of calls to the store since the start, by
+// "kind status".
 func (m *Metrics) StoreCalls() map[string]uint64 {
 	m.storeMu.Lock()
 	defer m.storeMu.Unlock()
 	return maps.Clone(m.storeCounts)
 }
 
-// Took notes the time of a call's stage: "call", "queue" or "upstream".
+// Took records the duration of one stage of a call: "call", "queue" or
+// "upstream".
 func (m *Metrics) Took(stage string, d time.Duration) {
-	m.seconds.WithLabelValues(stage).Observe(d.Seconds())
+	m.stageSeconds.WithLabelValues(stage).Observe(d.Seconds())
 }
 
-// Panicked counts a panic in a part, of which there are few.
+// Panicked counts a recovered panic by the part of the node; there are few parts.
 func (m *Metrics) Panicked(part string) { m.panics.WithLabelValues(part).Inc() }
 
-// LeftOut counts a log line that was over the rate for its reason.
-func (m *Metrics) LeftOut(string) { m.leftOut.Inc() }
+// LineSuppressed counts a log line that exceeded the rate limit for its reason.
+func (m *Metrics) LineSuppressed(string) { m.suppressedLines.Inc() }
 
-// Version records the configuration version that has come into force.
+// Version records the configuration version that was applied, and the time.
 func (m *Metrics) Version(v kqname.ConfigVersion) {
 	m.version.Set(float64(v))
-	m.since.Store(time.Now().UnixNano())
+	m.versionSince.Store(time.Now().UnixNano())
 }
 
-// Since returns when the version in force came into force, the zero time
-// before the first.
+// Since returns when the current configuration version was applied, or the zero
+// time before the first one.
 func (m *Metrics) Since() time.Time {
-	if at := m.since.Load(); at != 0 {
+	if at := m.versionSince.Load(); at != 0 {
 		return time.Unix(0, at)
 	}
 	return time.Time{}
 }
 
 // Sent implements kqpeer.Meter.
-func (m *Metrics) Sent(bytes int) { m.sent.Add(uint64(max(bytes, 0))) }
+func (m *Metrics) Sent(bytes int) { m.sentBytes.Add(uint64(max(bytes, 0))) }
 
 // Received implements kqpeer.Meter.
-func (m *Metrics) Received(bytes int) { m.received.Add(uint64(max(bytes, 0))) }
+func (m *Metrics) Received(bytes int) { m.receivedBytes.Add(uint64(max(bytes, 0))) }
 
-// ControlBytes returns the bytes of control traffic since the start.
-func (m *Metrics) ControlBytes() (sent, received uint64) { return m.sent.Load(), m.received.Load() }
+// ControlBytes returns the control traffic in bytes since the start.
+func (m *Metrics) ControlBytes() (sentBytes, receivedBytes uint64) {
+	return m.sentBytes.Load(), m.receivedBytes.Load()
+}
--- a/internal/run/kqmetric/security.go
+++ b/internal/run/kqmetric/security.go
@@ -6,7 +6,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Security counts what the node's certificate and tokens turned away.
+// Security holds the metrics of certificates and operators: refused connections
+// and requests, reloads that failed, and committed changes.
 type Security struct {
 	peerRefused  prometheus.Counter
 	reloadFailed *prometheus.CounterVec
@@ -15,8 +16,8 @@
 	forged       prometheus.Counter
 }
 
-// NewSecurity registers the counters; expires returns when the certificate in
-// use lapses, or the zero time where there is none.
+// NewSecurity registers the security metrics. expires returns the expiry of the
+// certificate in use, or the zero time without TLS.
 func NewSecurity(registry *prometheus.Registry, expires func() time.Time) *Security {
 	s := &Security{
 		peerRefused: prometheus.NewCounter(prometheus.CounterOpts{
@@ -47,17 +48,18 @@
 	return s
 }
 
-// PeerRefused counts a connection whose certificate was refused.
+// PeerRefused counts a peer connection refused for its certificate.
 func (s *Security) PeerRefused() { s.peerRefused.Inc() }
 
 // Forged counts a call from outside that carried internal headers.
 func (s *Security) Forged() { s.forged.Inc() }
 
-// ReloadFailed counts a changed file that could not be taken in.
+// ReloadFailed counts a changed file, such as "certificate" or "tokens", that
+// could not be loaded.
 func (s *Security) ReloadFailed(what string) { s.reloadFailed.WithLabelValues(what).Inc() }
 
 // AdminRefused counts an operator's request that was refused.
 func (s *Security) AdminRefused(reason string) { s.adminRefused.WithLabelValues(reason).Inc() }
 
-// AdminDone counts a committed change.
+// AdminDone counts a committed operator's change; way is how it was requested.
 func (s *Security) AdminDone(way string) { s.adminDone.WithLabelValues(way).Inc() }
--- a/internal/run/kqrecord/doc.go
+++ b/internal/run/kqrecord/doc.go
@@ -1,6 +1,5 @@
-// Package kqrecord writes one log line for each call at the entry and at the gate
-// that on-call engineers may ask about: what was decided, on which inputs, and how
-// it ended. Ordinary successes are sampled by the call's id, so that all nodes keep
-// the lines of the same calls; refusals and failures are kept up to a rate for each
-// reason. What is left out is counted.
+// Package kqrecord writes one log line per call at the entry and at the gate, with
+// the decision, its inputs and the outcome, for on-call engineers. Ordinary
+// successes are sampled by the call's id, so that all nodes log the same calls;
+// refusals and failures are rate-limited per reason. Suppressed lines are counted.
 package kqrecord
--- a/internal/run/kqrecord/record.go
+++ b/internal/run/kqrecord/record.go
@@ -13,132 +13,137 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqgate"
 )
 
-// failureStatus is the lowest HTTP status that an upstream fails with.
-const failureStatus = 500
+// minFailureStatus is the lowest HTTP status of an upstream that counts as a
+// failure.
+const minFailureStatus = 500
 
 type (
-	// Recorder writes calls' lines. It is safe for concurrent use.
+	// Recorder writes the log lines of calls. It is safe for concurrent use.
 	Recorder struct {
-		call, gate *logrus.Entry
-		counter    Counter
-		sample     atomic.Int64
-		perReason  atomic.Int64
+		callLog, gateLog *logrus.Entry
+		counter          Counter
+		sampleEvery      atomic.Int64
+		linesPerReason   atomic.Int64
 
 		mu      sync.Mutex
-		windows map[string]*window
+		windows map[string]*rateWindow
 	}
 
-	// Counter counts lines that are left out and takes the times of calls' stages.
+	// Counter counts suppressed lines and observes the durations of calls' stages.
 	Counter interface {
-		LeftOut(reason string)
+		LineSuppressed(reason string)
 		Took(stage string, d time.Duration)
 	}
 
-	// window counts one reason's lines in one second.
-	window struct {
-		second  int64
-		written int64
-		leftOut int64
+	// rateWindow counts the written and suppressed lines of one reason in one second.
+	rateWindow struct {
+		second     int64
+		written    int64
+		suppressed int64
 	}
 )
 
-// New returns a recorder that keeps one in sample successes, none at 0, and at
-// most perReason lines a second for each reason; counter counts the others.
-func New(call, gate *logrus.Entry, sample, perReason int, counter Counter) *Recorder {
-	r := &Recorder{call: call, gate: gate, counter: counter, windows: make(map[string]*window)}
-	r.Set(sample, perReason)
+// New returns a recorder that logs one in sampleEvery successes, or none if it is
+// 0, and at most linesPerReason lines a second for each reason; counter counts the
+// suppressed lines.
+func New(callLog, gateLog *logrus.Entry, sampleEvery, linesPerReason int, counter Counter) *Recorder {
+	r := &Recorder{callLog: callLog, gateLog: gateLog, counter: counter, windows: make(map[string]*rateWindow)}
+	r.Set(sampleEvery, linesPerReason)
 	return r
 }
 
-// Set changes what is kept.
-func (r *Recorder) Set(sample, perReason int) {
-	r.sample.Store(int64(sample))
-	r.perReason.Store(int64(perReason))
+// Set changes the sampling and the rate limit.
+func (r *Recorder) Set(sampleEvery, linesPerReason int) {
+	r.sampleEvery.Store(int64(sampleEvery))
+	r.linesPerReason.Store(int64(linesPerReason))
 }
 
-// Ended implements kqentry.Recorder.
+// Ended implements kqentry.Recorder: it logs a call that ended at the entry.
 func (r *Recorder) Ended(e kqentry.Record, now time.Time) {
 	r.counter.Took("call", now.Sub(e.Call.Arrived))
-	plain := e.Outcome.Result == kqcall.Answered && e.Status < failureStatus && len(e.Tries) == 1
-	if !r.keeps(e.Call.ID, "call "+string(e.Outcome.Reason), plain, now) {
+	ordinary := e.Outcome.Result == kqcall.Answered && e.Status < minFailureStatus && len(e.Tries) == 1
+	if !r.shouldLog(e.Call.ID, "call "+string(e.Outcome.Reason), ordinary, now) {
 		return
 	}
 	c := e.Call
 	fields := logrus.Fields{
 		"id": c.ID, "event": "ended", "result": e.Outcome.Result, "status": e.Status, "route": c.Route, "service": c.Service,
-		"version": e.Version, "took_ms": ms(now.Sub(c.Arrived)), "class": c.Class, "idempotent": c.Idempotent,
+		"version": e.Version, "took_ms": milliseconds(now.Sub(c.Arrived)), "class": c.Class, "idempotent": c.Idempotent,
 	}
 	if e.Outcome.Reason != kqcall.NoReason {
 		fields["reason"] = e.Outcome.Reason
 	}
 	if !c.Deadline.IsZero() {
-		fields["left_ms"] = ms(c.Deadline.Sub(now))
+		fields["left_ms"] = milliseconds(c.Deadline.Sub(now))
 	}
 	if e.Outcome.RetryAfter > 0 {
-		fields["retry_after_ms"] = ms(e.Outcome.RetryAfter)
+		fields["retry_after_ms"] = milliseconds(e.Outcome.RetryAfter)
 	}
 	if len(e.Tries) > 0 {
-		fields["tries"] = tries(e.Tries)
+		fields["tries"] = attemptFields(e.Tries)
 	}
-	r.call.WithFields(fields).Info("Call ended.")
+	r.callLog.WithFields(fields).Info("Call ended.")
 }
 
-// Gated implements kqgate.Recorder.
+// Gated implements kqgate.Recorder: it logs a call that ended at the gate.
 func (r *Recorder) Gated(g kqgate.Record, now time.Time) {
 	r.counter.Took("queue", g.Waited)
 	if g.Took > 0 {
 		r.counter.Took("upstream", g.Took)
 	}
-	plain := g.Outcome.Result == kqcall.Answered && g.Status < failureStatus
-	if !r.keeps(g.Call.ID, "gate "+string(g.Outcome.Reason), plain, now) {
+	ordinary := g.Outcome.Result == kqcall.Answered && g.Status < minFailureStatus
+	if !r.shouldLog(g.Call.ID, "gate "+string(g.Outcome.Reason), ordinary, now) {
 		return
 	}
 	fields := logrus.Fields{
 		"id": g.Call.ID, "event": "gated", "result": g.Outcome.Result, "status": g.Status, "service": g.Call.Service,
 		"instance": g.Instance, "running": g.Load.Running, "waiting": g.Load.Waiting, "slots": g.Load.Slots,
-		"waited_ms": ms(g.Waited), "took_ms": ms(g.Took), "left_ms": ms(g.Call.Deadline.Sub(now)), "class": g.Call.Class,
-		"expected_ms": ms(g.Load.Work),
+		"waited_ms": milliseconds(g.Waited), "took_ms": milliseconds(g.Took), "left_ms": milliseconds(g.Call.Deadline.Sub(now)), "class": g.Call.Class,
+		"expected_ms": milliseconds(g.Load.Work),
 	}
 	if g.Outcome.Reason != kqcall.NoReason {
 		fields["reason"] = g.Outcome.Reason
 	}
-	r.gate.WithFields(fields).Info("Call left the gate.")
+	r.gateLog.WithFields(fields).Info("Call left the gate.")
 }
 
-// keeps decides on a line, and tells now and then what was left out.
-func (r *Recorder) keeps(id kqcall.ID, reason string, plain bool, now time.Time) bool {
-	if plain {
-		sample := r.sample.Load()
-		return sample > 0 && xxhash.Sum64String(string(id))%uint64(sample) == 0
+// shouldLog reports whether to write a call's line. Ordinary successes are sampled,
+// other calls are limited to linesPerReason a second. The first such call of a
+// later second logs how many lines of its reason were suppressed.
+func (r *Recorder) shouldLog(id kqcall.ID, reason string, ordinary bool, now time.Time) bool {
+	if ordinary {
+		sampleEvery := r.sampleEvery.Load()
+		return sampleEvery > 0 && xxhash.Sum64String(string(id))%uint64(sampleEvery) == 0
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w, ok := r.windows[reason]
 	if !ok {
-		w = &window{}
+		w = &rateWindow{}
 		r.windows[reason] = w
 	}
 	if second := now.Unix(); second != w.second {
-		if w.leftOut > 0 {
-			r.call.WithFields(logrus.Fields{"event": "left_out", "of": reason, "lines": w.leftOut}).Info("Lines were left out.")
+		if w.suppressed > 0 {
+			r.callLog.WithFields(logrus.Fields{"event": "left_out", "of": reason, "lines": w.suppressed}).Info("Log lines were suppressed.")
 		}
-		*w = window{second: second}
+		*w = rateWindow{second: second}
 	}
-	if w.written >= r.perReason.Load() {
-		w.leftOut++
-		r.counter.LeftOut(reason)
+	if w.written >= r.linesPerReason.Load() {
+		w.suppressed++
+		r.counter.LineSuppressed(reason)
 		return false
 	}
 	w.written++
 	return true
 }
 
-func tries(list []kqentry.Try) []map[string]any {
+// attemptFields returns the log fields of a call's attempts.
+func attemptFields(list []kqentry.Try) []map[string]any {
 	lines := make([]map[string]any, 0, len(list))
 	for _, t := range list {
 		line := map[string]any{
 			"to": t.To, "sent": t.Sent, "running": t.Load.Running, "waiting": t.Load.Waiting, "slots": t.Load.Slots,
-			"load_age_ms": ms(t.LoadAge), "left_ms": ms(t.Left), "took_ms": ms(t.Took), "result": t.Outcome.Result,
+			"load_age_ms": milliseconds(t.LoadAge), "left_ms": milliseconds(t.Left), "took_ms": milliseconds(t.Took), "result": t.Outcome.Result,
 			"again": t.Again, "upstream_version": t.Version,
 		}
 		if t.Outcome.Reason != kqcall.NoReason {
@@ -155,5 +160,5 @@
 	return lines
 }
 
-// ms gives a time in milliseconds with a tenth.
-func ms(d time.Duration) float64 { return float64(d.Microseconds()/100) / 10 }
+// milliseconds returns d in milliseconds, truncated to a tenth.
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()/100) / 10 }
