--- a/internal/run/kqexplain/doc.go
+++ b/internal/run/kqexplain/doc.go
@@ -1,3 +1,3 @@
-// Package kqexplain reads nodes' logs and tells one request's way through them:
-// what each node decided, on which inputs and beliefs, and the cause of its end.
+// Package kqexplain reads the logs of nodes and reconstructs how one request was
+// handled: each node's decisions with their inputs, and the cause of the outcome.
 package kqexplain
--- a/internal/run/kqexplain/explain_test.go
+++ b/internal/run/kqexplain/explain_test.go
@@ -8,6 +8,9 @@
 	"github.com/kumquatgw/kumquatgw/internal/run/kqexplain"
 )
 
+// recorded holds the log lines of three requests, r1 to r3, on nodes a to c, and three
+// lines that must be skipped: an empty one, one of another program, and a truncated
+// one.
 const recorded = `
 {"time":"2026-01-02T03:04:05.100Z","node":"a","part":"config","event":"applied","msg":"config: Version is in force.","version":7}
 {"time":"2026-01-02T03:04:05.200Z","node":"a","part":"member","event":"member","member":"b","state":"alive","msg":"member: Member changed."}
@@ -20,7 +23,7 @@
 words of somebody else
 {"time":"2026-01-02T03:04:10.000Z","node":"a","part":"call","event":"en`
 
-func read(t *testing.T) *kqexplain.Log {
+func readRecorded(t *testing.T) *kqexplain.Log {
 	t.Helper()
 	var l kqexplain.Log
 	if err := l.Read("recorded", strings.NewReader(recorded)); err != nil {
@@ -29,35 +32,35 @@
 	return &l
 }
 
-// A caller complains of a refused, a failed and a broken request. For each, the
-// logs alone must tell an engineer on call why.
-func TestCauses(t *testing.T) {
+// For a refused, a failed and a disconnected request, the logs alone must show an
+// on-call engineer the cause.
+func TestExplainStatesCause(t *testing.T) {
 	for id, want := range map[string][]string{
-		"r1": {"Cause: overload. 1 gates of front had no room", "told to come back after 250 ms", "b alive since", "in force for"},
-		"r2": {"Cause: its upstream. The last try, to b, ended as cut", "b was held", "held to be dead"},
+		"r1": {"Cause: overload. 1 gates of front had no room", "caller told to retry after 250 ms", "b alive for", "version in force for"},
+		"r2": {"Cause: the upstream. The last attempt, to b, ended as cut", "b was marked", "marked dead at 03:04:08.000"},
 		"r3": {"Cause: a call that it caused. r3.1 ended as not_run, late"},
 	} {
-		lines, err := read(t).Explain(id)
+		lines, err := readRecorded(t).Explain(id)
 		if err != nil {
 			t.Fatal(err)
 		}
-		text := strings.ReplaceAll(strings.Join(lines, "\n"), "that node was held", "b was held")
+		text := strings.ReplaceAll(strings.Join(lines, "\n"), "that node was marked", "b was marked")
 		for _, w := range want {
 			if !strings.Contains(text, w) {
-				t.Errorf("%s: no %q in\n%s", id, w, text)
+				t.Errorf("explanation of %s lacks %q:\n%s", id, w, text)
 			}
 		}
 	}
 }
 
-// Files hold lines that are no log, and end in the middle of a line when their
-// process was killed. They are told and passed over.
-func TestLinesThatAreNoLog(t *testing.T) {
-	l := read(t)
+// A file may hold lines of other programs, and ends in the middle of a line if its
+// process was killed. Such lines must be skipped and counted, not end the reading.
+func TestForeignAndTruncatedLinesAreSkipped(t *testing.T) {
+	l := readRecorded(t)
 	if got := l.Skipped(); len(got) != 1 || !strings.Contains(got[0], "recorded: 3 lines") {
-		t.Errorf("skipped %q", got)
+		t.Errorf("skipped lines are reported as %q", got)
 	}
-	if _, err := l.Explain("nobody"); !errors.Is(err, kqexplain.ErrNoLine) {
-		t.Errorf("unknown request: %v", err)
+	if _, err := l.Explain("nobody"); !errors.Is(err, kqexplain.ErrNotFound) {
+		t.Errorf("unknown request: error %v, want ErrNotFound", err)
 	}
 }
--- a/internal/run/kqexplain/read.go
+++ b/internal/run/kqexplain/read.go
@@ -11,19 +11,18 @@
 	"time"
 )
 
-// maxLine bounds one line, in bytes; longer ones are no log of a node.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line. Reading a file with a longer line fails.
+const maxLineBytes = 1 << 20
 
 type (
-	// Log holds the lines of any number of nodes.
+	// Log holds log lines from any number of nodes.
 	Log struct {
 		lines []line
-		// skipped counts, for each file, the lines that are no log.
+		// skipped counts, by file, the lines that are not log lines of a node.
 		skipped map[string]int
 	}
 
-	// line is one line of a node's log; fields that an event does not have are
-	// zero.
+	// line is one line of a node's log. Fields that its event does not have are zero.
 	line struct {
 		Time   time.Time `json:"time"`
 		Node   string    `json:"node"`
@@ -35,14 +34,14 @@
 		Reason string    `json:"reason"`
 		Status int       `json:"status"`
 
-		Route   string  `json:"route"`
-		Service string  `json:"service"`
-		Class   string  `json:"class"`
-		Version uint64  `json:"version"`
-		Took    float64 `json:"took_ms"`
-		Left    float64 `json:"left_ms"`
-		Retry   float64 `json:"retry_after_ms"`
-		Tries   []try   `json:"tries"`
+		Route   string    `json:"route"`
+		Service string    `json:"service"`
+		Class   string    `json:"class"`
+		Version uint64    `json:"version"`
+		Took    float64   `json:"took_ms"`
+		Left    float64   `json:"left_ms"`
+		Retry   float64   `json:"retry_after_ms"`
+		Tries   []attempt `json:"tries"`
 
 		Instance string  `json:"instance"`
 		Running  int     `json:"running"`
@@ -56,7 +55,8 @@
 		Upstreams []string `json:"upstreams"`
 	}
 
-	try struct {
+	// attempt is one attempt to send a call to an upstream, as the entry logged it.
+	attempt struct {
 		To      string  `json:"to"`
 		Result  string  `json:"result"`
 		Reason  string  `json:"reason"`
@@ -73,16 +73,16 @@
 	}
 )
 
-// Read adds a file's lines. What is no line of a node's log, or is cut short, is
-// passed over and counted.
+// Read adds a file's lines. Lines that are truncated or not from a node's log are
+// skipped and counted.
 func (l *Log) Read(name string, file io.Reader) error {
 	scanner := bufio.NewScanner(file)
-	scanner.Buffer(make([]byte, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
 	if l.skipped == nil {
 		l.skipped = make(map[string]int)
 	}
 	for scanner.Scan() {
-		// Collectors put their own words before a line.
+		// Log collectors may put a prefix before the JSON object.
 		start := bytes.IndexByte(scanner.Bytes(), '{')
 		var one line
 		if start < 0 || json.Unmarshal(scanner.Bytes()[start:], &one) != nil || one.Time.IsZero() || one.Node == "" {
@@ -97,19 +97,19 @@
 	return nil
 }
 
-// Skipped tells, a sentence a file, what was passed over.
+// Skipped returns one sentence for each file with skipped lines.
 func (l *Log) Skipped() []string {
 	var list []string
 	for name, count := range l.skipped {
-		list = append(list, fmt.Sprintf("%s: %d lines are no node's log and were passed over.", name, count))
+		list = append(list, fmt.Sprintf("%s: %d lines are not log lines of a node and were skipped.", name, count))
 	}
 	slices.Sort(list)
 	return list
 }
 
-// of returns the lines of a request and of the calls that it caused, in order of
-// time. A caused call's id begins with its cause's.
-func (l *Log) of(id string) []line {
+// requestLines returns the lines of a request and of the calls that it caused, in
+// order of time. The id of a caused call is that of its cause, a dot and a suffix.
+func (l *Log) requestLines(id string) []line {
 	var list []line
 	for _, one := range l.lines {
 		if one.ID == id || strings.HasPrefix(one.ID, id+".") {
@@ -120,9 +120,10 @@
 	return list
 }
 
-// last returns a node's last line before a time that fits, and whether there is
-// one.
-func (l *Log) last(node string, before time.Time, fits func(line) bool) (line, bool) {
+// lastLine returns the last line of a node, no later than before, that fits
+// accepts, and whether there is one. Lines from before the node's last restart do
+// not count.
+func (l *Log) lastLine(node string, before time.Time, fits func(line) bool) (line, bool) {
 	var best, started line
 	for _, one := range l.lines {
 		switch {
@@ -133,6 +134,6 @@
 			best = one
 		}
 	}
-	// What an earlier process of the node believed is gone with it.
+	// What an earlier process of the node knew was lost when it ended.
 	return best, best.Node != "" && !best.Time.Before(started.Time)
 }
