--- a/internal/run/kqcommand/access.go
+++ b/internal/run/kqcommand/access.go
@@ -6,16 +6,17 @@
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqclient"
 )
 
-// adminFlag is where a node's admin server is, unless a flag says otherwise.
-const adminFlag = "http://127.0.0.1:8084"
+// defaultAdminURL is the URL of the admin server if no flag or environment variable
+// gives one.
+const defaultAdminURL = "http://127.0.0.1:8084"
 
-// accessFlags adds the flags by which a command reaches the administration API.
-// The token comes from the environment too: arguments can be read by every user
-// of the machine.
-func accessFlags(clause *kingpin.CmdClause) *kqclient.Access {
+// addAccessFlags adds the flags for access to the administration API. The token can
+// also come from the environment, as every user of the server can read the
+// arguments of processes.
+func addAccessFlags(clause *kingpin.CmdClause) *kqclient.Access {
 	a := &kqclient.Access{}
-	clause.Flag("admin", "URL of a node's admin server.").Default(adminFlag).Envar("KUMQUATGW_ADMIN").StringVar(&a.URL)
-	clause.Flag("token", "Operator's token; better set as KUMQUATGW_TOKEN.").Envar("KUMQUATGW_TOKEN").StringVar(&a.Token)
+	clause.Flag("admin", "URL of a node's admin server.").Default(defaultAdminURL).Envar("KUMQUATGW_ADMIN").StringVar(&a.URL)
+	clause.Flag("token", "Operator's token; prefer to set it as KUMQUATGW_TOKEN, since arguments are visible to other users.").Envar("KUMQUATGW_TOKEN").StringVar(&a.Token)
 	clause.Flag("ca", "PEM file of the fleet's CA.").Envar("KUMQUATGW_CA").StringVar(&a.CA)
 	return a
 }
--- a/internal/run/kqcommand/command.go
+++ b/internal/run/kqcommand/command.go
@@ -16,39 +16,40 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
-// Command is the whole command line with its streams.
+// Command is the command line of the program, with its output streams.
 type Command struct {
 	app    *kingpin.Application
 	out    io.Writer
 	errors io.Writer
-	// measure is the parent of the commands that measure.
-	measure *kingpin.CmdClause
-	run     map[string]func(context.Context) error
-	// adapters join nodes to platforms by the name that settings give.
+	// measureCommand is the parent of the commands that measure.
+	measureCommand *kingpin.CmdClause
+	// runner holds the function that runs each command, by its full name.
+	runner map[string]func(context.Context) error
+	// adapters holds the adapters to platforms by the name that settings use.
 	adapters map[string]Joiner
 }
 
 type (
-	// Joiner returns the store of a platform and the adapter that joins a node
-	// to it, and the settings as that platform bounds them.
+	// Joiner connects a node to a platform. It returns the settings with the limits of
+	// the platform applied, the platform's store, and the node's adapter to it.
 	Joiner func(kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error)
 
-	// Option sets up a Command.
+	// Option configures a Command.
 	Option func(*Command)
 )
 
-// WithAdapter lets settings name an adapter to a platform.
-func WithAdapter(name string, join Joiner) Option {
-	return func(c *Command) { c.adapters[name] = join }
+// WithAdapter registers an adapter to a platform under the name that settings use.
+func WithAdapter(name string, connect Joiner) Option {
+	return func(c *Command) { c.adapters[name] = connect }
 }
 
 // New returns the command line of the program.
 func New(out, errors io.Writer, options ...Option) *Command {
 	c := &Command{
-		app:    kingpin.New("kumquatgw", "Distributes a service mesh's configuration, and moves its traffic."),
+		app:    kingpin.New("kumquatgw", "Distributes a service mesh's configuration and shifts its traffic between upstream versions."),
 		out:    out,
 		errors: errors,
-		run:    make(map[string]func(context.Context) error),
+		runner: make(map[string]func(context.Context) error),
 
 		adapters: make(map[string]Joiner),
 	}
@@ -76,11 +77,11 @@
 	return c
 }
 
-// Run runs the command that the arguments name, until it ends or the process
-// is told to stop, and returns the exit status.
+// Run runs the command that the arguments name, until it ends or the process gets a
+// signal to stop, and returns the exit status.
 func (c *Command) Run(arguments []string) int {
 	if len(arguments) > 0 && strings.HasPrefix(arguments[0], "--completion-script-") {
-		// A shell evaluates the script from the standard output.
+		// The shell evaluates the completion script from the standard output.
 		c.app.UsageWriter(c.out)
 	}
 	name, err := c.app.Parse(arguments)
@@ -90,18 +91,18 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	run := c.run[name]
+	runner := c.runner[name]
 	if strings.HasPrefix(name, "measure ") {
-		run = func(ctx context.Context) error { return withProgress(ctx, c.errors, name, c.run[name]) }
+		runner = func(ctx context.Context) error { return withProgress(ctx, c.errors, name, c.runner[name]) }
 	}
-	if err := run(ctx); err != nil {
+	if err := runner(ctx); err != nil {
 		fmt.Fprintf(c.errors, "kumquatgw: %v\n", err)
 		return 1
 	}
 	return 0
 }
 
-// add registers what a command runs.
-func (c *Command) add(clause *kingpin.CmdClause, run func(context.Context) error) {
-	c.run[clause.FullCommand()] = run
+// register sets the function that runs a command.
+func (c *Command) register(clause *kingpin.CmdClause, runner func(context.Context) error) {
+	c.runner[clause.FullCommand()] = runner
 }
--- a/internal/run/kqcommand/demo.go
+++ b/internal/run/kqcommand/demo.go
@@ -10,9 +10,9 @@
 
 func (c *Command) addDemo() {
 	clause := c.app.Command("demo", "Run a small deployment on loopback, in one process.")
-	once := clause.Flag("once", "Drive it through a script of changes and faults and end; exit 1 if an outcome is missed.").Bool()
+	once := clause.Flag("once", "Run it through a script of changes and faults, then exit; the exit status is 1 if an expected outcome is missed.").Bool()
 	asJSON := clause.Flag("json", "With --once, print one JSON object.").Bool()
-	c.add(clause, func(ctx context.Context) error {
+	c.register(clause, func(ctx context.Context) error {
 		switch {
 		case *once:
 			return c.demoOnce(ctx, *asJSON)
@@ -30,7 +30,7 @@
 		return err
 	}
 	if asJSON {
-		if err := c.print(report); err != nil {
+		if err := c.printJSON(report); err != nil {
 			return err
 		}
 		return report.Check()
--- a/internal/run/kqcommand/doc.go
+++ b/internal/run/kqcommand/doc.go
@@ -1,2 +1,2 @@
-// Package kqcommand is the command line of kumquatgw: one file a command.
+// Package kqcommand implements the command line of kumquatgw.
 package kqcommand
--- a/internal/run/kqcommand/document.go
+++ b/internal/run/kqcommand/document.go
@@ -16,13 +16,15 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-const platformFlag = "http://127.0.0.1:7070"
+// defaultPlatformURL is the address that the stand-in for the platform listens on by
+// default.
+const defaultPlatformURL = "http://127.0.0.1:7070"
 
-var errProblems = errors.New("document has problems")
+var errInvalidDocument = errors.New("document has problems")
 
 func (c *Command) addDocument() {
-	parent := c.app.Command("document", "Check, commit and show the operators' document.")
-	url := parent.Flag("platform", "URL of the platform's key-value service.").Default(platformFlag).String()
+	parent := c.app.Command("document", "Validate, compare, commit and show the configuration document.")
+	url := parent.Flag("platform", "URL of the platform's key-value service.").Default(defaultPlatformURL).String()
 	c.addValidate(parent)
 	c.addSchema(parent)
 	c.addDiff(parent, url)
@@ -34,9 +36,9 @@
 }
 
 func (c *Command) addValidate(parent *kingpin.CmdClause) {
-	clause := parent.Command("validate", "Tell every problem of a document.")
+	clause := parent.Command("validate", "Report every problem of a document.")
 	file := clause.Arg("file", "JSON file.").Required().String()
-	c.add(clause, func(context.Context) error {
+	c.register(clause, func(context.Context) error {
 		if _, err := c.readDocument(*file); err != nil {
 			return err
 		}
@@ -47,7 +49,7 @@
 
 func (c *Command) addSchema(parent *kingpin.CmdClause) {
 	clause := parent.Command("schema", "Print the JSON schema of a document.")
-	c.add(clause, func(context.Context) error {
+	c.register(clause, func(context.Context) error {
 		if _, err := c.out.Write(kqdocument.Schema()); err != nil {
 			return fmt.Errorf("print schema: %w", err)
 		}
@@ -56,10 +58,10 @@
 }
 
 func (c *Command) addDiff(parent *kingpin.CmdClause, url *string) {
-	clause := parent.Command("diff", "Tell what a document would change; exit 1 if anything.")
+	clause := parent.Command("diff", "Show what a document would change; the exit status is 1 if it would change anything.")
 	file := clause.Arg("file", "JSON file.").Required().String()
-	base := clause.Arg("base", "JSON file to compare with; without one, the document in force.").String()
-	c.add(clause, func(ctx context.Context) error {
+	base := clause.Arg("base", "JSON file to compare with; if omitted, the document in force.").String()
+	c.register(clause, func(ctx context.Context) error {
 		d, err := c.readDocument(*file)
 		if err != nil {
 			return err
@@ -81,34 +83,36 @@
 	})
 }
 
+// baseDocument reads the document to compare with, from the file or, without one,
+// from the platform.
 func (c *Command) baseDocument(ctx context.Context, file, url string) (kqdocument.Document, error) {
 	if file != "" {
 		return c.readDocument(file)
 	}
-	d, _, err := committer(url).Document(ctx)
+	d, _, err := newCommitter(url).Document(ctx)
 	return d, err
 }
 
 func (c *Command) addShow(parent *kingpin.CmdClause, url *string) {
-	clause := parent.Command("show", "Print the document in force, or one of the past.")
+	clause := parent.Command("show", "Print the document in force or a past version of it.")
 	version := clause.Flag("config-version", "Version to print; 0 prints the one in force.").Default("0").Uint64()
-	c.add(clause, func(ctx context.Context) error {
-		d, root, err := committer(*url).Document(ctx)
+	c.register(clause, func(ctx context.Context) error {
+		d, root, err := newCommitter(*url).Document(ctx)
 		if *version != 0 {
 			root.Version = kqname.ConfigVersion(*version)
-			d, err = committer(*url).DocumentAt(ctx, root.Version)
+			d, err = newCommitter(*url).DocumentAt(ctx, root.Version)
 		}
 		if err != nil {
 			return err
 		}
-		return c.print(struct {
+		return c.printJSON(struct {
 			Version  kqname.ConfigVersion `json:"version"`
 			Document kqdocument.Document  `json:"document"`
 		}{root.Version, d})
 	})
 }
 
-// readDocument reads and validates a file and prints each of its problems.
+// readDocument reads and validates a document, and prints its problems.
 func (c *Command) readDocument(file string) (kqdocument.Document, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -123,21 +127,21 @@
 	if err != nil {
 		return d, fmt.Errorf("%s: %w", file, err)
 	}
-	return d, c.tell(file, kqdocument.Validate(d))
+	return d, c.printProblems(file, kqdocument.Validate(d))
 }
 
-// tell prints a document's problems and returns an error if there are any.
-func (c *Command) tell(file string, problems []kqdocument.Problem) error {
+// printProblems prints a document's problems and returns an error if there are any.
+func (c *Command) printProblems(file string, problems []kqdocument.Problem) error {
 	for _, p := range problems {
 		fmt.Fprintf(c.errors, "%s: %v\n", file, p)
 	}
 	if len(problems) > 0 {
-		return fmt.Errorf("%s, %d: %w", file, len(problems), errProblems)
+		return fmt.Errorf("%s, %d: %w", file, len(problems), errInvalidDocument)
 	}
 	return nil
 }
 
-func (c *Command) print(value any) error {
+func (c *Command) printJSON(value any) error {
 	encoder := json.NewEncoder(c.out)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(value); err != nil {
@@ -146,10 +150,11 @@
 	return nil
 }
 
+// printItem prints one side of a changed item, if it has that side.
 func printItem(w io.Writer, sign string, item json.RawMessage) {
 	if item != nil {
 		fmt.Fprintf(w, "%s %s\n", sign, item)
 	}
 }
 
-func committer(url string) *kqcommit.Committer { return kqcommit.New(kqstoreclient.New(url)) }
+func newCommitter(url string) *kqcommit.Committer { return kqcommit.New(kqstoreclient.New(url)) }
--- a/internal/run/kqcommand/explain.go
+++ b/internal/run/kqcommand/explain.go
@@ -9,10 +9,10 @@
 )
 
 func (c *Command) addExplain() {
-	clause := c.app.Command("explain", "Tell one request's way through nodes' logs, and the cause of its end.")
+	clause := c.app.Command("explain", "Show from nodes' logs how one request was handled, and the cause of its outcome.")
 	id := clause.Arg("request_id", "The request's id, as its caller sent it.").Required().String()
-	files := clause.Arg("file", "Logs of any number of nodes.").Required().Strings()
-	c.add(clause, func(context.Context) error {
+	files := clause.Arg("file", "Log files of one or more nodes.").Required().Strings()
+	c.register(clause, func(context.Context) error {
 		var log kqexplain.Log
 		for _, name := range *files {
 			if err := readLog(&log, name); err != nil {
@@ -22,11 +22,11 @@
 		for _, text := range log.Skipped() {
 			fmt.Fprintln(c.errors, text)
 		}
-		told, err := log.Explain(*id)
+		sentences, err := log.Explain(*id)
 		if err != nil {
 			return err
 		}
-		for _, text := range told {
+		for _, text := range sentences {
 			fmt.Fprintln(c.out, text)
 		}
 		return nil
--- a/internal/run/kqcommand/item.go
+++ b/internal/run/kqcommand/item.go
@@ -21,18 +21,20 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-const standardInput = "-"
+// stdinFile is the file name that means the standard input.
+const stdinFile = "-"
 
-// itemFlags are the flags of a command that changes an item.
-type itemFlags struct {
+// changeOptions holds the flags and arguments of a command that changes an item.
+type changeOptions struct {
 	access           *kqclient.Access
 	kind, name       *string
 	id, reason, base *string
 	dryRun           *bool
 }
 
-// addItem adds the commands that change one item of the document with an
-// operator's token; the document commands need the platform itself.
+// addItem adds the commands that read or change single items of the document through
+// the administration API, with an operator's token. The document commands instead
+// access the platform directly.
 func (c *Command) addItem() {
 	parent := c.app.Command("item", "List, show, put and delete services, routes, rollouts, policies and teams by the administration API.")
 	c.addItemShow(parent)
@@ -42,28 +44,28 @@
 
 func (c *Command) addItemShow(parent *kingpin.CmdClause) {
 	clause := parent.Command("show", "Print the items of a kind, or one of them.")
-	access := accessFlags(clause)
-	kind := kindArgument(clause)
-	name := clause.Arg("name", "Its name; without one all are printed.").String()
-	c.add(clause, func(ctx context.Context) error {
+	access := addAccessFlags(clause)
+	kind := addKindArgument(clause)
+	name := clause.Arg("name", "Name of the item; if omitted, all items of the kind are printed.").String()
+	c.register(clause, func(ctx context.Context) error {
 		path := kqapi.Prefix + "/" + *kind
 		if *name != "" {
 			path += "/" + url.PathEscape(*name)
 		}
 		var answer any
-		if err := c.ask(ctx, *access, http.MethodGet, path, nil, &answer); err != nil {
+		if err := c.callAPI(ctx, *access, http.MethodGet, path, nil, &answer); err != nil {
 			return err
 		}
-		return c.print(answer)
+		return c.printJSON(answer)
 	})
 }
 
 func (c *Command) addItemPut(parent *kingpin.CmdClause) {
 	clause := parent.Command("put", "Add or replace an item.")
-	f := changeFlags(clause)
-	file := clause.Arg("file", "JSON of the item; - reads the standard input.").Default(standardInput).String()
-	c.add(clause, func(ctx context.Context) error {
-		data, err := readInput(*file)
+	f := addChangeFlags(clause)
+	file := clause.Arg("file", "JSON file with the item; - reads the standard input.").Default(stdinFile).String()
+	c.register(clause, func(ctx context.Context) error {
+		data, err := readItem(*file)
 		if err != nil {
 			return err
 		}
@@ -82,8 +84,8 @@
 
 func (c *Command) addItemDelete(parent *kingpin.CmdClause) {
 	clause := parent.Command("delete", "Remove an item.")
-	f := changeFlags(clause)
-	c.add(clause, func(ctx context.Context) error {
+	f := addChangeFlags(clause)
+	c.register(clause, func(ctx context.Context) error {
 		query := url.Values{"request_id": {*f.id}, "reason": {*f.reason}}
 		if *f.base != "" {
 			query.Set("base", *f.base)
@@ -92,7 +94,8 @@
 	})
 }
 
-func (c *Command) changeItem(ctx context.Context, f itemFlags, method string, query url.Values, body any) error {
+// changeItem sends a change of an item and prints its result.
+func (c *Command) changeItem(ctx context.Context, f changeOptions, method string, query url.Values, body any) error {
 	if *f.dryRun {
 		query.Set("dry_run", "true")
 	}
@@ -101,17 +104,18 @@
 		path += "?" + query.Encode()
 	}
 	var result kqchange.Result
-	if err := c.ask(ctx, *f.access, method, path, body, &result); err != nil {
+	if err := c.callAPI(ctx, *f.access, method, path, body, &result); err != nil {
 		return err
 	}
-	return c.print(result)
+	return c.printJSON(result)
 }
 
-// ask asks the API and prints every fault of a refusal.
-func (c *Command) ask(ctx context.Context, access kqclient.Access, method, path string, body, value any) error {
+// callAPI calls the administration API, and prints every error of a request that it
+// refuses.
+func (c *Command) callAPI(ctx context.Context, access kqclient.Access, method, path string, body, value any) error {
 	client, err := kqclient.New(access)
 	if err != nil {
-		return fmt.Errorf("ask API: %w", err)
+		return fmt.Errorf("call administration API: %w", err)
 	}
 	err = client.Do(ctx, method, path, body, value)
 	var p *kqproblem.Problem
@@ -121,30 +125,31 @@
 		}
 	}
 	if err != nil {
-		return fmt.Errorf("ask API: %w", err)
+		return fmt.Errorf("call administration API: %w", err)
 	}
 	return nil
 }
 
-func changeFlags(clause *kingpin.CmdClause) itemFlags {
-	return itemFlags{
-		access: accessFlags(clause),
-		id:     clause.Flag("request-id", "Name of this change; the same name is committed once.").Default(uuid.NewString()).String(),
-		reason: clause.Flag("reason", "Why; it stands in the history.").Required().String(),
+// addChangeFlags adds the flags and arguments that put and delete share.
+func addChangeFlags(clause *kingpin.CmdClause) changeOptions {
+	return changeOptions{
+		access: addAccessFlags(clause),
+		id:     clause.Flag("request-id", "Id of this change; a change repeated with the same id takes effect once.").Default(uuid.NewString()).String(),
+		reason: clause.Flag("reason", "Reason of the change, shown in the history.").Required().String(),
 		base:   clause.Flag("base", "Version that was edited; the change fails if another is in force.").String(),
-		dryRun: clause.Flag("dry-run", "Only tell what would change.").Bool(),
-		kind:   kindArgument(clause),
+		dryRun: clause.Flag("dry-run", "Only show what would change.").Bool(),
+		kind:   addKindArgument(clause),
 		name:   clause.Arg("name", "The item's name.").Required().String(),
 	}
 }
 
-func kindArgument(clause *kingpin.CmdClause) *string {
+func addKindArgument(clause *kingpin.CmdClause) *string {
 	return clause.Arg("kind", "services, routes, rollouts, policies or teams.").Required().
 		Enum("services", "routes", "rollouts", "policies", "teams")
 }
 
-func readInput(file string) (json.RawMessage, error) {
-	if file == standardInput {
+func readItem(file string) (json.RawMessage, error) {
+	if file == stdinFile {
 		data, err := io.ReadAll(os.Stdin)
 		if err != nil {
 			return nil, fmt.Errorf("read item: %w", err)
--- a/internal/run/kqcommand/keys.go
+++ b/internal/run/kqcommand/keys.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	caName      = "ca"
-	day         = 24 * time.Hour
-	tokenMode   = 0o600
-	caDays      = "3650"
-	defaultDays = "90"
+	caFileName      = "ca"
+	day             = 24 * time.Hour
+	tokenFileMode   = 0o600
+	defaultCADays   = "3650"
+	defaultNodeDays = "90"
 )
 
 var (
-	errExists = errors.New("there is an authority already")
-	errTaken  = errors.New("the files of that name are the CA's; no node may have it")
-	errShow   = errors.New("file holds no certificate")
+	errCAExists      = errors.New("there is an authority already")
+	errReservedName  = errors.New("the files of that name are the CA's; no node may have it")
+	errNoCertificate = errors.New("file has no certificate in PEM format")
 )
 
 func (c *Command) addKeys() {
-	parent := c.app.Command("keys", "Make the fleet's private CA, nodes' certificates and operators' tokens.")
+	parent := c.app.Command("keys", "Create the fleet's private CA, nodes' certificates and operators' tokens.")
 	c.addKeysInit(parent)
 	c.addKeysIssue(parent)
 	c.addKeysShow(parent)
@@ -40,36 +40,36 @@
 }
 
 func (c *Command) addKeysInit(parent *kingpin.CmdClause) {
-	clause := parent.Command("init", "Make a private CA. Keep its key off the nodes.")
-	folder := clause.Flag("folder", "Where the CA's ca.pem and ca.key are put.").Required().String()
-	days := clause.Flag("days", "How long the CA is valid.").Default(caDays).Int()
-	c.add(clause, func(context.Context) error {
-		if _, err := kqauthority.Read(*folder, caName); err == nil {
-			return fmt.Errorf("init %s: %w", *folder, errExists)
+	clause := parent.Command("init", "Create a private CA. Keep its key off the nodes.")
+	folder := clause.Flag("folder", "Directory to write ca.pem and ca.key to.").Required().String()
+	days := clause.Flag("days", "Validity of the CA in days.").Default(defaultCADays).Int()
+	c.register(clause, func(context.Context) error {
+		if _, err := kqauthority.Read(*folder, caFileName); err == nil {
+			return fmt.Errorf("init %s: %w", *folder, errCAExists)
 		}
 		a, err := kqauthority.New(time.Now(), time.Duration(*days)*day)
 		if err != nil {
 			return fmt.Errorf("init: %w", err)
 		}
-		if err := a.Pair().Write(*folder, caName); err != nil {
+		if err := a.Pair().Write(*folder, caFileName); err != nil {
 			return fmt.Errorf("init: %w", err)
 		}
-		c.wrote(*folder, caName)
+		c.printWritten(*folder, caFileName)
 		return nil
 	})
 }
 
 func (c *Command) addKeysIssue(parent *kingpin.CmdClause) {
-	clause := parent.Command("issue", "Make a node's key and certificate.")
+	clause := parent.Command("issue", "Create a node's key and certificate.")
 	node := clause.Arg("node", "The node's name, as in its settings.").Required().String()
-	folder := clause.Flag("folder", "Where ca.pem and ca.key are, and the node's files are put.").Required().String()
-	addresses := clause.Flag("address", "IP number or host name at which operators reach the node; repeat for more.").Default("127.0.0.1").Strings()
-	days := clause.Flag("days", "How long the certificate is valid.").Default(defaultDays).Int()
-	c.add(clause, func(context.Context) error {
-		if *node == caName {
-			return fmt.Errorf("issue %s: %w", *node, errTaken)
+	folder := clause.Flag("folder", "Directory of ca.pem and ca.key, to which the node's files are written.").Required().String()
+	addresses := clause.Flag("address", "IP address or DNS name at which operators reach the node; repeatable.").Default("127.0.0.1").Strings()
+	days := clause.Flag("days", "Validity of the certificate in days.").Default(defaultNodeDays).Int()
+	c.register(clause, func(context.Context) error {
+		if *node == caFileName {
+			return fmt.Errorf("issue %s: %w", *node, errReservedName)
 		}
-		ca, err := kqauthority.Read(*folder, caName)
+		ca, err := kqauthority.Read(*folder, caFileName)
 		if err != nil {
 			return fmt.Errorf("issue: %w", err)
 		}
@@ -84,22 +84,22 @@
 		if err := pair.Write(*folder, *node); err != nil {
 			return fmt.Errorf("issue: %w", err)
 		}
-		c.wrote(*folder, *node)
+		c.printWritten(*folder, *node)
 		return nil
 	})
 }
 
 func (c *Command) addKeysShow(parent *kingpin.CmdClause) {
-	clause := parent.Command("show", "Tell whom certificates are for and when they lapse.")
+	clause := parent.Command("show", "Show the subjects of certificates and when they expire.")
 	files := clause.Arg("file", "PEM files.").Required().Strings()
-	c.add(clause, func(context.Context) error {
+	c.register(clause, func(context.Context) error {
 		for _, file := range *files {
 			certificate, err := readCertificate(file)
 			if err != nil {
 				return err
 			}
 			left := time.Until(certificate.NotAfter).Truncate(time.Hour)
-			fmt.Fprintf(c.out, "%s: %s, %s, valid to %s, %s left\n", file, subject(certificate), purpose(certificate),
+			fmt.Fprintf(c.out, "%s: %s, %s, valid to %s, %s left\n", file, subjectNames(certificate), certificateKind(certificate),
 				certificate.NotAfter.UTC().Format(time.RFC3339), left)
 		}
 		return nil
@@ -107,18 +107,18 @@
 }
 
 func (c *Command) addKeysToken(parent *kingpin.CmdClause) {
-	clause := parent.Command("token", "Make an operator's token; it is printed once and kept nowhere.")
-	name := clause.Arg("name", "The operator's name, as it stands in the history.").Required().String()
+	clause := parent.Command("token", "Create an operator's token. It is printed once and not stored.")
+	name := clause.Arg("name", "The operator's name, as shown in the history.").Required().String()
 	team := clause.Flag("team", "The member's team; without one the operator is an admin.").String()
-	file := clause.Flag("file", "Tokens' file that the hashed line is added to; else the line is printed.").String()
-	c.add(clause, func(context.Context) error {
+	file := clause.Flag("file", "Token file to append the line with the token's hash to; if omitted, the line is printed.").String()
+	c.register(clause, func(context.Context) error {
 		o := kqoperator.Operator{Name: *name, Role: kqoperator.Admin}
 		if *team != "" {
 			o.Role, o.Team = kqoperator.Member, kqname.Team(*team)
 		}
 		token, line, err := kqoperator.NewToken(o)
 		if err != nil {
-			return fmt.Errorf("make token: %w", err)
+			return fmt.Errorf("create token: %w", err)
 		}
 		if *file == "" {
 			fmt.Fprintf(c.out, "token %s\nline  %s\n", token, line)
@@ -132,19 +132,21 @@
 	})
 }
 
-func (c *Command) wrote(folder, name string) {
+// printWritten prints the paths of a certificate and key that were written.
+func (c *Command) printWritten(folder, name string) {
 	certificate, key := kqauthority.Paths(folder, name)
 	fmt.Fprintf(c.out, "wrote %s and %s\n", certificate, key)
 }
 
+// appendLine appends a line to the token file, and creates it if it does not exist.
 func appendLine(file, line string) error {
-	f, err := os.OpenFile(file, os.O_APPEND|os.O_CREATE|os.O_WRONLY, tokenMode)
+	f, err := os.OpenFile(file, os.O_APPEND|os.O_CREATE|os.O_WRONLY, tokenFileMode)
 	if err != nil {
-		return fmt.Errorf("add token: %w", err)
+		return fmt.Errorf("append token: %w", err)
 	}
 	_, err = fmt.Fprintln(f, line)
 	if err := errors.Join(err, f.Close()); err != nil {
-		return fmt.Errorf("add token: %w", err)
+		return fmt.Errorf("append token: %w", err)
 	}
 	return nil
 }
@@ -156,7 +158,7 @@
 	}
 	block, _ := pem.Decode(data)
 	if block == nil || block.Type != "CERTIFICATE" {
-		return nil, fmt.Errorf("show %s: %w", file, errShow)
+		return nil, fmt.Errorf("show %s: %w", file, errNoCertificate)
 	}
 	certificate, err := x509.ParseCertificate(block.Bytes)
 	if err != nil {
@@ -165,7 +167,9 @@
 	return certificate, nil
 }
 
-func subject(certificate *x509.Certificate) string {
+// subjectNames returns all names of a certificate: the common name, URIs, IP addresses
+// and DNS names.
+func subjectNames(certificate *x509.Certificate) string {
 	names := []string{certificate.Subject.CommonName}
 	for _, u := range certificate.URIs {
 		names = append(names, u.String())
@@ -176,7 +180,7 @@
 	return strings.Join(append(names, certificate.DNSNames...), " ")
 }
 
-func purpose(certificate *x509.Certificate) string {
+func certificateKind(certificate *x509.Certificate) string {
 	if certificate.IsCA {
 		return "CA"
 	}
--- a/internal/run/kqcommand/measure.go
+++ b/internal/run/kqcommand/measure.go
@@ -1,6 +1,6 @@
 package kqcommand
 
-// addMeasure adds "measure" and one file's worth of commands for each kind.
+// addMeasure adds the command "measure", the parent of the commands that measure.
 func (c *Command) addMeasure() {
-	c.measure = c.app.Command("measure", "Measure the system on this machine.")
+	c.measureCommand = c.app.Command("measure", "Measure the system on this server.")
 }
--- a/internal/run/kqcommand/measure_calls.go
+++ b/internal/run/kqcommand/measure_calls.go
@@ -11,39 +11,40 @@
 
 // addMeasureCalls adds "measure calls" and "measure load".
 func (c *Command) addMeasureCalls() {
-	calls := c.measure.Command("calls", "Measure what one and two nodes add to a call.")
+	calls := c.measureCommand.Command("calls", "Measure what one and two nodes on the path add to a call.")
 	asJSON := calls.Flag("json", "Print JSON on one line.").Bool()
-	rates := calls.Flag("rate", "Calls a second; may be given again.").Default("1000", "5000").Float64List()
-	callsFile := plotFlag(calls)
-	slice := calls.Flag("slice", "How long each path is measured at a time, three times.").Default("3s").Duration()
-	c.add(calls, func(ctx context.Context) error {
+	rates := calls.Flag("rate", "Calls per second; repeatable.").Default("1000", "5000").Float64List()
+	callsFile := addPlotFlag(calls)
+	slice := calls.Flag("slice", "Duration of one of the three measurements of each path.").Default("3s").Duration()
+	c.register(calls, func(ctx context.Context) error {
 		report, err := kqcallbench.New(*slice, *rates...).Run(ctx)
 		if err != nil {
 			return fmt.Errorf("measure calls: %w", err)
 		}
-		if err := c.draw(*callsFile, callsPlot(report)); err != nil {
+		if err := c.writePlot(*callsFile, callsPlot(report)); err != nil {
 			return err
 		}
 		return c.printReport(report, *asJSON)
 	})
 
-	load := c.measure.Command("load", "Measure what callers receive when the fleet is full, beside a baseline.")
+	load := c.measureCommand.Command("load", "Measure what callers receive from a saturated fleet, compared with a baseline.")
 	loadJSON := load.Flag("json", "Print JSON on one line.").Bool()
-	loadFile := plotFlag(load)
+	loadFile := addPlotFlag(load)
 	pattern := load.Flag("pattern", "Load pattern.").Required().Enum(kqloadbench.Patterns()...)
-	policies := load.Flag("policy", "Policy; may be given again.").Default("kumquatgw", "baseline").Enums("kumquatgw", "baseline")
-	c.add(load, func(ctx context.Context) error {
+	policies := load.Flag("policy", "Policy to measure; repeatable.").Default("kumquatgw", "baseline").Enums("kumquatgw", "baseline")
+	c.register(load, func(ctx context.Context) error {
 		report, err := kqloadbench.New(*pattern, *policies...).Run(ctx)
 		if err != nil {
 			return fmt.Errorf("measure load: %w", err)
 		}
-		if err := c.draw(*loadFile, loadPlot(report)); err != nil {
+		if err := c.writePlot(*loadFile, loadPlot(report)); err != nil {
 			return err
 		}
 		return c.printReport(report, *loadJSON)
 	})
 }
 
+// printReport prints a report as JSON, on one line or indented.
 func (c *Command) printReport(report any, line bool) error {
 	encoder := json.NewEncoder(c.out)
 	if !line {
--- a/internal/run/kqcommand/measure_nodes.go
+++ b/internal/run/kqcommand/measure_nodes.go
@@ -10,18 +10,18 @@
 )
 
 func (c *Command) addMeasureNodes() {
-	clause := c.measure.Command("nodes", "Measure how configuration reaches real nodes on loopback, over the stand-in.")
-	counts := clause.Flag("counts", "Sizes of the fleets, parted by commas.").Default("25,50").String()
-	strategy := clause.Flag("strategy", "How versions reach the nodes.").Default("overlay").Enum("direct", "overlay")
-	fault := clause.Flag("fault", "What goes wrong meanwhile.").Default("none").
+	clause := c.measureCommand.Command("nodes", "Measure how configuration reaches real nodes on loopback, with a stand-in for the platform.")
+	counts := clause.Flag("counts", "Fleet sizes, separated by commas.").Default("25,50").String()
+	strategy := clause.Flag("strategy", "How configuration versions reach the nodes.").Default("overlay").Enum("direct", "overlay")
+	fault := clause.Flag("fault", "Fault that occurs during the measurement.").Default("none").
 		Enum("none", "tenth_and_domain", "platform_down", "herd_restart")
 	changes := clause.Flag("changes", "Changes per fleet.").Default("50").Int()
-	idle := clause.Flag("idle", "How long the settled fleet is watched.").Default("20s").Duration()
+	idle := clause.Flag("idle", "How long the fleet is observed without changes.").Default("20s").Duration()
 	gap := clause.Flag("gap", "Pause between two changes.").Default("200ms").Duration()
-	prefetch := clause.Flag("prefetch", "Starting nodes take over the hosts of their service's peers.").Default("true").Bool()
+	prefetch := clause.Flag("prefetch", "Whether starting nodes prefetch the hosts that peers of their service hold.").Default("true").Bool()
 	asJSON := clause.Flag("json", "Print the result as JSON.").Bool()
-	file := plotFlag(clause)
-	c.add(clause, func(ctx context.Context) error {
+	file := addPlotFlag(clause)
+	c.register(clause, func(ctx context.Context) error {
 		plan := kqnodes.Plan{Strategy: *strategy, Fault: kqnodes.Fault(*fault), Changes: *changes, Prefetch: *prefetch, Idle: *idle, Gap: *gap}
 		for _, text := range strings.Split(*counts, ",") {
 			n, err := strconv.Atoi(strings.TrimSpace(text))
@@ -31,17 +31,17 @@
 			plan.Counts = append(plan.Counts, n)
 		}
 		result, err := kqnodes.New(plan).Run(ctx, func(r kqnodes.Run) {
-			fmt.Fprintf(c.errors, "%d nodes: convergence p50 %.0f ms, p99 %.0f ms; %.0f B/s idle, %.0f B a change, a node\n",
+			fmt.Fprintf(c.errors, "%d nodes: convergence p50 %.0f ms, p99 %.0f ms; per node %.0f B/s idle, %.0f B per change\n",
 				r.Nodes, r.Convergence.P50, r.Convergence.P99, r.Bytes.Idle, r.BytesPerChange)
 		})
 		if err != nil {
 			return err
 		}
-		if err := c.draw(*file, nodesPlot(result)); err != nil {
+		if err := c.writePlot(*file, nodesPlot(result)); err != nil {
 			return err
 		}
 		if *asJSON {
-			return c.print(result)
+			return c.printJSON(result)
 		}
 		return nil
 	})
--- a/internal/run/kqcommand/measure_rollouts.go
+++ b/internal/run/kqcommand/measure_rollouts.go
@@ -13,39 +13,40 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 )
 
-// recordTries is how many rollouts of a kind are played for its trace.
-const recordTries = 40
+// tracesPerKind is how many rollouts of each kind are simulated to find the one with
+// the shortest trace.
+const tracesPerKind = 40
 
 func (c *Command) addMeasureRollouts() {
-	clause := c.measure.Command("rollouts", "Play seeded rollouts of good and bad versions in virtual time.")
-	seed := clause.Flag("seed", "Seed; equal seeds give equal reports.").Default("1").Uint64()
+	clause := c.measureCommand.Command("rollouts", "Simulate seeded rollouts of good and bad versions in virtual time.")
+	seed := clause.Flag("seed", "Seed of the simulation; the same seed gives the same report.").Default("1").Uint64()
 	count := clause.Flag("count", "Rollouts for each policy.").Default("1000").Int()
-	workers := clause.Flag("workers", "Rollouts played at a time.").Default("4").Int()
+	workers := clause.Flag("workers", "Rollouts simulated concurrently.").Default("4").Int()
 	asJSON := clause.Flag("json", "Print JSON.").Bool()
-	file := plotFlag(clause)
-	record := clause.Flag("record", "Write a short trace of each kind into this directory instead.").String()
-	c.add(clause, func(context.Context) error {
+	file := addPlotFlag(clause)
+	record := clause.Flag("record", "Directory to write a short trace of each kind to, instead of printing a report.").String()
+	c.register(clause, func(context.Context) error {
 		if *record != "" {
-			return recordRollouts(*record, *seed)
+			return recordTraces(*record, *seed)
 		}
 		report := kqsurvey.New(*seed, kqsurvey.WithCount(*count), kqsurvey.WithWorkers(*workers)).Run()
-		if err := c.draw(*file, rolloutsPlot(report)); err != nil {
+		if err := c.writePlot(*file, rolloutsPlot(report)); err != nil {
 			return err
 		}
 		if *asJSON {
-			return c.print(report)
+			return c.printJSON(report)
 		}
 		c.printSurvey(report)
 		return nil
 	})
 }
 
-// recordRollouts writes, of a few rollouts of each kind that ended as they
-// should, the one with the shortest trace.
-func recordRollouts(directory string, seed uint64) error {
+// recordTraces simulates a few rollouts of each kind and writes the shortest trace of
+// those that ended as they should.
+func recordTraces(directory string, seed uint64) error {
 	for _, kind := range kqworld.Kinds {
 		var shortest []byte
-		for index := range uint64(recordTries) {
+		for index := range uint64(tracesPerKind) {
 			var trace bytes.Buffer
 			right, err := kqsurvey.Record(&trace, kind, seed, index, kqdocument.PreferTakingBack)
 			if err != nil {
@@ -63,12 +64,13 @@
 	return nil
 }
 
+// printSurvey prints one line per policy and, below it, one per kind of rollout.
 func (c *Command) printSurvey(report kqsurvey.Report) {
 	for _, p := range report.Policies {
-		fmt.Fprintf(c.out, "%s by %s: %.1f%% of %d good on time, %.1f%% of %d bad taken back, largest bad share %.1f%%, %.0f s after showing (p99)\n",
+		fmt.Fprintf(c.out, "%s by %s: %.1f%% of %d good versions on time, %.1f%% of %d bad versions taken back, largest share of a bad version %.1f%%, %.0f s from detectable to no traffic (p99)\n",
 			p.Policy, p.Decider, 100*p.GoodOnTime, p.Good, 100*p.BadTakenBack, p.Bad, 100*p.BadShareMax, p.SecondsAfterShowing)
 		for _, k := range p.Kinds {
-			fmt.Fprintf(c.out, "  %-22s %4d  right %5.1f%%  share %5.1f%%  over 5%%: %2d  after showing (p99) %5.0f s %6.0f calls\n",
+			fmt.Fprintf(c.out, "  %-22s %4d  right %5.1f%%  share %5.1f%%  over 5%%: %2d  from detectable to no traffic (p99) %5.0f s %6.0f calls\n",
 				k.Kind, k.Count, 100*k.Right, 100*k.ShareMax, k.Over, k.SecondsP99, k.CallsP99)
 		}
 	}
--- a/internal/run/kqcommand/memory.go
+++ b/internal/run/kqcommand/memory.go
@@ -6,21 +6,21 @@
 	"github.com/valyala/fasthttp"
 )
 
-// pooledBody is the size in bytes up to which the memory of bodies is kept for others.
-// Large ones are kept through two collections, by which time several callers' large
-// bodies have taken their room twice.
-const pooledBody = 64 << 10
+// maxPooledBody is the largest size in bytes of bodies whose buffers are pooled. A
+// pooled buffer survives up to two garbage collections; meanwhile the large bodies of
+// further calls would take the same amount of memory again.
+const maxPooledBody = 64 << 10
 
-// heapShare is the part of a process's memory up to which the collector lets the heap
-// grow: stacks of the system's, the program itself and what the collector is late
-// with take the rest.
+// heapShare is the share of the process's memory up to which the garbage collector lets
+// the heap grow. The rest is for stacks of the operating system's threads, the program
+// itself, and overshoot of the collector.
 const heapShare = 0.75
 
-// limitMemory has the collector keep the process within its memory, 0 without a limit.
-// By default the heap grows to twice what is in use, and a server ends a process that
-// is over its memory.
+// limitMemory limits the pooling of bodies, and makes the garbage collector keep the
+// process within its memory in bytes, 0 for no limit. By default the heap grows to
+// twice the live memory, and a server kills a process that exceeds its memory.
 func limitMemory(bytes int) {
-	fasthttp.SetBodySizePoolLimit(pooledBody, pooledBody)
+	fasthttp.SetBodySizePoolLimit(maxPooledBody, maxPooledBody)
 	if bytes > 0 {
 		debug.SetMemoryLimit(int64(heapShare * float64(bytes)))
 	}
--- a/internal/run/kqcommand/node.go
+++ b/internal/run/kqcommand/node.go
@@ -21,21 +21,22 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// settingsEvery is the pause between two looks at the settings file.
-const settingsEvery = 2 * time.Second
+// settingsInterval is the interval at which the settings file is checked for changes.
+const settingsInterval = 2 * time.Second
 
 func (c *Command) addNode() {
-	clause := c.app.Command("node", "Run the node beside an upstream.")
+	clause := c.app.Command("node", "Run a node as the sidecar of an upstream.")
 	file := clause.Flag("settings", "INI file with the node's settings.").Required().String()
-	c.add(clause, func(ctx context.Context) error {
-		// They are taken for as long as the process lives: by default each ends a
-		// process, and would cut the calls in flight of a node that starts or leaves.
+	c.register(clause, func(ctx context.Context) error {
+		// The signals are handled until the process ends: the default action of each
+		// ends the process, which would cut the calls in flight of a node that starts
+		// or drains.
 		signals := make(chan os.Signal, 8)
 		signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, os.Interrupt)
-		// Else the first line after the log's reader has gone would end the process.
-		// The write fails instead, and the line is counted as left out.
+		// Without this the first write after the reader of the log has gone would end
+		// the process. Now the write fails, and the line is counted as dropped.
 		signal.Ignore(syscall.SIGPIPE)
-		if dropsReload {
+		if stopsHandlingReload {
 			context.AfterFunc(ctx, func() { signal.Reset(syscall.SIGHUP) })
 		}
 		s, err := kqsettings.Read(*file)
@@ -49,7 +50,7 @@
 		if err != nil {
 			return fmt.Errorf("start node: %w", err)
 		}
-		s, store, adapter, err := c.join(s)
+		s, store, adapter, err := c.connect(s)
 		if err != nil {
 			return fmt.Errorf("start node: %w", err)
 		}
@@ -57,7 +58,7 @@
 		if err != nil {
 			return err
 		}
-		tellAddresses(n, s.Log.Format, output, logger)
+		printAddresses(n, s.Log.Format, output, logger)
 		var group conc.WaitGroup
 		defer group.Wait()
 		watching, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -69,9 +70,10 @@
 	})
 }
 
-// tellAddresses tells where the node listens: in plain words to whoever reads text, as one
-// structured line to what reads structured lines only.
-func tellAddresses(n *kqnode.Node, format string, output io.Writer, logger *kqlog.Logger) {
+// printAddresses writes the addresses that the node listens on: as "name address"
+// lines in the text format, or as one log line in the JSON format, whose readers may
+// accept JSON only.
+func printAddresses(n *kqnode.Node, format string, output io.Writer, logger *kqlog.Logger) {
 	addresses := []struct {
 		name    string
 		address kqname.Address
@@ -88,10 +90,11 @@
 	}
 }
 
-// watchSettings notes the signals that come, reads the settings again on SIGHUP, and
-// when their file changes without it. A file that cannot be read changes nothing.
+// watchSettings logs the signals that arrive. It reloads the settings when their file
+// has changed, which it checks on each signal, such as SIGHUP, and at intervals. A file
+// that cannot be read or is invalid changes nothing.
 func watchSettings(ctx context.Context, signals <-chan os.Signal, file string, n *kqnode.Node, logger *kqlog.Logger) {
-	ticker := time.NewTicker(settingsEvery)
+	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
 	last, _ := os.ReadFile(file)
 	for {
@@ -120,15 +123,15 @@
 	}
 }
 
-// join returns the store of the platform that settings name, and what else the
-// platform needs.
-func (c *Command) join(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
+// connect returns the store of the platform that the settings name, with the
+// settings and the adapter for it.
+func (c *Command) connect(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
 	if s.Platform.Adapter == "" {
 		return s, kqstoreclient.New(s.Platform.URL, kqstoreclient.WithTimeout(s.Platform.Timeout)), kqnode.Adapter{}, nil
 	}
-	join, ok := c.adapters[s.Platform.Adapter]
+	connect, ok := c.adapters[s.Platform.Adapter]
 	if !ok {
-		return s, nil, kqnode.Adapter{}, fmt.Errorf("[platform] adapter: %.64q is not one of this program's: %w", s.Platform.Adapter, kqsettings.ErrInvalid)
+		return s, nil, kqnode.Adapter{}, fmt.Errorf("[platform] adapter: %.64q is not an adapter of this program: %w", s.Platform.Adapter, kqsettings.ErrInvalid)
 	}
-	return join(s)
+	return connect(s)
 }
--- a/internal/run/kqcommand/platform.go
+++ b/internal/run/kqcommand/platform.go
@@ -14,13 +14,13 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstoreclient"
 )
 
-const headerTimeout = 5 * time.Second
+const readHeaderTimeout = 5 * time.Second
 
 func (c *Command) addPlatform() {
-	parent := c.app.Command("platform", "Serve a stand-in for the platform's key-value service, or give it faults.")
-	serve := parent.Command("serve", "Serve the stand-in, in memory.").Default()
+	parent := c.app.Command("platform", "Serve a stand-in for the platform's key-value service, or inject faults into it.")
+	serve := parent.Command("serve", "Serve the stand-in, which keeps its data in memory.").Default()
 	listen := serve.Flag("listen", "Address to listen on.").Default("127.0.0.1:7070").String()
-	c.add(serve, func(ctx context.Context) error { return c.servePlatform(ctx, *listen) })
+	c.register(serve, func(ctx context.Context) error { return c.servePlatform(ctx, *listen) })
 	c.addFault(parent)
 	c.addCounts(parent)
 }
@@ -30,7 +30,7 @@
 	if err != nil {
 		return fmt.Errorf("start platform: %w", err)
 	}
-	server := &http.Server{Handler: kqstandin.New().Handler(), ReadHeaderTimeout: headerTimeout}
+	server := &http.Server{Handler: kqstandin.New().Handler(), ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	fmt.Fprintf(c.out, "platform listens on http://%s\n", l.Addr())
@@ -40,21 +40,21 @@
 	return nil
 }
 
-// addFault adds the command that replaces the faults of a running stand-in:
-// flags that are not given switch their fault off.
+// addFault adds the command that replaces the faults of a running stand-in. Faults
+// whose flag is not given are switched off.
 func (c *Command) addFault(parent *kingpin.CmdClause) {
-	clause := parent.Command("fault", "Replace the faults of a running stand-in; without flags it has none.")
-	url := clause.Flag("url", "URL of the stand-in.").Default(platformFlag).String()
+	clause := parent.Command("fault", "Replace the faults of a running stand-in; without flags, remove all of them.")
+	url := clause.Flag("url", "URL of the stand-in.").Default(defaultPlatformURL).String()
 	var f kqstandin.Faults
 	clause.Flag("down", "Refuse every call.").BoolVar(&f.Down)
-	clause.Flag("slow", "Delay each call by this time.").DurationVar(&f.Slow)
-	clause.Flag("lose-answers", "Let this many writes take effect and lose their answers.").IntVar(&f.LoseAnswers)
-	clause.Flag("silent-watch", "Keep watches waiting although their key changed.").BoolVar(&f.SilentWatch)
-	clause.Flag("stale-reads", "Answer reads and watches with what stood before the last write.").BoolVar(&f.StaleReads)
-	clause.Flag("lapse-leases", "Let every lease lapse now, as if its holder had been paused.").BoolVar(&f.LapseLeases)
-	clause.Flag("max-reads", "Refuse reads over this many a second; 0 sets no limit.").IntVar(&f.MaxReads)
-	clause.Flag("max-writes", "Refuse writes over this many a second; 0 sets no limit.").IntVar(&f.MaxWrites)
-	c.add(clause, func(ctx context.Context) error {
+	clause.Flag("slow", "Delay each call by this duration.").DurationVar(&f.Slow)
+	clause.Flag("lose-answers", "Apply this many writes, but lose their answers.").IntVar(&f.LoseAnswers)
+	clause.Flag("silent-watch", "Do not answer watches when their key changes.").BoolVar(&f.SilentWatch)
+	clause.Flag("stale-reads", "Answer reads and watches with the state before the last write.").BoolVar(&f.StaleReads)
+	clause.Flag("lapse-leases", "Expire every lease now, as if its holder had been paused.").BoolVar(&f.LapseLeases)
+	clause.Flag("max-reads", "Refuse reads beyond this many per second; 0 sets no limit.").IntVar(&f.MaxReads)
+	clause.Flag("max-writes", "Refuse writes beyond this many per second; 0 sets no limit.").IntVar(&f.MaxWrites)
+	c.register(clause, func(ctx context.Context) error {
 		if f.Slow < 0 || f.LoseAnswers < 0 || f.MaxReads < 0 || f.MaxWrites < 0 {
 			return errors.New("set faults: a time or a count is negative")
 		}
@@ -62,18 +62,18 @@
 		if err != nil {
 			return err
 		}
-		return c.print(set)
+		return c.printJSON(set)
 	})
 }
 
 func (c *Command) addCounts(parent *kingpin.CmdClause) {
-	clause := parent.Command("counts", "Print the calls that a running stand-in has taken.")
-	url := clause.Flag("url", "URL of the stand-in.").Default(platformFlag).String()
-	c.add(clause, func(ctx context.Context) error {
+	clause := parent.Command("counts", "Print how many calls a running stand-in has received.")
+	url := clause.Flag("url", "URL of the stand-in.").Default(defaultPlatformURL).String()
+	c.register(clause, func(ctx context.Context) error {
 		counts, err := kqstoreclient.New(*url).Counts(ctx)
 		if err != nil {
 			return err
 		}
-		return c.print(counts)
+		return c.printJSON(counts)
 	})
 }
--- a/internal/run/kqcommand/plot.go
+++ b/internal/run/kqcommand/plot.go
@@ -14,17 +14,17 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqsurvey"
 )
 
-func plotFlag(clause *kingpin.CmdClause) *string {
-	return clause.Flag("plot", "SVG file to draw the result into.").PlaceHolder("FILE.svg").String()
+func addPlotFlag(clause *kingpin.CmdClause) *string {
+	return clause.Flag("plot", "SVG file to write a plot of the result to.").PlaceHolder("FILE.svg").String()
 }
 
-// draw writes the plot where a file was asked for.
-func (c *Command) draw(file string, p kqplot.Plot) error {
+// writePlot writes the plot to the file, if one was given.
+func (c *Command) writePlot(file string, p kqplot.Plot) error {
 	if file == "" {
 		return nil
 	}
 	if err := p.Write(file); err != nil {
-		return fmt.Errorf("draw result: %w", err)
+		return fmt.Errorf("plot result: %w", err)
 	}
 	fmt.Fprintf(c.errors, "wrote %s\n", file)
 	return nil
@@ -47,7 +47,7 @@
 	for _, r := range report.Runs {
 		byPath[r.Path] = append(byPath[r.Path], kqplot.Point{X: r.Rate, Y: float64(r.Latency.P99)})
 	}
-	return kqplot.Plot{Title: "Latency of a call (p99)", X: "calls a second", Y: "µs", Series: sorted(byPath)}
+	return kqplot.Plot{Title: "Latency of a call (p99)", X: "calls a second", Y: "µs", Series: sortedSeries(byPath)}
 }
 
 func loadPlot(report kqloadbench.Report) kqplot.Plot {
@@ -75,7 +75,8 @@
 	return p
 }
 
-func sorted(series map[string][]kqplot.Point) []kqplot.Series {
+// sortedSeries returns the series in order of their names.
+func sortedSeries(series map[string][]kqplot.Point) []kqplot.Series {
 	var list []kqplot.Series
 	for _, name := range slices.Sorted(maps.Keys(series)) {
 		list = append(list, kqplot.Series{Name: name, Points: series[name]})
--- a/internal/run/kqcommand/progress.go
+++ b/internal/run/kqcommand/progress.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	progressEvery = time.Second
-	clearLine     = "\r\033[K"
+	progressInterval = time.Second
+	clearLine        = "\r\033[K"
 )
 
-// withProgress runs long work with a line that tells how long it has taken. It
-// writes to terminals only: in a file the line would bury what matters.
+// withProgress runs a long command and shows its elapsed time on one line of the
+// terminal. It shows nothing if out is a file, where the line would clutter the output.
 func withProgress(ctx context.Context, out io.Writer, name string, run func(context.Context) error) error {
 	if !isTerminal(out) {
 		return run(ctx)
@@ -29,9 +29,10 @@
 	return run(ctx)
 }
 
+// showProgress updates the line until ctx is done, then clears it.
 func showProgress(ctx context.Context, out io.Writer, name string) {
 	began := time.Now()
-	ticker := time.NewTicker(progressEvery)
+	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	defer fmt.Fprint(out, clearLine)
 	for {
--- a/internal/run/kqcommand/replay.go
+++ b/internal/run/kqcommand/replay.go
@@ -14,13 +14,13 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqreplay"
 )
 
-var errReplay = errors.New("replay failed")
+var errReplayFailed = errors.New("replay failed")
 
 func (c *Command) addReplay() {
 	clause := c.app.Command("replay", "Run recorded traces through the decision packages and check their outcomes.")
 	files := clause.Arg("file", "Traces as JSON lines; see docs/TRACES.md.").Required().Strings()
 	explain := clause.Flag("explain", "Print each decision and its reason.").Bool()
-	c.add(clause, func(ctx context.Context) error {
+	c.register(clause, func(ctx context.Context) error {
 		failed := 0
 		for _, file := range *files {
 			if ctx.Err() != nil {
@@ -32,7 +32,7 @@
 			}
 		}
 		if failed > 0 {
-			return fmt.Errorf("%d of %d traces: %w", failed, len(*files), errReplay)
+			return fmt.Errorf("%d of %d traces: %w", failed, len(*files), errReplayFailed)
 		}
 		return nil
 	})
--- a/internal/run/kqcommand/rollout.go
+++ b/internal/run/kqcommand/rollout.go
@@ -10,54 +10,55 @@
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
 )
 
-const watchEvery = time.Second
+// watchInterval is the interval at which --watch fetches the state again.
+const watchInterval = time.Second
 
 func (c *Command) addRollout() {
-	parent := c.app.Command("rollout", "Show moves of traffic between upstream versions.")
-	status := parent.Command("status", "Tell each move's state, why, and on which evidence.")
-	access := accessFlags(status)
-	watch := status.Flag("watch", "Print each change until all moves have ended.").Bool()
+	parent := c.app.Command("rollout", "Show rollouts, which shift traffic between upstream versions.")
+	status := parent.Command("status", "Show each rollout's state, the reason for it and the evidence.")
+	access := addAccessFlags(status)
+	watch := status.Flag("watch", "Print each change of state or step until all rollouts have ended.").Bool()
 	asJSON := status.Flag("json", "Print JSON.").Bool()
-	c.add(status, func(ctx context.Context) error {
+	c.register(status, func(ctx context.Context) error {
 		client, err := kqclient.New(*access)
 		if err != nil {
 			return fmt.Errorf("show rollouts: %w", err)
 		}
 		last := ""
 		for {
-			list, err := rollouts(ctx, client)
+			list, err := fetchRollouts(ctx, client)
 			if err != nil {
 				return err
 			}
-			if text := states(list); text != last {
+			if text := stateSummary(list); text != last {
 				last = text
 				if err := c.printRollouts(list, *asJSON); err != nil {
 					return err
 				}
 			}
-			if !*watch || ended(list) {
+			if !*watch || allEnded(list) {
 				return nil
 			}
 			select {
 			case <-ctx.Done():
 				return nil
-			case <-time.After(watchEvery):
+			case <-time.After(watchInterval):
 			}
 		}
 	})
 }
 
-func rollouts(ctx context.Context, client *kqclient.Client) ([]kqboard.Status, error) {
+func fetchRollouts(ctx context.Context, client *kqclient.Client) ([]kqboard.Status, error) {
 	var answer kqapi.RolloutStates
 	if err := client.Get(ctx, kqapi.Prefix+"/rollout-states", &answer); err != nil {
-		return nil, fmt.Errorf("ask for rollouts: %w", err)
+		return nil, fmt.Errorf("get rollouts: %w", err)
 	}
 	return answer.Rollouts, nil
 }
 
 func (c *Command) printRollouts(list []kqboard.Status, asJSON bool) error {
 	if asJSON {
-		return c.print(list)
+		return c.printJSON(list)
 	}
 	for _, s := range list {
 		e := s.Evidence
@@ -67,8 +68,9 @@
 	return nil
 }
 
-// states is what a watcher wants to hear of: not each further call.
-func states(list []kqboard.Status) string {
+// stateSummary returns the states and steps of all rollouts. --watch prints the
+// rollouts again only if it changes, and not on every further call.
+func stateSummary(list []kqboard.Status) string {
 	text := ""
 	for _, s := range list {
 		text += fmt.Sprintf("%s %s %d;", s.Rollout, s.State, s.Step)
@@ -76,7 +78,8 @@
 	return text
 }
 
-func ended(list []kqboard.Status) bool {
+// allEnded reports whether no rollout is pending or running.
+func allEnded(list []kqboard.Status) bool {
 	for _, s := range list {
 		if s.State == kqboard.Pending || s.State == kqboard.Running {
 			return false
--- a/internal/run/kqcommand/settings.go
+++ b/internal/run/kqcommand/settings.go
@@ -9,9 +9,9 @@
 
 func (c *Command) addSettings() {
 	parent := c.app.Command("settings", "Check a settings file, or print an example.")
-	check := parent.Command("check", "Read a settings file and tell every fault in it.")
+	check := parent.Command("check", "Read a settings file and report every error in it.")
 	file := check.Arg("file", "INI file.").Required().String()
-	c.add(check, func(context.Context) error {
+	c.register(check, func(context.Context) error {
 		if _, err := kqsettings.Read(*file); err != nil {
 			return err
 		}
@@ -19,7 +19,7 @@
 		return nil
 	})
 	example := parent.Command("example", "Print a settings file with every key, its default and its bounds.")
-	c.add(example, func(context.Context) error {
+	c.register(example, func(context.Context) error {
 		fmt.Fprint(c.out, kqsettings.Example())
 		return nil
 	})
--- a/internal/run/kqcommand/status.go
+++ b/internal/run/kqcommand/status.go
@@ -13,7 +13,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
 )
 
-// status is what the terminal shows; its JSON is for scripts.
+// status holds the content of the status command; its JSON form is for scripts.
 type status struct {
 	Convergence kqview.Convergence `json:"convergence"`
 	Fleet       kqview.Fleet       `json:"fleet"`
@@ -23,16 +23,16 @@
 
 func (c *Command) addStatus() {
 	clause := c.app.Command("status", "Show the fleet, its versions and its rollouts.")
-	access := accessFlags(clause)
-	watch := clause.Flag("watch", "Show it again every second.").Bool()
+	access := addAccessFlags(clause)
+	watch := clause.Flag("watch", "Show the status again every second.").Bool()
 	asJSON := clause.Flag("json", "Print JSON.").Bool()
-	c.add(clause, func(ctx context.Context) error {
+	c.register(clause, func(ctx context.Context) error {
 		client, err := kqclient.New(*access)
 		if err != nil {
 			return fmt.Errorf("show status: %w", err)
 		}
 		for {
-			s, err := readStatus(ctx, client)
+			s, err := fetchStatus(ctx, client)
 			if err != nil {
 				return fmt.Errorf("show status: %w", err)
 			}
@@ -45,13 +45,13 @@
 			select {
 			case <-ctx.Done():
 				return nil
-			case <-time.After(watchEvery):
+			case <-time.After(watchInterval):
 			}
 		}
 	})
 }
 
-func readStatus(ctx context.Context, client *kqclient.Client) (status, error) {
+func fetchStatus(ctx context.Context, client *kqclient.Client) (status, error) {
 	var s status
 	if err := client.Get(ctx, kqapi.Prefix+"/fleet", &s.Fleet); err != nil {
 		return s, err
@@ -72,7 +72,7 @@
 
 func (c *Command) printStatus(s status, asJSON bool) error {
 	if asJSON {
-		return c.print(s)
+		return c.printJSON(s)
 	}
 	v := s.Convergence
 	if s.Platform.Reachable {
--- a/internal/run/kqcommand/upstream.go
+++ b/internal/run/kqcommand/upstream.go
@@ -16,18 +16,18 @@
 
 func (c *Command) addUpstream() {
 	clause := c.app.Command("upstream", "Run a fake upstream that announces itself to its node.")
-	service := clause.Flag("service", "Service that it answers for.").Required().String()
-	version := clause.Flag("upstream-version", "Its upstream version.").Default("v1").String()
-	slots := clause.Flag("slots", "Calls that it runs at once.").Default("6").Int()
+	service := clause.Flag("service", "Service that the upstream serves.").Required().String()
+	version := clause.Flag("upstream-version", "Version of the upstream.").Default("v1").String()
+	slots := clause.Flag("slots", "Largest number of calls that run concurrently.").Default("6").Int()
 	node := clause.Flag("node", "The node's local address.").Default("127.0.0.1:8081").String()
-	work := clause.Flag("work", "How long a call takes.").Default("5ms").Duration()
-	cold := clause.Flag("cold-for", "How long it is cold after its start.").Default("0s").Duration()
-	coldWork := clause.Flag("cold-work", "What a call takes more while it is cold.").Default("0s").Duration()
+	work := clause.Flag("work", "Duration of a call.").Default("5ms").Duration()
+	cold := clause.Flag("cold-for", "Duration of the cold start.").Default("0s").Duration()
+	coldWork := clause.Flag("cold-work", "Additional duration of a call during the cold start.").Default("0s").Duration()
 	fail := clause.Flag("fail-share", "Share of calls that fail, from 0 to 1.").Default("0").Float64()
-	servesOn := clause.Flag("serves-on", "How long it serves on after its goodbye.").Default("300ms").Duration()
-	tell := clause.Flag("tell", "Print a JSON line when a call begins, when it ends, and when the goodbye is acknowledged.").Bool()
-	shed := clause.Flag("shed", "Answer 503 to calls over the slots.").Bool()
-	c.add(clause, func(ctx context.Context) error {
+	servesOn := clause.Flag("serves-on", "How long it keeps serving after it has begun to say goodbye to its node.").Default("300ms").Duration()
+	printEvents := clause.Flag("tell", "Print a JSON line when the upstream listens, when a call begins or ends, and when the goodbye is acknowledged.").Bool()
+	shed := clause.Flag("shed", "Answer calls beyond the slots with 503.").Bool()
+	c.register(clause, func(ctx context.Context) error {
 		host, port, err := net.SplitHostPort(*node)
 		switch {
 		case !kqname.Valid(*service) || !kqname.Valid(*version):
@@ -43,7 +43,7 @@
 		}
 		u, err := kqupstream.New(kqname.Service(*service), kqname.UpstreamVersion(*version), *slots, kqname.Address(*node),
 			kqupstream.Behaviour{Work: *work, ColdFor: *cold, ColdWork: *coldWork, FailShare: *fail, Shed: *shed},
-			c.upstreamOptions(*servesOn, *tell)...)
+			c.upstreamOptions(*servesOn, *printEvents)...)
 		if err != nil {
 			return err
 		}
@@ -51,11 +51,12 @@
 	})
 }
 
-// upstreamOptions has the upstream tell of its runs where that was asked for. Each
-// line is written whole before the run goes on: a killed upstream has told what it did.
-func (c *Command) upstreamOptions(servesOn time.Duration, tell bool) []kqupstream.Option {
+// upstreamOptions returns the options of the fake upstream. With printEvents, each event
+// is written as one line before the call proceeds, so that the output is complete even
+// if the upstream is killed.
+func (c *Command) upstreamOptions(servesOn time.Duration, printEvents bool) []kqupstream.Option {
 	options := []kqupstream.Option{kqupstream.WithServesOn(servesOn)}
-	if !tell {
+	if !printEvents {
 		return options
 	}
 	var mu sync.Mutex
