--- a/internal/run/kqexplain/read.go
+++ b/internal/run/kqexplain/read.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// maxLineBytes bounds one line. Reading a file with a longer line fails.
+// maxLineBytes bounds one line. Nodes write no longer ones; a file that has one cannot
+// be read.
 const maxLineBytes = 1 << 20
 
 type (
