--- a/internal/lab/kqdemo/script.go
+++ b/internal/lab/kqdemo/script.go
@@ -172,7 +172,7 @@
 func (s *script) startNext(server *kqfleet.Server, dep deployment) error {
 	b := dep.next
 	b.LongPath, b.LongWork = longPath, longWork
-	u, err := server.StartBeside(newVersion, dep.slots, b)
+	u, err := server.StartUpstream(newVersion, dep.slots, b)
 	if err != nil {
 		return fmt.Errorf("start new version: %w", err)
 	}
--- a/internal/lab/kqfleet/doc.go
+++ b/internal/lab/kqfleet/doc.go
@@ -1,3 +1,3 @@
-// Package kqfleet runs a platform stand-in, nodes and fake upstreams on
+// Package kqfleet runs an in-memory platform, nodes and fake upstreams on
 // loopback in one process, for demonstrations, measurements and tests.
 package kqfleet
--- a/internal/lab/kqfleet/fleet.go
+++ b/internal/lab/kqfleet/fleet.go
@@ -20,24 +20,25 @@
 
 const (
 	loopback = "127.0.0.1:0"
-	seeds    = 3
+	// seeds is the most seed addresses that a new node gets.
+	seeds = 3
 )
 
 type (
-	// Fleet is a set of running servers and the platform that they share.
+	// Fleet is a set of servers and the in-memory platform that they share.
 	Fleet struct {
 		Platform *kqstandin.Standin
 
-		logger  *kqlog.Logger
-		store   kqstore.Store
-		adapt   func(*kqsettings.Settings)
-		mu      sync.Mutex
-		servers []*Server
-		group   conc.WaitGroup
-		control atomic.Int64
+		logger         *kqlog.Logger
+		store          kqstore.Store
+		adjustSettings func(*kqsettings.Settings)
+		mu             sync.Mutex
+		servers        []*Server
+		group          conc.WaitGroup
+		controlBytes   atomic.Int64
 	}
 
-	// Spec says what a server runs.
+	// Spec describes the node and the upstream of a server.
 	Spec struct {
 		Node      kqname.Node
 		Domain    kqname.Domain
@@ -46,23 +47,25 @@
 		Version   kqname.UpstreamVersion
 		Slots     int
 		Behaviour kqupstream.Behaviour
-		// Admin switches the node's admin server on.
+		// Admin enables the node's admin server.
 		Admin bool
 	}
 
-	// Option sets up a Fleet.
+	// Option configures a Fleet.
 	Option func(*Fleet)
 )
 
-// WithLogger sets where the nodes log.
+// WithLogger sets the logger of the nodes.
 func WithLogger(l *kqlog.Logger) Option { return func(f *Fleet) { f.logger = l } }
 
-// WithSettings lets adapt change each node's settings before its start.
-func WithSettings(adapt func(*kqsettings.Settings)) Option { return func(f *Fleet) { f.adapt = adapt } }
+// WithSettings sets a function that adjusts each node's settings before it starts.
+func WithSettings(adjustSettings func(*kqsettings.Settings)) Option {
+	return func(f *Fleet) { f.adjustSettings = adjustSettings }
+}
 
 // New returns a fleet without servers.
 func New(options ...Option) *Fleet {
-	f := &Fleet{Platform: kqstandin.New(), logger: kqlog.Discard(), adapt: func(*kqsettings.Settings) {}}
+	f := &Fleet{Platform: kqstandin.New(), logger: kqlog.Discard(), adjustSettings: func(*kqsettings.Settings) {}}
 	for _, o := range options {
 		o(f)
 	}
@@ -70,7 +73,7 @@
 	return f
 }
 
-// Start adds a server and runs it.
+// Start adds a server and runs its node and, if it has a service, its upstream.
 func (f *Fleet) Start(spec Spec) (*Server, error) {
 	s := kqsettings.Default()
 	s.Node.Name, s.Node.Domain, s.Node.Region, s.Node.Service = spec.Node, spec.Domain, spec.Region, spec.Service
@@ -81,17 +84,17 @@
 	}
 	s.Member.Seeds = f.seeds()
 	f.mu.Lock()
-	f.adapt(&s)
+	f.adjustSettings(&s)
 	f.mu.Unlock()
 	server := &Server{Spec: spec, fleet: f, nodeDone: make(chan struct{})}
 	var err error
-	server.Node, err = kqnode.New(s, f.store, kqnode.WithLogger(f.logger), kqnode.WithListener(server.wrap))
+	server.Node, err = kqnode.New(s, f.store, kqnode.WithLogger(f.logger), kqnode.WithListener(server.wrapListener))
 	if err != nil {
 		return nil, fmt.Errorf("start server %s: %w", spec.Node, err)
 	}
 	server.runNode()
 	if spec.Service != "" {
-		server.Upstream, err = server.StartBeside(spec.Version, spec.Slots, spec.Behaviour)
+		server.Upstream, err = server.StartUpstream(spec.Version, spec.Slots, spec.Behaviour)
 		if err != nil {
 			return nil, fmt.Errorf("start server %s: %w", spec.Node, err)
 		}
@@ -102,8 +105,8 @@
 	return server, nil
 }
 
-// Restart puts a new server in the place of one that was stopped or killed. It
-// has the same name and nothing else of it.
+// Restart replaces a stopped or killed server with a new one of the same Spec.
+// The new one keeps the node name but no state, addresses or connections.
 func (f *Fleet) Restart(old *Server) (*Server, error) {
 	f.mu.Lock()
 	f.servers = slices.DeleteFunc(f.servers, func(s *Server) bool { return s == old })
@@ -111,19 +114,20 @@
 	return f.Start(old.Spec)
 }
 
-// ControlBytes returns the bytes that nodes have exchanged on their control
-// listeners, each counted once, where it was received.
-func (f *Fleet) ControlBytes() int64 { return f.control.Load() }
+// ControlBytes returns the bytes read and written on connections that the nodes'
+// control listeners accepted. The dialing end is not counted, so each byte
+// counts once.
+func (f *Fleet) ControlBytes() int64 { return f.controlBytes.Load() }
 
-// Servers returns the servers that were started, stopped ones included unless
-// they were restarted.
+// Servers returns all servers that were started. Stopped ones are included
+// unless Restart replaced them.
 func (f *Fleet) Servers() []*Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*Server(nil), f.servers...)
 }
 
-// Close stops every server and returns their errors.
+// Close stops every server and returns the errors of their nodes.
 func (f *Fleet) Close() error {
 	servers := f.Servers()
 	var stops conc.WaitGroup
@@ -139,12 +143,13 @@
 	return errors.Join(errs...)
 }
 
+// seeds returns the control addresses of the first servers that still run.
 func (f *Fleet) seeds() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []string
 	for _, s := range f.servers {
-		if len(list) < seeds && !s.ended() {
+		if len(list) < seeds && !s.isStopped() {
 			list = append(list, string(s.Node.ControlAddress()))
 		}
 	}
--- a/internal/lab/kqfleet/server.go
+++ b/internal/lab/kqfleet/server.go
@@ -15,52 +15,53 @@
 )
 
 type (
-	// Server is one VM: a node and its upstreams.
+	// Server is one simulated VM: a node and its upstreams.
 	Server struct {
 		Spec Spec
 		Node *kqnode.Node
-		// Upstream is the one that the server started with; nil without one.
+		// Upstream is the upstream that Fleet.Start started; nil without a service.
 		Upstream *kqupstream.Upstream
 
 		fleet     *Fleet
 		listeners []*kqcut.Listener
 		stopNode  context.CancelCauseFunc
 		nodeDone  chan struct{}
-		err       error
+		// err is the result of Node.Run, unset after Kill.
+		err error
 
-		mu     sync.Mutex
-		beside []*running
+		mu      sync.Mutex
+		running []*runningUpstream
 	}
 
-	// running is an upstream that runs beside a node.
-	running struct {
+	// runningUpstream is an upstream that runs on the same server as a node.
+	runningUpstream struct {
 		upstream *kqupstream.Upstream
 		stop     context.CancelFunc
 		done     chan struct{}
 	}
 )
 
-// StartBeside starts one more upstream of the server's service on it.
-func (s *Server) StartBeside(version kqname.UpstreamVersion, slots int, b kqupstream.Behaviour) (*kqupstream.Upstream, error) {
+// StartUpstream starts another upstream of the server's service on this server.
+func (s *Server) StartUpstream(version kqname.UpstreamVersion, slots int, b kqupstream.Behaviour) (*kqupstream.Upstream, error) {
 	u, err := kqupstream.New(s.Spec.Service, version, slots, s.Node.LocalAddress(), b)
 	if err != nil {
-		return nil, fmt.Errorf("start %s %s beside %s: %w", s.Spec.Service, version, s.Spec.Node, err)
+		return nil, fmt.Errorf("start upstream %s %s on server %s: %w", s.Spec.Service, version, s.Spec.Node, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{upstream: u, stop: stop, done: make(chan struct{})}
+	r := &runningUpstream{upstream: u, stop: stop, done: make(chan struct{})}
 	s.fleet.group.Go(func() {
 		defer close(r.done)
-		// A fake upstream that cannot drain has calls cut; its callers count those.
+		// An incomplete drain cuts calls; the callers count those.
 		_ = u.Run(ctx)
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.beside = append(s.beside, r)
+	s.running = append(s.running, r)
 	return u, nil
 }
 
-// Stop drains the upstreams and then the node, and waits for them. It does
-// nothing to a server that has ended.
+// Stop drains the upstreams, then the node, and waits for both. It has no effect
+// on a server that has already stopped.
 func (s *Server) Stop() {
 	for _, r := range s.upstreams() {
 		r.stop()
@@ -70,8 +71,8 @@
 	<-s.nodeDone
 }
 
-// Kill ends the server the way a lost VM does: nothing is drained, nobody is
-// told, and every connection breaks.
+// Kill simulates the loss of the VM: nothing is drained, no departure is
+// announced, and every connection is reset.
 func (s *Server) Kill() {
 	s.stopNode(kqnode.ErrKilled)
 	for _, l := range s.listeners {
@@ -95,23 +96,23 @@
 	})
 }
 
-func (s *Server) wrap(role kqnode.Role, l net.Listener) net.Listener {
-	bytes := new(atomic.Int64)
+func (s *Server) wrapListener(role kqnode.Role, l net.Listener) net.Listener {
+	transferred := new(atomic.Int64)
 	if role == kqnode.RoleControl {
-		bytes = &s.fleet.control
+		transferred = &s.fleet.controlBytes
 	}
-	wrapped := kqcut.New(l, bytes)
+	wrapped := kqcut.New(l, transferred)
 	s.listeners = append(s.listeners, wrapped)
 	return wrapped
 }
 
-func (s *Server) upstreams() []*running {
+func (s *Server) upstreams() []*runningUpstream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*running(nil), s.beside...)
+	return append([]*runningUpstream(nil), s.running...)
 }
 
-func (s *Server) ended() bool {
+func (s *Server) isStopped() bool {
 	select {
 	case <-s.nodeDone:
 		return true
--- a/internal/lab/kqfleet/stop_test.go
+++ b/internal/lab/kqfleet/stop_test.go
@@ -21,13 +21,13 @@
 
 const (
 	callers = 30
-	wait    = 20 * time.Second
+	timeout = 20 * time.Second
 )
 
-// A node is stopped gracefully while its callers send one call after another on
-// connections that they keep. Before the node's listeners close, a call may
-// just be on its way on a connection that looks idle; closed then, the caller
-// would get no answer and could not tell whether its order went through.
+// Stops a node gracefully while callers send sequential calls on keep-alive
+// connections. A call may be in transit on a connection that looks idle to the
+// node. If the node closed it then, the caller would get no answer and could not
+// tell whether its non-idempotent request was executed.
 func TestGracefulStopCutsNoCall(t *testing.T) {
 	f := kqfleet.New()
 	for _, name := range []kqname.Node{"one", "two"} {
@@ -38,21 +38,21 @@
 			t.Fatal(err)
 		}
 	}
-	d := kqdocument.Document{
+	document := kqdocument.Document{
 		Teams:    []kqdocument.Team{{Name: "shop"}},
 		Services: []kqdocument.Service{{Name: "store", Team: "shop"}},
 		Routes:   []kqdocument.Route{{Name: "store", Team: "shop", Host: "store", PathPrefix: "/", Service: "store"}},
 	}
-	if _, err := kqcommit.New(f.Platform).Commit(t.Context(), kqcommit.Request{ID: "one", At: time.Now(), Document: d}); err != nil {
+	if _, err := kqcommit.New(f.Platform).Commit(t.Context(), kqcommit.Request{ID: "one", At: time.Now(), Document: document}); err != nil {
 		t.Fatal(err)
 	}
 	stopped := f.Servers()[1]
-	var answered, cut atomic.Int64
-	ctx, stop := context.WithTimeout(t.Context(), wait)
+	var answered, failed atomic.Int64
+	ctx, stop := context.WithTimeout(t.Context(), timeout)
 	defer stop()
 	var group conc.WaitGroup
 	for i := range callers {
-		group.Go(func() { press(ctx, stopped.Node.EntryAddress(), i, &answered, &cut) })
+		group.Go(func() { sendCalls(ctx, stopped.Node.EntryAddress(), i, &answered, &failed) })
 	}
 	for answered.Load() < 10*callers && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
@@ -60,33 +60,33 @@
 	before := answered.Load()
 	stopped.Stop()
 	group.Wait()
-	if answered.Load() <= before || cut.Load() > 0 {
-		t.Errorf("%d calls answered, %d of them while the node stopped; %d cut, want 0", answered.Load(), answered.Load()-before, cut.Load())
+	if answered.Load() <= before || failed.Load() > 0 {
+		t.Errorf("%d calls answered, %d of them during the shutdown, want more than 0; %d failed, want 0", answered.Load(), answered.Load()-before, failed.Load())
 	}
 	if err := f.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// press calls until the node takes no connection any more.
-func press(ctx context.Context, to kqname.Address, number int, answered, cut *atomic.Int64) {
+// sendCalls sends calls until the node refuses connections.
+func sendCalls(ctx context.Context, address kqname.Address, number int, answered, failed *atomic.Int64) {
 	client := &fasthttp.HostClient{
-		Addr: string(to), MaxConns: 1, MaxIdemponentCallAttempts: 1,
+		Addr: string(address), MaxConns: 1, MaxIdemponentCallAttempts: 1,
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
 	for ctx.Err() == nil {
-		q, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-		q.SetRequestURI("http://store/")
-		q.Header.SetMethod(fasthttp.MethodPost)
-		q.Header.Set(kqupstream.HeaderWork, fmt.Sprint(number))
-		err := client.DoTimeout(q, a, wait)
-		var op *net.OpError
+		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+		req.SetRequestURI("http://store/")
+		req.Header.SetMethod(fasthttp.MethodPost)
+		req.Header.Set(kqupstream.HeaderWork, fmt.Sprint(number))
+		err := client.DoTimeout(req, resp, timeout)
+		var opErr *net.OpError
 		switch {
-		case errors.As(err, &op) && op.Op == "dial":
+		case errors.As(err, &opErr) && opErr.Op == "dial":
 			return
 		case err != nil:
-			cut.Add(1)
-		case a.StatusCode() == fasthttp.StatusOK:
+			failed.Add(1)
+		case resp.StatusCode() == fasthttp.StatusOK:
 			answered.Add(1)
 		}
 		time.Sleep(time.Duration(number) * 100 * time.Microsecond)
