--- a/internal/lab/kqdemo/caller.go
+++ b/internal/lab/kqdemo/caller.go
@@ -17,58 +17,60 @@
 )
 
 const (
-	// answered calls have the whole answer to their own request.
-	answered fate = iota
+	// answered calls got the complete answer to their own request.
+	answered callResult = iota
 	notRun
 	unknown
-	// lost calls were cut, or ended without a word on how.
+	// lost calls failed with an error although their entry was not killed, or
+	// got an answer without a result header.
 	lost
-	// crossed calls got an answer to something else.
+	// crossed calls got an incomplete answer or the answer to another request.
 	crossed
 
+	// forged is the call id that forged headers carry.
 	forged = "forged"
 )
 
 type (
-	// fate is how a call ended, as its caller sees it.
-	fate uint8
+	// callResult is the result of a call as its caller observed it.
+	callResult uint8
 
-	// record is one call, as its caller saw it.
+	// record describes one call as its caller observed it.
 	record struct {
-		work       string
+		workID     string
 		host       kqname.Host
 		idempotent bool
-		fate       fate
+		callResult callResult
 		reason     string
 		began      time.Time
 		ended      time.Time
-		// leaving tells that the entry was being stopped, and gracefully.
-		leaving bool
-		// forged tells that the call carried headers of the system's own.
+		// stopping is set if the call ended after the entry's graceful stop began.
+		stopping bool
+		// forged is set if the call carried forged internal headers.
 		forged bool
 	}
 
 	caller struct {
-		name    string
-		dep     deployment
-		crowd   *crowd
-		random  *rand.Rand
-		serial  int
-		records []record
+		name      string
+		dep       deployment
+		entryPool *entryPool
+		random    *rand.Rand
+		serial    int
+		records   []record
 	}
 )
 
-func newCaller(dep deployment, number int, c *crowd) *caller {
+func newCaller(dep deployment, number int, p *entryPool) *caller {
 	return &caller{
-		name: fmt.Sprintf("%s-%d", dep.service, number), dep: dep, crowd: c,
+		name: fmt.Sprintf("%s-%d", dep.service, number), dep: dep, entryPool: p,
 		random: rand.New(rand.NewPCG(uint64(number), uint64(len(dep.service)))),
 	}
 }
 
-// run calls until ctx ends; the call in flight is finished.
+// run sends calls until ctx ends and completes the call that is in flight then.
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		method, path := c.choose()
+		method, path := c.chooseRequest()
 		c.call(method, path)
 		pause := time.Duration((0.5 + c.random.Float64()) * float64(c.dep.pause))
 		select {
@@ -78,7 +80,7 @@
 	}
 }
 
-func (c *caller) choose() (method, path string) {
+func (c *caller) chooseRequest() (method, path string) {
 	switch n := c.random.IntN(100); {
 	case n < 2:
 		return fasthttp.MethodPost, latePath
@@ -95,12 +97,12 @@
 	}
 }
 
-// call sends one call through a random node, from outside or from inside, and
-// records how it ended. A connection that is refused carries nothing, so the
-// caller simply takes another node.
+// call sends one call through the external or the local address of a random
+// node and records its result. A call whose connection was refused cannot have
+// been sent, so another node is tried.
 func (c *caller) call(method, path string) {
 	for {
-		entries := c.crowd.entries()
+		entries := c.entryPool.entries()
 		e := entries[c.random.IntN(len(entries))]
 		if c.send(e, method, path, c.random.IntN(4) == 0) {
 			return
@@ -108,77 +110,78 @@
 	}
 }
 
-// send reports false where the node took no connection.
-func (c *caller) send(e *entry, method, path string, inside bool) bool {
-	q, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(q)
-	defer fasthttp.ReleaseResponse(a)
+// send sends one call to an entry and records its result. It returns false,
+// without a record, if it could not connect.
+func (c *caller) send(e *entry, method, path string, local bool) bool {
+	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(req)
+	defer fasthttp.ReleaseResponse(resp)
 	c.serial++
 	r := record{
-		work: fmt.Sprintf("%s-%d", c.name, c.serial), host: kqname.Host(c.dep.service),
-		idempotent: method == fasthttp.MethodGet, began: time.Now(), forged: !inside && c.random.IntN(10) == 0,
+		workID: fmt.Sprintf("%s-%d", c.name, c.serial), host: kqname.Host(c.dep.service),
+		idempotent: method == fasthttp.MethodGet, began: time.Now(), forged: !local && c.random.IntN(10) == 0,
 	}
-	q.SetRequestURI("http://" + string(r.host) + path)
-	q.Header.SetMethod(method)
-	q.Header.Set(kqupstream.HeaderWork, r.work)
+	req.SetRequestURI("http://" + string(r.host) + path)
+	req.Header.SetMethod(method)
+	req.Header.Set(kqupstream.HeaderWork, r.workID)
 	if r.forged {
-		forge(&q.Header)
+		setForgedHeaders(&req.Header)
 	}
-	to := e.outside
-	if inside {
-		to = e.inside
+	to := e.external
+	if local {
+		to = e.local
 	}
-	err := to.DoTimeout(q, a, callTimeout)
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" || errors.Is(err, fasthttp.ErrDialTimeout) {
+	err := to.DoTimeout(req, resp, callTimeout)
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" || errors.Is(err, fasthttp.ErrDialTimeout) {
 		return false
 	}
-	r.leaving, r.ended = e.leaving.Load(), time.Now()
-	r.fate, r.reason = c.judge(e, r, a, err)
+	r.stopping, r.ended = e.stopping.Load(), time.Now()
+	r.callResult, r.reason = c.classify(e, r, resp, err)
 	c.records = append(c.records, r)
 	return true
 }
 
-func (c *caller) judge(e *entry, r record, a *fasthttp.Response, err error) (fate, string) {
+func (c *caller) classify(e *entry, r record, resp *fasthttp.Response, err error) (callResult, string) {
 	switch {
 	case err != nil && e.killed.Load():
 		return unknown, "entry died"
 	case err != nil:
 		return lost, err.Error()
 	}
-	reason := string(a.Header.Peek(kqcall.HeaderReason))
-	switch kqcall.Result(a.Header.Peek(kqcall.HeaderResult)) {
+	reason := string(resp.Header.Peek(kqcall.HeaderReason))
+	switch kqcall.Result(resp.Header.Peek(kqcall.HeaderResult)) {
 	case kqcall.NotRun:
 		return notRun, reason
 	case kqcall.Unknown:
 		return unknown, reason
 	case kqcall.Answered:
-		if !c.own(r, a) {
-			return crossed, fmt.Sprintf("answer to %q: %q", work(a), a.Body())
+		if !c.isOwnAnswer(r, resp) {
+			return crossed, fmt.Sprintf("got the answer to %q: %q", workID(resp), resp.Body())
 		}
 		return answered, ""
 	default:
-		return lost, "no result in the answer"
+		return lost, "answer without a result header"
 	}
 }
 
-// own reports whether an answer is whole and for this very call. The bad
-// version's failures have no body, but they echo the id.
-func (c *caller) own(r record, a *fasthttp.Response) bool {
-	if work(a) != r.work || r.forged && string(a.Header.Peek(kqcall.HeaderID)) == forged {
+// isOwnAnswer reports whether an answer is complete and belongs to this call.
+// Status 500, sent by bad versions, has no body to check but echoes the work id.
+func (c *caller) isOwnAnswer(r record, resp *fasthttp.Response) bool {
+	if workID(resp) != r.workID || r.forged && string(resp.Header.Peek(kqcall.HeaderID)) == forged {
 		return false
 	}
-	if a.StatusCode() == fasthttp.StatusInternalServerError {
+	if resp.StatusCode() == fasthttp.StatusInternalServerError {
 		return true
 	}
-	words := strings.Fields(string(a.Body()))
-	return a.StatusCode() == fasthttp.StatusOK && len(words) == 3 && words[0] == string(c.dep.service) && words[2] == r.work
+	words := strings.Fields(string(resp.Body()))
+	return resp.StatusCode() == fasthttp.StatusOK && len(words) == 3 && words[0] == string(c.dep.service) && words[2] == r.workID
 }
 
-// forge sets headers of the system's own, as a hostile or confused caller may:
-// to reach another service's new version, to be sent twice, to run out of time
-// or depth, and to look like another's call.
-func forge(h *fasthttp.RequestHeader) {
+// setForgedHeaders sets internal headers as a malicious or faulty caller might:
+// to reach another service's new version, to be sent twice, to exhaust the
+// timeout or the call depth, and to pass for another call.
+func setForgedHeaders(h *fasthttp.RequestHeader) {
 	h.Set(kqcall.HeaderID, forged)
 	h.Set(kqcall.HeaderTimeout, "1")
 	h.Set(kqcall.HeaderDepth, "31")
--- a/internal/lab/kqdemo/demo.go
+++ b/internal/lab/kqdemo/demo.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	readyWait = 20 * time.Second
-	pollEvery = 5 * time.Millisecond
+	readyTimeout = 20 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
 type (
-	// Demo is the embedded deployment.
+	// Demo is the in-process deployment, with the state that the script changes.
 	Demo struct {
 		fleet     *kqfleet.Fleet
 		keys      *keys
@@ -29,31 +29,32 @@
 		progress  io.Writer
 		started   time.Time
 
-		state   state
-		version kqname.ConfigVersion
-		ledger  *ledger
-		crowd   *crowd
-		witness *witness
+		state state
+		// version is the last committed configuration version.
+		version   kqname.ConfigVersion
+		runLog    *runLog
+		entryPool *entryPool
+		monitor   *monitor
 	}
 
-	// Option sets up a Demo.
+	// Option configures a Demo.
 	Option func(*Demo)
 )
 
-// WithProgress sets where each step of the script is told as it begins.
+// WithProgress sets the writer that gets a line after each step of the script.
 func WithProgress(w io.Writer) Option { return func(d *Demo) { d.progress = w } }
 
-// New returns a demo that prints to out.
+// New returns a demo that prints its instructions to out.
 func New(out io.Writer, options ...Option) *Demo {
-	d := &Demo{out: out, progress: io.Discard, started: time.Now(), ledger: newLedger(), crowd: newCrowd()}
+	d := &Demo{out: out, progress: io.Discard, started: time.Now(), runLog: newRunLog(), entryPool: newEntryPool()}
 	for _, o := range options {
 		o(d)
 	}
-	d.witness = newWitness(d.crowd)
+	d.monitor = newMonitor(d.entryPool)
 	return d
 }
 
-// Run starts everything, prints how to try it, and runs until ctx ends.
+// Run starts the deployment, prints how to use it, and runs until ctx ends.
 func (d *Demo) Run(ctx context.Context) error {
 	if err := d.start(ctx); err != nil {
 		return errors.Join(err, d.close())
@@ -64,7 +65,7 @@
 		fmt.Fprintf(d.out, "token    %s %s\n", t.name, t.secret)
 	}
 	fmt.Fprintf(d.out, "set      export KUMQUATGW_ADMIN=https://%s KUMQUATGW_CA=%s KUMQUATGW_TOKEN=%s\n",
-		first.Node.AdminAddress(), d.keys.ca(), d.keys.tokens[0].secret)
+		first.Node.AdminAddress(), d.keys.caPath(), d.keys.tokens[0].secret)
 	fmt.Fprintf(d.out, "command  kumquatgw status\n")
 	fmt.Fprintf(d.out, "api      curl --cacert $KUMQUATGW_CA -H \"Authorization: Bearer $KUMQUATGW_TOKEN\" $KUMQUATGW_ADMIN/v1/fleet\n")
 	fmt.Fprintf(d.out, "spare    upstreams %s v1, v2 (good) and v3 (bad) are called on host %s: make a service, a route and a rollout for them\n",
@@ -82,7 +83,7 @@
 	return errors.Join(err, d.close())
 }
 
-// close stops the servers and removes the keys.
+// close stops the servers and deletes the keys.
 func (d *Demo) close() error {
 	if d.keys == nil {
 		return nil
@@ -94,14 +95,14 @@
 	return nil
 }
 
-// start opens the servers, commits the first document, and returns once every
+// start starts the servers, commits the first document, and waits until every
 // service answers through every node.
 func (d *Demo) start(ctx context.Context) error {
 	var err error
 	if d.keys, err = newKeys(); err != nil {
 		return fmt.Errorf("start demo: %w", err)
 	}
-	d.fleet = kqfleet.New(kqfleet.WithSettings(d.keys.adapt))
+	d.fleet = kqfleet.New(kqfleet.WithSettings(d.keys.applySettings))
 	d.committer = kqcommit.New(d.fleet.Platform)
 	for _, dep := range deployments {
 		for i := range dep.servers {
@@ -109,18 +110,18 @@
 			if err != nil {
 				return fmt.Errorf("start demo: %w", err)
 			}
-			s.Upstream.OnRun(d.ledger.ran)
-			d.crowd.open(s)
+			s.Upstream.OnRun(d.runLog.ran)
+			d.entryPool.add(s)
 		}
 	}
 	if _, err := d.commit(ctx, "first document"); err != nil {
 		return fmt.Errorf("start demo: %w", err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyWait)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for _, e := range d.crowd.entries() {
+	for _, e := range d.entryPool.entries() {
 		for _, dep := range deployments {
-			if err := d.crowd.await(ctx, e, kqname.Host(dep.service)); err != nil {
+			if err := d.entryPool.awaitAnswer(ctx, e, kqname.Host(dep.service)); err != nil {
 				return fmt.Errorf("start demo: %w", err)
 			}
 		}
@@ -128,8 +129,8 @@
 	return nil
 }
 
-// commit puts the current state's document in force and returns when the
-// commit began.
+// commit commits the document of the current state and returns the time at
+// which the commit began. A retry after a failure has the same request id.
 func (d *Demo) commit(ctx context.Context, reason string) (time.Time, error) {
 	began := time.Now()
 	o, err := d.committer.Commit(ctx, kqcommit.Request{
@@ -139,7 +140,7 @@
 		return began, fmt.Errorf("commit %s: %w", reason, err)
 	}
 	if o.Status != kqcommit.Committed {
-		return began, fmt.Errorf("commit %s: ended as %s", reason, o.Status)
+		return began, fmt.Errorf("commit %s: unexpected status %s", reason, o.Status)
 	}
 	d.version = o.Version
 	return began, nil
--- a/internal/lab/kqdemo/deployment.go
+++ b/internal/lab/kqdemo/deployment.go
@@ -14,18 +14,18 @@
 	oldVersion kqname.UpstreamVersion = "v1"
 	newVersion kqname.UpstreamVersion = "v2"
 
-	domains = 4
-	// longWork is what calls to a path under longPath take; those under
-	// latePath, which fits longPath too, have less time than that.
-	longWork    = 80 * time.Millisecond
-	longPath    = "/l"
-	latePath    = "/late/"
-	galleryPath = "/galerie/"
-	rushPath    = "/rush/"
-	lateMS      = 40
-	rushMS      = 20
-	coldFor     = time.Second
-	coldWork    = 10 * time.Millisecond
+	domainCount = 4
+	// longWork is the duration of calls to paths with the prefix longPath. That
+	// includes latePath, whose timeout is shorter: its calls cannot finish in time.
+	longWork      = 80 * time.Millisecond
+	longPath      = "/l"
+	latePath      = "/late/"
+	galleryPath   = "/galerie/"
+	rushPath      = "/rush/"
+	lateTimeoutMS = 40
+	rushTimeoutMS = 20
+	coldFor       = time.Second
+	coldWork      = 10 * time.Millisecond
 
 	probeHost    kqname.Host    = "probe"
 	probeService kqname.Service = "woodshed"
@@ -39,23 +39,24 @@
 		servers int
 		slots   int
 		work    time.Duration
-		// callers call without end, each with this pause in between.
+		// callers is the number of concurrent callers; each waits about pause
+		// between two calls.
 		callers int
 		pause   time.Duration
 		policy  kqname.Policy
-		// next is how the new version answers; bad tells whether it must be
-		// taken back.
-		next kqupstream.Behaviour
-		bad  bool
+		// newBehaviour is the behaviour of the new version; bad is set if its
+		// rollout must be rolled back.
+		newBehaviour kqupstream.Behaviour
+		bad          bool
 	}
 
-	// state is what the document in force says.
+	// state holds the variable parts of the committed document.
 	state struct {
-		// probes is how many routes the probe host has.
+		// probes is the number of routes of the probe host.
 		probes int
-		// moved leads the storefront's /stock/ to the woodshed.
-		moved           bool
-		rollouts        bool
+		// stockMoved routes the storefront's /stock/ to the woodshed.
+		stockMoved      bool
+		hasRollouts     bool
 		start, deadline time.Time
 	}
 )
@@ -64,37 +65,37 @@
 	{
 		service: "storefront", team: "kauri-ridge", region: "nz-south", servers: 4, slots: 6, work: 4 * time.Millisecond,
 		callers: 8, pause: 20 * time.Millisecond, policy: "finishing-first",
-		next: kqupstream.Behaviour{Work: 4 * time.Millisecond, ColdFor: coldFor, ColdWork: coldWork},
+		newBehaviour: kqupstream.Behaviour{Work: 4 * time.Millisecond, ColdFor: coldFor, ColdWork: coldWork},
 	},
 	{
 		service: "woodshed", team: "kauri-ridge", region: "nz-south", servers: 4, slots: 6, work: 3 * time.Millisecond,
 		callers: 8, pause: 20 * time.Millisecond, policy: "finishing-first", bad: true,
-		next: kqupstream.Behaviour{Work: 3 * time.Millisecond, FailShare: 1},
+		newBehaviour: kqupstream.Behaviour{Work: 3 * time.Millisecond, FailShare: 1},
 	},
 	{
 		service: "portail-lecteurs", team: "maison-diagne", region: "dakar", servers: 4, slots: 12, work: 4 * time.Millisecond,
 		callers: 8, pause: 20 * time.Millisecond, policy: "taking-back-first", bad: true,
-		next: kqupstream.Behaviour{Work: 4 * time.Millisecond, FailShare: 1, FailPath: galleryPath},
+		newBehaviour: kqupstream.Behaviour{Work: 4 * time.Millisecond, FailShare: 1, FailPath: galleryPath},
 	},
 	{
 		service: "bureau-redaction", team: "maison-diagne", region: "dakar", servers: 4, slots: 12, work: 20 * time.Millisecond,
 		callers: 24, pause: 15 * time.Millisecond, policy: "taking-back-first", bad: true,
-		next: kqupstream.Behaviour{Work: 20 * time.Millisecond, SlowAbove: 2, SlowFactor: 5},
+		newBehaviour: kqupstream.Behaviour{Work: 20 * time.Millisecond, SlowAbove: 2, SlowFactor: 5},
 	},
 }
 
 func (d deployment) spec(i int, admin bool) kqfleet.Spec {
 	return kqfleet.Spec{
 		Node:   kqname.Node(fmt.Sprintf("%s-%d", d.service, i+1)),
-		Domain: kqname.Domain(fmt.Sprintf("%s-%d", d.region, i%domains+1)), Region: d.region,
+		Domain: kqname.Domain(fmt.Sprintf("%s-%d", d.region, i%domainCount+1)), Region: d.region,
 		Service: d.service, Version: oldVersion, Slots: d.slots, Admin: admin,
 		Behaviour: kqupstream.Behaviour{Work: d.work, LongPath: longPath, LongWork: longWork},
 	}
 }
 
-func (d deployment) rollout() kqname.Rollout { return kqname.Rollout(string(d.service) + "-v2") }
+func (d deployment) rolloutName() kqname.Rollout { return kqname.Rollout(string(d.service) + "-v2") }
 
-// Document returns the document that the demo begins with.
+// Document returns the first document that the demo commits.
 func Document() kqdocument.Document { return state{}.document() }
 
 func (s state) document() kqdocument.Document {
@@ -108,15 +109,15 @@
 	for _, dep := range deployments {
 		d.Services = append(d.Services, kqdocument.Service{Name: dep.service, Team: dep.team, Version: oldVersion})
 		d.Routes = append(d.Routes, dep.routes()...)
-		if s.rollouts {
+		if s.hasRollouts {
 			d.Rollouts = append(d.Rollouts, kqdocument.Rollout{
-				Name: dep.rollout(), Team: dep.team, Service: dep.service, From: oldVersion, To: newVersion,
+				Name: dep.rolloutName(), Team: dep.team, Service: dep.service, From: oldVersion, To: newVersion,
 				Start: s.start, Deadline: s.deadline, Policy: dep.policy,
 			})
 		}
 	}
 	stock := kqdocument.Route{Name: "storefront-stock", Team: "kauri-ridge", Host: "storefront", PathPrefix: "/stock/", Service: "storefront"}
-	if s.moved {
+	if s.stockMoved {
 		stock.Service = "woodshed"
 	}
 	d.Routes = append(d.Routes, stock)
@@ -132,12 +133,11 @@
 func (d deployment) routes() []kqdocument.Route {
 	base := kqdocument.Route{Name: kqname.Route(d.service), Team: d.team, Host: kqname.Host(d.service), PathPrefix: "/", Service: d.service}
 	late, rush, gallery := base, base, base
-	late.Name, late.PathPrefix, late.TimeoutMS = base.Name+"-late", latePath, lateMS
-	rush.Name, rush.PathPrefix, rush.TimeoutMS = base.Name+"-rush", rushPath, rushMS
+	late.Name, late.PathPrefix, late.TimeoutMS = base.Name+"-late", latePath, lateTimeoutMS
+	rush.Name, rush.PathPrefix, rush.TimeoutMS = base.Name+"-rush", rushPath, rushTimeoutMS
 	gallery.Name, gallery.PathPrefix = base.Name+"-galerie", galleryPath
 	return []kqdocument.Route{base, late, rush, gallery}
 }
 
-// probePath returns the path of the route that a document has from its n-th
-// probe on.
+// probePath returns the path prefix of the n-th probe route.
 func probePath(n int) string { return fmt.Sprintf("/v%d/", n) }
--- a/internal/lab/kqdemo/doc.go
+++ b/internal/lab/kqdemo/doc.go
@@ -1,11 +1,11 @@
-// Package kqdemo runs the two users' deployments, small, on loopback in one
-// process: to try by hand, or driven through a script of changes and faults
-// that ends by itself and tells what callers received.
+// Package kqdemo runs small versions of two users' deployments on loopback in one
+// process, either for manual use or with a script of changes and faults that
+// ends with a report of how the calls ended.
 //
-// What it tells is counted by its callers, by the fake upstreams, by the
-// platform's stand-in and by the connections between nodes, not by the nodes:
-// each call carries an id of its own, each upstream tells which ids it ran and
-// echoes them, and a route that only newer versions have shows from outside
-// which version a node applies. Only the state of a rollout, which no caller
-// can see, is read from the nodes.
+// The report is measured independently of the nodes where possible: by the
+// callers, the fake upstreams, the in-memory platform and the connections
+// between nodes. Each call carries a unique work id, which the upstream records
+// and echoes. Routes that exist only from a certain version on (probes) show
+// which configuration version a node applies. Rollout states and the stated
+// configuration versions are read from the nodes.
 package kqdemo
--- /dev/null
+++ b/internal/lab/kqdemo/entry_pool.go
@@ -0,0 +1,124 @@
+package kqdemo
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
+	"github.com/kumquatgw/kumquatgw/internal/lab/kqfleet"
+	"github.com/kumquatgw/kumquatgw/internal/lab/kqupstream"
+	"github.com/kumquatgw/kumquatgw/pkg/kqname"
+)
+
+const (
+	callTimeout = 5 * time.Second
+	connections = 512
+)
+
+type (
+	// entryPool holds the nodes that callers choose from. It is safe for
+	// concurrent use.
+	entryPool struct {
+		mu   sync.RWMutex
+		list []*entry
+	}
+
+	// entry is one node with clients for its external entry address and for its
+	// local address, which the upstream on its server uses.
+	entry struct {
+		server          *kqfleet.Server
+		external, local *fasthttp.HostClient
+		// killed is set before the server is killed, stopping before it is
+		// stopped gracefully.
+		killed, stopping atomic.Bool
+	}
+)
+
+func newEntryPool() *entryPool { return &entryPool{} }
+
+// add adds a server to the nodes that callers choose from.
+func (p *entryPool) add(s *kqfleet.Server) *entry {
+	e := &entry{server: s, external: client(s.Node.EntryAddress()), local: client(s.Node.LocalAddress())}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.list = append(p.list, e)
+	return e
+}
+
+// remove removes an entry; calls in flight to it go on.
+func (p *entryPool) remove(e *entry) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	kept := make([]*entry, 0, len(p.list))
+	for _, other := range p.list {
+		if other != e {
+			kept = append(kept, other)
+		}
+	}
+	p.list = kept
+}
+
+// entries returns the current entries. The list must not be modified.
+func (p *entryPool) entries() []*entry {
+	p.mu.RLock()
+	defer p.mu.RUnlock()
+	return p.list
+}
+
+// at returns the entry of the node with this name.
+func (p *entryPool) at(name kqname.Node) (*entry, error) {
+	for _, e := range p.entries() {
+		if e.server.Spec.Node == name {
+			return e, nil
+		}
+	}
+	return nil, fmt.Errorf("node %s has no entry in the pool", name)
+}
+
+// awaitAnswer waits until a call to host through e is answered.
+func (p *entryPool) awaitAnswer(ctx context.Context, e *entry, host kqname.Host) error {
+	for {
+		result, _, _ := e.sendUncounted(host, "/")
+		if result == kqcall.Answered {
+			return nil
+		}
+		select {
+		case <-ctx.Done():
+			return fmt.Errorf("wait for an answer of host %s through node %s: %w", host, e.server.Spec.Node, ctx.Err())
+		case <-time.After(pollInterval):
+		}
+	}
+}
+
+// sendUncounted sends one call that the report leaves out. It returns the result,
+// its reason and the first word of the body, which is the service's name.
+func (e *entry) sendUncounted(host kqname.Host, path string) (kqcall.Result, kqcall.Reason, string) {
+	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(req)
+	defer fasthttp.ReleaseResponse(resp)
+	req.SetRequestURI("http://" + string(host) + path)
+	if err := e.external.DoTimeout(req, resp, callTimeout); err != nil {
+		return "", "", ""
+	}
+	var service string
+	// The body may be empty; service then stays empty.
+	_, _ = fmt.Sscan(string(resp.Body()), &service)
+	return kqcall.Result(resp.Header.Peek(kqcall.HeaderResult)), kqcall.Reason(resp.Header.Peek(kqcall.HeaderReason)), service
+}
+
+// client returns a client without automatic retries, which would falsify the
+// count of runs for each call.
+func client(to kqname.Address) *fasthttp.HostClient {
+	return &fasthttp.HostClient{
+		Addr: string(to), MaxConns: connections, MaxIdleConnDuration: time.Minute, MaxIdemponentCallAttempts: 1,
+		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
+	}
+}
+
+// workID returns the work id that an answer echoes.
+func workID(resp *fasthttp.Response) string { return string(resp.Header.Peek(kqupstream.HeaderWork)) }
--- /dev/null
+++ b/internal/lab/kqdemo/invalid_version.go
@@ -0,0 +1,111 @@
+package kqdemo
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"time"
+
+	"github.com/kumquatgw/kumquatgw/internal/config/kqcommit"
+	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
+	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
+)
+
+const (
+	observeInvalidFor = 1500 * time.Millisecond
+	// validPath and danglingPath are the path prefixes of the two routes that only
+	// the invalid version has.
+	validPath    = "/rogue/"
+	danglingPath = "/ghost/"
+)
+
+// invalidVersion records how nodes reacted to a version that fails the checks of
+// a commit.
+type invalidVersion struct {
+	written bool
+	// requests counts calls to routes that only the invalid version has.
+	// appliedBy lists each node that answered such a call, with the path, and
+	// each node that lost its valid routes.
+	requests  int
+	appliedBy []string
+}
+
+// writeInvalidVersion writes a root directly to the platform, without the checks
+// of a commit. Its probe host has a valid new route and one to a missing service.
+// A node that answers the valid route has applied the version partially.
+func (s *script) writeInvalidVersion(ctx context.Context) error {
+	if err := s.writeInvalidRoot(ctx); err != nil {
+		return err
+	}
+	s.invalidVersion.written = true
+	s.demo.version++
+	until := time.Now().Add(observeInvalidFor)
+	for time.Now().Before(until) {
+		for _, e := range s.demo.entryPool.entries() {
+			for _, path := range []string{validPath, danglingPath} {
+				s.invalidVersion.requests++
+				if result, _, _ := e.sendUncounted(probeHost, path); result == "answered" {
+					s.invalidVersion.appliedBy = append(s.invalidVersion.appliedBy, string(e.server.Spec.Node)+path)
+				}
+			}
+			if !s.demo.monitor.hasProbe(e, s.demo.state.probes) {
+				s.invalidVersion.appliedBy = append(s.invalidVersion.appliedBy, string(e.server.Spec.Node)+" lost its routes")
+			}
+		}
+		time.Sleep(pollInterval)
+	}
+	return s.commitProbe(ctx)
+}
+
+func (s *script) writeInvalidRoot(ctx context.Context) error {
+	platform := s.demo.fleet.Platform
+	root, revision, err := s.demo.committer.Root(ctx)
+	if err != nil {
+		return err
+	}
+	before, err := kqresource.Encode(root)
+	if err != nil {
+		return err
+	}
+	past, err := kqresource.Encode(kqcommit.Past{Root: root, Digest: kqresource.DigestOf(before)})
+	if err != nil {
+		return err
+	}
+	objects := make(kqresource.Objects)
+	host, err := objects.Add(kqresource.Host{Name: probeHost, Routes: s.invalidVersionRoutes()})
+	if err != nil {
+		return err
+	}
+	next := root
+	next.Version, next.Parent, next.RequestID = root.Version+1, kqresource.DigestOf(before), "rogue"
+	next.Hosts = maps.Clone(root.Hosts)
+	next.Hosts[probeHost] = kqresource.Parts{host}
+	data, err := kqresource.Encode(next)
+	if err != nil {
+		return err
+	}
+	for key, value := range map[string][]byte{kqcommit.ObjectKey(host): objects[host], kqcommit.HistoryKey(root.Version): past} {
+		if _, err := platform.Put(ctx, key, value, kqstore.NoLease); err != nil {
+			return fmt.Errorf("write invalid configuration version: %w", err)
+		}
+	}
+	if _, err := platform.Swap(ctx, kqcommit.RootKey, revision, data, kqstore.NoLease); err != nil {
+		return fmt.Errorf("write invalid configuration version: %w", err)
+	}
+	return nil
+}
+
+func (s *script) invalidVersionRoutes() []kqdocument.Route {
+	var routes []kqdocument.Route
+	for _, r := range s.demo.state.document().Routes {
+		if r.Host == probeHost {
+			routes = append(routes, r)
+		}
+	}
+	valid := routes[0]
+	valid.Name, valid.PathPrefix = "rogue", validPath
+	danglingRoute := valid
+	danglingRoute.Name, danglingRoute.PathPrefix, danglingRoute.Service = "ghost", danglingPath, "ghost"
+	return append(routes, valid, danglingRoute)
+}
--- a/internal/lab/kqdemo/keys.go
+++ b/internal/lab/kqdemo/keys.go
@@ -14,18 +14,20 @@
 )
 
 const (
-	keysValid = 30 * 24 * time.Hour
-	keysMode  = 0o600
+	keyLifetime    = 30 * 24 * time.Hour
+	tokensFileMode = 0o600
 )
 
 type (
-	// keys are a deployment's CA and tokens in a temporary folder.
+	// keys holds the deployment's CA, certificates and operator tokens in a
+	// temporary folder.
 	keys struct {
 		folder    string
 		authority *kqauthority.Authority
-		// tokens are the operators' tokens, in the order of operators.
+		// tokens has one token for each operator, in the order of operators.
 		tokens []token
-		err    error
+		// err is the last error of issueCertificate, as applySettings returns none.
+		err error
 	}
 
 	token struct{ name, secret string }
@@ -43,7 +45,7 @@
 		return nil, fmt.Errorf("make keys: %w", err)
 	}
 	k := &keys{folder: folder}
-	if k.authority, err = kqauthority.New(time.Now(), keysValid); err != nil {
+	if k.authority, err = kqauthority.New(time.Now(), keyLifetime); err != nil {
 		return nil, fmt.Errorf("make keys: %w", err)
 	}
 	if err := k.authority.Pair().Write(folder, "ca"); err != nil {
@@ -58,39 +60,39 @@
 		k.tokens = append(k.tokens, token{o.Name, secret})
 		fmt.Fprintln(&lines, line)
 	}
-	if err := os.WriteFile(k.tokensFile(), []byte(lines.String()), keysMode); err != nil {
+	if err := os.WriteFile(k.tokensPath(), []byte(lines.String()), tokensFileMode); err != nil {
 		return nil, fmt.Errorf("make keys: %w", err)
 	}
 	return k, nil
 }
 
-// adapt gives a node its certificate and the operators' tokens.
-func (k *keys) adapt(s *kqsettings.Settings) {
-	if err := k.issue(s.Node.Name); err != nil {
-		// The node refuses to start without the files, and says so.
+// applySettings issues a node's certificate and sets its TLS and token files.
+func (k *keys) applySettings(s *kqsettings.Settings) {
+	if err := k.issueCertificate(s.Node.Name); err != nil {
+		// The node fails to start without the files; close returns this error too.
 		k.err = err
 	}
-	s.TLS.CA = k.ca()
+	s.TLS.CA = k.caPath()
 	s.TLS.Certificate, s.TLS.Key = kqauthority.Paths(k.folder, string(s.Node.Name))
-	s.Admin.Tokens = k.tokensFile()
+	s.Admin.Tokens = k.tokensPath()
 }
 
-func (k *keys) issue(node kqname.Node) error {
-	pair, err := k.authority.Issue(kqauthority.Subject{Node: node, Addresses: []string{"127.0.0.1", "localhost"}}, time.Now(), keysValid)
+func (k *keys) issueCertificate(node kqname.Node) error {
+	pair, err := k.authority.Issue(kqauthority.Subject{Node: node, Addresses: []string{"127.0.0.1", "localhost"}}, time.Now(), keyLifetime)
 	if err != nil {
-		return fmt.Errorf("make keys of %s: %w", node, err)
+		return fmt.Errorf("make keys for node %s: %w", node, err)
 	}
 	if err := pair.Write(k.folder, string(node)); err != nil {
-		return fmt.Errorf("make keys of %s: %w", node, err)
+		return fmt.Errorf("make keys for node %s: %w", node, err)
 	}
 	return nil
 }
 
-func (k *keys) ca() string {
+func (k *keys) caPath() string {
 	certificate, _ := kqauthority.Paths(k.folder, "ca")
 	return certificate
 }
 
-func (k *keys) tokensFile() string { return filepath.Join(k.folder, "tokens") }
+func (k *keys) tokensPath() string { return filepath.Join(k.folder, "tokens") }
 
 func (k *keys) remove() { _ = os.RemoveAll(k.folder) }
--- a/internal/lab/kqdemo/report.go
+++ b/internal/lab/kqdemo/report.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// ErrMissed tells that an outcome was missed.
+// ErrMissed reports that a required outcome was missed.
 var ErrMissed = errors.New("outcome missed")
 
 type (
-	// Report is what one run of the script has come to.
+	// Report is the result of one run of the script.
 	Report struct {
-		Convergence   Spread    `json:"convergence_ms"`
-		ControlBytes  float64   `json:"control_bytes_per_node_per_second"`
-		PlatformCalls float64   `json:"platform_calls_per_second"`
-		Calls         Calls     `json:"calls"`
-		Rollouts      Rollouts  `json:"rollouts"`
-		Outcomes      []Outcome `json:"outcomes"`
+		Convergence   Percentiles `json:"convergence_ms"`
+		ControlBytes  float64     `json:"control_bytes_per_node_per_second"`
+		PlatformCalls float64     `json:"platform_calls_per_second"`
+		Calls         Calls       `json:"calls"`
+		Rollouts      Rollouts    `json:"rollouts"`
+		Outcomes      []Outcome   `json:"outcomes"`
 	}
 
-	// Spread is a distribution, in milliseconds.
-	Spread struct {
+	// Percentiles summarizes a distribution of durations, in milliseconds.
+	Percentiles struct {
 		P50 float64 `json:"p50"`
 		P99 float64 `json:"p99"`
 		Max float64 `json:"max"`
 	}
 
-	// Calls counts how the calls ended, as their callers and the fake
-	// upstreams saw it. Total is the sum of answered, not run, unknown, lost
-	// and crossed.
+	// Calls counts the calls by result, as the callers and the fake upstreams
+	// observed it. Total is the sum of Answered, NotRun, Unknown, Lost and
+	// Crossed. Doubled counts non-idempotent calls that ran more than once.
 	Calls struct {
 		Total    int `json:"total"`
 		Answered int `json:"answered"`
@@ -41,10 +41,11 @@
 		Crossed  int `json:"crossed"`
 	}
 
-	// Rollouts tells how the rollouts ended. BadShareMax is the most that a bad
-	// version had of its service's calls in any second; the seconds after
-	// detection are from the first node's decision to the last call that a bad
-	// version began.
+	// Rollouts summarizes the rollouts of good and bad versions. BadShareMax is
+	// the largest share of its service's calls that a bad version got in any
+	// second. BadAfterDetectionS is the longest time in seconds from the
+	// detection by the first node, or from the rollout's start without one, to
+	// the last call that a bad version began.
 	Rollouts struct {
 		Good               int     `json:"good"`
 		GoodOnTime         int     `json:"good_on_time"`
@@ -54,7 +55,7 @@
 		BadAfterDetectionS float64 `json:"bad_seconds_after_detection"`
 	}
 
-	// Outcome is one line of what must always hold.
+	// Outcome is the result of one check: whether it held, and what was measured.
 	Outcome struct {
 		Name string `json:"name"`
 		Held bool   `json:"held"`
@@ -62,8 +63,8 @@
 	}
 )
 
-// Check returns ErrMissed, and what was missed, unless every outcome held and
-// every good rollout ended on time.
+// Check returns an error that wraps ErrMissed and lists what was missed, unless
+// every outcome held and every good rollout ended on time.
 func (r Report) Check() error {
 	var missed []string
 	for _, o := range r.Outcomes {
@@ -80,14 +81,14 @@
 	return nil
 }
 
-func spread(samples []time.Duration) Spread {
+func percentiles(samples []time.Duration) Percentiles {
 	if len(samples) == 0 {
-		return Spread{}
+		return Percentiles{}
 	}
 	sorted := slices.Sorted(slices.Values(samples))
 	at := func(share float64) float64 {
 		i := min(int(share*float64(len(sorted))), len(sorted)-1)
 		return float64(sorted[i].Microseconds()) / 1000
 	}
-	return Spread{P50: at(0.5), P99: at(0.99), Max: at(1)}
+	return Percentiles{P50: at(0.5), P99: at(0.99), Max: at(1)}
 }
--- a/internal/lab/kqdemo/script.go
+++ b/internal/lab/kqdemo/script.go
@@ -13,37 +13,40 @@
 )
 
 const (
-	changes     = 10
-	changeEvery = time.Second
-	// quiet is the wait between the end of the load and the counting, longer
-	// than any upstream still works on a call that its caller has given up.
-	quiet = time.Second
+	changeCount    = 10
+	changeInterval = time.Second
+	// settleTime is the wait between the end of the load and the evaluation. It
+	// exceeds the time that an upstream still runs a call abandoned by its caller.
+	settleTime = time.Second
 )
 
 type (
-	// script drives a demo through its changes and faults, and keeps what it
-	// sees on the way.
+	// script runs the changes and faults on a demo and keeps the observations
+	// for the report.
 	script struct {
-		demo    *Demo
-		began   time.Time
-		load    conc.WaitGroup
-		mu      sync.Mutex
-		callers []*caller
-
-		followed []*followed
-		drained  drained
-		outage   outage
-		deaths   []deaths
-		// restarted and replaced are how long new servers took, with the
-		// platform and without it.
-		restarted, replaced []time.Duration
-		rogue               rogue
-		stopped             *entry
-		troubles            []string
-
-		control  int64
-		platform uint64
-		ended    time.Time
+		demo      *Demo
+		began     time.Time
+		loadGroup conc.WaitGroup
+		mu        sync.Mutex
+		callers   []*caller
+
+		observedRollout []*observedRollout
+		drainedUpstream drainedUpstream
+		outage          outage
+		killPeriod      []killPeriod
+		// restartTimes and replaceTimes are how long new servers took to become
+		// current, with the platform available and during its outage.
+		restartTimes, replaceTimes []time.Duration
+		invalidVersion             invalidVersion
+		// stopped is the entry of the node that was stopped gracefully.
+		stopped  *entry
+		problems []string
+
+		// controlBytes and platformCalls are the counters at the start of the load
+		// and, after its end, what the load added to them.
+		controlBytes  int64
+		platformCalls uint64
+		ended         time.Time
 	}
 
 	step struct {
@@ -52,7 +55,7 @@
 	}
 )
 
-// Once runs the script and returns what came of it.
+// Once starts the deployment, runs the script and returns its report.
 func (d *Demo) Once(ctx context.Context) (Report, error) {
 	if err := d.start(ctx); err != nil {
 		return Report{}, errors.Join(err, d.close())
@@ -69,20 +72,20 @@
 	watching, stop := context.WithCancel(ctx)
 	defer stop()
 	var watch conc.WaitGroup
-	watch.Go(func() { s.demo.witness.run(watching) })
+	watch.Go(func() { s.demo.monitor.run(watching) })
 	s.startLoad(watching)
 	for _, step := range []step{
 		{"start new versions beside the old ones", s.startRollouts},
-		{"change routes while the rollouts run", s.change},
+		{"change routes while the rollouts run", s.changeRoutes},
 		{"wait for the rollouts", s.awaitRollouts},
-		{"drain an upstream", s.drain},
-		{"take the platform away", s.takePlatform},
-		{"lose an answer of the platform", s.loseAnswer},
-		{"kill nodes together and start them again", s.killOfEach},
-		{"write a bad configuration version past all checks", s.writeRogue},
-		{"stop a node under load", s.stopOne},
-		{"call more than there are slots", s.burst},
-		{"change a route once more", s.changeOnce},
+		{"drain an upstream", s.drainUpstream},
+		{"take the platform away", s.injectPlatformOutage},
+		{"lose an answer of the platform", s.loseCommitAnswers},
+		{"kill nodes together and start them again", s.killOnePerService},
+		{"write a bad configuration version past all checks", s.writeInvalidVersion},
+		{"stop a node under load", s.stopNodeUnderLoad},
+		{"call more than there are slots", s.sendBurst},
+		{"change a route once more", s.commitProbe},
 	} {
 		if ctx.Err() != nil {
 			return fmt.Errorf("run script: %w", ctx.Err())
@@ -91,97 +94,101 @@
 	}
 	s.ended = time.Now()
 	counts := s.demo.fleet.Platform.Counts()
-	s.platform = counts.Reads + counts.Writes - s.platform
-	s.control = s.demo.fleet.ControlBytes() - s.control
+	s.platformCalls = counts.Reads + counts.Writes - s.platformCalls
+	s.controlBytes = s.demo.fleet.ControlBytes() - s.controlBytes
 	stop()
-	s.load.Wait()
+	s.loadGroup.Wait()
 	watch.Wait()
-	time.Sleep(quiet)
+	time.Sleep(settleTime)
 	return nil
 }
 
-// step runs one step and tells how long it took and what control traffic there
-// was meanwhile.
+// step runs one step and writes its duration and control traffic to progress.
+// An error becomes a problem in the report; the script goes on.
 func (s *script) step(ctx context.Context, step step) {
 	began, bytes := time.Now(), s.demo.fleet.ControlBytes()
 	if err := step.run(ctx); err != nil {
-		s.trouble("%s: %v", step.name, err)
+		s.addProblem("%s: %v", step.name, err)
 	}
 	took := time.Since(began).Seconds()
-	rate := perNode(s.demo.fleet.ControlBytes()-bytes, len(s.demo.fleet.Servers()), took)
+	rate := bytesPerNode(s.demo.fleet.ControlBytes()-bytes, len(s.demo.fleet.Servers()), took)
 	fmt.Fprintf(s.demo.progress, "%5.1f s  %s: %.1f s, %.1f KB/s of control a node\n",
 		time.Since(s.demo.started).Seconds(), step.name, took, rate/1000)
 }
 
-// perNode returns the bytes that a node sent and received in a second; each
-// byte of the wire is one node's sent and another's received.
-func perNode(bytes int64, nodes int, seconds float64) float64 {
+// bytesPerNode returns the average bytes that a node sent and received per
+// second. Each transferred byte counts twice: at its sender and its receiver.
+func bytesPerNode(bytes int64, nodes int, seconds float64) float64 {
 	return 2 * float64(bytes) / float64(nodes) / seconds
 }
 
 func (s *script) startLoad(ctx context.Context) {
 	s.began = time.Now()
 	counts := s.demo.fleet.Platform.Counts()
-	s.platform = counts.Reads + counts.Writes
-	s.control = s.demo.fleet.ControlBytes()
+	s.platformCalls = counts.Reads + counts.Writes
+	s.controlBytes = s.demo.fleet.ControlBytes()
 	for _, dep := range deployments {
 		for range dep.callers {
 			c := s.caller(dep)
-			s.load.Go(func() { c.run(ctx) })
+			s.loadGroup.Go(func() { c.run(ctx) })
 		}
 	}
 }
 
+// caller adds a caller whose calls the report counts.
 func (s *script) caller(dep deployment) *caller {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := newCaller(dep, len(s.callers)+1, s.demo.crowd)
+	c := newCaller(dep, len(s.callers)+1, s.demo.entryPool)
 	s.callers = append(s.callers, c)
 	return c
 }
 
-// change commits changes of routes, one of which leads calls for one service's
-// host to another service.
-func (s *script) change(ctx context.Context) error {
-	for i := range changes {
-		s.demo.state.moved = s.demo.state.moved || i == changes/2
-		if err := s.changeOnce(ctx); err != nil {
+// changeRoutes commits a series of route changes. One of them routes the
+// storefront's /stock/ to another service; every node must follow it.
+func (s *script) changeRoutes(ctx context.Context) error {
+	for i := range changeCount {
+		s.demo.state.stockMoved = s.demo.state.stockMoved || i == changeCount/2
+		if err := s.commitProbe(ctx); err != nil {
 			return err
 		}
-		time.Sleep(changeEvery)
+		time.Sleep(changeInterval)
 	}
-	for _, e := range s.demo.crowd.entries() {
-		if _, _, service := e.ask("storefront", "/stock/billets"); service != "woodshed" {
-			s.trouble("%s leads /stock/ to %q", e.server.Spec.Node, service)
+	for _, e := range s.demo.entryPool.entries() {
+		if _, _, service := e.sendUncounted("storefront", "/stock/billets"); service != "woodshed" {
+			s.addProblem("node %s routes /stock/ to service %q", e.server.Spec.Node, service)
 		}
 	}
 	return nil
 }
 
-func (s *script) changeOnce(ctx context.Context) error {
+// commitProbe commits a document with one more probe route and waits until every
+// node applies it.
+func (s *script) commitProbe(ctx context.Context) error {
 	s.demo.state.probes++
 	began, err := s.demo.commit(ctx, fmt.Sprintf("probe %d", s.demo.state.probes))
 	if err != nil {
 		return err
 	}
-	s.demo.witness.converge(s.demo.state.probes, began, true)
+	s.demo.monitor.awaitConvergence(s.demo.state.probes, began, true)
 	return nil
 }
 
-// startNext starts the new version beside the old one on a server.
-func (s *script) startNext(server *kqfleet.Server, dep deployment) error {
-	b := dep.next
+// startNewVersion starts an upstream of the new version on a server, in addition
+// to the old one.
+func (s *script) startNewVersion(server *kqfleet.Server, dep deployment) error {
+	b := dep.newBehaviour
 	b.LongPath, b.LongWork = longPath, longWork
 	u, err := server.StartUpstream(newVersion, dep.slots, b)
 	if err != nil {
 		return fmt.Errorf("start new version: %w", err)
 	}
-	u.OnRun(s.demo.ledger.ran)
+	u.OnRun(s.demo.runLog.ran)
 	return nil
 }
 
-func (s *script) trouble(format string, args ...any) {
+func (s *script) addProblem(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.troubles = append(s.troubles, fmt.Sprintf(format, args...))
+	s.problems = append(s.problems, fmt.Sprintf(format, args...))
 }
--- a/internal/lab/kqdemo/spare.go
+++ b/internal/lab/kqdemo/spare.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	spareService kqname.Service = "tuning"
-	spareServers                = 2
-	spareSlots                  = 6
-	sparePause                  = 20 * time.Millisecond
-	badShare                    = 0.5
+	spareService   kqname.Service = "tuning"
+	spareServers                  = 2
+	spareSlots                    = 6
+	sparePause                    = 20 * time.Millisecond
+	spareFailShare                = 0.5
 )
 
-// spareVersions are a service's upstreams that nobody has configured yet, so
-// that a newcomer has something to make a service, a route and a rollout for.
+// spareVersions are the upstream versions of a service that the document does
+// not have, so that a user can configure a service, a route and a rollout.
 var spareVersions = map[kqname.UpstreamVersion]kqupstream.Behaviour{
 	oldVersion: {Work: 4 * time.Millisecond},
 	newVersion: {Work: 4 * time.Millisecond},
-	"v3":       {Work: 4 * time.Millisecond, FailShare: badShare},
+	"v3":       {Work: 4 * time.Millisecond, FailShare: spareFailShare},
 }
 
-// runSpare runs those upstreams, and calls for them, until ctx ends.
+// runSpare starts upstreams of the spareVersions and callers of them in group;
+// they run until ctx ends.
 func (d *Demo) runSpare(ctx context.Context, group *conc.WaitGroup) error {
 	for _, s := range d.fleet.Servers()[:spareServers] {
 		for version, behaviour := range spareVersions {
@@ -36,7 +37,7 @@
 			if err != nil {
 				return fmt.Errorf("start spare upstream: %w", err)
 			}
-			// One that cannot drain has calls cut; nobody counts those here.
+			// An incomplete drain cuts calls, which are not counted here.
 			group.Go(func() { _ = u.Run(ctx) })
 		}
 		group.Go(func() { callSpare(ctx, client(s.Node.EntryAddress())) })
@@ -44,8 +45,8 @@
 	return nil
 }
 
-// callSpare calls at a low rate whatever the answer: before there is a route it
-// is "no_route".
+// callSpare sends calls at a low rate and ignores the answers. Until a route
+// exists, they are refused with reason "no_route".
 func callSpare(ctx context.Context, caller *fasthttp.HostClient) {
 	ticker := time.NewTicker(sparePause)
 	defer ticker.Stop()
@@ -54,11 +55,11 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			q, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-			q.SetRequestURI("http://" + string(spareService) + "/")
-			_ = caller.DoTimeout(q, a, callTimeout)
-			fasthttp.ReleaseRequest(q)
-			fasthttp.ReleaseResponse(a)
+			req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+			req.SetRequestURI("http://" + string(spareService) + "/")
+			_ = caller.DoTimeout(req, resp, callTimeout)
+			fasthttp.ReleaseRequest(req)
+			fasthttp.ReleaseResponse(resp)
 		}
 	}
 }
