--- a/internal/admin/kqapi/api.go
+++ b/internal/admin/kqapi/api.go
@@ -121,7 +121,7 @@
 }
 
 func (a *API) change(q asked, c Change, edit kqchange.Edit) (any, *kqproblem.Problem) {
-	result, problem := a.parts.Changer.Do(q.UserContext(), kqchange.Request{
+	result, problem := a.parts.Changer.Submit(q.UserContext(), kqchange.Request{
 		Operator: q.operator, Source: q.IP(), Way: "api",
 		ID: c.RequestID, Base: c.Base, Reason: c.Reason, DryRun: q.QueryBool("dry_run"), Edit: edit,
 	}, q.now)
@@ -149,7 +149,7 @@
 
 // read reads the request's JSON body.
 func (q asked) read(value any) *kqproblem.Problem {
-	if err := kqchange.Strict(q.Body(), value); err != nil {
+	if err := kqchange.DecodeStrict(q.Body(), value); err != nil {
 		return kqproblem.New(kqproblem.Malformed, err.Error())
 	}
 	return nil
@@ -165,7 +165,7 @@
 }
 
 func notFound(err error) *kqproblem.Problem {
-	if errors.Is(err, kqchange.ErrNoItem) {
+	if errors.Is(err, kqchange.ErrItemNotFound) {
 		return kqproblem.New(kqproblem.NotFound, err.Error())
 	}
 	return kqproblem.New(kqproblem.Internal, err.Error())
--- a/internal/admin/kqchange/change.go
+++ b/internal/admin/kqchange/change.go
@@ -18,10 +18,12 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-const settleAfter = time.Second
+// retryDelay is the Retry-After of an unknown commit outcome and of an
+// unavailable platform.
+const retryDelay = time.Second
 
 type (
-	// Committer is the part of kqcommit that changes go through.
+	// Committer is the subset of kqcommit.Committer that changes need.
 	Committer interface {
 		Commit(ctx context.Context, q kqcommit.Request) (kqcommit.Outcome, error)
 		Settle(ctx context.Context, id string) (kqcommit.Outcome, error)
@@ -29,38 +31,42 @@
 		DocumentAt(ctx context.Context, v kqname.ConfigVersion) (kqdocument.Document, error)
 	}
 
-	// Counter counts how changes ended.
+	// Counter counts committed changes.
 	Counter interface {
 		AdminDone(way string)
 	}
 
-	// Edit is one change of a document.
+	// Edit is one modification of the document.
 	Edit struct {
-		// What names it in a few words, as in "put of routes.checkout".
+		// What describes the edit for the audit log, such as "put of
+		// routes.checkout".
 		What string
-		// Kind and Name are the item that the request's body holds, "" for the
-		// whole document.
+		// Kind and Name identify the edited item; both are "" if the edit
+		// replaces the whole document.
 		Kind, Name string
-		// Apply returns the document as it should become.
+		// Apply returns the edited document.
 		Apply func(kqdocument.Document) (kqdocument.Document, error)
 	}
 
-	// Request is one change that an operator asks for.
+	// Request is an operator's request to change the document.
 	Request struct {
 		Operator kqoperator.Operator
-		// Source is the address it came from; Way is "api" or "console".
+		// Source is the address that sent the request. Way is the interface
+		// that received it: "api" or "console".
 		Source, Way string
-		// ID names the change; the same ID is committed once. "" draws one.
+		// ID is the idempotency key: one ID is committed at most once. If
+		// empty, a random one is generated.
 		ID string
-		// Base is the version that was edited; nil takes the one in force.
+		// Base is the version that the edit is based on; nil means the version
+		// in force.
 		Base   *kqname.ConfigVersion
 		Reason string
-		// DryRun only tells what would change.
+		// DryRun computes the difference without committing it.
 		DryRun bool
 		Edit   Edit
 	}
 
-	// Result is what the operator is told of a change that was accepted.
+	// Result describes an accepted change.
 	Result struct {
 		RequestID  string               `json:"request_id"`
 		Version    kqname.ConfigVersion `json:"version"`
@@ -68,7 +74,7 @@
 		Difference []kqdocument.Change  `json:"difference"`
 	}
 
-	// Changer makes changes. It is safe for concurrent use.
+	// Changer checks and commits changes. It is safe for concurrent use.
 	Changer struct {
 		committer Committer
 		audit     *kqaudit.Audit
@@ -76,33 +82,33 @@
 	}
 )
 
-// New returns a changer that records what it does in audit.
+// New returns a changer that records accepted and refused changes in audit.
 func New(committer Committer, audit *kqaudit.Audit, counter Counter) *Changer {
 	return &Changer{committer: committer, audit: audit, counter: counter}
 }
 
-// Do makes a change, or tells why not. After each problem but Unsettled nothing
-// was changed by this request.
-func (c *Changer) Do(ctx context.Context, q Request, now time.Time) (Result, *kqproblem.Problem) {
+// Submit checks and commits a change. Unless the problem is Unsettled, a refused
+// request has changed nothing.
+func (c *Changer) Submit(ctx context.Context, q Request, now time.Time) (Result, *kqproblem.Problem) {
 	if q.ID == "" {
 		q.ID = uuid.NewString()
 	}
-	result, problem := c.do(ctx, q, now)
+	result, problem := c.submit(ctx, q, now)
 	if problem != nil {
 		problem.RequestID = q.ID
 	}
 	if !q.DryRun {
-		c.record(q, result, problem, now)
+		c.recordAudit(q, result, problem, now)
 	}
 	return result, problem
 }
 
-func (c *Changer) do(ctx context.Context, q Request, now time.Time) (Result, *kqproblem.Problem) {
+func (c *Changer) submit(ctx context.Context, q Request, now time.Time) (Result, *kqproblem.Problem) {
 	if !kqname.Valid(q.ID) {
 		return Result{}, kqproblem.New(kqproblem.Malformed, "request_id is not a plain name")
 	}
 	if !q.DryRun {
-		if result, problem, ended := c.repeated(ctx, q); ended {
+		if result, problem, final := c.previousResult(ctx, q); final {
 			return result, problem
 		}
 	}
@@ -111,9 +117,9 @@
 		return Result{}, problemOf(err)
 	}
 	if q.Base != nil && *q.Base != root.Version {
-		return Result{}, c.stale(ctx, *q.Base, current, root.Version)
+		return Result{}, c.staleProblem(ctx, *q.Base, current, root.Version)
 	}
-	next, changes, problem := plan(q, current)
+	next, changes, problem := applyEdit(q, current)
 	if problem != nil {
 		return Result{}, problem
 	}
@@ -121,45 +127,48 @@
 	if q.DryRun || len(changes) == 0 {
 		return result, nil
 	}
-	o, err := c.committer.Commit(ctx, kqcommit.Request{
+	outcome, err := c.committer.Commit(ctx, kqcommit.Request{
 		ID: q.ID, Base: root.Version, Author: q.Operator.Name, Reason: q.Reason, At: now, Document: next,
 	})
 	if err != nil {
 		return Result{}, problemOf(err)
 	}
-	return ended(o, result)
+	return final(outcome, result)
 }
 
-// repeated answers a request whose id was committed before: with the same edit
-// it is the same request, whose answer may have been lost.
-func (c *Changer) repeated(ctx context.Context, q Request) (Result, *kqproblem.Problem, bool) {
-	o, err := c.committer.Settle(ctx, q.ID)
-	if errors.Is(err, kqcommit.ErrNotBegun) || err == nil && o.Status != kqcommit.Committed {
+// previousResult answers a request whose ID was committed before; it returns
+// false if the request must still be processed. The request is a retry after a
+// lost response if its edit yields the committed document; otherwise the ID was
+// reused.
+func (c *Changer) previousResult(ctx context.Context, q Request) (Result, *kqproblem.Problem, bool) {
+	outcome, err := c.committer.Settle(ctx, q.ID)
+	if errors.Is(err, kqcommit.ErrNotBegun) || err == nil && outcome.Status != kqcommit.Committed {
 		return Result{}, nil, false
 	}
 	if err != nil {
 		return Result{}, problemOf(err), true
 	}
-	before, err := c.committer.DocumentAt(ctx, o.Version-1)
+	before, err := c.committer.DocumentAt(ctx, outcome.Version-1)
 	if err != nil {
-		return Result{}, reused(), true
+		return Result{}, reusedProblem(), true
 	}
-	after, err := c.committer.DocumentAt(ctx, o.Version)
+	after, err := c.committer.DocumentAt(ctx, outcome.Version)
 	if err != nil {
-		return Result{}, reused(), true
+		return Result{}, reusedProblem(), true
 	}
-	again, err := q.Edit.Apply(before)
-	if err != nil || len(kqdocument.Diff(after, again)) > 0 || q.Base != nil && *q.Base != o.Version-1 {
-		return Result{}, reused(), true
+	reapplied, err := q.Edit.Apply(before)
+	if err != nil || len(kqdocument.Diff(after, reapplied)) > 0 || q.Base != nil && *q.Base != outcome.Version-1 {
+		return Result{}, reusedProblem(), true
 	}
-	if p := permit(q.Operator, after, kqdocument.Diff(before, after)); p != nil {
+	if p := checkPermission(q.Operator, after, kqdocument.Diff(before, after)); p != nil {
 		return Result{}, p, true
 	}
-	return Result{RequestID: q.ID, Version: o.Version, Committed: true, Difference: kqdocument.Diff(before, after)}, nil, true
+	return Result{RequestID: q.ID, Version: outcome.Version, Committed: true, Difference: kqdocument.Diff(before, after)}, nil, true
 }
 
-// stale refuses an edit of an old version and tells what changed since.
-func (c *Changer) stale(ctx context.Context, base kqname.ConfigVersion, current kqdocument.Document, version kqname.ConfigVersion) *kqproblem.Problem {
+// staleProblem returns the refusal of an edit based on an old version, with the
+// changes committed since.
+func (c *Changer) staleProblem(ctx context.Context, base kqname.ConfigVersion, current kqdocument.Document, version kqname.ConfigVersion) *kqproblem.Problem {
 	p := kqproblem.New(kqproblem.Stale, fmt.Sprintf("version %d was edited, version %d is in force", base, version))
 	p.Version = version
 	if old, err := c.committer.DocumentAt(ctx, base); err == nil {
@@ -168,7 +177,7 @@
 	return p
 }
 
-func (c *Changer) record(q Request, result Result, problem *kqproblem.Problem, now time.Time) {
+func (c *Changer) recordAudit(q Request, result Result, problem *kqproblem.Problem, now time.Time) {
 	r := kqaudit.Record{
 		At: now, Operator: q.Operator.Name, Team: q.Operator.Team, Source: q.Source, Way: q.Way,
 		What: q.Edit.What, Request: q.ID, Reason: q.Reason, Version: result.Version,
@@ -181,57 +190,60 @@
 	c.audit.Add(r)
 }
 
-// plan applies an edit and checks what comes of it.
-func plan(q Request, current kqdocument.Document) (kqdocument.Document, []kqdocument.Change, *kqproblem.Problem) {
+// applyEdit applies an edit, checks the operator's permission and validates the
+// edited document.
+func applyEdit(q Request, current kqdocument.Document) (kqdocument.Document, []kqdocument.Change, *kqproblem.Problem) {
 	next, err := q.Edit.Apply(current)
 	if err != nil {
 		return next, nil, problemOf(err)
 	}
 	changes := kqdocument.Diff(current, next)
-	if p := permit(q.Operator, next, changes); p != nil {
+	if p := checkPermission(q.Operator, next, changes); p != nil {
 		return next, nil, p
 	}
 	if problems := kqdocument.Validate(next); len(problems) > 0 {
-		return next, nil, invalid(q.Edit, next, problems)
+		return next, nil, validationProblem(q.Edit, next, problems)
 	}
 	return next, changes, nil
 }
 
-func ended(o kqcommit.Outcome, result Result) (Result, *kqproblem.Problem) {
-	switch o.Status {
+// final converts the outcome of a commit into the result of the change, or into
+// the problem that refuses it.
+func final(outcome kqcommit.Outcome, result Result) (Result, *kqproblem.Problem) {
+	switch outcome.Status {
 	case kqcommit.Committed:
-		result.Version, result.Committed = o.Version, true
+		result.Version, result.Committed = outcome.Version, true
 		return result, nil
 	case kqcommit.Conflict:
-		p := kqproblem.New(kqproblem.Stale, fmt.Sprintf("version %d came first", o.Version))
-		p.Version, p.Difference = o.Version, o.Difference
+		p := kqproblem.New(kqproblem.Stale, fmt.Sprintf("version %d came first", outcome.Version))
+		p.Version, p.Difference = outcome.Version, outcome.Difference
 		return Result{}, p
 	default:
 		p := kqproblem.New(kqproblem.Unsettled, "ask again with the same request id")
-		p.RetryAfter = settleAfter
+		p.RetryAfter = retryDelay
 		return Result{}, p
 	}
 }
 
-func reused() *kqproblem.Problem {
+func reusedProblem() *kqproblem.Problem {
 	return kqproblem.New(kqproblem.Reused, "take a new request id for a new change")
 }
 
 func problemOf(err error) *kqproblem.Problem {
 	switch {
-	case errors.Is(err, ErrNoItem):
+	case errors.Is(err, ErrItemNotFound):
 		return kqproblem.New(kqproblem.NotFound, err.Error())
-	case errors.Is(err, ErrItem), errors.Is(err, kqcommit.ErrRequest):
+	case errors.Is(err, ErrMalformedItem), errors.Is(err, kqcommit.ErrRequest):
 		return kqproblem.New(kqproblem.Malformed, err.Error())
 	case errors.Is(err, kqcommit.ErrReused):
-		return reused()
+		return reusedProblem()
 	case errors.Is(err, kqcommit.ErrInvalid):
 		return kqproblem.New(kqproblem.Invalid, err.Error())
 	case errors.Is(err, kqresource.ErrTooLarge), errors.Is(err, kqstore.ErrTooLarge):
 		return kqproblem.New(kqproblem.TooLarge, err.Error())
 	case errors.Is(err, kqstore.ErrUnavailable), errors.Is(err, kqstore.ErrRateLimited), errors.Is(err, kqstore.ErrConflict):
 		p := kqproblem.New(kqproblem.PlatformDown, err.Error())
-		p.RetryAfter = settleAfter
+		p.RetryAfter = retryDelay
 		return p
 	default:
 		return kqproblem.New(kqproblem.Internal, err.Error())
--- a/internal/admin/kqchange/doc.go
+++ b/internal/admin/kqchange/doc.go
@@ -1,4 +1,4 @@
-// Package kqchange makes operators' changes: whichever way one comes, it becomes
-// an edit of the one document, is checked against who sends it, and goes through
-// the committer.
+// Package kqchange applies operators' changes to the configuration document.
+// The API and the console both build an Edit; it is checked against the
+// operator's permissions, validated and committed.
 package kqchange
--- a/internal/admin/kqchange/kind.go
+++ b/internal/admin/kqchange/kind.go
@@ -13,12 +13,12 @@
 )
 
 var (
-	// ErrNoItem tells that the document has no such item.
-	ErrNoItem = errors.New("not in the document")
-	// ErrItem tells that an item's JSON cannot be read.
-	ErrItem = errors.New("item cannot be read")
+	// ErrItemNotFound is returned for an item that is not in the document.
+	ErrItemNotFound = errors.New("not in the document")
+	// ErrMalformedItem is returned for JSON that does not decode into an item.
+	ErrMalformedItem = errors.New("item cannot be read")
 
-	// Kinds are the kinds of items, by their names in the document.
+	// Kinds maps the name of each list in the document to its kind of items.
 	Kinds = map[string]Kind{
 		"services": kind[kqdocument.Service, kqname.Service]{
 			items: func(d *kqdocument.Document) *[]kqdocument.Service { return &d.Services },
@@ -44,8 +44,8 @@
 )
 
 type (
-	// Kind edits the items of one kind in a document. Documents that it is
-	// given stay as they are.
+	// Kind reads and edits the items of one kind in a document. It never
+	// modifies the documents passed to it.
 	Kind interface {
 		// New returns an empty item.
 		New() any
@@ -53,12 +53,12 @@
 		List(d kqdocument.Document) any
 		// Get returns one item, or ErrNoItem.
 		Get(d kqdocument.Document, name string) (any, error)
-		// Put replaces or adds the item with that name, and returns its place.
+		// Put replaces or adds the item with that name and returns its index.
 		Put(d kqdocument.Document, name string, data []byte) (kqdocument.Document, int, error)
 		// Delete removes an item, or returns ErrNoItem.
 		Delete(d kqdocument.Document, name string) (kqdocument.Document, error)
-		// NameAt returns the name of the item in one place, or "".
-		NameAt(d kqdocument.Document, place int) string
+		// NameAt returns the name of the item at index, or "" if out of range.
+		NameAt(d kqdocument.Document, index int) string
 	}
 
 	kind[T any, N ~string] struct {
@@ -81,9 +81,9 @@
 // Get implements Kind.
 func (k kind[T, N]) Get(d kqdocument.Document, name string) (any, error) {
 	items := *k.items(&d)
-	i := k.find(items, name)
+	i := k.indexOf(items, name)
 	if i < 0 {
-		return nil, fmt.Errorf("%q: %w", name, ErrNoItem)
+		return nil, fmt.Errorf("%q: %w", name, ErrItemNotFound)
 	}
 	return items[i], nil
 }
@@ -91,17 +91,17 @@
 // Put implements Kind.
 func (k kind[T, N]) Put(d kqdocument.Document, name string, data []byte) (kqdocument.Document, int, error) {
 	var item T
-	if err := Strict(data, &item); err != nil {
-		return d, 0, fmt.Errorf("read item: %w", errors.Join(ErrItem, err))
+	if err := DecodeStrict(data, &item); err != nil {
+		return d, 0, fmt.Errorf("read item: %w", errors.Join(ErrMalformedItem, err))
 	}
-	if own := k.name(&item); *own == "" {
-		*own = N(name)
-	} else if string(*own) != name {
-		return d, 0, fmt.Errorf("it is named %q here and %q in the path: %w", *own, name, ErrItem)
+	if itemName := k.name(&item); *itemName == "" {
+		*itemName = N(name)
+	} else if string(*itemName) != name {
+		return d, 0, fmt.Errorf("it is named %q here and %q in the path: %w", *itemName, name, ErrMalformedItem)
 	}
 	items := k.items(&d)
 	*items = slices.Clone(*items)
-	i := k.find(*items, name)
+	i := k.indexOf(*items, name)
 	if i < 0 {
 		*items = append(*items, item)
 		return d, len(*items) - 1, nil
@@ -113,28 +113,28 @@
 // Delete implements Kind.
 func (k kind[T, N]) Delete(d kqdocument.Document, name string) (kqdocument.Document, error) {
 	items := k.items(&d)
-	i := k.find(*items, name)
+	i := k.indexOf(*items, name)
 	if i < 0 {
-		return d, fmt.Errorf("%q: %w", name, ErrNoItem)
+		return d, fmt.Errorf("%q: %w", name, ErrItemNotFound)
 	}
 	*items = slices.Delete(slices.Clone(*items), i, i+1)
 	return d, nil
 }
 
 // NameAt implements Kind.
-func (k kind[T, N]) NameAt(d kqdocument.Document, place int) string {
+func (k kind[T, N]) NameAt(d kqdocument.Document, index int) string {
 	items := *k.items(&d)
-	if place < 0 || place >= len(items) {
+	if index < 0 || index >= len(items) {
 		return ""
 	}
-	return string(*k.name(&items[place]))
+	return string(*k.name(&items[index]))
 }
 
-func (k kind[T, N]) find(items []T, name string) int {
+func (k kind[T, N]) indexOf(items []T, name string) int {
 	return slices.IndexFunc(items, func(item T) bool { return string(*k.name(&item)) == name })
 }
 
-// Put is the edit that adds or replaces an item.
+// Put returns the edit that adds or replaces an item.
 func Put(k Kind, kind, name string, data []byte) Edit {
 	return Edit{
 		What: "put of " + kind + "." + name, Kind: kind, Name: name,
@@ -145,7 +145,7 @@
 	}
 }
 
-// Delete is the edit that removes an item.
+// Delete returns the edit that removes an item.
 func Delete(k Kind, kind, name string) Edit {
 	return Edit{
 		What: "removal of " + kind + "." + name, Kind: kind, Name: name,
@@ -153,15 +153,16 @@
 	}
 }
 
-// Strict reads one JSON value and refuses unknown fields and trailing data.
-func Strict(data []byte, value any) error {
+// DecodeStrict decodes one JSON value and rejects unknown fields and trailing
+// data.
+func DecodeStrict(data []byte, value any) error {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(value); err != nil {
 		return fmt.Errorf("read JSON: %w", err)
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return fmt.Errorf("read JSON: more than one value: %w", ErrItem)
+		return fmt.Errorf("read JSON: more than one value: %w", ErrMalformedItem)
 	}
 	return nil
 }
--- a/internal/admin/kqchange/pointer.go
+++ b/internal/admin/kqchange/pointer.go
@@ -10,27 +10,29 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 )
 
-// place takes a problem's path, as "routes[3].service", apart.
-var place = regexp.MustCompile(`^([a-z_]+)\[(\d+)\]\.?(.*)$`)
+// pathPattern splits a validation path such as "routes[3].service" into kind,
+// index and field.
+var pathPattern = regexp.MustCompile(`^([a-z_]+)\[(\d+)\]\.?(.*)$`)
 
-// invalid turns a document's problems into pointers to the fields of what was
-// sent: of the item where the fault is in it, else of the document.
-func invalid(e Edit, d kqdocument.Document, problems []kqdocument.Problem) *kqproblem.Problem {
+// validationProblem converts validation errors into a problem with JSON pointers
+// into the request body: into its item if the error is in the edited item, else
+// into the document.
+func validationProblem(e Edit, d kqdocument.Document, problems []kqdocument.Problem) *kqproblem.Problem {
 	code := kqproblem.Quota
 	fields := make([]kqproblem.Field, 0, len(problems))
 	for _, p := range problems {
 		if !strings.HasSuffix(p.Path, ".max_routes") && !strings.HasSuffix(p.Path, ".max_rollouts") {
 			code = kqproblem.Invalid
 		}
-		fields = append(fields, pointer(e, d, p))
+		fields = append(fields, fieldProblem(e, d, p))
 	}
 	problem := kqproblem.New(code, fmt.Sprintf("%d faults; the first: %s %s", len(problems), fields[0].Pointer, fields[0].Detail))
 	problem.Errors = fields
 	return problem
 }
 
-func pointer(e Edit, d kqdocument.Document, p kqdocument.Problem) kqproblem.Field {
-	parts := place.FindStringSubmatch(p.Path)
+func fieldProblem(e Edit, d kqdocument.Document, p kqdocument.Problem) kqproblem.Field {
+	parts := pathPattern.FindStringSubmatch(p.Path)
 	if parts == nil {
 		return kqproblem.Field{Pointer: "/document/" + p.Path, Detail: p.Message}
 	}
--- a/internal/admin/kqconsole/change.go
+++ b/internal/admin/kqconsole/change.go
@@ -136,7 +136,7 @@
 		c.parts.Counter.AdminRefused(string(kqproblem.Invalid))
 		return c.showSheet(v, fiber.StatusUnprocessableEntity, s)
 	}
-	result, problem := c.parts.Changer.Do(v.UserContext(), kqchange.Request{
+	result, problem := c.parts.Changer.Submit(v.UserContext(), kqchange.Request{
 		Operator: v.operator, Source: v.IP(), Way: "console", ID: s.RequestID, Base: &s.Base,
 		Reason: s.Reason, DryRun: action != actionCommit, Edit: edit,
 	}, v.now)
