--- a/internal/admin/kqproblem/doc.go
+++ b/internal/admin/kqproblem/doc.go
@@ -1,3 +1,3 @@
-// Package kqproblem is the form in which operators' requests are refused:
+// Package kqproblem defines the error responses to operators' requests:
 // application/problem+json with a stable code.
 package kqproblem
--- a/internal/admin/kqproblem/problem.go
+++ b/internal/admin/kqproblem/problem.go
@@ -12,63 +12,64 @@
 const MediaType = "application/problem+json"
 
 const (
-	// NoToken tells that no token came with the request.
+	// NoToken means that the request has no token.
 	NoToken Code = "no_token"
-	// BadToken tells that no operator has the token.
+	// BadToken means that the token belongs to no operator.
 	BadToken Code = "bad_token"
-	// TooManyFailures tells that too many requests of this source had no good
-	// token; RetryAfter says when to come back.
+	// TooManyFailures means that the source is throttled after too many requests
+	// without a valid token; RetryAfter is the remaining time.
 	TooManyFailures Code = "too_many_failures"
-	// Forbidden tells that the operator's role or team does not allow the
-	// change, or that it touches what another team owns.
+	// Forbidden means that the operator's role or team does not permit the
+	// change, or that it affects items of another team.
 	Forbidden Code = "forbidden"
-	// NoCSRF tells that a form came without the mark of this session.
+	// NoCSRF means that a form came from another site or without the CSRF token
+	// of its session.
 	NoCSRF Code = "no_csrf"
-	// Malformed tells that the body or a parameter cannot be read.
+	// Malformed means that the body or a parameter cannot be parsed.
 	Malformed Code = "malformed"
-	// TooLarge tells that the body is over the bound.
+	// TooLarge means that the body or the document exceeds its size limit.
 	TooLarge Code = "too_large"
-	// HeadersTooLarge tells that the headers are over the bound.
+	// HeadersTooLarge means that the headers exceed the size limit.
 	HeadersTooLarge Code = "headers_too_large"
-	// TooSlow tells that the request did not arrive whole in time.
+	// TooSlow means that the request was not received within the read timeout.
 	TooSlow Code = "too_slow"
-	// Leaving tells that the node ended before the request had arrived whole: nothing
-	// was changed.
+	// Leaving means that the node shut down before the whole request had
+	// arrived; nothing was changed.
 	Leaving Code = "leaving"
-	// NotFound tells that nothing has this path or name.
+	// NotFound means that no operation or item has this path or name.
 	NotFound Code = "not_found"
-	// BadMethod tells that the path does not take this method.
+	// BadMethod means that the path does not support the method.
 	BadMethod Code = "bad_method"
-	// Invalid tells that the document would have problems; Errors name them.
+	// Invalid means that the changed document fails validation; Errors lists why.
 	Invalid Code = "invalid_document"
-	// Quota tells that a team would be over its quota.
+	// Quota means that the change would exceed a team's quota.
 	Quota Code = "over_quota"
-	// Stale tells that the edited version is no longer in force; Difference is
-	// what changed since.
+	// Stale means that the base version is no longer in force; Difference holds
+	// the changes since.
 	Stale Code = "stale_version"
-	// Reused tells that the request id was used with other content.
+	// Reused means that the request ID was already used with other content.
 	Reused Code = "request_id_reused"
-	// Unsettled tells that the commit's end is not known yet; ask again by the
-	// same request id.
+	// Unsettled means that the commit's outcome is not known yet; a retry must
+	// use the same request ID.
 	Unsettled Code = "unsettled"
-	// PlatformDown tells that the platform's service did not answer.
+	// PlatformDown means that the platform's key-value service is unavailable.
 	PlatformDown Code = "platform_unavailable"
-	// Internal tells of a fault of this program.
+	// Internal means a bug or an unexpected error in this program.
 	Internal Code = "internal"
 )
 
 type (
-	// Code names a kind of refusal; it does not change between versions.
+	// Code identifies a kind of problem; it is stable across releases.
 	Code string
 
-	// Field is one fault, at one field of what was sent.
+	// Field is an error in one field of the request.
 	Field struct {
 		// Pointer is a JSON pointer into the request's document or item.
 		Pointer string `json:"pointer"`
 		Detail  string `json:"detail"`
 	}
 
-	// Problem is a refusal. It is an error.
+	// Problem is the body of an error response. It implements error.
 	Problem struct {
 		Type       string               `json:"type"`
 		Title      string               `json:"title"`
@@ -79,12 +80,12 @@
 		Version    kqname.ConfigVersion `json:"version,omitempty"`
 		Errors     []Field              `json:"errors,omitempty"`
 		Difference []kqdocument.Change  `json:"difference,omitempty"`
-		// RetryAfter goes into the header of that name.
+		// RetryAfter is sent in the Retry-After header.
 		RetryAfter time.Duration `json:"-"`
 	}
 )
 
-// Statuses gives the HTTP status and the title of each code.
+// Statuses maps each code to its HTTP status and title.
 var Statuses = map[Code]struct {
 	Status int
 	Title  string
@@ -110,11 +111,11 @@
 	Internal:        {http.StatusInternalServerError, "A fault of this program"},
 }
 
-// New returns a problem of a code.
+// New returns a problem with the code's type, title and status.
 func New(code Code, detail string) *Problem {
 	s := Statuses[code]
 	return &Problem{Type: "urn:kumquatgw:problem:" + string(code), Title: s.Title, Status: s.Status, Code: code, Detail: detail}
 }
 
-// Error joins the code and the detail.
+// Error implements error.
 func (p *Problem) Error() string { return string(p.Code) + ": " + p.Detail }
