--- a/internal/admin/kqaudit/audit.go
+++ b/internal/admin/kqaudit/audit.go
@@ -12,10 +12,11 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-const most = 500
+// maxRecords bounds the records in memory; the oldest are evicted.
+const maxRecords = 500
 
 type (
-	// Record is one change that was tried. It never holds a token.
+	// Record is one attempted change. It never contains a token.
 	Record struct {
 		At       time.Time            `json:"at"`
 		Operator string               `json:"operator,omitempty"`
@@ -30,7 +31,7 @@
 		Refused kqproblem.Code `json:"refused,omitempty"`
 	}
 
-	// Audit is a bounded list of records. It is safe for concurrent use.
+	// Audit is a bounded audit log. It is safe for concurrent use.
 	Audit struct {
 		log *logrus.Entry
 
@@ -39,10 +40,10 @@
 	}
 )
 
-// New returns an empty list that also logs.
+// New returns an empty audit log that also writes each record to log.
 func New(log *logrus.Entry) *Audit { return &Audit{log: log} }
 
-// Add records a change that was tried.
+// Add records an attempted change.
 func (a *Audit) Add(r Record) {
 	entry := a.log.WithFields(logrus.Fields{
 		"operator": r.Operator, "source": r.Source, "way": r.Way, "request_id": r.Request, "reason": r.Reason,
@@ -55,13 +56,13 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.records = append(a.records, r)
-	if len(a.records) > most {
-		a.records = slices.Delete(a.records, 0, len(a.records)-most)
+	if len(a.records) > maxRecords {
+		a.records = slices.Delete(a.records, 0, len(a.records)-maxRecords)
 	}
 }
 
-// Records returns what the operator may see, the newest first: all for admins,
-// their team's for members.
+// Records returns the records that the operator may see, newest first: all for
+// admins, their own team's for members.
 func (a *Audit) Records(o kqoperator.Operator) []Record {
 	a.mu.Lock()
 	defer a.mu.Unlock()
