--- a/internal/admin/kqapi/api.go
+++ b/internal/admin/kqapi/api.go
@@ -21,16 +21,16 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Prefix begins the path of every operation.
+// Prefix is the path prefix of every operation.
 const Prefix = "/v1"
 
 type (
-	// Counter counts refusals by their code.
+	// Counter counts refused requests by problem code.
 	Counter interface {
 		AdminRefused(reason string)
 	}
 
-	// Parts are what the API drives.
+	// Parts are the dependencies of the API.
 	Parts struct {
 		Committer kqchange.Committer
 		Changer   *kqchange.Changer
@@ -38,46 +38,46 @@
 		Audit     *kqaudit.Audit
 		Auth      *kqauth.Auth
 		Counter   Counter
-		// Rollouts returns the fleet's rollouts with their evidence.
+		// Rollouts returns the status of the fleet's rollouts.
 		Rollouts func() []kqboard.Status
 		Now      func() time.Time
 	}
 
-	// API serves the operations.
+	// API serves the administration operations.
 	API struct {
 		parts      Parts
 		operations []operation
 	}
 
-	// asked is one request whose operator is known.
-	asked struct {
+	// request is an authenticated request.
+	request struct {
 		*fiber.Ctx
 		operator kqoperator.Operator
 		now      time.Time
 	}
 )
 
-// New returns the API.
+// New returns an API with the given dependencies.
 func New(parts Parts) *API {
 	a := &API{parts: parts}
-	a.operations = a.table()
+	a.operations = a.buildOperations()
 	return a
 }
 
-// Register adds the operations to a server.
+// Register adds the operations and the OpenAPI document to a router.
 func (a *API) Register(app fiber.Router) {
-	description := a.describe()
+	description := a.openAPI()
 	app.Get(Prefix+"/openapi.json", func(c *fiber.Ctx) error { return c.JSON(description) })
 	for _, o := range a.operations {
-		app.Add(o.method, Prefix+o.served(), a.serve(o))
+		app.Add(o.method, Prefix+o.routePath(), a.serve(o))
 	}
-	// A path that is there under another method is told apart from none.
+	// Unknown paths and unsupported methods under the prefix both get 404.
 	app.All(Prefix+"/*", func(c *fiber.Ctx) error {
 		return a.Refuse(c, kqproblem.New(kqproblem.NotFound, "no operation has this method and path; see "+Prefix+"/openapi.json"))
 	})
 }
 
-// Refuse answers with a problem and counts it.
+// Refuse responds with a problem and counts it.
 func (a *API) Refuse(c *fiber.Ctx, p *kqproblem.Problem) error {
 	a.parts.Counter.AdminRefused(string(p.Code))
 	if p.RetryAfter > 0 {
@@ -87,7 +87,7 @@
 		c.Set(fiber.HeaderWWWAuthenticate, "Bearer")
 	}
 	if err := c.Status(p.Status).JSON(p); err != nil {
-		return fmt.Errorf("answer with problem: %w", err)
+		return fmt.Errorf("send problem response: %w", err)
 	}
 	c.Set(fiber.HeaderContentType, kqproblem.MediaType)
 	return nil
@@ -97,30 +97,30 @@
 	return func(c *fiber.Ctx) error {
 		now := a.parts.Now()
 		c.Set(fiber.HeaderCacheControl, "no-store")
-		operator, problem := a.parts.Auth.Token(bearer(c), c.IP(), now)
+		operator, problem := a.parts.Auth.Authenticate(bearerToken(c), c.IP(), now)
 		if problem != nil {
-			a.refusedStranger(c, o, problem, now)
+			a.auditUnauthenticated(c, o, problem, now)
 			return a.Refuse(c, problem)
 		}
-		answer, problem := o.handle(asked{Ctx: c, operator: operator, now: now})
+		response, problem := o.handle(request{Ctx: c, operator: operator, now: now})
 		if problem != nil {
 			return a.Refuse(c, problem)
 		}
-		return c.JSON(answer)
+		return c.JSON(response)
 	}
 }
 
-// refusedStranger records who was refused before anybody was known, but not
-// those that are held back: at their rate they would push all else out of the
-// list and fill the log. Reading without a token is no attempt.
-func (a *API) refusedStranger(c *fiber.Ctx, o operation, p *kqproblem.Problem, now time.Time) {
+// auditUnauthenticated adds a request that failed authentication to the audit
+// log. It skips throttled requests, whose rate would evict all other records and
+// fill the log, and reads without a token, which attempt no change.
+func (a *API) auditUnauthenticated(c *fiber.Ctx, o operation, p *kqproblem.Problem, now time.Time) {
 	if p.Code == kqproblem.TooManyFailures || p.Code == kqproblem.NoToken && o.method == fiber.MethodGet {
 		return
 	}
 	a.parts.Audit.Add(kqaudit.Record{At: now, Source: c.IP(), Way: "api", What: o.method + " " + o.path, Refused: p.Code})
 }
 
-func (a *API) change(q asked, c Change, edit kqchange.Edit) (any, *kqproblem.Problem) {
+func (a *API) submitChange(q request, c Change, edit kqchange.Edit) (any, *kqproblem.Problem) {
 	result, problem := a.parts.Changer.Submit(q.UserContext(), kqchange.Request{
 		Operator: q.operator, Source: q.IP(), Way: "api",
 		ID: c.RequestID, Base: c.Base, Reason: c.Reason, DryRun: q.QueryBool("dry_run"), Edit: edit,
@@ -131,7 +131,7 @@
 	return result, nil
 }
 
-func (a *API) document(q asked) (kqdocument.Document, kqname.ConfigVersion, *kqproblem.Problem) {
+func (a *API) currentDocument(q request) (kqdocument.Document, kqname.ConfigVersion, *kqproblem.Problem) {
 	d, root, err := a.parts.Committer.Document(q.UserContext())
 	if err != nil {
 		return d, 0, kqproblem.New(kqproblem.PlatformDown, err.Error())
@@ -139,7 +139,8 @@
 	return d, root.Version, nil
 }
 
-func bearer(c *fiber.Ctx) string {
+// bearerToken returns the token of the Authorization header, or "" without one.
+func bearerToken(c *fiber.Ctx) string {
 	token, ok := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), "Bearer ")
 	if !ok {
 		return ""
@@ -147,16 +148,16 @@
 	return strings.TrimSpace(token)
 }
 
-// read reads the request's JSON body.
-func (q asked) read(value any) *kqproblem.Problem {
+// decodeBody decodes the JSON body into value.
+func (q request) decodeBody(value any) *kqproblem.Problem {
 	if err := kqchange.DecodeStrict(q.Body(), value); err != nil {
 		return kqproblem.New(kqproblem.Malformed, err.Error())
 	}
 	return nil
 }
 
-// item returns the kind and name of an item's path.
-func (q asked) item(kind string) (kqchange.Kind, string, *kqproblem.Problem) {
+// item returns the given kind and the item name from the path.
+func (q request) item(kind string) (kqchange.Kind, string, *kqproblem.Problem) {
 	name := q.Params("name")
 	if !kqname.Valid(name) {
 		return nil, "", kqproblem.New(kqproblem.Malformed, "the name in the path is not a plain name")
@@ -164,7 +165,7 @@
 	return kqchange.Kinds[kind], name, nil
 }
 
-func notFound(err error) *kqproblem.Problem {
+func itemProblem(err error) *kqproblem.Problem {
 	if errors.Is(err, kqchange.ErrItemNotFound) {
 		return kqproblem.New(kqproblem.NotFound, err.Error())
 	}
--- a/internal/admin/kqapi/doc.go
+++ b/internal/admin/kqapi/doc.go
@@ -1,3 +1,3 @@
-// Package kqapi is the administration API: JSON under /v1/, described by the
-// OpenAPI document that it serves itself.
+// Package kqapi implements the administration API: JSON over HTTP under /v1/,
+// described by an OpenAPI document at /v1/openapi.json.
 package kqapi
--- a/internal/admin/kqapi/openapi.go
+++ b/internal/admin/kqapi/openapi.go
@@ -18,10 +18,10 @@
 
 type object = map[string]any
 
-var parameter = regexp.MustCompile(`\{(\w+)\}`)
+var pathParameter = regexp.MustCompile(`\{(\w+)\}`)
 
-// describe returns the API's OpenAPI document.
-func (a *API) describe() object {
+// openAPI returns the OpenAPI document of all operations.
+func (a *API) openAPI() object {
 	paths := object{}
 	for _, o := range a.operations {
 		path := Prefix + o.path
@@ -30,7 +30,7 @@
 			methods = object{}
 			paths[path] = methods
 		}
-		methods[map[string]string{"GET": "get", "PUT": "put", "DELETE": "delete"}[o.method]] = o.describe()
+		methods[map[string]string{"GET": "get", "PUT": "put", "DELETE": "delete"}[o.method]] = o.openAPI()
 	}
 	return object{
 		"openapi":  openapiVersion,
@@ -45,14 +45,15 @@
 	}
 }
 
-func (o operation) describe() object {
-	responses := object{"200": object{"description": "As asked.", "content": content("application/json", schema(o.answer))}}
+// openAPI returns the OpenAPI description of one operation.
+func (o operation) openAPI() object {
+	responses := object{"200": object{"description": "As asked.", "content": content("application/json", schema(o.response))}}
 	for _, s := range problemStatuses() {
 		responses[strconv.Itoa(s)] = object{"$ref": "#/components/responses/" + responseName(s)}
 	}
 	described := object{"operationId": o.id, "summary": o.summary, "responses": responses}
 	var parameters []object
-	for _, p := range parameter.FindAllStringSubmatch(o.path, -1) {
+	for _, p := range pathParameter.FindAllStringSubmatch(o.path, -1) {
 		parameters = append(parameters, object{"name": p[1], "in": "path", "required": true, "schema": object{"type": "string"}})
 	}
 	for _, name := range o.query {
@@ -79,7 +80,7 @@
 func problemSchema() any {
 	s := schema(kqproblem.Problem{})
 	if code, ok := s.Properties.Get("code"); ok {
-		for _, c := range codes() {
+		for _, c := range problemCodes() {
 			code.Enum = append(code.Enum, c)
 		}
 	}
@@ -110,7 +111,7 @@
 	return list
 }
 
-func codes() []string {
+func problemCodes() []string {
 	list := make([]string, 0, len(kqproblem.Statuses))
 	for c := range kqproblem.Statuses {
 		list = append(list, string(c))
--- a/internal/admin/kqauth/auth.go
+++ b/internal/admin/kqauth/auth.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// SessionTime is how long a session lasts after its last use.
-	SessionTime = 30 * time.Minute
+	// SessionTimeout is how long a session lasts after its last use.
+	SessionTimeout = 30 * time.Minute
 
 	maxSessions = 1024
 	secretBytes = 32
 )
 
 type (
-	// Operators finds who has a token.
+	// Operators looks up operators by token hash.
 	Operators interface {
 		Find(h kqoperator.Hash) (kqoperator.Operator, error)
 	}
 
-	// Session is one operator's stay in the console.
+	// Session is an operator's login session in the console.
 	Session struct {
-		// ID is the cookie's value; CSRF stands in each form of the session.
+		// ID is the cookie's value; CSRF is the token in the session's forms.
 		ID, CSRF string
 
-		hash kqoperator.Hash
-		used time.Time
+		tokenHash kqoperator.Hash
+		lastUsed  time.Time
 	}
 
-	// Auth checks tokens and keeps sessions. It is safe for concurrent use.
+	// Auth verifies tokens and stores sessions. It is safe for concurrent use.
 	Auth struct {
 		operators Operators
 		throttle  *kqthrottle.Throttle
@@ -45,42 +45,42 @@
 	}
 )
 
-// New returns an Auth without sessions.
+// New returns an Auth that verifies tokens against operators.
 func New(operators Operators) *Auth {
 	return &Auth{operators: operators, throttle: kqthrottle.New(), sessions: make(map[string]*Session)}
 }
 
-// Token returns the operator that a token is of. Failures count against the
-// source, which must then stay away for a while.
-func (a *Auth) Token(token, source string, now time.Time) (kqoperator.Operator, *kqproblem.Problem) {
+// Authenticate returns the operator who owns the token. Failures count against
+// the source, which is throttled after too many.
+func (a *Auth) Authenticate(token, source string, now time.Time) (kqoperator.Operator, *kqproblem.Problem) {
 	_, operator, problem := a.token(token, source, now)
 	return operator, problem
 }
 
-// Begin starts a session by a token.
-func (a *Auth) Begin(token, source string, now time.Time) (Session, *kqproblem.Problem) {
-	hash, _, problem := a.token(token, source, now)
+// StartSession starts a session for the operator who owns the token.
+func (a *Auth) StartSession(token, source string, now time.Time) (Session, *kqproblem.Problem) {
+	tokenHash, _, problem := a.token(token, source, now)
 	if problem != nil {
 		return Session{}, problem
 	}
-	id, err := secret()
+	id, err := newSecret()
 	if err != nil {
 		return Session{}, kqproblem.New(kqproblem.Internal, err.Error())
 	}
-	mark, err := secret()
+	csrf, err := newSecret()
 	if err != nil {
 		return Session{}, kqproblem.New(kqproblem.Internal, err.Error())
 	}
-	s := &Session{ID: id, CSRF: mark, hash: hash, used: now}
+	s := &Session{ID: id, CSRF: csrf, tokenHash: tokenHash, lastUsed: now}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.sweep(now)
+	a.evictSessions(now)
 	a.sessions[id] = s
 	return *s, nil
 }
 
-// Session returns a session and its operator. The token is looked up again, so
-// that a token taken out of the file ends its sessions at once.
+// Session returns an unexpired session and its operator. It looks the token up
+// again, so that removing a token from the file ends its sessions at once.
 func (a *Auth) Session(id string, now time.Time) (Session, kqoperator.Operator, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -88,55 +88,56 @@
 	if !ok {
 		return Session{}, kqoperator.Operator{}, false
 	}
-	operator, err := a.operators.Find(s.hash)
-	if err != nil || now.Sub(s.used) > SessionTime {
+	operator, err := a.operators.Find(s.tokenHash)
+	if err != nil || now.Sub(s.lastUsed) > SessionTimeout {
 		delete(a.sessions, id)
 		return Session{}, kqoperator.Operator{}, false
 	}
-	s.used = now
+	s.lastUsed = now
 	return *s, operator, true
 }
 
-// End ends a session.
-func (a *Auth) End(id string) {
+// EndSession removes a session.
+func (a *Auth) EndSession(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.sessions, id)
 }
 
+// token authenticates a token and also returns its hash.
 func (a *Auth) token(token, source string, now time.Time) (kqoperator.Hash, kqoperator.Operator, *kqproblem.Problem) {
-	var none kqoperator.Hash
+	var noHash kqoperator.Hash
 	if wait := a.throttle.Wait(source, now); wait > 0 {
 		p := kqproblem.New(kqproblem.TooManyFailures, "come back later")
 		p.RetryAfter = wait
-		return none, kqoperator.Operator{}, p
+		return noHash, kqoperator.Operator{}, p
 	}
 	if token == "" {
 		a.throttle.Failed(source, now)
-		return none, kqoperator.Operator{}, kqproblem.New(kqproblem.NoToken, `send "Authorization: Bearer TOKEN"`)
+		return noHash, kqoperator.Operator{}, kqproblem.New(kqproblem.NoToken, `send "Authorization: Bearer TOKEN"`)
 	}
-	hash, err := kqoperator.HashOf(token)
+	tokenHash, err := kqoperator.HashOf(token)
 	var operator kqoperator.Operator
 	if err == nil {
-		operator, err = a.operators.Find(hash)
+		operator, err = a.operators.Find(tokenHash)
 	}
 	if err != nil {
 		a.throttle.Failed(source, now)
-		return none, operator, kqproblem.New(kqproblem.BadToken, "no operator has this token")
+		return noHash, operator, kqproblem.New(kqproblem.BadToken, "no operator has this token")
 	}
-	return hash, operator, nil
+	return tokenHash, operator, nil
 }
 
-// sweep drops sessions that have lapsed, and the longest unused one while there
-// are too many.
-func (a *Auth) sweep(now time.Time) {
+// evictSessions removes expired sessions and, if maxSessions is still reached,
+// the least recently used one.
+func (a *Auth) evictSessions(now time.Time) {
 	var oldest *Session
 	for id, s := range a.sessions {
-		if now.Sub(s.used) > SessionTime {
+		if now.Sub(s.lastUsed) > SessionTimeout {
 			delete(a.sessions, id)
 			continue
 		}
-		if oldest == nil || s.used.Before(oldest.used) {
+		if oldest == nil || s.lastUsed.Before(oldest.lastUsed) {
 			oldest = s
 		}
 	}
@@ -145,10 +146,10 @@
 	}
 }
 
-func secret() (string, error) {
+func newSecret() (string, error) {
 	b := make([]byte, secretBytes)
 	if _, err := rand.Read(b); err != nil {
-		return "", fmt.Errorf("draw secret: %w", err)
+		return "", fmt.Errorf("generate secret: %w", err)
 	}
 	return base64.RawURLEncoding.EncodeToString(b), nil
 }
--- a/internal/admin/kqauth/doc.go
+++ b/internal/admin/kqauth/doc.go
@@ -1,3 +1,3 @@
-// Package kqauth tells who sends an operator's request: by token with each
-// request, or by a session that a token began.
+// Package kqauth authenticates operators: API requests by their bearer token,
+// console requests by a session that was started with a token.
 package kqauth
--- a/internal/admin/kqconsole/console.go
+++ b/internal/admin/kqconsole/console.go
@@ -148,7 +148,7 @@
 	problem := kqproblem.New(kqproblem.NoCSRF, "the form came from another site")
 	if sameSite(q) {
 		var session kqauth.Session
-		session, problem = c.parts.Auth.Begin(strings.TrimSpace(q.FormValue("token")), q.IP(), now)
+		session, problem = c.parts.Auth.StartSession(strings.TrimSpace(q.FormValue("token")), q.IP(), now)
 		if problem == nil {
 			q.Cookie(&fiber.Cookie{
 				Name: cookieName(q), Value: session.ID, Path: "/", HTTPOnly: true, Secure: q.Secure(),
@@ -168,7 +168,7 @@
 }
 
 func (c *Console) logout(v visit) error {
-	c.parts.Auth.End(v.session.ID)
+	c.parts.Auth.EndSession(v.session.ID)
 	v.Cookie(&fiber.Cookie{Name: cookieName(v.Ctx), Path: "/", HTTPOnly: true, Secure: v.Secure(), SameSite: fiber.CookieSameSiteStrictMode, MaxAge: -1})
 	return v.Redirect("/login", fiber.StatusSeeOther)
 }
