--- a/internal/admin/kqview/doc.go
+++ b/internal/admin/kqview/doc.go
@@ -1,3 +1,3 @@
-// Package kqview is what operators see of the fleet, the same for the console,
-// the API and the terminal.
+// Package kqview provides the fleet's state to operators, in the same form for
+// the console, the API and the command line.
 package kqview
--- a/internal/admin/kqview/report.go
+++ b/internal/admin/kqview/report.go
@@ -9,39 +9,39 @@
 )
 
 type (
-	// Count is one counter of a node that is not at 0.
+	// Count is one nonzero counter of a node.
 	Count struct {
 		Name   string `json:"name" cbor:"1,keyasint"`
 		Reason string `json:"reason,omitempty" cbor:"2,keyasint,omitempty"`
 		Value  uint64 `json:"value" cbor:"3,keyasint"`
 	}
 
-	// Report is what one node tells of itself when it is asked.
+	// Report is the state that a node reports about itself on request.
 	Report struct {
 		Node    kqname.Node          `json:"node" cbor:"1,keyasint"`
 		Version kqname.ConfigVersion `json:"version" cbor:"2,keyasint"`
-		// Since is when that version came into force on the node.
+		// Since is when the node applied that version.
 		Since   time.Time `json:"since" cbor:"3,keyasint"`
 		Started time.Time `json:"started" cbor:"4,keyasint"`
 		Ready   bool      `json:"ready" cbor:"5,keyasint"`
-		// Counts are what the node refused, lost or saw fail since its start.
+		// Counts holds the refusals, losses and failures since the node started.
 		Counts []Count `json:"counts" cbor:"6,keyasint"`
 	}
 
-	// Reporter asks nodes for their reports.
+	// Reporter requests reports from nodes.
 	Reporter interface {
 		Report(ctx context.Context, node kqname.Node) (Report, error)
 	}
 )
 
-// Report asks one node of the fleet for its report. Only nodes that somebody
-// looks at are asked, so that looking costs the fleet nothing otherwise.
+// Report requests the report of one node. Reports are fetched only on demand, so
+// that they cause no traffic while no operator views them.
 func (v *View) Report(ctx context.Context, node kqname.Node) (Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, platformWait)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	r, err := v.node.Report(ctx, node)
 	if err != nil {
-		return Report{}, fmt.Errorf("view node %s: %w", node, err)
+		return Report{}, fmt.Errorf("get report of node %s: %w", node, err)
 	}
 	if r.Counts == nil {
 		r.Counts = []Count{}
--- a/internal/admin/kqview/view.go
+++ b/internal/admin/kqview/view.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	historyMost  = 100
-	platformWait = 2 * time.Second
+	maxHistory     = 100
+	requestTimeout = 2 * time.Second
 )
 
 type (
-	// Node is what is seen through one node.
+	// Node provides the state that one node knows.
 	Node interface {
 		Ready() bool
 		Version() kqname.ConfigVersion
@@ -27,13 +27,13 @@
 		Reporter
 	}
 
-	// Committer is the part of kqcommit that is seen.
+	// Committer is the subset of kqcommit.Committer that views read.
 	Committer interface {
 		Root(ctx context.Context) (kqresource.Root, kqstore.Revision, error)
-		History(ctx context.Context, most int) ([]kqcommit.Past, error)
+		History(ctx context.Context, limit int) ([]kqcommit.Past, error)
 	}
 
-	// Upstream is one back end beside a node.
+	// Upstream is one upstream that is local to a node.
 	Upstream struct {
 		Service  kqname.Service         `json:"service"`
 		Version  kqname.UpstreamVersion `json:"version"`
@@ -55,14 +55,14 @@
 		Upstreams []Upstream           `json:"upstreams"`
 	}
 
-	// Fleet is every node, as one node knows them.
+	// Fleet lists every node known to one node.
 	Fleet struct {
 		Version kqname.ConfigVersion `json:"version"`
 		Ready   bool                 `json:"ready"`
 		Members []Member             `json:"members"`
 	}
 
-	// Convergence tells how far the version in force has come.
+	// Convergence reports how many nodes have applied the version in force.
 	Convergence struct {
 		Version  kqname.ConfigVersion `json:"version"`
 		At       time.Time            `json:"at"`
@@ -75,18 +75,18 @@
 		Complete bool                 `json:"complete"`
 	}
 
-	// Version is one change of the history.
+	// Version is one committed version in the history.
 	Version struct {
 		Version   kqname.ConfigVersion `json:"version"`
 		RequestID string               `json:"request_id"`
 		Author    string               `json:"author"`
 		Reason    string               `json:"reason"`
 		At        time.Time            `json:"at"`
-		// Kept tells that the version's document can still be shown.
+		// Kept reports whether the version's document is still stored.
 		Kept bool `json:"kept"`
 	}
 
-	// Platform tells how the platform's service answers this node.
+	// Platform is the result of one request to the platform's key-value service.
 	Platform struct {
 		Reachable bool                 `json:"reachable"`
 		TookMS    float64              `json:"took_ms"`
@@ -94,21 +94,21 @@
 		Error     string               `json:"error,omitempty"`
 	}
 
-	// View makes the views of one node.
+	// View provides the views of one node.
 	View struct {
 		node      Node
 		committer Committer
 	}
 )
 
-// New returns the view through a node.
+// New returns a view of the fleet as node and committer know it.
 func New(node Node, committer Committer) *View { return &View{node: node, committer: committer} }
 
-// Ready reports whether the node serves calls.
+// Ready reports whether the node is ready for calls.
 func (v *View) Ready() bool { return v.node.Ready() }
 
-// Fleet returns every node that this one knows; versions are those that the
-// nodes have told, at most a few heartbeats old.
+// Fleet returns every node that this one knows. Versions come from the nodes'
+// heartbeats and are at most a few heartbeats old.
 func (v *View) Fleet() Fleet {
 	f := Fleet{Version: v.node.Version(), Ready: v.node.Ready(), Members: []Member{}}
 	members := v.node.Members()
@@ -116,24 +116,24 @@
 		f.Version = max(f.Version, m.Config)
 	}
 	for _, m := range members {
-		shown := Member{
+		member := Member{
 			Node: m.Node, Domain: m.Domain, Region: m.Region, State: m.State.String(), Control: m.Control,
 			Version: m.Config, Behind: f.Version - m.Config, Upstreams: []Upstream{},
 		}
 		for _, u := range m.Upstreams {
-			shown.Upstreams = append(shown.Upstreams, Upstream(u))
+			member.Upstreams = append(member.Upstreams, Upstream(u))
 		}
-		f.Members = append(f.Members, shown)
+		f.Members = append(f.Members, member)
 	}
 	return f
 }
 
-// Convergence tells how many nodes have the version in force. Nodes held to be
-// dead do not count: they take it when they return, before they serve.
+// Convergence returns how many nodes have the version in force. Nodes considered
+// dead are not counted: when they return, they apply it before they serve calls.
 func (v *View) Convergence(ctx context.Context, now time.Time) (Convergence, error) {
 	root, _, err := v.committer.Root(ctx)
 	if err != nil {
-		return Convergence{}, fmt.Errorf("view convergence: %w", err)
+		return Convergence{}, fmt.Errorf("read convergence: %w", err)
 	}
 	c := Convergence{Version: root.Version, At: root.At, Author: root.Author, Reason: root.Reason, Behind: []kqname.Node{}}
 	if !root.At.IsZero() {
@@ -154,15 +154,16 @@
 	return c, nil
 }
 
-// History returns the latest versions, the newest first.
-func (v *View) History(ctx context.Context, most int) ([]Version, error) {
-	if most < 1 || most > historyMost {
-		most = historyMost
+// History returns up to limit of the latest versions, newest first. A limit out
+// of range means maxHistory.
+func (v *View) History(ctx context.Context, limit int) ([]Version, error) {
+	if limit < 1 || limit > maxHistory {
+		limit = maxHistory
 	}
-	past, err := v.committer.History(ctx, most)
-	// What was kept is shown even where older history cannot be followed.
+	past, err := v.committer.History(ctx, limit)
+	// Return the versions that were read even if older history is broken or gone.
 	if err != nil && (len(past) == 0 || !errors.Is(err, kqcommit.ErrChain) && !errors.Is(err, kqstore.ErrNotFound)) {
-		return nil, fmt.Errorf("view history: %w", err)
+		return nil, fmt.Errorf("read history: %w", err)
 	}
 	list := make([]Version, 0, len(past))
 	for _, p := range past {
@@ -174,9 +175,10 @@
 	return list, nil
 }
 
-// Platform asks the platform's service once.
+// Platform sends one request to the platform's service and measures it from
+// began with since.
 func (v *View) Platform(ctx context.Context, began time.Time, since func(time.Time) time.Duration) Platform {
-	ctx, cancel := context.WithTimeout(ctx, platformWait)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	root, _, err := v.committer.Root(ctx)
 	p := Platform{Reachable: err == nil, Version: root.Version, TookMS: float64(since(began).Microseconds()) / 1000}
