--- a/internal/admin/kqclient/client.go
+++ b/internal/admin/kqclient/client.go
@@ -17,34 +17,36 @@
 )
 
 const (
-	timeout   = 10 * time.Second
-	maxAnswer = 16 << 20
+	requestTimeout   = 10 * time.Second
+	maxResponseBytes = 16 << 20
 )
 
-// ErrAnswer tells that an answer is not one of the API's.
-var ErrAnswer = errors.New("answer is not the API's")
+// ErrBadResponse is returned for a response that the administration API would
+// not send, and for a CA file without a certificate.
+var ErrBadResponse = errors.New("not a response of the administration API")
 
 type (
-	// Client asks one node.
+	// Client sends requests to one node's API.
 	Client struct {
 		url, token string
 		http       *http.Client
 	}
 
-	// Access says where the API is and who asks.
+	// Access holds the API's address and the operator's credentials.
 	Access struct {
-		// URL is the admin server's, such as "https://10.0.0.1:8084".
+		// URL is the admin server's base URL, such as "https://10.0.0.1:8084".
 		URL string
-		// Token is the operator's.
+		// Token is the operator's bearer token.
 		Token string
-		// CA is the PEM file of the fleet's CA; "" takes the system's.
+		// CA is the PEM file of the fleet's CA; if empty, the system's CAs are
+		// trusted.
 		CA string
 	}
 )
 
-// New returns a client.
+// New returns a client for the given API.
 func New(a Access) (*Client, error) {
-	c := &Client{url: a.URL, token: a.Token, http: &http.Client{Timeout: timeout}}
+	c := &Client{url: a.URL, token: a.Token, http: &http.Client{Timeout: requestTimeout}}
 	if a.CA == "" {
 		return c, nil
 	}
@@ -54,49 +56,49 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return nil, fmt.Errorf("read CA %s: no certificate: %w", a.CA, ErrAnswer)
+		return nil, fmt.Errorf("read CA %s: no certificate: %w", a.CA, ErrBadResponse)
 	}
 	c.http.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}
 	return c, nil
 }
 
-// Get reads one path, such as "/v1/fleet", into value. A refusal comes as a
-// *kqproblem.Problem.
+// Get fetches a path such as "/v1/fleet" and decodes the response into value. A
+// refused request returns a *kqproblem.Problem as the error.
 func (c *Client) Get(ctx context.Context, path string, value any) error {
 	return c.Do(ctx, http.MethodGet, path, nil, value)
 }
 
-// Do sends body as JSON, unless it is nil, and reads the answer into value. A
-// refusal comes as a *kqproblem.Problem.
+// Do sends body as JSON, unless it is nil, and decodes the response into value.
+// A refused request returns a *kqproblem.Problem as the error.
 func (c *Client) Do(ctx context.Context, method, path string, body, value any) error {
-	var sent bytes.Buffer
+	var payload bytes.Buffer
 	if body != nil {
-		if err := json.NewEncoder(&sent).Encode(body); err != nil {
+		if err := json.NewEncoder(&payload).Encode(body); err != nil {
 			return fmt.Errorf("encode request: %w", err)
 		}
 	}
-	q, err := http.NewRequestWithContext(ctx, method, c.url+path, &sent)
+	req, err := http.NewRequestWithContext(ctx, method, c.url+path, &payload)
 	if err != nil {
-		return fmt.Errorf("ask %s: %w", path, err)
+		return fmt.Errorf("create request for %s: %w", path, err)
 	}
 	if c.token != "" {
-		q.Header.Set("Authorization", "Bearer "+c.token)
+		req.Header.Set("Authorization", "Bearer "+c.token)
 	}
-	a, err := c.http.Do(q)
+	resp, err := c.http.Do(req)
 	if err != nil {
-		return fmt.Errorf("ask: %w", err)
+		return fmt.Errorf("send request: %w", err)
 	}
-	defer func() { _ = a.Body.Close() }()
-	answer := json.NewDecoder(io.LimitReader(a.Body, maxAnswer))
-	if a.StatusCode != http.StatusOK {
+	defer func() { _ = resp.Body.Close() }()
+	decoder := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes))
+	if resp.StatusCode != http.StatusOK {
 		var p kqproblem.Problem
-		if err := answer.Decode(&p); err != nil || p.Code == "" {
-			return fmt.Errorf("%s answered %s: %w", path, a.Status, ErrAnswer)
+		if err := decoder.Decode(&p); err != nil || p.Code == "" {
+			return fmt.Errorf("%s returned status %s: %w", path, resp.Status, ErrBadResponse)
 		}
 		return &p
 	}
-	if err := answer.Decode(value); err != nil {
-		return fmt.Errorf("read answer of %s: %w", path, errors.Join(ErrAnswer, err))
+	if err := decoder.Decode(value); err != nil {
+		return fmt.Errorf("decode response of %s: %w", path, errors.Join(ErrBadResponse, err))
 	}
 	return nil
 }
--- a/internal/admin/kqclient/doc.go
+++ b/internal/admin/kqclient/doc.go
@@ -1,2 +1,2 @@
-// Package kqclient asks a node's administration API.
+// Package kqclient is an HTTP client for a node's administration API.
 package kqclient
