--- a/internal/admin/kqadmin/admin.go
+++ b/internal/admin/kqadmin/admin.go
@@ -75,7 +75,7 @@
 		app      *fiber.App
 		api      *kqapi.API
 		console  *kqconsole.Console
-		trail    *kqtrail.Trail
+		history  *kqtrail.History
 		rollouts func() []kqboard.Status
 		// leaving tells that reading has ended for the server's own end.
 		leaving atomic.Bool
@@ -105,7 +105,7 @@
 	for _, set := range opts {
 		set(&o)
 	}
-	a := &Admin{trail: kqtrail.New(), rollouts: parts.Node.Rollouts}
+	a := &Admin{history: kqtrail.New(), rollouts: parts.Node.Rollouts}
 	a.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true, ErrorHandler: a.failed,
 		// Without its own copies, what is kept of a request, such as an audit
@@ -123,7 +123,7 @@
 	}
 	a.api = kqapi.New(shared)
 	var err error
-	a.console, err = kqconsole.New(kqconsole.Parts{Parts: shared, Trail: a.trail})
+	a.console, err = kqconsole.New(kqconsole.Parts{Parts: shared, History: a.history})
 	if err != nil {
 		return nil, fmt.Errorf("make admin: %w", err)
 	}
@@ -132,7 +132,7 @@
 }
 
 // Run follows the rollouts' course until ctx ends.
-func (a *Admin) Run(ctx context.Context) { a.trail.Run(ctx, a.rollouts) }
+func (a *Admin) Run(ctx context.Context) { a.history.Run(ctx, a.rollouts) }
 
 // Serve answers on the listener until Shutdown, under TLS unless config is nil.
 func (a *Admin) Serve(l net.Listener, config *tls.Config) error {
@@ -172,10 +172,10 @@
 	if listener == nil {
 		return
 	}
-	listener.EndReading(time.Now())
+	listener.ExpireReads(time.Now())
 	ticker := time.NewTicker(lastAnswers / 15)
 	defer ticker.Stop()
-	for end := time.Now().Add(lastAnswers); listener.Open() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(lastAnswers); listener.OpenConnections() > 0 && time.Now().Before(end); {
 		<-ticker.C
 	}
 }
--- a/internal/admin/kqconsole/console.go
+++ b/internal/admin/kqconsole/console.go
@@ -44,7 +44,7 @@
 	// changes, and the rollouts' course.
 	Parts struct {
 		kqapi.Parts
-		Trail *kqtrail.Trail
+		History *kqtrail.History
 	}
 
 	// Console serves the pages.
--- a/internal/admin/kqconsole/view.go
+++ b/internal/admin/kqconsole/view.go
@@ -36,7 +36,7 @@
 	slices.SortStableFunc(list, func(a, b kqboard.Status) int { return order(a.State) - order(b.State) })
 	moves := make([]move, 0, len(list))
 	for _, s := range list {
-		moves = append(moves, move{Status: s, Plot: plotOf(c.parts.Trail.Points(s.Rollout))})
+		moves = append(moves, move{Status: s, Plot: plotOf(c.parts.History.Points(s.Rollout))})
 	}
 	return moves
 }
--- a/internal/admin/kqlinger/doc.go
+++ b/internal/admin/kqlinger/doc.go
@@ -1,5 +1,5 @@
-// Package kqlinger closes connections so that the last answer arrives. A server
-// that refuses a request early, for its size, closes while the client still
-// sends; the kernel then answers with a reset, and the client loses the refusal
-// that lay in its buffer and sees only a broken connection.
+// Package kqlinger implements lingering close, so that the last response reaches
+// the sender of the request. A server that refuses a large request early closes
+// the connection while data still arrives; the kernel then sends a reset, which
+// discards the response in the peer's receive buffer.
 package kqlinger
--- a/internal/admin/kqlinger/linger.go
+++ b/internal/admin/kqlinger/linger.go
@@ -8,39 +8,43 @@
 	"time"
 )
 
+// After Close, a connection discards what still arrives until one of these
+// bounds is reached.
 const (
-	lingerTime  = time.Second
-	lingerBytes = 8 << 20
+	lingerTimeout  = time.Second
+	maxLingerBytes = 8 << 20
 )
 
 type (
-	// Listener accepts connections that linger when they are closed, and so
-	// many at a time from one address. The library's own bound was tried: it
-	// crashed the process when a connection was closed under a waiting read.
+	// Listener accepts connections with lingering close and limits the open
+	// connections per remote address. The HTTP library's own limit is not used:
+	// it crashed the process when a connection was closed during a blocked read.
 	Listener struct {
 		net.Listener
-		most int
+		maxPerAddress int
 
-		mu   sync.Mutex
-		held map[string]int
-		// open are the connections that are read.
+		mu         sync.Mutex
+		perAddress map[string]int
+		// open holds the connections that were not closed yet.
 		open map[*conn]struct{}
 	}
 
+	// conn is a TCP connection with lingering close.
 	conn struct {
 		*net.TCPConn
 		once sync.Once
-		// closed is told of the end of what is read, and done of the connection's.
-		closed func(*conn)
-		done   func()
-		err    error
+		// onClose is called when Close begins, release after lingering has ended.
+		onClose func(*conn)
+		release func()
+		err     error
 	}
 )
 
-// New returns a listener over l that holds up to most connections of one
-// address: with slow requests one source would otherwise shut all others out.
-func New(l net.Listener, most int) *Listener {
-	return &Listener{Listener: l, most: most, held: make(map[string]int), open: make(map[*conn]struct{})}
+// New wraps l with lingering close and a limit of maxPerAddress connections per
+// remote address: without it, one source's slow requests could use up all
+// connections.
+func New(l net.Listener, maxPerAddress int) *Listener {
+	return &Listener{Listener: l, maxPerAddress: maxPerAddress, perAddress: make(map[string]int), open: make(map[*conn]struct{})}
 }
 
 // Accept implements net.Listener.
@@ -55,80 +59,83 @@
 			return c, nil
 		}
 		source, _, err := net.SplitHostPort(c.RemoteAddr().String())
-		if err != nil || !l.take(source) {
+		if err != nil || !l.acquire(source) {
 			_ = c.Close()
 			continue
 		}
-		return l.hold(t, source), nil
+		return l.track(t, source), nil
 	}
 }
 
-// EndReading has the connections stop waiting for what their clients still send: a server
-// answers those whose request it has begun to read.
-func (l *Listener) EndReading(now time.Time) {
+// ExpireReads sets the read deadline of all open connections to now. The server
+// then still answers the connections whose request it has partly read.
+func (l *Listener) ExpireReads(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.open {
-		// A connection that is closed meanwhile has nobody to answer.
+		// An error means that the connection was just closed and needs no
+		// response.
 		_ = c.SetReadDeadline(now)
 	}
 }
 
-// Open returns how many connections are read.
-func (l *Listener) Open() int {
+// OpenConnections returns the number of connections that were not closed yet.
+func (l *Listener) OpenConnections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.open)
 }
 
-func (l *Listener) hold(t *net.TCPConn, source string) *conn {
+func (l *Listener) track(t *net.TCPConn, source string) *conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := &conn{TCPConn: t, done: func() { l.give(source) }, closed: l.forget}
+	c := &conn{TCPConn: t, release: func() { l.releaseAddress(source) }, onClose: l.untrack}
 	l.open[c] = struct{}{}
 	return c
 }
 
-func (l *Listener) forget(c *conn) {
+func (l *Listener) untrack(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.open, c)
 }
 
-// Close ends what is sent, and takes in what still comes, for a bounded time
-// and size, before it closes the connection.
+// Close half-closes the connection and closes it in the background, after
+// discarding incoming data up to lingerTimeout and maxLingerBytes.
 func (c *conn) Close() error {
 	c.once.Do(func() {
-		c.closed(c)
+		c.onClose(c)
 		if c.err = c.CloseWrite(); c.err != nil {
-			c.done()
+			c.release()
 			c.err = c.TCPConn.Close()
 			return
 		}
-		_ = c.SetReadDeadline(time.Now().Add(lingerTime))
+		_ = c.SetReadDeadline(time.Now().Add(lingerTimeout))
 		go func() {
-			defer c.done()
-			_, _ = io.CopyN(io.Discard, c.TCPConn, lingerBytes)
+			defer c.release()
+			_, _ = io.CopyN(io.Discard, c.TCPConn, maxLingerBytes)
 			_ = c.TCPConn.Close()
 		}()
 	})
 	return c.err
 }
 
-func (l *Listener) take(source string) bool {
+// acquire counts a connection of source, or returns false at the limit.
+func (l *Listener) acquire(source string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.held[source] >= l.most {
+	if l.perAddress[source] >= l.maxPerAddress {
 		return false
 	}
-	l.held[source]++
+	l.perAddress[source]++
 	return true
 }
 
-func (l *Listener) give(source string) {
+// releaseAddress uncounts a connection of source.
+func (l *Listener) releaseAddress(source string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.held[source]--; l.held[source] == 0 {
-		delete(l.held, source)
+	if l.perAddress[source]--; l.perAddress[source] == 0 {
+		delete(l.perAddress, source)
 	}
 }
--- a/internal/admin/kqlinger/linger_test.go
+++ b/internal/admin/kqlinger/linger_test.go
@@ -10,9 +10,9 @@
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqlinger"
 )
 
-// One address opens connection after connection and sends nothing. Past the
-// bound it is turned away, and a place that it gives back can be had again.
-func TestBoundPerAddress(t *testing.T) {
+// One address opens idle connections. Those beyond the limit must be closed, and
+// closing an earlier one must allow a new one.
+func TestConnectionLimitPerAddress(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 	held := <-accepted
 	<-accepted
 	if n, err := dial().Read(make([]byte, 1)); n != 0 || err == nil {
-		t.Errorf("the third connection reads %d bytes, error %v; want it closed", n, err)
+		t.Errorf("the third connection read %d bytes, error %v; want it closed", n, err)
 	}
 	_ = first.Close()
 	_ = held.Close()
@@ -56,5 +56,5 @@
 		default:
 		}
 	}
-	t.Error("no place came free")
+	t.Error("no new connection was accepted after two were closed")
 }
--- a/internal/admin/kqtrail/doc.go
+++ b/internal/admin/kqtrail/doc.go
@@ -1,3 +1,3 @@
-// Package kqtrail remembers how rollouts went, so that operators see a course
-// and not only the present. It is a view: nothing is decided by it.
+// Package kqtrail samples the status of rollouts over time for the console's
+// plots. No decision depends on it.
 package kqtrail
--- a/internal/admin/kqtrail/trail.go
+++ b/internal/admin/kqtrail/trail.go
@@ -11,115 +11,123 @@
 )
 
 const (
-	// mostPoints bounds one rollout's trail. When it is full every second
-	// point goes, so a long rollout is shown whole, only coarser.
-	mostPoints = 240
-	// mostTrails bounds the rollouts; the longest unseen goes first.
-	mostTrails  = 200
-	sampleEvery = time.Second
+	// maxPoints bounds the points of one rollout. At the bound every second
+	// point is dropped and the interval doubled, so the series still covers a
+	// long rollout from its start, at a lower resolution.
+	maxPoints = 240
+	// maxSeries bounds the rollouts; the one not seen for the longest time is
+	// evicted first.
+	maxSeries      = 200
+	sampleInterval = time.Second
 )
 
 type (
-	// Point is one look at a rollout. Shares are from 0 to 1.
+	// Point is one sample of a rollout's status: the new version's share of
+	// traffic and both versions' failure ratios, each from 0 to 1.
 	Point struct {
 		At        time.Time
 		Share     float64
 		OldFailed float64
 		NewFailed float64
-		// Nats is the evidence against the new version.
+		// Nats is the evidence against the new version, as natural log odds.
 		Nats float64
 	}
 
-	// Trail holds the points of rollouts. It is safe for concurrent use.
-	Trail struct {
-		mu     sync.Mutex
-		trails map[kqname.Rollout]*trail
+	// History holds the sampled points of rollouts. It is safe for concurrent
+	// use.
+	History struct {
+		mu       sync.Mutex
+		rollouts map[kqname.Rollout]*series
 	}
 
-	trail struct {
+	// series holds the points of one rollout.
+	series struct {
 		points []Point
-		every  time.Duration
-		seen   time.Time
+		// interval is the least time between two points.
+		interval time.Duration
+		lastSeen time.Time
 	}
 )
 
-// New returns a trail without points.
-func New() *Trail { return &Trail{trails: make(map[kqname.Rollout]*trail)} }
+// New returns an empty history.
+func New() *History { return &History{rollouts: make(map[kqname.Rollout]*series)} }
 
-// Run looks at the rollouts every second until ctx ends.
-func (t *Trail) Run(ctx context.Context, look func() []kqboard.Status) {
-	ticker := time.NewTicker(sampleEvery)
+// Run samples the rollouts that statuses returns every second until ctx ends.
+func (t *History) Run(ctx context.Context, statuses func() []kqboard.Status) {
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			t.Add(now, look())
+			t.Record(now, statuses())
 		}
 	}
 }
 
-// Add takes in one look.
-func (t *Trail) Add(now time.Time, list []kqboard.Status) {
+// Record adds a sample of each started rollout whose interval has passed. An
+// ended rollout is sampled only when its share has changed.
+func (t *History) Record(now time.Time, list []kqboard.Status) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range list {
 		if s.State == kqboard.Pending {
 			continue
 		}
-		one := t.trail(s, now)
-		one.seen = now
+		current := t.series(s, now)
+		current.lastSeen = now
 		ended := s.State != kqboard.Running
-		if n := len(one.points); n > 0 && (now.Sub(one.points[n-1].At) < one.every || ended && one.points[n-1].Share == s.Share) {
+		if n := len(current.points); n > 0 && (now.Sub(current.points[n-1].At) < current.interval || ended && current.points[n-1].Share == s.Share) {
 			continue
 		}
-		one.add(Point{
+		current.add(Point{
 			At: now, Share: s.Share, Nats: s.Evidence.Nats,
-			OldFailed: share(s.Evidence.OldFailed, s.Evidence.OldCalls), NewFailed: share(s.Evidence.NewFailed, s.Evidence.NewCalls),
+			OldFailed: ratio(s.Evidence.OldFailed, s.Evidence.OldCalls), NewFailed: ratio(s.Evidence.NewFailed, s.Evidence.NewCalls),
 		})
 	}
 }
 
-// Points returns a rollout's points, the oldest first.
-func (t *Trail) Points(name kqname.Rollout) []Point {
+// Points returns a copy of a rollout's points, oldest first.
+func (t *History) Points(name kqname.Rollout) []Point {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	one, ok := t.trails[name]
+	current, ok := t.rollouts[name]
 	if !ok {
 		return nil
 	}
-	return slices.Clone(one.points)
+	return slices.Clone(current.points)
 }
 
-// trail returns a rollout's trail, a fresh one where the name was given to a
-// new plan that began after the last point.
-func (t *Trail) trail(s kqboard.Status, now time.Time) *trail {
-	one, ok := t.trails[s.Rollout]
-	if ok && (len(one.points) == 0 || !s.Start.After(one.points[len(one.points)-1].At)) {
-		return one
+// series returns a rollout's series. It starts a new one if the rollout is
+// unknown or its name was reused by a plan that started after the last point.
+func (t *History) series(s kqboard.Status, now time.Time) *series {
+	current, ok := t.rollouts[s.Rollout]
+	if ok && (len(current.points) == 0 || !s.Start.After(current.points[len(current.points)-1].At)) {
+		return current
 	}
-	if !ok && len(t.trails) >= mostTrails {
-		t.forget()
+	if !ok && len(t.rollouts) >= maxSeries {
+		t.evictOldest()
 	}
-	one = &trail{every: sampleEvery, seen: now}
-	t.trails[s.Rollout] = one
-	return one
+	current = &series{interval: sampleInterval, lastSeen: now}
+	t.rollouts[s.Rollout] = current
+	return current
 }
 
-func (t *Trail) forget() {
+func (t *History) evictOldest() {
 	var oldest kqname.Rollout
-	for name, one := range t.trails {
-		if oldest == "" || one.seen.Before(t.trails[oldest].seen) {
+	for name, current := range t.rollouts {
+		if oldest == "" || current.lastSeen.Before(t.rollouts[oldest].lastSeen) {
 			oldest = name
 		}
 	}
-	delete(t.trails, oldest)
+	delete(t.rollouts, oldest)
 }
 
-func (t *trail) add(p Point) {
+// add appends a point and halves the resolution at maxPoints.
+func (t *series) add(p Point) {
 	t.points = append(t.points, p)
-	if len(t.points) < mostPoints {
+	if len(t.points) < maxPoints {
 		return
 	}
 	kept := t.points[:0]
@@ -127,10 +135,11 @@
 		kept = append(kept, t.points[i])
 	}
 	t.points = kept
-	t.every *= 2
+	t.interval *= 2
 }
 
-func share(part, whole uint64) float64 {
+// ratio returns part/whole, or 0 if whole is 0.
+func ratio(part, whole uint64) float64 {
 	if whole == 0 {
 		return 0
 	}
