--- a/internal/admin/kqadmin/admin.go
+++ b/internal/admin/kqadmin/admin.go
@@ -33,34 +33,35 @@
 )
 
 const (
-	// MaxBody bounds a request's body, in bytes: a document of two years'
-	// growth is a few hundred kilobytes.
+	// MaxBody is the maximum size of a request's body in bytes. The document of
+	// a fleet after two years' growth takes a few hundred kilobytes.
 	MaxBody = 1 << 20
-	// MaxHeaders bounds a request's headers, in bytes.
+	// MaxHeaders is the maximum size of a request's headers in bytes.
 	MaxHeaders = 8 << 10
 
 	defaultReadTimeout = 10 * time.Second
-	// lastAnswers is how long those who still send at the end have for being told so.
-	lastAnswers    = 150 * time.Millisecond
+	// refusalTimeout bounds the wait at shutdown for incomplete requests to be
+	// refused.
+	refusalTimeout = 150 * time.Millisecond
 	idleTimeout    = time.Minute
 	maxConnections = 1024
 	maxPerSource   = 128
 )
 
 type (
-	// Node is what the admin server shows of its node.
+	// Node provides the state of the node that the admin server shows.
 	Node interface {
 		kqview.Node
 		Rollouts() []kqboard.Status
 	}
 
-	// Counter counts what operators' requests came to.
+	// Counter counts committed changes and refused requests.
 	Counter interface {
 		kqapi.Counter
 		kqchange.Counter
 	}
 
-	// Parts are what the admin server joins.
+	// Parts are the dependencies of the admin server.
 	Parts struct {
 		Node      Node
 		Store     kqcommit.Store
@@ -77,14 +78,14 @@
 		console  *kqconsole.Console
 		history  *kqtrail.History
 		rollouts func() []kqboard.Status
-		// leaving tells that reading has ended for the server's own end.
-		leaving atomic.Bool
+		// shuttingDown is set once the shutdown has expired pending reads.
+		shuttingDown atomic.Bool
 
 		mu       sync.Mutex
 		listener *kqlinger.Listener
 	}
 
-	// Option sets up an Admin.
+	// Option configures an Admin.
 	Option func(*options)
 
 	options struct {
@@ -93,10 +94,10 @@
 	}
 )
 
-// WithReadTimeout bounds how long a request may take to arrive whole.
+// WithReadTimeout sets the maximum time for receiving a whole request.
 func WithReadTimeout(d time.Duration) Option { return func(o *options) { o.readTimeout = d } }
 
-// WithNow makes the server read the time from now.
+// WithNow sets the clock of the server.
 func WithNow(now func() time.Time) Option { return func(o *options) { o.now = now } }
 
 // New returns the admin server of a node.
@@ -107,9 +108,9 @@
 	}
 	a := &Admin{history: kqtrail.New(), rollouts: parts.Node.Rollouts}
 	a.app = fiber.New(fiber.Config{
-		DisableStartupMessage: true, ErrorHandler: a.failed,
-		// Without its own copies, what is kept of a request, such as an audit
-		// record's text, would change under it with the next request.
+		DisableStartupMessage: true, ErrorHandler: a.handleError,
+		// Fiber otherwise reuses its buffers, and strings kept from a request,
+		// such as those of an audit record, would change with the next request.
 		Immutable: true,
 		BodyLimit: MaxBody, ReadBufferSize: MaxHeaders, Concurrency: maxConnections,
 		ReadTimeout: o.readTimeout, IdleTimeout: idleTimeout,
@@ -127,14 +128,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("make admin: %w", err)
 	}
-	a.routes(parts)
+	a.registerRoutes(parts)
 	return a, nil
 }
 
-// Run follows the rollouts' course until ctx ends.
+// Run samples the rollouts for the console until ctx ends.
 func (a *Admin) Run(ctx context.Context) { a.history.Run(ctx, a.rollouts) }
 
-// Serve answers on the listener until Shutdown, under TLS unless config is nil.
+// Serve serves requests on the listener until Shutdown, with TLS unless config
+// is nil.
 func (a *Admin) Serve(l net.Listener, config *tls.Config) error {
 	lingering := kqlinger.New(l, maxPerSource)
 	a.mu.Lock()
@@ -150,12 +152,13 @@
 	return nil
 }
 
-// Shutdown stops the server once its requests are answered, or ctx ends. Requests that are
-// still sent then are refused: operators could not tell what became of their change.
+// Shutdown stops the server once its requests are answered, or when ctx ends.
+// Requests that are still incomplete at ctx's deadline are refused with an error
+// response; without it operators would not know whether their change was made.
 func (a *Admin) Shutdown(ctx context.Context) error {
 	err := a.app.ShutdownWithContext(ctx)
 	if errors.Is(err, context.DeadlineExceeded) {
-		a.endReading()
+		a.refuseIncomplete()
 	}
 	if err != nil {
 		return fmt.Errorf("stop admin: %w", err)
@@ -163,9 +166,10 @@
 	return nil
 }
 
-// endReading ends the reading of requests and lets them have their answers.
-func (a *Admin) endReading() {
-	a.leaving.Store(true)
+// refuseIncomplete expires the reads of incomplete requests and waits, up to
+// refusalTimeout, until their connections are closed.
+func (a *Admin) refuseIncomplete() {
+	a.shuttingDown.Store(true)
 	a.mu.Lock()
 	listener := a.listener
 	a.mu.Unlock()
@@ -173,16 +177,16 @@
 		return
 	}
 	listener.ExpireReads(time.Now())
-	ticker := time.NewTicker(lastAnswers / 15)
+	ticker := time.NewTicker(refusalTimeout / 15)
 	defer ticker.Stop()
-	for end := time.Now().Add(lastAnswers); listener.OpenConnections() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(refusalTimeout); listener.OpenConnections() > 0 && time.Now().Before(end); {
 		<-ticker.C
 	}
 }
 
-func (a *Admin) routes(parts Parts) {
+func (a *Admin) registerRoutes(parts Parts) {
 	a.app.Use(recover.New())
-	a.app.Use(secure)
+	a.app.Use(setSecurityHeaders)
 	a.app.Get("/live", func(c *fiber.Ctx) error { return c.SendString("live\n") })
 	a.app.Get("/ready", func(c *fiber.Ctx) error {
 		if !parts.Node.Ready() {
@@ -195,9 +199,9 @@
 	a.console.Register(a.app)
 }
 
-// secure sets the headers that keep a browser from being turned against its
-// operator: no frames, no scripts, no guessing of types, no referrer.
-func secure(c *fiber.Ctx) error {
+// setSecurityHeaders makes browsers refuse framing, scripts, MIME type sniffing
+// and referrers, against attacks through an operator's browser.
+func setSecurityHeaders(c *fiber.Ctx) error {
 	c.Set("X-Content-Type-Options", "nosniff")
 	c.Set("X-Frame-Options", "DENY")
 	c.Set("Referrer-Policy", "no-referrer")
@@ -205,16 +209,17 @@
 	return c.Next()
 }
 
-// failed answers requests that no handler answered: they are refused by the
-// library for their size or slowness, or have no route.
-func (a *Admin) failed(c *fiber.Ctx, err error) error {
+// handleError responds to requests that have no route, that the HTTP library
+// rejected for their size or slowness, or whose handler returned an error.
+func (a *Admin) handleError(c *fiber.Ctx, err error) error {
 	code := codeOf(err)
-	if code == kqproblem.TooSlow && a.leaving.Load() {
+	if code == kqproblem.TooSlow && a.shuttingDown.Load() {
 		code = kqproblem.Leaving
 	}
 	return a.api.Refuse(c, kqproblem.New(code, err.Error()))
 }
 
+// codeOf maps an error of the HTTP library to a problem code.
 func codeOf(err error) kqproblem.Code {
 	var f *fiber.Error
 	var small *fasthttp.ErrSmallBuffer
--- a/internal/admin/kqadmin/api_test.go
+++ b/internal/admin/kqadmin/api_test.go
@@ -16,15 +16,14 @@
 )
 
 const (
-	newRoute = `{"request_id":"r-1","reason":"sale","item":{"team":"shop","host":"store","path_prefix":"/sale","service":"store"}}`
-	patience = 10 * time.Second
+	newRoute    = `{"request_id":"r-1","reason":"sale","item":{"team":"shop","host":"store","path_prefix":"/sale","service":"store"}}`
+	testTimeout = 10 * time.Second
 )
 
-// Operators, their scripts and strangers send what must not be obeyed: without
-// a token, for another team, malformed, too large, stale, or twice. Each is
-// told why by a stable code, each is counted by it, and the document in force
-// stays as it was.
-func TestRefused(t *testing.T) {
+// Requests without a valid token or permission, and malformed, oversized, stale
+// or invalid ones, must be refused with their stable code, be counted by it, and
+// leave the document in force unchanged.
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	for _, c := range []struct {
 		name, operator, method, path, body string
 		status                             int
@@ -34,16 +33,16 @@
 		{"no token", "", "PUT", "/v1/routes/sale", newRoute, 401, kqproblem.NoToken, ""},
 		{"unknown token", "kq_unknown", "PUT", "/v1/routes/sale", newRoute, 401, kqproblem.BadToken, ""},
 		{"another team's item", "fatou", "PUT", "/v1/routes/store", strings.Replace(newRoute, `"shop"`, `"press"`, 1), 403, kqproblem.Forbidden, "/routes/store"},
-		{"in another team's name", "fatou", "PUT", "/v1/routes/sale", newRoute, 403, kqproblem.Forbidden, "/routes/sale"},
-		{"on another team's host", "fatou", "PUT", "/v1/routes/sale", strings.Replace(newRoute, `"shop"`, `"press"`, 1), 403, kqproblem.Forbidden, "/routes/sale"},
-		{"another team's whole document", "fatou", "PUT", "/v1/document", `{"base":1,"document":{}}`, 403, kqproblem.Forbidden, "/teams/press"},
+		{"new item owned by another team", "fatou", "PUT", "/v1/routes/sale", newRoute, 403, kqproblem.Forbidden, "/routes/sale"},
+		{"route on another team's host", "fatou", "PUT", "/v1/routes/sale", strings.Replace(newRoute, `"shop"`, `"press"`, 1), 403, kqproblem.Forbidden, "/routes/sale"},
+		{"empty document that removes all teams' items", "fatou", "PUT", "/v1/document", `{"base":1,"document":{}}`, 403, kqproblem.Forbidden, "/teams/press"},
 		{"another team's service removed", "fatou", "DELETE", "/v1/services/store", "", 403, kqproblem.Forbidden, "/services/store"},
-		{"a rollout of another team's service", "fatou", "PUT", "/v1/rollouts/x", `{"item":{"team":"press","service":"store","from":"v1","to":"v2","start":"2030-01-01T00:00:00Z","deadline":"2030-01-02T00:00:00Z","policy":"careful"}}`, 403, kqproblem.Forbidden, "/rollouts/x"},
+		{"rollout of another team's service", "fatou", "PUT", "/v1/rollouts/x", `{"item":{"team":"press","service":"store","from":"v1","to":"v2","start":"2030-01-01T00:00:00Z","deadline":"2030-01-02T00:00:00Z","policy":"careful"}}`, 403, kqproblem.Forbidden, "/rollouts/x"},
 		{"a member's own quota", "mika", "PUT", "/v1/teams/shop", `{"item":{"max_routes":100}}`, 403, kqproblem.Forbidden, "/teams/shop"},
 		{"2 MB document", "ana", "PUT", "/v1/document", `{"base":1,"document":{"teams":[{"name":"` + strings.Repeat("a", 2<<20) + `"}]}}`, 413, kqproblem.TooLarge, ""},
 		{"route to a missing service", "mika", "PUT", "/v1/routes/sale", strings.Replace(newRoute, `"service":"store"`, `"service":"gone"`, 1), 422, kqproblem.Invalid, "/item/service"},
-		{"service that a route needs", "ana", "DELETE", "/v1/services/store", "", 422, kqproblem.Invalid, "/document/routes/1/service"},
-		{"over the quota", "mika", "PUT", "/v1/document", `{"base":1,"document":` + crowded() + `}`, 422, kqproblem.Quota, "/document/teams/0/max_routes"},
+		{"removal of a service that a route uses", "ana", "DELETE", "/v1/services/store", "", 422, kqproblem.Invalid, "/document/routes/1/service"},
+		{"more routes than the quota", "mika", "PUT", "/v1/document", `{"base":1,"document":` + overQuotaDocument() + `}`, 422, kqproblem.Quota, "/document/teams/0/max_routes"},
 		{"stale version", "mika", "PUT", "/v1/routes/sale", strings.Replace(newRoute, "{", `{"base":0,`, 1), 409, kqproblem.Stale, ""},
 		{"malformed JSON", "mika", "PUT", "/v1/routes/sale", `{"item":`, 400, kqproblem.Malformed, ""},
 		{"unknown field", "mika", "PUT", "/v1/routes/sale", strings.Replace(newRoute, "path_prefix", "path_perfix", 1), 400, kqproblem.Malformed, ""},
@@ -51,30 +50,30 @@
 		{"path traversal, encoded", "ana", "PUT", "/v1/routes/..%2f..%2fetc%2fpasswd", newRoute, 400, kqproblem.Malformed, ""},
 		{"path traversal", "ana", "GET", "/v1/services/../../etc/passwd", "", 404, kqproblem.NotFound, ""},
 		{"large headers", "ana", "GET", "/v1/fleet?" + strings.Repeat("x", 9<<10), "", 431, kqproblem.HeadersTooLarge, ""},
-		{"unknown item", "mika", "DELETE", "/v1/routes/none", "", 404, kqproblem.NotFound, ""},
+		{"removal of an unknown item", "mika", "DELETE", "/v1/routes/none", "", 404, kqproblem.NotFound, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := newDesk(t)
-			status, answer := d.do(c.operator, c.method, c.path, c.body)
+			s := newTestServer(t)
+			status, answer := s.request(c.operator, c.method, c.path, c.body)
 			if status != c.status || answer["code"] != string(c.code) {
-				t.Errorf("answer %d %v, want %d %s", status, answer, c.status, c.code)
+				t.Errorf("response %d %v, want %d %s", status, answer, c.status, c.code)
 			}
 			if c.pointer != "" && !strings.Contains(fmt.Sprint(answer["errors"]), "pointer:"+c.pointer+"]") {
 				t.Errorf("errors %v do not point at %s", answer["errors"], c.pointer)
 			}
-			if d.counts.of(c.code) != 1 {
-				t.Errorf("counted %d times as %s, want 1", d.counts.of(c.code), c.code)
+			if s.counter.refusedCount(c.code) != 1 {
+				t.Errorf("counted %d times as %s, want 1", s.counter.refusedCount(c.code), c.code)
 			}
-			if v := d.version(); v != 1 {
+			if v := s.version(); v != 1 {
 				t.Errorf("version %d is in force, want 1", v)
 			}
 		})
 	}
 }
 
-// crowded is a document with one route more than its team may have.
-func crowded() string {
-	d := first()
+// overQuotaDocument returns a document with one route more than the team's quota.
+func overQuotaDocument() string {
+	d := initialDocument()
 	for i := range 3 {
 		r := d.Routes[0]
 		r.Name, r.PathPrefix = kqname.Route(fmt.Sprintf("extra-%d", i)), fmt.Sprintf("/%d", i)
@@ -87,113 +86,115 @@
 	return string(data)
 }
 
-// The answer to a change is lost and the operator's script sends it again; then
-// a mistake sends another change under the same id. The first must not be made
-// twice, and the second must not pass for the first.
-func TestRepeatedRequest(t *testing.T) {
-	d := newDesk(t)
+// A script retries a change whose response was lost, and later sends a different
+// change with the same request ID by mistake. The retry must return the first
+// result without a second commit; the different change must be refused.
+func TestRetriedRequestIsCommittedOnce(t *testing.T) {
+	s := newTestServer(t)
 	for range 2 {
-		status, answer := d.do("mika", "PUT", "/v1/routes/sale", newRoute)
+		status, answer := s.request("mika", "PUT", "/v1/routes/sale", newRoute)
 		if status != 200 || answer["version"] != 2.0 || answer["committed"] != true {
-			t.Fatalf("answer %d %v, want version 2", status, answer)
+			t.Fatalf("response %d %v, want version 2", status, answer)
 		}
 	}
-	if status, answer := d.do("ana", "PUT", "/v1/teams/other", `{"item":{}}`); status != 200 {
-		t.Fatalf("answer %d %v", status, answer)
+	if status, answer := s.request("ana", "PUT", "/v1/teams/other", `{"item":{}}`); status != 200 {
+		t.Fatalf("put of teams.other: response %d %v, want 200", status, answer)
 	}
-	status, answer := d.do("mika", "PUT", "/v1/routes/sale", newRoute)
+	status, answer := s.request("mika", "PUT", "/v1/routes/sale", newRoute)
 	if status != 200 || answer["version"] != 2.0 {
-		t.Errorf("answer after another change %d %v, want version 2", status, answer)
+		t.Errorf("retry after another change: response %d %v, want version 2", status, answer)
 	}
-	status, answer = d.do("mika", "PUT", "/v1/routes/sale", strings.Replace(newRoute, "/sale", "/other", 1))
-	if status != 409 || answer["code"] != string(kqproblem.Reused) || d.counts.of(kqproblem.Reused) != 1 {
-		t.Errorf("answer to other content %d %v, want %s", status, answer, kqproblem.Reused)
+	status, answer = s.request("mika", "PUT", "/v1/routes/sale", strings.Replace(newRoute, "/sale", "/other", 1))
+	if status != 409 || answer["code"] != string(kqproblem.Reused) || s.counter.refusedCount(kqproblem.Reused) != 1 {
+		t.Errorf("same request ID with other content: response %d %v, want %s counted once", status, answer, kqproblem.Reused)
 	}
-	if v := d.version(); v != 3 {
+	if v := s.version(); v != 3 {
 		t.Errorf("version %d is in force, want 3", v)
 	}
-	_, answer = d.do("ana", "GET", "/v1/requests/r-1", "")
+	_, answer = s.request("ana", "GET", "/v1/requests/r-1", "")
 	if answer["status"] != "committed" || answer["version"] != 2.0 {
-		t.Errorf("the request is told as %v", answer)
+		t.Errorf("outcome of the request is %v, want committed as version 2", answer)
 	}
-	_, answer = d.do("ana", "GET", "/v1/history", "")
+	_, answer = s.request("ana", "GET", "/v1/history", "")
 	if text := fmt.Sprint(answer); !strings.Contains(text, "author:mika") || !strings.Contains(text, "reason:sale") {
-		t.Errorf("history tells neither who nor why: %v", answer)
+		t.Errorf("history lacks the author or the reason: %v", answer)
 	}
-	_, answer = d.do("ana", "GET", "/v1/audit", "")
+	_, answer = s.request("ana", "GET", "/v1/audit", "")
 	if text := fmt.Sprint(answer); !strings.Contains(text, "refused:request_id_reused") {
-		t.Errorf("audit lacks the refusal: %v", answer)
+		t.Errorf("audit log lacks the refusal: %v", answer)
 	}
-	for name, token := range d.tokens {
-		if strings.Contains(d.log.String(), token) {
+	for name, token := range s.tokens {
+		if strings.Contains(s.log.String(), token) {
 			t.Errorf("%s's token is in the log", name)
 		}
 	}
 }
 
-// Somebody tries token after token. After a few failures the source is sent
-// away for a while, whatever it brings, and each refusal is counted.
-func TestFailuresAreHeldBack(t *testing.T) {
-	d := newDesk(t, kqadmin.WithNow(func() time.Time { return time.Unix(1_000_000, 0) }))
+// After 10 unknown tokens from one source, further requests of it must be
+// throttled even with a valid token. Each refusal must be logged without the
+// token that was sent.
+func TestFailedTokensAreThrottled(t *testing.T) {
+	s := newTestServer(t, kqadmin.WithNow(func() time.Time { return time.Unix(1_000_000, 0) }))
 	for range 10 {
-		if status, _ := d.do("kq_guess", "GET", "/v1/fleet", ""); status != 401 {
+		if status, _ := s.request("kq_guess", "GET", "/v1/fleet", ""); status != 401 {
 			t.Fatalf("status %d, want 401", status)
 		}
 	}
-	status, answer := d.do("ana", "GET", "/v1/fleet", "")
-	if status != 429 || d.counts.of(kqproblem.TooManyFailures) != 1 {
-		t.Errorf("answer %d %v, want 429", status, answer)
+	status, answer := s.request("ana", "GET", "/v1/fleet", "")
+	if status != 429 || s.counter.refusedCount(kqproblem.TooManyFailures) != 1 {
+		t.Errorf("response %d %v, want 429 counted once", status, answer)
 	}
-	if told := strings.Count(d.log.String(), "bad_token"); told != 10 || strings.Contains(d.log.String(), "kq_guess") {
-		t.Errorf("the log tells of %d refusals, want 10 without what was sent:\n%s", told, d.log.String())
+	if logged := strings.Count(s.log.String(), "bad_token"); logged != 10 || strings.Contains(s.log.String(), "kq_guess") {
+		t.Errorf("the log has %d refusals, want 10 without the token:\n%s", logged, s.log.String())
 	}
 }
 
-// A client sends its headers byte by byte, as one does that wants to hold every
-// connection of the server. It is told so and cut off, and others are served.
-func TestSlowHeaders(t *testing.T) {
-	d := newDesk(t, kqadmin.WithReadTimeout(50*time.Millisecond))
-	conn, err := net.Dial("tcp", d.address)
+// A connection that never finishes its headers, as in a slowloris attack, must
+// be refused with 408 after the read timeout, while other requests are served.
+func TestSlowHeadersTimeOut(t *testing.T) {
+	s := newTestServer(t, kqadmin.WithReadTimeout(50*time.Millisecond))
+	conn, err := net.Dial("tcp", s.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
 	fmt.Fprint(conn, "GET /v1/fleet HTTP/1.1\r\nHost: a\r\nX-Slow: ")
-	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 	a, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Fatalf("read refusal: %v", err)
+		t.Fatalf("read response: %v", err)
 	}
 	_ = a.Body.Close()
-	if a.StatusCode != http.StatusRequestTimeout || d.counts.of(kqproblem.TooSlow) != 1 {
-		t.Errorf("status %d, counted %d; want 408 counted once", a.StatusCode, d.counts.of(kqproblem.TooSlow))
+	if a.StatusCode != http.StatusRequestTimeout || s.counter.refusedCount(kqproblem.TooSlow) != 1 {
+		t.Errorf("status %d, counted %d; want 408 counted once", a.StatusCode, s.counter.refusedCount(kqproblem.TooSlow))
 	}
-	if status, _ := d.do("ana", "GET", "/v1/fleet", ""); status != 200 {
-		t.Errorf("others get %d, want 200", status)
+	if status, _ := s.request("ana", "GET", "/v1/fleet", ""); status != 200 {
+		t.Errorf("another request got %d, want 200", status)
 	}
 }
 
-// The description is what other programs are generated from: an operation that
-// it names must be served, with the fields it names, and nothing else may be.
-func TestDescription(t *testing.T) {
-	d := newDesk(t)
-	status, description := d.do("", "GET", "/v1/openapi.json", "")
+// Other programs are generated from the OpenAPI document. Every described GET
+// must be served with all required fields, and a method that is not described
+// must get 404.
+func TestOpenAPIMatchesServedOperations(t *testing.T) {
+	s := newTestServer(t)
+	status, description := s.request("", "GET", "/v1/openapi.json", "")
 	if status != 200 || description["openapi"] != "3.1.0" {
-		t.Fatalf("description: %d", status)
+		t.Fatalf("get OpenAPI document: status %d", status)
 	}
 	paths := description["paths"].(map[string]any)
 	fill := strings.NewReplacer("{version}", "1", "/requests/{name}", "/requests/first", "/fleet/{name}", "/fleet/one", "/services/{name}", "/services/store",
 		"/routes/{name}", "/routes/store", "/policies/{name}", "/policies/careful", "/teams/{name}", "/teams/shop")
-	asked := 0
+	requested := 0
 	for path, methods := range paths {
 		for method, operation := range methods.(map[string]any) {
 			if method != "get" || path == "/v1/rollouts/{name}" {
 				continue
 			}
-			asked++
-			status, answer := d.do("ana", "GET", fill.Replace(path), "")
+			requested++
+			status, answer := s.request("ana", "GET", fill.Replace(path), "")
 			if status != 200 {
-				t.Errorf("GET %s is described and answers %d", path, status)
+				t.Errorf("GET %s is described but returned %d", path, status)
 			}
 			for _, field := range required(operation) {
 				if _, ok := answer[field]; !ok {
@@ -201,16 +202,16 @@
 				}
 			}
 		}
-		if status, answer := d.do("ana", "PATCH", path, ""); status != 404 {
-			t.Errorf("PATCH %s is not described and answers %d %v", path, status, answer)
+		if status, answer := s.request("ana", "PATCH", path, ""); status != 404 {
+			t.Errorf("PATCH %s is not described but returned %d %v, want 404", path, status, answer)
 		}
 	}
-	if asked < 14 {
-		t.Errorf("asked %d operations, want at least 14", asked)
+	if requested < 14 {
+		t.Errorf("%d operations were requested, want at least 14", requested)
 	}
 }
 
-// required returns the fields that a described answer must have.
+// required returns the required fields of a described operation's response.
 func required(operation any) []string {
 	var o struct {
 		Responses map[string]struct {
--- a/internal/admin/kqadmin/console_test.go
+++ b/internal/admin/kqadmin/console_test.go
@@ -13,25 +13,26 @@
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqproblem"
 )
 
-var hidden = regexp.MustCompile(`<input type="hidden" name="([^"]+)" value="([^"]*)">`)
+var hiddenInput = regexp.MustCompile(`<input type="hidden" name="([^"]+)" value="([^"]*)">`)
 
-// browser is an operator at the console.
+// browser is an HTTP client with the cookies of one console session.
 type browser struct {
-	t    *testing.T
-	desk *desk
-	http *http.Client
+	t      *testing.T
+	server *server
+	http   *http.Client
 }
 
-func newBrowser(t *testing.T, d *desk, operator string) *browser {
+// newBrowser returns a browser that is logged in as operator, unless it is "".
+func newBrowser(t *testing.T, s *server, operator string) *browser {
 	t.Helper()
 	jar, err := cookiejar.New(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &browser{t: t, desk: d, http: &http.Client{Jar: jar}}
+	b := &browser{t: t, server: s, http: &http.Client{Jar: jar}}
 	if operator != "" {
-		if status, body := b.post("/login", url.Values{"token": {d.tokens[operator]}}); status != 200 || !strings.Contains(body, "Overview") {
-			t.Fatalf("login: %d", status)
+		if status, body := b.post("/login", url.Values{"token": {s.tokens[operator]}}); status != 200 || !strings.Contains(body, "Overview") {
+			t.Fatalf("login: status %d", status)
 		}
 	}
 	return b
@@ -39,13 +40,13 @@
 
 func (b *browser) get(path string) (int, string) {
 	b.t.Helper()
-	a, err := b.http.Get(b.desk.url + path)
+	a, err := b.http.Get(b.server.url + path)
 	return b.read(a, err)
 }
 
 func (b *browser) post(path string, form url.Values) (int, string) {
 	b.t.Helper()
-	a, err := b.http.PostForm(b.desk.url+path, form)
+	a, err := b.http.PostForm(b.server.url+path, form)
 	return b.read(a, err)
 }
 
@@ -62,11 +63,12 @@
 	return a.StatusCode, string(body)
 }
 
-// form returns the hidden fields of the form that changes an item.
-func form(page string, more url.Values) url.Values {
+// changeForm returns the hidden fields of the page's change form, with the fields
+// of more added.
+func changeForm(page string, more url.Values) url.Values {
 	_, page, _ = strings.Cut(page, `/change"`)
 	all := url.Values{}
-	for _, m := range hidden.FindAllStringSubmatch(page, -1) {
+	for _, m := range hiddenInput.FindAllStringSubmatch(page, -1) {
 		all.Set(m[1], html.UnescapeString(m[2]))
 	}
 	for name, values := range more {
@@ -75,25 +77,25 @@
 	return all
 }
 
-// An operator fills in a form, sees the difference, and commits. Nothing may be
-// in force before he has seen it.
-func TestConsoleCommits(t *testing.T) {
-	d := newDesk(t)
-	b := newBrowser(t, d, "mika")
+// An operator fills in a form, reviews the difference and commits. The review
+// must not change the document, and the committed change must show on all pages.
+func TestConsoleCommitsAfterReview(t *testing.T) {
+	s := newTestServer(t)
+	b := newBrowser(t, s, "mika")
 	_, page := b.get("/routes/new")
 	filled := url.Values{
 		"f_name": {"sale"}, "f_team": {"shop"}, "f_host": {"store"}, "f_path_prefix": {"/sale"},
 		"f_headers": {"X-Kind: maple"}, "f_service": {"store"}, "f_idempotent": {"on"}, "reason": {"<b>sale</b>"}, "action": {"review"},
 	}
-	status, page := b.post("/routes/change", form(page, filled))
-	if status != 200 || !strings.Contains(page, "routes.sale") || d.version() != 1 {
-		t.Fatalf("review: %d, version %d\n%s", status, d.version(), page)
+	status, page := b.post("/routes/change", changeForm(page, filled))
+	if status != 200 || !strings.Contains(page, "routes.sale") || s.version() != 1 {
+		t.Fatalf("review: %d, version %d\n%s", status, s.version(), page)
 	}
 	if strings.Contains(page, "<b>sale</b>") {
-		t.Error("what was filled in stands in the page as HTML")
+		t.Error("the page does not escape the reason")
 	}
-	if status, _ = b.post("/routes/change", form(page, url.Values{"action": {"commit"}})); status != 200 || d.version() != 2 {
-		t.Fatalf("commit: %d, version %d", status, d.version())
+	if status, _ = b.post("/routes/change", changeForm(page, url.Values{"action": {"commit"}})); status != 200 || s.version() != 2 {
+		t.Fatalf("commit: %d, version %d", status, s.version())
 	}
 	for path, want := range map[string]string{
 		"/": "Version 2 by mika", "/routes/edit/sale": "X-Kind: maple", "/history": "mika", "/history/2": "/sale",
@@ -101,70 +103,70 @@
 		"/services": "store", "/rollouts/new": "choose …", "/rollouts": "None yet", "/policies": "careful", "/teams": "shop",
 	} {
 		if status, page := b.get(path); status != 200 || !strings.Contains(page, want) {
-			t.Errorf("%s: %d, lacks %q", path, status, want)
+			t.Errorf("GET %s: status %d, page lacks %q", path, status, want)
 		}
 	}
 }
 
-// An operator mistypes, and later commits a form that another one has
-// overtaken. He must find each fault beside its field, both sides of the
-// conflict, and all that he had filled in.
-func TestConsoleKeepsInput(t *testing.T) {
-	d := newDesk(t)
-	b := newBrowser(t, d, "mika")
+// An operator submits invalid values and then commits a form whose item another
+// operator has changed meanwhile. The page must show each error next to its
+// field, both sides of the conflict, and all values that were filled in.
+func TestConsoleKeepsInputAfterErrors(t *testing.T) {
+	s := newTestServer(t)
+	b := newBrowser(t, s, "mika")
 	_, page := b.get("/services/edit/store")
-	mine := form(page, url.Values{"f_team": {"shop"}, "f_timeout_ms": {"soon"}, "reason": {"too slow"}, "action": {"review"}})
-	status, page := b.post("/services/change", mine)
+	input := changeForm(page, url.Values{"f_team": {"shop"}, "f_timeout_ms": {"soon"}, "reason": {"too slow"}, "action": {"review"}})
+	status, page := b.post("/services/change", input)
 	if status != 422 || !strings.Contains(page, "Must be a whole number") || !strings.Contains(page, `value="soon"`) {
-		t.Errorf("mistyped: %d\n%s", status, page)
+		t.Errorf("value that is not a number: status %d\n%s", status, page)
 	}
-	mine.Set("f_timeout_ms", "900000")
-	status, page = b.post("/services/change", mine)
+	input.Set("f_timeout_ms", "900000")
+	status, page = b.post("/services/change", input)
 	if status != 422 || !strings.Contains(page, `id="h_timeout_ms" class="help"><strong class="fault">`) {
-		t.Errorf("out of bounds: %d\n%s", status, page)
+		t.Errorf("value out of range: status %d\n%s", status, page)
 	}
 
-	if status, answer := d.do("ana", "PUT", "/v1/services/store", `{"item":{"team":"shop","version":"v2"}}`); status != 200 {
-		t.Fatalf("the other's change: %d %v", status, answer)
+	if status, answer := s.request("ana", "PUT", "/v1/services/store", `{"item":{"team":"shop","version":"v2"}}`); status != 200 {
+		t.Fatalf("concurrent change: response %d %v, want 200", status, answer)
 	}
-	mine.Set("f_timeout_ms", "5000")
-	mine.Set("action", "commit")
-	status, page = b.post("/services/change", mine)
+	input.Set("f_timeout_ms", "5000")
+	input.Set("action", "commit")
+	status, page = b.post("/services/change", input)
 	for _, want := range []string{"Changed meanwhile", "<ins>v2</ins>", "<ins>5000</ins>", `value="5000"`, `value="too slow"`, `name="base" value="2"`} {
 		if status != 409 || !strings.Contains(page, want) {
-			t.Errorf("conflict: %d, lacks %q", status, want)
+			t.Errorf("conflict: status %d, page lacks %q", status, want)
 		}
 	}
-	if d.version() != 2 {
-		t.Errorf("version %d is in force, want 2", d.version())
+	if s.version() != 2 {
+		t.Errorf("version %d is in force, want 2", s.version())
 	}
 }
 
-// Another site makes an operator's browser send a form, a stranger opens a page
-// or tries a token. None may change or see anything.
-func TestConsoleRefuses(t *testing.T) {
-	d := newDesk(t)
-	if _, page := newBrowser(t, d, "").get("/fleet"); !strings.Contains(page, "Your token") {
-		t.Error("a stranger is not asked to log in")
+// Requests without a session, with an unknown token, with a wrong CSRF token or
+// for another team's item must be refused and change nothing.
+func TestConsoleRefusesUnauthorizedRequests(t *testing.T) {
+	s := newTestServer(t)
+	if _, page := newBrowser(t, s, "").get("/fleet"); !strings.Contains(page, "Your token") {
+		t.Error("a request without a session did not get the login page")
 	}
-	if status, _ := newBrowser(t, d, "").post("/login", url.Values{"token": {"kq_guess"}}); status != 401 || d.counts.of(kqproblem.BadToken) != 1 {
-		t.Errorf("a guessed token gets %d", status)
+	if status, _ := newBrowser(t, s, "").post("/login", url.Values{"token": {"kq_guess"}}); status != 401 || s.counter.refusedCount(kqproblem.BadToken) != 1 {
+		t.Errorf("login with an unknown token: status %d, want 401 counted once", status)
 	}
-	b := newBrowser(t, d, "ana")
+	b := newBrowser(t, s, "ana")
 	_, page := b.get("/teams/new")
-	stolen := form(page, url.Values{"f_name": {"thieves"}, "action": {"commit"}, "csrf": {"guess"}})
-	if status, _ := b.post("/teams/change", stolen); status != 403 || d.counts.of(kqproblem.NoCSRF) != 1 {
-		t.Errorf("a form of another site gets %d", status)
+	forged := changeForm(page, url.Values{"f_name": {"thieves"}, "action": {"commit"}, "csrf": {"guess"}})
+	if status, _ := b.post("/teams/change", forged); status != 403 || s.counter.refusedCount(kqproblem.NoCSRF) != 1 {
+		t.Errorf("form with a wrong CSRF token: status %d, want 403 counted once", status)
 	}
-	fatou := newBrowser(t, d, "fatou")
+	fatou := newBrowser(t, s, "fatou")
 	_, page = fatou.get("/services/edit/store")
-	if status, _ := fatou.post("/services/change", form(page, url.Values{"f_team": {"press"}, "action": {"commit"}})); status != 403 {
-		t.Errorf("another team's form gets %d", status)
+	if status, _ := fatou.post("/services/change", changeForm(page, url.Values{"f_team": {"press"}, "action": {"commit"}})); status != 403 {
+		t.Errorf("form for another team's service: status %d, want 403", status)
 	}
-	if d.version() != 1 {
-		t.Errorf("version %d is in force, want 1", d.version())
+	if s.version() != 1 {
+		t.Errorf("version %d is in force, want 1", s.version())
 	}
-	a, err := http.Get(d.url + "/login")
+	a, err := http.Get(s.url + "/login")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -174,11 +176,11 @@
 			t.Errorf("header %s is missing", name)
 		}
 	}
-	u, err := url.Parse(d.url)
+	u, err := url.Parse(s.url)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(b.http.Jar.Cookies(u)) != 1 {
-		t.Error("there is not one session cookie")
+		t.Error("the browser does not have exactly one cookie")
 	}
 }
--- a/internal/admin/kqadmin/doc.go
+++ b/internal/admin/kqadmin/doc.go
@@ -1,3 +1,3 @@
-// Package kqadmin serves operators: probes, metrics, the administration API and
-// the console.
+// Package kqadmin implements the admin server: health probes, metrics, the
+// administration API and the console.
 package kqadmin
--- a/internal/admin/kqadmin/harness_test.go
+++ b/internal/admin/kqadmin/harness_test.go
@@ -31,38 +31,41 @@
 )
 
 type (
-	// desk is an admin server, its platform and its operators' tokens.
-	desk struct {
+	// server is an admin server under test with its platform and its operators'
+	// tokens by name.
+	server struct {
 		t        *testing.T
 		platform *kqstandin.Standin
 		url      string
 		address  string
 		tokens   map[string]string
 		log      *bytes.Buffer
-		counts   *counts
+		counter  *counter
 	}
 
-	counts struct {
+	// counter counts refusals by reason.
+	counter struct {
 		mu      sync.Mutex
 		refused map[string]int
 	}
 
+	// fakeNode is a ready node with fixed members, rollouts and reports.
 	fakeNode struct{ platform *kqstandin.Standin }
 )
 
-func (c *counts) AdminRefused(reason string) {
+func (c *counter) AdminRefused(reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refused[reason]++
 }
 
-func (c *counts) of(reason kqproblem.Code) int {
+func (c *counter) refusedCount(reason kqproblem.Code) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.refused[string(reason)]
 }
 
-func (c *counts) AdminDone(string) {}
+func (c *counter) AdminDone(string) {}
 
 func (n fakeNode) Ready() bool                   { return true }
 func (n fakeNode) Version() kqname.ConfigVersion { return 1 }
@@ -81,8 +84,8 @@
 	return []kqmember.Member{{Node: "one", Domain: "a", Config: 1}, {Node: "two", Domain: "b", Config: 0}}
 }
 
-// first is the document that every test begins with, as version 1.
-func first() kqdocument.Document {
+// initialDocument returns the document that every test starts with as version 1.
+func initialDocument() kqdocument.Document {
 	return kqdocument.Document{
 		Teams:    []kqdocument.Team{{Name: "shop", MaxRoutes: 3}, {Name: "press"}},
 		Policies: []kqdocument.Policy{{Name: "careful", Prefer: kqdocument.PreferTakingBack}},
@@ -94,25 +97,26 @@
 	}
 }
 
-func newDesk(t *testing.T, options ...kqadmin.Option) *desk {
+// newTestServer starts an admin server on a loopback port until the test ends.
+func newTestServer(t *testing.T, options ...kqadmin.Option) *server {
 	t.Helper()
-	d := &desk{
+	s := &server{
 		t: t, platform: kqstandin.New(), tokens: make(map[string]string),
-		log: &bytes.Buffer{}, counts: &counts{refused: make(map[string]int)},
+		log: &bytes.Buffer{}, counter: &counter{refused: make(map[string]int)},
 	}
-	o, err := kqcommit.New(d.platform).Commit(t.Context(), kqcommit.Request{ID: "first", Author: "test", Reason: "test", At: time.Now(), Document: first()})
+	o, err := kqcommit.New(s.platform).Commit(t.Context(), kqcommit.Request{ID: "first", Author: "test", Reason: "test", At: time.Now(), Document: initialDocument()})
 	if err != nil || o.Version != 1 {
 		t.Fatalf("commit: %v %v", o, err)
 	}
-	operators := kqoperator.New(d.issue())
+	operators := kqoperator.New(s.issueTokens())
 	if err := operators.Load(); err != nil {
 		t.Fatal(err)
 	}
 	logger := logrus.New()
-	logger.SetOutput(d.log)
+	logger.SetOutput(s.log)
 	admin, err := kqadmin.New(kqadmin.Parts{
-		Node: fakeNode{d.platform}, Store: d.platform, Operators: operators,
-		Registry: prometheus.NewRegistry(), Counter: d.counts, Log: logrus.NewEntry(logger),
+		Node: fakeNode{s.platform}, Store: s.platform, Operators: operators,
+		Registry: prometheus.NewRegistry(), Counter: s.counter, Log: logrus.NewEntry(logger),
 	}, options...)
 	if err != nil {
 		t.Fatal(err)
@@ -121,18 +125,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.address, d.url = l.Addr().String(), "http://"+l.Addr().String()
+	s.address, s.url = l.Addr().String(), "http://"+l.Addr().String()
 	var group conc.WaitGroup
 	group.Go(func() { _ = admin.Serve(l, nil) })
 	t.Cleanup(func() {
 		_ = admin.Shutdown(context.Background())
 		group.Wait()
 	})
-	return d
+	return s
 }
 
-func (d *desk) issue() string {
-	d.t.Helper()
+// issueTokens writes a token file for an admin and two members of different
+// teams and returns its name.
+func (s *server) issueTokens() string {
+	s.t.Helper()
 	var file bytes.Buffer
 	file.WriteString("# operators\n\n")
 	for _, o := range []kqoperator.Operator{
@@ -142,49 +148,51 @@
 	} {
 		token, line, err := kqoperator.NewToken(o)
 		if err != nil {
-			d.t.Fatal(err)
+			s.t.Fatal(err)
 		}
-		d.tokens[o.Name] = token
+		s.tokens[o.Name] = token
 		file.WriteString(line + "\n")
 	}
-	name := filepath.Join(d.t.TempDir(), "tokens")
+	name := filepath.Join(s.t.TempDir(), "tokens")
 	if err := os.WriteFile(name, file.Bytes(), 0o600); err != nil {
-		d.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	return name
 }
 
-// do sends a request and returns the status and the body as JSON.
-func (d *desk) do(operator, method, path, body string) (int, map[string]any) {
-	d.t.Helper()
-	q, err := http.NewRequestWithContext(d.t.Context(), method, d.url+path, bytes.NewBufferString(body))
+// request sends a request as the named operator and returns the status and the
+// decoded JSON body. A name without a token is sent as the token itself; ""
+// sends none.
+func (s *server) request(operator, method, path, body string) (int, map[string]any) {
+	s.t.Helper()
+	q, err := http.NewRequestWithContext(s.t.Context(), method, s.url+path, bytes.NewBufferString(body))
 	if err != nil {
-		d.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	if token, ok := d.tokens[operator]; ok {
+	if token, ok := s.tokens[operator]; ok {
 		q.Header.Set("Authorization", "Bearer "+token)
 	} else if operator != "" {
 		q.Header.Set("Authorization", "Bearer "+operator)
 	}
 	a, err := http.DefaultClient.Do(q)
 	if err != nil {
-		d.t.Fatalf("%s %s: %v", method, path, err)
+		s.t.Fatalf("%s %s: %v", method, path, err)
 	}
 	defer func() { _ = a.Body.Close() }()
 	data, err := io.ReadAll(a.Body)
 	if err != nil {
-		d.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	answer := map[string]any{}
 	_ = json.Unmarshal(data, &answer)
 	return a.StatusCode, answer
 }
 
-func (d *desk) version() kqname.ConfigVersion {
-	d.t.Helper()
-	root, _, err := kqcommit.New(d.platform).Root(d.t.Context())
+func (s *server) version() kqname.ConfigVersion {
+	s.t.Helper()
+	root, _, err := kqcommit.New(s.platform).Root(s.t.Context())
 	if err != nil {
-		d.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	return root.Version
 }
