--- a/internal/admin/kqconsole/change.go
+++ b/internal/admin/kqconsole/change.go
@@ -24,25 +24,25 @@
 )
 
 type (
-	// sheet is one form as it stands, filled in or not.
-	sheet struct {
+	// formPage is the template data of one item's form, filled in or not.
+	formPage struct {
 		Form form
-		// Name is the item's, "" for a new one.
+		// Name is the item's name, or "" for a new item.
 		Name      string
 		Base      kqname.ConfigVersion
 		RequestID string
 		Reason    string
 		Remove    bool
 		Inputs    []input
-		// Other are faults that stand beside no field.
+		// Other holds the errors that belong to no field of the form.
 		Other []kqproblem.Field
-		// Theirs is what changed since the form was opened, Mine what this
-		// form would change; both stand after a conflict.
+		// Theirs holds the changes since the form was opened and Mine those of
+		// this form; both are set after a conflict.
 		Theirs, Mine []difference
 		Conflict     bool
 	}
 
-	// input is one field with what was filled in and what is wrong with it.
+	// input is one field with its submitted value and error text.
 	input struct {
 		field
 		Value, Fault string
@@ -51,79 +51,83 @@
 	}
 )
 
-func (c *Console) list(v visit, kind string) error {
-	d, root, err := c.parts.Committer.Document(v.UserContext())
+func (c *Console) list(req request, kind string) error {
+	d, root, err := c.parts.Committer.Document(req.UserContext())
 	if err != nil {
-		return c.refuse(v, kqproblem.New(kqproblem.PlatformDown, err.Error()))
+		return c.refuse(req, kqproblem.New(kqproblem.PlatformDown, err.Error()))
 	}
-	rows, err := rowsOf(forms[kind], kqchange.Kinds[kind].List(d))
+	rows, err := newRows(forms[kind], kqchange.Kinds[kind].List(d))
 	if err != nil {
 		return err
 	}
-	return c.show(v, fiber.StatusOK, "list", page{Title: title(kind), Active: kind, Data: map[string]any{
+	return c.show(req, fiber.StatusOK, "list", page{Title: title(kind), Active: kind, Data: map[string]any{
 		"Form": forms[kind], "Rows": rows, "Version": root.Version,
 	}})
 }
 
-func (c *Console) blank(v visit, kind string) error {
-	return c.sheet(v, kind, "", map[string]string{"path_prefix": "/"})
+// create shows an empty form for a new item.
+func (c *Console) create(req request, kind string) error {
+	return c.formPage(req, kind, "", map[string]string{"path_prefix": "/"})
 }
 
-func (c *Console) edit(v visit, kind string) error {
-	d, _, err := c.parts.Committer.Document(v.UserContext())
+// edit shows the form of an existing item.
+func (c *Console) edit(req request, kind string) error {
+	d, _, err := c.parts.Committer.Document(req.UserContext())
 	if err != nil {
-		return c.refuse(v, kqproblem.New(kqproblem.PlatformDown, err.Error()))
+		return c.refuse(req, kqproblem.New(kqproblem.PlatformDown, err.Error()))
 	}
-	item, err := kqchange.Kinds[kind].Get(d, v.Params("name"))
+	item, err := kqchange.Kinds[kind].Get(d, req.Params("name"))
 	if err != nil {
-		return c.refuse(v, kqproblem.New(kqproblem.NotFound, err.Error()))
+		return c.refuse(req, kqproblem.New(kqproblem.NotFound, err.Error()))
 	}
 	values, err := forms[kind].values(item)
 	if err != nil {
 		return err
 	}
-	return c.sheet(v, kind, v.Params("name"), values)
+	return c.formPage(req, kind, req.Params("name"), values)
 }
 
-func (c *Console) sheet(v visit, kind, name string, values map[string]string) error {
-	d, root, err := c.parts.Committer.Document(v.UserContext())
+// formPage shows a form with values, based on the version in force.
+func (c *Console) formPage(req request, kind, name string, values map[string]string) error {
+	d, root, err := c.parts.Committer.Document(req.UserContext())
 	if err != nil {
-		return c.refuse(v, kqproblem.New(kqproblem.PlatformDown, err.Error()))
+		return c.refuse(req, kqproblem.New(kqproblem.PlatformDown, err.Error()))
 	}
-	s := sheet{Form: forms[kind], Name: name, Base: root.Version, RequestID: uuid.NewString()}
-	s.fill(d, v, values, nil)
-	return c.showSheet(v, fiber.StatusOK, s)
+	s := formPage{Form: forms[kind], Name: name, Base: root.Version, RequestID: uuid.NewString()}
+	s.fillInputs(d, req, values, nil)
+	return c.showForm(req, fiber.StatusOK, s)
 }
 
-// change takes a form that was sent: to be seen as a difference, to be edited
-// again, or to be committed. Its inputs come back on every page.
-func (c *Console) change(v visit, kind string) error {
-	d, root, err := c.parts.Committer.Document(v.UserContext())
+// change handles a submitted form: depending on the action it shows the
+// difference for review, shows the form again, or commits. Every page carries
+// the inputs along.
+func (c *Console) change(req request, kind string) error {
+	d, root, err := c.parts.Committer.Document(req.UserContext())
 	if err != nil {
-		return c.refuse(v, kqproblem.New(kqproblem.PlatformDown, err.Error()))
+		return c.refuse(req, kqproblem.New(kqproblem.PlatformDown, err.Error()))
 	}
-	s := sheet{
-		Form: forms[kind], Name: v.FormValue("name"), RequestID: v.FormValue("request_id"),
-		Reason: v.FormValue("reason"), Remove: v.FormValue("remove") != "",
+	s := formPage{
+		Form: forms[kind], Name: req.FormValue("name"), RequestID: req.FormValue("request_id"),
+		Reason: req.FormValue("reason"), Remove: req.FormValue("remove") != "",
 	}
-	base, err := strconv.ParseUint(v.FormValue("base"), 10, 64)
+	base, err := strconv.ParseUint(req.FormValue("base"), 10, 64)
 	if err != nil {
-		return c.refuse(v, kqproblem.New(kqproblem.Malformed, "the form's version is not a number"))
+		return c.refuse(req, kqproblem.New(kqproblem.Malformed, "the form's version is not a number"))
 	}
 	s.Base = kqname.ConfigVersion(base)
 	values := make(map[string]string)
 	for _, f := range s.Form.Fields {
-		values[f.Name] = v.FormValue(valuePrefix + f.Name)
+		values[f.Name] = req.FormValue(valuePrefix + f.Name)
 	}
 	if s.Name != "" {
 		values["name"] = s.Name
 	}
-	action := v.FormValue("action")
+	action := req.FormValue("action")
 	s.Remove = s.Remove || action == actionRemove
 	if action == actionEdit {
 		s.Remove = false
-		s.fill(d, v, values, nil)
-		return c.showSheet(v, fiber.StatusOK, s)
+		s.fillInputs(d, req, values, nil)
+		return c.showForm(req, fiber.StatusOK, s)
 	}
 	edit, faults := s.edit(values)
 	if s.Name == "" && len(faults) == 0 {
@@ -131,33 +135,34 @@
 			faults = map[string]string{"name": "is taken; open that " + s.Form.One + " to change it"}
 		}
 	}
-	s.fill(d, v, values, faults)
+	s.fillInputs(d, req, values, faults)
 	if len(faults) > 0 {
 		c.parts.Counter.AdminRefused(string(kqproblem.Invalid))
-		return c.showSheet(v, fiber.StatusUnprocessableEntity, s)
+		return c.showForm(req, fiber.StatusUnprocessableEntity, s)
 	}
-	result, problem := c.parts.Changer.Submit(v.UserContext(), kqchange.Request{
-		Operator: v.operator, Source: v.IP(), Way: "console", ID: s.RequestID, Base: &s.Base,
+	result, problem := c.parts.Changer.Submit(req.UserContext(), kqchange.Request{
+		Operator: req.operator, Source: req.IP(), Way: "console", ID: s.RequestID, Base: &s.Base,
 		Reason: s.Reason, DryRun: action != actionCommit, Edit: edit,
-	}, v.now)
+	}, req.now)
 	switch {
 	case problem != nil:
-		return c.refuseChange(v, s, edit, d, root.Version, problem)
+		return c.refuseChange(req, s, edit, d, root.Version, problem)
 	case action == actionCommit:
-		return v.Redirect("/", fiber.StatusSeeOther)
+		return req.Redirect("/", fiber.StatusSeeOther)
 	default:
-		return c.show(v, fiber.StatusOK, "review", page{Title: "Look before you commit", Active: kind, Data: map[string]any{
+		return c.show(req, fiber.StatusOK, "review", page{Title: "Look before you commit", Active: kind, Data: map[string]any{
 			"Sheet": s, "Difference": differences(result.Difference),
 		}})
 	}
 }
 
-// refuseChange brings the form back with what is wrong. After a conflict it
-// shows both sides, and the form goes on from the version now in force.
-func (c *Console) refuseChange(v visit, s sheet, edit kqchange.Edit, d kqdocument.Document, version kqname.ConfigVersion, p *kqproblem.Problem) error {
+// refuseChange shows the form again with the problem and the fields' errors.
+// After a conflict it shows both sides and bases the form on the version now in
+// force.
+func (c *Console) refuseChange(req request, s formPage, edit kqchange.Edit, d kqdocument.Document, version kqname.ConfigVersion, p *kqproblem.Problem) error {
 	c.parts.Counter.AdminRefused(string(p.Code))
 	for _, f := range p.Errors {
-		if !s.blame(f) {
+		if !s.attachError(f) {
 			s.Other = append(s.Other, f)
 		}
 	}
@@ -169,19 +174,20 @@
 		}
 		s.Base, s.RequestID = max(version, p.Version), uuid.NewString()
 	case kqproblem.Unsettled, kqproblem.PlatformDown:
-		// The same request may be sent again: it is committed once at most.
+		// Keep the request ID for a retry: it is committed at most once.
 	default:
 		s.RequestID = uuid.NewString()
 	}
-	return c.show(v, p.Status, "form", page{Title: s.title(), Active: s.Form.Kind, Problem: p, Data: s})
+	return c.show(req, p.Status, "form", page{Title: s.title(), Active: s.Form.Kind, Problem: p, Data: s})
 }
 
-func (c *Console) showSheet(v visit, status int, s sheet) error {
-	return c.show(v, status, "form", page{Title: s.title(), Active: s.Form.Kind, Data: s})
+func (c *Console) showForm(req request, status int, s formPage) error {
+	return c.show(req, status, "form", page{Title: s.title(), Active: s.Form.Kind, Data: s})
 }
 
-// edit turns what was filled in into a change of the document.
-func (s *sheet) edit(values map[string]string) (kqchange.Edit, map[string]string) {
+// edit converts the submitted values into an edit of the document. It also
+// returns the error texts of invalid fields by field name.
+func (s *formPage) edit(values map[string]string) (kqchange.Edit, map[string]string) {
 	kind := kqchange.Kinds[s.Form.Kind]
 	if s.Remove {
 		return kqchange.Delete(kind, s.Form.Kind, s.Name), nil
@@ -190,18 +196,19 @@
 	if name == "" {
 		name = strings.TrimSpace(values["name"])
 	}
-	data, faults := s.Form.item(values)
+	data, faults := s.Form.parseItem(values)
 	return kqchange.Put(kind, s.Form.Kind, name, data), faults
 }
 
-func (s *sheet) fill(d kqdocument.Document, v visit, values, faults map[string]string) {
+// fillInputs sets the form's inputs from values and error texts by field name.
+func (s *formPage) fillInputs(d kqdocument.Document, req request, values, faults map[string]string) {
 	for _, f := range s.Form.Fields {
 		i := input{field: f, Value: values[f.Name], Fault: faults[f.Name], Fixed: f.Name == "name" && s.Name != ""}
-		if f.choose != nil {
-			i.Options = f.choose(d, v.operator)
+		if f.options != nil {
+			i.Options = f.options(d, req.operator)
 		}
-		// Without an empty choice the browser takes the first one, and a route
-		// would lead to whichever service comes first by name.
+		// Without an empty option the browser preselects the first one, and a
+		// route would lead to whichever service is first by name.
 		if f.Required && i.Value == "" && len(i.Options) > 1 {
 			i.Options = append([]string{""}, i.Options...)
 		}
@@ -209,8 +216,9 @@
 	}
 }
 
-// blame puts a fault beside its field, if it has one.
-func (s *sheet) blame(f kqproblem.Field) bool {
+// attachError adds an error to the input of its field; it returns false if the
+// form has no such input.
+func (s *formPage) attachError(f kqproblem.Field) bool {
 	name, ok := strings.CutPrefix(f.Pointer, "/item/")
 	if !ok {
 		return false
@@ -227,7 +235,7 @@
 	return false
 }
 
-func (s *sheet) title() string {
+func (s *formPage) title() string {
 	if s.Name == "" {
 		return "New " + s.Form.One
 	}
--- a/internal/admin/kqconsole/console.go
+++ b/internal/admin/kqconsole/console.go
@@ -24,13 +24,14 @@
 )
 
 const (
-	// plainCookie is the session's cookie without TLS, on loopback only; with
-	// TLS the prefix makes browsers bind it to this host and to TLS.
+	// plainCookie is the session cookie without TLS, which is used on loopback
+	// only. The __Host- prefix of secureCookie makes browsers accept it only
+	// over TLS and bind it to this host.
 	plainCookie  = "kq_session"
 	secureCookie = "__Host-kq_session"
 
-	csrfField    = "csrf"
-	refreshPages = 5
+	csrfField      = "csrf"
+	refreshSeconds = 5
 )
 
 //go:embed pages/*.html
@@ -40,32 +41,33 @@
 var assetFiles embed.FS
 
 type (
-	// Parts are what the console shows and drives: the API's, as both make the same
-	// changes, and the rollouts' course.
+	// Parts are the dependencies of the console: those of the API, since both
+	// make the same changes, and the rollout history for the plots.
 	Parts struct {
 		kqapi.Parts
 		History *kqtrail.History
 	}
 
-	// Console serves the pages.
+	// Console serves the console's pages.
 	Console struct {
 		parts Parts
 		pages map[string]*template.Template
 	}
 
-	// page is what every page shows.
+	// page is the template data of every page.
 	page struct {
 		Title, Active string
 		Operator      kqoperator.Operator
 		CSRF          string
-		// Refresh reloads the page after so many seconds; 0 never does.
+		// Refresh is the interval of automatic reloads in seconds; 0 disables
+		// them.
 		Refresh int
 		Problem *kqproblem.Problem
 		Data    any
 	}
 
-	// visit is one request of an operator who has logged in.
-	visit struct {
+	// request is a request with a valid session.
+	request struct {
 		*fiber.Ctx
 		session  kqauth.Session
 		operator kqoperator.Operator
@@ -73,7 +75,7 @@
 	}
 )
 
-// New returns the console.
+// New returns a console with its page templates parsed.
 func New(parts Parts) (*Console, error) {
 	c := &Console{parts: parts, pages: make(map[string]*template.Template)}
 	names, err := fs.Glob(pageFiles, "pages/*.html")
@@ -84,45 +86,45 @@
 		short := strings.TrimSuffix(strings.TrimPrefix(name, "pages/"), ".html")
 		c.pages[short], err = template.New("layout.html").Funcs(functions).ParseFS(pageFiles, "pages/layout.html", "pages/parts.html", name)
 		if err != nil {
-			return nil, fmt.Errorf("read page %s: %w", short, err)
+			return nil, fmt.Errorf("parse page %s: %w", short, err)
 		}
 	}
 	return c, nil
 }
 
-// Register adds the pages to a server.
+// Register adds the pages to a router.
 func (c *Console) Register(app fiber.Router) {
 	app.Get("/assets/style.css", func(q *fiber.Ctx) error {
 		data, err := assetFiles.ReadFile("assets/style.css")
 		if err != nil {
-			return fmt.Errorf("read style: %w", err)
+			return fmt.Errorf("read stylesheet: %w", err)
 		}
 		q.Set(fiber.HeaderContentType, "text/css; charset=utf-8")
 		return q.Send(data)
 	})
 	app.Get("/login", c.showLogin)
 	app.Post("/login", c.login)
-	app.Post("/logout", c.signed(c.logout))
-	app.Get("/", c.signed(c.overview))
-	app.Get("/fleet", c.signed(c.fleet))
-	app.Get("/fleet/:name", c.signed(c.node))
-	app.Get("/moves", c.signed(c.moves))
-	app.Get("/history", c.signed(c.history))
-	app.Get("/history/:version", c.signed(c.version))
-	app.Get("/platform", c.signed(c.platform))
-	app.Get("/audit", c.signed(c.audit))
+	app.Post("/logout", c.requireSession(c.logout))
+	app.Get("/", c.requireSession(c.overview))
+	app.Get("/fleet", c.requireSession(c.fleet))
+	app.Get("/fleet/:name", c.requireSession(c.node))
+	app.Get("/moves", c.requireSession(c.moves))
+	app.Get("/history", c.requireSession(c.history))
+	app.Get("/history/:version", c.requireSession(c.version))
+	app.Get("/platform", c.requireSession(c.platform))
+	app.Get("/audit", c.requireSession(c.audit))
 	for kind := range forms {
-		app.Get("/"+kind, c.signed(func(v visit) error { return c.list(v, kind) }))
-		app.Get("/"+kind+"/new", c.signed(func(v visit) error { return c.blank(v, kind) }))
-		app.Get("/"+kind+"/edit/:name", c.signed(func(v visit) error { return c.edit(v, kind) }))
-		app.Post("/"+kind+"/change", c.signed(func(v visit) error { return c.change(v, kind) }))
+		app.Get("/"+kind, c.requireSession(func(req request) error { return c.list(req, kind) }))
+		app.Get("/"+kind+"/new", c.requireSession(func(req request) error { return c.create(req, kind) }))
+		app.Get("/"+kind+"/edit/:name", c.requireSession(func(req request) error { return c.edit(req, kind) }))
+		app.Post("/"+kind+"/change", c.requireSession(func(req request) error { return c.change(req, kind) }))
 	}
 }
 
-// signed lets only operators in who have logged in, and forms only with the
-// mark of their session: another site could otherwise make an operator's
-// browser send one, and the fleet would change in his name.
-func (c *Console) signed(handle func(visit) error) fiber.Handler {
+// requireSession redirects requests without a valid session to the login page
+// and refuses forms without the session's CSRF token. Otherwise another site
+// could make an operator's browser submit a change in the operator's name.
+func (c *Console) requireSession(handle func(request) error) fiber.Handler {
 	return func(q *fiber.Ctx) error {
 		q.Set(fiber.HeaderCacheControl, "no-store")
 		now := c.parts.Now()
@@ -130,12 +132,12 @@
 		if !ok {
 			return q.Redirect("/login", fiber.StatusSeeOther)
 		}
-		v := visit{Ctx: q, session: session, operator: operator, now: now}
-		if q.Method() == fiber.MethodPost && (!sameSite(q) ||
+		req := request{Ctx: q, session: session, operator: operator, now: now}
+		if q.Method() == fiber.MethodPost && (!isSameOrigin(q) ||
 			subtle.ConstantTimeCompare([]byte(q.FormValue(csrfField)), []byte(session.CSRF)) != 1) {
-			return c.refuse(v, kqproblem.New(kqproblem.NoCSRF, "open the page again and send the form from there"))
+			return c.refuse(req, kqproblem.New(kqproblem.NoCSRF, "open the page again and send the form from there"))
 		}
-		return handle(v)
+		return handle(req)
 	}
 }
 
@@ -146,7 +148,7 @@
 func (c *Console) login(q *fiber.Ctx) error {
 	now := c.parts.Now()
 	problem := kqproblem.New(kqproblem.NoCSRF, "the form came from another site")
-	if sameSite(q) {
+	if isSameOrigin(q) {
 		var session kqauth.Session
 		session, problem = c.parts.Auth.StartSession(strings.TrimSpace(q.FormValue("token")), q.IP(), now)
 		if problem == nil {
@@ -167,27 +169,28 @@
 	return c.render(q, problem.Status, "login", page{Title: "Log in", Problem: problem})
 }
 
-func (c *Console) logout(v visit) error {
-	c.parts.Auth.EndSession(v.session.ID)
-	v.Cookie(&fiber.Cookie{Name: cookieName(v.Ctx), Path: "/", HTTPOnly: true, Secure: v.Secure(), SameSite: fiber.CookieSameSiteStrictMode, MaxAge: -1})
-	return v.Redirect("/login", fiber.StatusSeeOther)
+func (c *Console) logout(req request) error {
+	c.parts.Auth.EndSession(req.session.ID)
+	req.Cookie(&fiber.Cookie{Name: cookieName(req.Ctx), Path: "/", HTTPOnly: true, Secure: req.Secure(), SameSite: fiber.CookieSameSiteStrictMode, MaxAge: -1})
+	return req.Redirect("/login", fiber.StatusSeeOther)
 }
 
-// refuse shows a problem on a page of its own, and counts it.
-func (c *Console) refuse(v visit, p *kqproblem.Problem) error {
+// refuse renders the problem page and counts the refusal.
+func (c *Console) refuse(req request, p *kqproblem.Problem) error {
 	c.parts.Counter.AdminRefused(string(p.Code))
-	return c.show(v, p.Status, "problem", page{Title: p.Title, Problem: p})
+	return c.show(req, p.Status, "problem", page{Title: p.Title, Problem: p})
 }
 
-func (c *Console) show(v visit, status int, name string, p page) error {
-	p.Operator, p.CSRF = v.operator, v.session.CSRF
-	return c.render(v.Ctx, status, name, p)
+// show renders a page with the session's operator and CSRF token.
+func (c *Console) show(req request, status int, name string, p page) error {
+	p.Operator, p.CSRF = req.operator, req.session.CSRF
+	return c.render(req.Ctx, status, name, p)
 }
 
 func (c *Console) render(q *fiber.Ctx, status int, name string, p page) error {
 	var out bytes.Buffer
 	if err := c.pages[name].Execute(&out, p); err != nil {
-		return fmt.Errorf("show %s: %w", name, err)
+		return fmt.Errorf("render page %s: %w", name, err)
 	}
 	q.Set(fiber.HeaderContentType, fiber.MIMETextHTMLCharsetUTF8)
 	return q.Status(status).Send(out.Bytes())
@@ -200,9 +203,10 @@
 	return plainCookie
 }
 
-// sameSite believes the browser's own word on where a form came from; programs
-// other than browsers send none, and hold no operator's cookie.
-func sameSite(q *fiber.Ctx) bool {
+// isSameOrigin reports whether Sec-Fetch-Site says that the request does not come
+// from another site. Programs other than browsers do not send the header, but
+// have no operator's cookie either.
+func isSameOrigin(q *fiber.Ctx) bool {
 	site := q.Get("Sec-Fetch-Site")
 	return site == "" || site == "same-origin" || site == "none"
 }
--- a/internal/admin/kqconsole/doc.go
+++ b/internal/admin/kqconsole/doc.go
@@ -1,4 +1,4 @@
-// Package kqconsole is the operators' console: pages and forms of plain HTML,
-// which work without scripts. Whatever is filled in becomes one validated
-// document, shown as a difference before it is committed.
+// Package kqconsole implements the operators' console: plain HTML pages and
+// forms that work without scripts. A submitted form is an edit of the document;
+// it is validated and shown as a difference before it is committed.
 package kqconsole
--- a/internal/admin/kqconsole/field.go
+++ b/internal/admin/kqconsole/field.go
@@ -22,27 +22,28 @@
 	typeCheck   inputType = "check"
 	typeHeaders inputType = "headers"
 
-	// timeLayout is that of a datetime-local input, read as UTC.
-	timeLayout   = "2006-01-02T15:04"
-	secondLayout = "2006-01-02T15:04:05"
+	// timeLayout is the format of a datetime-local input; its values are UTC.
+	timeLayout        = "2006-01-02T15:04"
+	timeSecondsLayout = "2006-01-02T15:04:05"
 )
 
-var errNotFit = errors.New("does not fit the field")
+// errInvalidValue is returned for text that is no value of the field's type.
+var errInvalidValue = errors.New("invalid value")
 
 type (
-	// inputType says how a field is shown and read.
+	// inputType selects how a field is rendered and parsed.
 	inputType string
 
-	// field is one field of a form. Its name is the item's in JSON.
+	// field is one field of a form. Name is the name of the item's JSON field.
 	field struct {
 		Name, Label, Help string
 		Type              inputType
 		Required          bool
-		// choose returns what a select offers.
-		choose func(kqdocument.Document, kqoperator.Operator) []string
+		// options returns the options of a select for the operator.
+		options func(kqdocument.Document, kqoperator.Operator) []string
 	}
 
-	// form is the form of one kind of item.
+	// form describes the form of one kind of items. One is the kind's singular.
 	form struct {
 		Kind, One, About string
 		Fields           []field
@@ -53,37 +54,37 @@
 var forms = map[string]form{
 	"services": {Kind: "services", One: "service", About: "A service is a set of upstreams that answer the same calls.", Fields: []field{
 		{Name: "name", Label: "Name", Type: typeText, Required: true, Help: "Lower-case letters, digits, dots, dashes and underscores."},
-		{Name: "team", Label: "Team", Type: typeSelect, Required: true, choose: teams},
+		{Name: "team", Label: "Team", Type: typeSelect, Required: true, options: teamOptions},
 		{Name: "version", Label: "Upstream version", Type: typeText, Help: "Gets all traffic while no rollout is under way; empty lets every announced version serve."},
 		{Name: "timeout_ms", Label: "Timeout (ms)", Type: typeNumber, Help: "Bounds one call; empty means 10,000."},
 		{Name: "refusal_means_not_run", Label: "The upstream's own 503 is sent before the call runs", Type: typeCheck, Help: "Then such a call may be sent again."},
 	}},
 	"routes": {Kind: "routes", One: "route", About: "A route leads matching calls to a service.", Fields: []field{
 		{Name: "name", Label: "Name", Type: typeText, Required: true},
-		{Name: "team", Label: "Team", Type: typeSelect, Required: true, choose: teams},
+		{Name: "team", Label: "Team", Type: typeSelect, Required: true, options: teamOptions},
 		{Name: "host", Label: "Host", Type: typeText, Required: true, Help: "The lower-case name in callers' Host header."},
 		{Name: "path_prefix", Label: "Path prefix", Type: typeText, Required: true, Help: "Begins with /; longer prefixes win."},
-		{Name: "method", Label: "Method", Type: typeSelect, choose: fixed("", "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"), Help: "Empty takes every method."},
+		{Name: "method", Label: "Method", Type: typeSelect, options: fixedOptions("", "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"), Help: "Empty takes every method."},
 		{Name: "headers", Label: "Headers", Type: typeHeaders, Help: "One a line, as Name: value; all must match."},
-		{Name: "service", Label: "Service", Type: typeSelect, Required: true, choose: services},
+		{Name: "service", Label: "Service", Type: typeSelect, Required: true, options: serviceOptions},
 		{Name: "timeout_ms", Label: "Timeout (ms)", Type: typeNumber, Help: "Empty takes the service's."},
-		{Name: "class", Label: "Class", Type: typeSelect, choose: fixed("", "critical", "normal", "background"), Help: "Whom the fleet serves first when it is full."},
+		{Name: "class", Label: "Class", Type: typeSelect, options: fixedOptions("", "critical", "normal", "background"), Help: "Whom the fleet serves first when it is full."},
 		{Name: "idempotent", Label: "Calls may run twice without harm", Type: typeCheck, Help: "GET, HEAD, OPTIONS and TRACE are taken to be so."},
 	}},
 	"rollouts": {Kind: "rollouts", One: "rollout", About: "A rollout moves a service's traffic from one upstream version to another by its deadline, or takes it back.", Fields: []field{
 		{Name: "name", Label: "Name", Type: typeText, Required: true},
-		{Name: "team", Label: "Team", Type: typeSelect, Required: true, choose: teams},
-		{Name: "service", Label: "Service", Type: typeSelect, Required: true, choose: services},
+		{Name: "team", Label: "Team", Type: typeSelect, Required: true, options: teamOptions},
+		{Name: "service", Label: "Service", Type: typeSelect, Required: true, options: serviceOptions},
 		{Name: "from", Label: "From version", Type: typeText, Required: true},
 		{Name: "to", Label: "To version", Type: typeText, Required: true},
 		{Name: "start", Label: "Start (UTC)", Type: typeTime, Required: true},
 		{Name: "deadline", Label: "Deadline (UTC)", Type: typeTime, Required: true},
-		{Name: "policy", Label: "Policy", Type: typeSelect, Required: true, choose: policies},
+		{Name: "policy", Label: "Policy", Type: typeSelect, Required: true, options: policyOptions},
 		{Name: "cancelled", Label: "Take it back at once", Type: typeCheck, Help: "Whatever its evidence."},
 	}},
 	"policies": {Kind: "policies", One: "policy", AdminOnly: true, About: "A policy says how rollouts are judged.", Fields: []field{
 		{Name: "name", Label: "Name", Type: typeText, Required: true},
-		{Name: "prefer", Label: "Without enough evidence at the deadline", Type: typeSelect, Required: true, choose: fixed("finishing", "taking_back")},
+		{Name: "prefer", Label: "Without enough evidence at the deadline", Type: typeSelect, Required: true, options: fixedOptions("finishing", "taking_back")},
 		{Name: "small_share", Label: "Small share", Type: typeShare, Help: "From 0 to 0.05: the most traffic before the evidence is in; empty takes the preset's."},
 	}},
 	"teams": {Kind: "teams", One: "team", AdminOnly: true, About: "A team owns services, routes and rollouts, up to its quotas.", Fields: []field{
@@ -93,26 +94,28 @@
 	}},
 }
 
-func fixed(values ...string) func(kqdocument.Document, kqoperator.Operator) []string {
+// fixedOptions returns an options function that always offers values.
+func fixedOptions(values ...string) func(kqdocument.Document, kqoperator.Operator) []string {
 	return func(kqdocument.Document, kqoperator.Operator) []string { return values }
 }
 
-func teams(d kqdocument.Document, o kqoperator.Operator) []string {
+// teamOptions offers members only their own team.
+func teamOptions(d kqdocument.Document, o kqoperator.Operator) []string {
 	if o.Role == kqoperator.Member {
 		return []string{string(o.Team)}
 	}
-	return namesOf(d.Teams, func(t kqdocument.Team) string { return string(t.Name) })
+	return sortedNames(d.Teams, func(t kqdocument.Team) string { return string(t.Name) })
 }
 
-func services(d kqdocument.Document, _ kqoperator.Operator) []string {
-	return namesOf(d.Services, func(s kqdocument.Service) string { return string(s.Name) })
+func serviceOptions(d kqdocument.Document, _ kqoperator.Operator) []string {
+	return sortedNames(d.Services, func(s kqdocument.Service) string { return string(s.Name) })
 }
 
-func policies(d kqdocument.Document, _ kqoperator.Operator) []string {
-	return namesOf(d.Policies, func(p kqdocument.Policy) string { return string(p.Name) })
+func policyOptions(d kqdocument.Document, _ kqoperator.Operator) []string {
+	return sortedNames(d.Policies, func(p kqdocument.Policy) string { return string(p.Name) })
 }
 
-func namesOf[T any](items []T, name func(T) string) []string {
+func sortedNames[T any](items []T, name func(T) string) []string {
 	list := make([]string, 0, len(items))
 	for _, i := range items {
 		list = append(list, name(i))
@@ -121,8 +124,8 @@
 	return list
 }
 
-// value reads what was filled in as the field's JSON value; ok is false for
-// fields that were left empty.
+// value parses the submitted text into the field's JSON value; ok is false if
+// the text is empty.
 func (f field) value(text string) (value any, ok bool, err error) {
 	text = strings.TrimSpace(text)
 	if text == "" {
@@ -132,28 +135,28 @@
 	case typeNumber:
 		n, err := strconv.Atoi(text)
 		if err != nil {
-			return nil, false, fmt.Errorf("must be a whole number: %w", errNotFit)
+			return nil, false, fmt.Errorf("must be a whole number: %w", errInvalidValue)
 		}
 		return n, true, nil
 	case typeShare:
 		n, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			return nil, false, fmt.Errorf("must be a number: %w", errNotFit)
+			return nil, false, fmt.Errorf("must be a number: %w", errInvalidValue)
 		}
 		return n, true, nil
 	case typeTime:
-		return readTime(text)
+		return parseTime(text)
 	case typeCheck:
 		return true, true, nil
 	case typeHeaders:
-		return readHeaders(text)
+		return parseHeaders(text)
 	default:
 		return text, true, nil
 	}
 }
 
-// show is the inverse of value.
-func (f field) show(value any) string {
+// format returns a JSON value as text that value parses.
+func (f field) format(value any) string {
 	switch v := value.(type) {
 	case nil:
 		return ""
@@ -173,7 +176,7 @@
 		return strings.Join(lines, "\n")
 	case string:
 		if at, err := time.Parse(time.RFC3339, v); err == nil && f.Type == typeTime {
-			return at.UTC().Format(secondLayout)
+			return at.UTC().Format(timeSecondsLayout)
 		}
 		return v
 	default:
@@ -181,16 +184,16 @@
 	}
 }
 
-func readTime(text string) (any, bool, error) {
-	for _, layout := range []string{secondLayout, timeLayout, time.RFC3339} {
+func parseTime(text string) (any, bool, error) {
+	for _, layout := range []string{timeSecondsLayout, timeLayout, time.RFC3339} {
 		if at, err := time.Parse(layout, text); err == nil {
 			return at.UTC(), true, nil
 		}
 	}
-	return nil, false, fmt.Errorf("must be a time such as 2026-12-24T18:00: %w", errNotFit)
+	return nil, false, fmt.Errorf("must be a time such as 2026-12-24T18:00: %w", errInvalidValue)
 }
 
-func readHeaders(text string) (any, bool, error) {
+func parseHeaders(text string) (any, bool, error) {
 	headers := make(map[string]string)
 	for _, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
@@ -198,42 +201,43 @@
 		}
 		name, value, ok := strings.Cut(line, ":")
 		if !ok {
-			return nil, false, fmt.Errorf("must have a colon in each line: %w", errNotFit)
+			return nil, false, fmt.Errorf("must have a colon in each line: %w", errInvalidValue)
 		}
 		headers[strings.TrimSpace(name)] = strings.TrimSpace(value)
 	}
 	return headers, true, nil
 }
 
-// fields gives an item's values as a form shows them.
+// values returns an item's field values as text for the form's inputs.
 func (f form) values(item any) (map[string]string, error) {
 	data, err := json.Marshal(item)
 	if err != nil {
-		return nil, fmt.Errorf("show item: %w", err)
+		return nil, fmt.Errorf("encode item: %w", err)
 	}
 	var all map[string]any
 	if err := json.Unmarshal(data, &all); err != nil {
-		return nil, fmt.Errorf("show item: %w", err)
+		return nil, fmt.Errorf("decode item: %w", err)
 	}
 	values := make(map[string]string, len(f.Fields))
-	for _, one := range f.Fields {
-		values[one.Name] = one.show(all[one.Name])
+	for _, field := range f.Fields {
+		values[field.Name] = field.format(all[field.Name])
 	}
 	return values, nil
 }
 
-// item makes JSON of what was filled in, and tells which fields do not fit.
-func (f form) item(values map[string]string) (json.RawMessage, map[string]string) {
+// parseItem converts the submitted values into an item's JSON. It also returns
+// the error texts of invalid fields by field name.
+func (f form) parseItem(values map[string]string) (json.RawMessage, map[string]string) {
 	all, faults := make(map[string]any), make(map[string]string)
-	for _, one := range f.Fields {
-		value, ok, err := one.value(values[one.Name])
+	for _, field := range f.Fields {
+		value, ok, err := field.value(values[field.Name])
 		switch {
 		case err != nil:
-			faults[one.Name] = strings.TrimSuffix(err.Error(), ": "+errNotFit.Error())
-		case !ok && one.Required:
-			faults[one.Name] = "must be filled in"
+			faults[field.Name] = strings.TrimSuffix(err.Error(), ": "+errInvalidValue.Error())
+		case !ok && field.Required:
+			faults[field.Name] = "must be filled in"
 		case ok:
-			all[one.Name] = value
+			all[field.Name] = value
 		}
 	}
 	data, err := json.Marshal(all)
--- a/internal/admin/kqconsole/show.go
+++ b/internal/admin/kqconsole/show.go
@@ -13,18 +13,19 @@
 )
 
 type (
-	// difference is one item that differs, field by field.
+	// difference lists the changed fields of one item.
 	difference struct {
 		Kind   kqdocument.ChangeKind
 		Item   string
 		Fields []fieldChange
 	}
 
+	// fieldChange is one changed field with both values as text.
 	fieldChange struct {
 		Name, Before, After string
 	}
 
-	// row is one item of a list.
+	// row is one item in a list page.
 	row struct {
 		Name  string
 		Cells []cell
@@ -39,8 +40,8 @@
 	}
 )
 
-// unlisted are the fields that lists leave out, for their width.
-var unlisted = []string{"headers", "refusal_means_not_run", "idempotent", "timeout_ms", "cancelled"}
+// omittedInLists names the fields that list pages omit to limit the table width.
+var omittedInLists = []string{"headers", "refusal_means_not_run", "idempotent", "timeout_ms", "cancelled"}
 
 var functions = template.FuncMap{
 	"clock": func(t time.Time) string {
@@ -65,10 +66,11 @@
 	return strings.ToUpper(s[:1]) + s[1:]
 }
 
+// differences converts changes into the per-field form that pages show.
 func differences(changes []kqdocument.Change) []difference {
 	list := make([]difference, 0, len(changes))
 	for _, c := range changes {
-		before, after := flat(c.Before), flat(c.After)
+		before, after := fieldTexts(c.Before), fieldTexts(c.After)
 		names := maps.Clone(before)
 		maps.Copy(names, after)
 		d := difference{Kind: c.Kind, Item: c.Item}
@@ -82,8 +84,8 @@
 	return list
 }
 
-// flat gives an item's fields as text.
-func flat(data json.RawMessage) map[string]string {
+// fieldTexts returns the fields of an item's JSON as text by name.
+func fieldTexts(data json.RawMessage) map[string]string {
 	all := make(map[string]json.RawMessage)
 	if len(data) == 0 || json.Unmarshal(data, &all) != nil {
 		return map[string]string{}
@@ -99,21 +101,22 @@
 	return texts
 }
 
-func rowsOf(f form, items any) ([]row, error) {
+// newRows converts the items of a form's kind into rows of a list page.
+func newRows(f form, items any) ([]row, error) {
 	data, err := json.Marshal(items)
 	if err != nil {
-		return nil, fmt.Errorf("list %s: %w", f.Kind, err)
+		return nil, fmt.Errorf("encode %s: %w", f.Kind, err)
 	}
 	var list []map[string]any
 	if err := json.Unmarshal(data, &list); err != nil {
-		return nil, fmt.Errorf("list %s: %w", f.Kind, err)
+		return nil, fmt.Errorf("decode %s: %w", f.Kind, err)
 	}
 	rows := make([]row, 0, len(list))
 	for _, item := range list {
 		r := row{Name: fmt.Sprint(item["name"])}
-		for _, one := range f.Fields {
-			if one.Name != "name" && !slices.Contains(unlisted, one.Name) {
-				r.Cells = append(r.Cells, cell{Label: one.Label, Value: one.show(item[one.Name])})
+		for _, field := range f.Fields {
+			if field.Name != "name" && !slices.Contains(omittedInLists, field.Name) {
+				r.Cells = append(r.Cells, cell{Label: field.Label, Value: field.format(item[field.Name])})
 			}
 		}
 		rows = append(rows, r)
--- a/internal/admin/kqconsole/view.go
+++ b/internal/admin/kqconsole/view.go
@@ -13,35 +13,39 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
+// historyPage is the number of versions on the history page.
 const historyPage = 50
 
-type move struct {
+// rolloutView is a rollout's status with the plot of its history.
+type rolloutView struct {
 	kqboard.Status
 	Plot plot
 }
 
-func (c *Console) overview(v visit) error {
-	convergence, err := c.parts.View.Convergence(v.UserContext(), v.now)
-	data := map[string]any{"Fleet": c.parts.View.Fleet(), "Moves": c.ranked(), "Convergence": convergence}
+func (c *Console) overview(req request) error {
+	convergence, err := c.parts.View.Convergence(req.UserContext(), req.now)
+	data := map[string]any{"Fleet": c.parts.View.Fleet(), "Moves": c.rolloutViews(), "Convergence": convergence}
 	if err != nil {
 		data["Down"] = err.Error()
 	}
-	return c.show(v, fiber.StatusOK, "overview", page{Title: "Overview", Active: "overview", Refresh: refreshPages, Data: data})
+	return c.show(req, fiber.StatusOK, "overview", page{Title: "Overview", Active: "overview", Refresh: refreshSeconds, Data: data})
 }
 
-// ranked is the rollouts without an end first, the latest first.
-func (c *Console) ranked() []move {
+// rolloutViews returns the running rollouts, then the pending and the ended ones,
+// each with the latest start first.
+func (c *Console) rolloutViews() []rolloutView {
 	list := c.parts.Rollouts()
 	slices.Reverse(list)
-	slices.SortStableFunc(list, func(a, b kqboard.Status) int { return order(a.State) - order(b.State) })
-	moves := make([]move, 0, len(list))
+	slices.SortStableFunc(list, func(a, b kqboard.Status) int { return stateRank(a.State) - stateRank(b.State) })
+	views := make([]rolloutView, 0, len(list))
 	for _, s := range list {
-		moves = append(moves, move{Status: s, Plot: plotOf(c.parts.History.Points(s.Rollout))})
+		views = append(views, rolloutView{Status: s, Plot: newPlot(c.parts.History.Points(s.Rollout))})
 	}
-	return moves
+	return views
 }
 
-func order(s kqboard.State) int {
+// stateRank returns the sort rank of a state.
+func stateRank(s kqboard.State) int {
 	switch s {
 	case kqboard.Running:
 		return 0
@@ -52,58 +56,58 @@
 	}
 }
 
-func (c *Console) fleet(v visit) error {
-	return c.show(v, fiber.StatusOK, "fleet", page{Title: "Fleet", Active: "fleet", Refresh: refreshPages, Data: c.parts.View.Fleet()})
+func (c *Console) fleet(req request) error {
+	return c.show(req, fiber.StatusOK, "fleet", page{Title: "Fleet", Active: "fleet", Refresh: refreshSeconds, Data: c.parts.View.Fleet()})
 }
 
-// node asks one node, and shows what it tells of itself.
-func (c *Console) node(v visit) error {
-	name := v.Params("name")
-	r, err := c.parts.View.Report(v.UserContext(), kqname.Node(name))
+// node shows the report of one node.
+func (c *Console) node(req request) error {
+	name := req.Params("name")
+	r, err := c.parts.View.Report(req.UserContext(), kqname.Node(name))
 	if err != nil {
-		return c.refuse(v, kqproblem.New(kqproblem.NotFound, err.Error()))
+		return c.refuse(req, kqproblem.New(kqproblem.NotFound, err.Error()))
 	}
-	return c.show(v, fiber.StatusOK, "node", page{Title: "Node " + name, Active: "fleet", Data: r})
+	return c.show(req, fiber.StatusOK, "node", page{Title: "Node " + name, Active: "fleet", Data: r})
 }
 
-func (c *Console) moves(v visit) error {
-	return c.show(v, fiber.StatusOK, "moves", page{Title: "Moves", Active: "moves", Refresh: refreshPages, Data: c.ranked()})
+func (c *Console) moves(req request) error {
+	return c.show(req, fiber.StatusOK, "moves", page{Title: "Moves", Active: "moves", Refresh: refreshSeconds, Data: c.rolloutViews()})
 }
 
-func (c *Console) history(v visit) error {
-	list, err := c.parts.View.History(v.UserContext(), historyPage)
+func (c *Console) history(req request) error {
+	list, err := c.parts.View.History(req.UserContext(), historyPage)
 	if err != nil {
-		return c.refuse(v, kqproblem.New(kqproblem.PlatformDown, err.Error()))
+		return c.refuse(req, kqproblem.New(kqproblem.PlatformDown, err.Error()))
 	}
-	return c.show(v, fiber.StatusOK, "history", page{Title: "History", Active: "history", Data: list})
+	return c.show(req, fiber.StatusOK, "history", page{Title: "History", Active: "history", Data: list})
 }
 
-// version shows what one version changed.
-func (c *Console) version(v visit) error {
-	number, err := strconv.ParseUint(v.Params("version"), 10, 64)
+// version shows the difference between a version and the one before it.
+func (c *Console) version(req request) error {
+	number, err := strconv.ParseUint(req.Params("version"), 10, 64)
 	if err != nil || number == 0 {
-		return c.refuse(v, kqproblem.New(kqproblem.NotFound, "there is no such version"))
+		return c.refuse(req, kqproblem.New(kqproblem.NotFound, "there is no such version"))
 	}
 	version := kqname.ConfigVersion(number)
-	after, err := c.parts.Committer.DocumentAt(v.UserContext(), version)
+	after, err := c.parts.Committer.DocumentAt(req.UserContext(), version)
 	if err != nil {
-		return c.refuse(v, kqproblem.New(kqproblem.NotFound, err.Error()))
+		return c.refuse(req, kqproblem.New(kqproblem.NotFound, err.Error()))
 	}
-	before, err := c.parts.Committer.DocumentAt(v.UserContext(), version-1)
+	before, err := c.parts.Committer.DocumentAt(req.UserContext(), version-1)
 	if err != nil {
-		return c.refuse(v, kqproblem.New(kqproblem.NotFound, err.Error()))
+		return c.refuse(req, kqproblem.New(kqproblem.NotFound, err.Error()))
 	}
-	return c.show(v, fiber.StatusOK, "version", page{
+	return c.show(req, fiber.StatusOK, "version", page{
 		Title: "Version " + strconv.FormatUint(number, 10), Active: "history",
 		Data: differences(kqdocument.Diff(before, after)),
 	})
 }
 
-func (c *Console) platform(v visit) error {
-	p := c.parts.View.Platform(v.UserContext(), v.now, func(t time.Time) time.Duration { return c.parts.Now().Sub(t) })
-	return c.show(v, fiber.StatusOK, "platform", page{Title: "Platform", Active: "platform", Refresh: refreshPages, Data: p})
+func (c *Console) platform(req request) error {
+	p := c.parts.View.Platform(req.UserContext(), req.now, func(t time.Time) time.Duration { return c.parts.Now().Sub(t) })
+	return c.show(req, fiber.StatusOK, "platform", page{Title: "Platform", Active: "platform", Refresh: refreshSeconds, Data: p})
 }
 
-func (c *Console) audit(v visit) error {
-	return c.show(v, fiber.StatusOK, "audit", page{Title: "Audit", Active: "audit", Data: c.parts.Audit.Records(v.operator)})
+func (c *Console) audit(req request) error {
+	return c.show(req, fiber.StatusOK, "audit", page{Title: "Audit", Active: "audit", Data: c.parts.Audit.Records(req.operator)})
 }
