--- a/internal/admin/kqadmin/admin.go
+++ b/internal/admin/kqadmin/admin.go
@@ -78,7 +78,7 @@
 		console  *kqconsole.Console
 		history  *kqtrail.History
 		rollouts func() []kqboard.Status
-		// shuttingDown is set once the shutdown has expired pending reads.
+		// shuttingDown is set when the shutdown is about to expire reads.
 		shuttingDown atomic.Bool
 
 		mu       sync.Mutex
--- a/internal/admin/kqadmin/api_test.go
+++ b/internal/admin/kqadmin/api_test.go
@@ -173,9 +173,9 @@
 	}
 }
 
-// Other programs are generated from the OpenAPI document. Every described GET
-// must be served with all required fields, and a method that is not described
-// must get 404.
+// Other programs are generated from the OpenAPI document. Every described GET but
+// that of one rollout, of which the test document has none, must be served with
+// all required fields. A method that is not described must get 404.
 func TestOpenAPIMatchesServedOperations(t *testing.T) {
 	s := newTestServer(t)
 	status, description := s.request("", "GET", "/v1/openapi.json", "")
--- a/internal/admin/kqconsole/console.go
+++ b/internal/admin/kqconsole/console.go
@@ -203,9 +203,9 @@
 	return plainCookie
 }
 
-// isSameOrigin reports whether Sec-Fetch-Site says that the request does not come
-// from another site. Programs other than browsers do not send the header, but
-// have no operator's cookie either.
+// isSameOrigin reports whether, according to the browser's Sec-Fetch-Site header,
+// the request does not come from another origin. Programs other than browsers do
+// not send the header, but have no operator's cookie either.
 func isSameOrigin(q *fiber.Ctx) bool {
 	site := q.Get("Sec-Fetch-Site")
 	return site == "" || site == "same-origin" || site == "none"
--- a/internal/admin/kqtrail/trail.go
+++ b/internal/admin/kqtrail/history.go
@@ -53,7 +53,7 @@
 func New() *History { return &History{rollouts: make(map[kqname.Rollout]*series)} }
 
 // Run samples the rollouts that statuses returns every second until ctx ends.
-func (t *History) Run(ctx context.Context, statuses func() []kqboard.Status) {
+func (h *History) Run(ctx context.Context, statuses func() []kqboard.Status) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
@@ -61,21 +61,21 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			t.Record(now, statuses())
+			h.Record(now, statuses())
 		}
 	}
 }
 
 // Record adds a sample of each started rollout whose interval has passed. An
 // ended rollout is sampled only when its share has changed.
-func (t *History) Record(now time.Time, list []kqboard.Status) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (h *History) Record(now time.Time, list []kqboard.Status) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	for _, s := range list {
 		if s.State == kqboard.Pending {
 			continue
 		}
-		current := t.series(s, now)
+		current := h.series(s, now)
 		current.lastSeen = now
 		ended := s.State != kqboard.Running
 		if n := len(current.points); n > 0 && (now.Sub(current.points[n-1].At) < current.interval || ended && current.points[n-1].Share == s.Share) {
@@ -89,10 +89,10 @@
 }
 
 // Points returns a copy of a rollout's points, oldest first.
-func (t *History) Points(name kqname.Rollout) []Point {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	current, ok := t.rollouts[name]
+func (h *History) Points(name kqname.Rollout) []Point {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	current, ok := h.rollouts[name]
 	if !ok {
 		return nil
 	}
@@ -101,27 +101,27 @@
 
 // series returns a rollout's series. It starts a new one if the rollout is
 // unknown or its name was reused by a plan that started after the last point.
-func (t *History) series(s kqboard.Status, now time.Time) *series {
-	current, ok := t.rollouts[s.Rollout]
+func (h *History) series(s kqboard.Status, now time.Time) *series {
+	current, ok := h.rollouts[s.Rollout]
 	if ok && (len(current.points) == 0 || !s.Start.After(current.points[len(current.points)-1].At)) {
 		return current
 	}
-	if !ok && len(t.rollouts) >= maxSeries {
-		t.evictOldest()
+	if !ok && len(h.rollouts) >= maxSeries {
+		h.evictOldest()
 	}
 	current = &series{interval: sampleInterval, lastSeen: now}
-	t.rollouts[s.Rollout] = current
+	h.rollouts[s.Rollout] = current
 	return current
 }
 
-func (t *History) evictOldest() {
+func (h *History) evictOldest() {
 	var oldest kqname.Rollout
-	for name, current := range t.rollouts {
-		if oldest == "" || current.lastSeen.Before(t.rollouts[oldest].lastSeen) {
+	for name, current := range h.rollouts {
+		if oldest == "" || current.lastSeen.Before(h.rollouts[oldest].lastSeen) {
 			oldest = name
 		}
 	}
-	delete(t.rollouts, oldest)
+	delete(h.rollouts, oldest)
 }
 
 // add appends a point and halves the resolution at maxPoints.
