--- a/internal/lab/kqloadmodel/doc.go
+++ b/internal/lab/kqloadmodel/doc.go
@@ -1,5 +1,6 @@
-// Package kqloadmodel plays the decisions on a service's calls together in
-// virtual time: entries choose, retry and shed, gates admit and queue, and what
-// counts is what callers receive. It has no clock and no network, so that a load
-// pattern of half a minute runs in a fraction of a second and always alike.
+// Package kqloadmodel is a discrete-event simulation of one service's calls.
+// Entries pick upstreams, retry and shed load, gates admit and queue calls, and
+// the results are measured as callers receive them. It uses virtual time and no
+// network, so that a load pattern of 30 s runs in a fraction of a second and is
+// deterministic.
 package kqloadmodel
--- a/internal/lab/kqloadmodel/model.go
+++ b/internal/lab/kqloadmodel/model.go
@@ -18,13 +18,16 @@
 )
 
 const (
-	oneWay   = time.Millisecond
-	maxTries = 3
-	domains  = 4
+	oneWayDelay    = time.Millisecond
+	maxAttempts    = 3
+	failureDomains = 4
 )
 
 type (
-	// Settings are the model's sizes.
+	// Settings are the size of the simulated fleet and the decisions it uses.
+	// With Baseline, gates use a first-come, first-served queue, entries pick
+	// upstreams at random and never shed load, and retries have no
+	// budget.
 	Settings struct {
 		Upstreams int  `json:"upstreams"`
 		Slots     int  `json:"slots"`
@@ -32,29 +35,30 @@
 		Baseline  bool `json:"baseline"`
 	}
 
-	// Stream is one caller's calls of one route, with Poisson arrivals.
+	// Stream is one caller's calls of one route. They arrive as a Poisson
+	// process of Rate calls per second for DurationMS.
 	Stream struct {
-		Caller     kqname.Caller    `json:"caller"`
-		Route      kqname.Route     `json:"route"`
-		Class      kqdocument.Class `json:"class"`
-		Rate       float64          `json:"rate"`
-		ForMS      float64          `json:"for_ms"`
-		WorkMS     float64          `json:"work_ms"`
-		DeadlineMS float64          `json:"deadline_ms"`
+		Caller        kqname.Caller    `json:"caller"`
+		Route         kqname.Route     `json:"route"`
+		Class         kqdocument.Class `json:"class"`
+		Rate          float64          `json:"rate"`
+		DurationMS    float64          `json:"for_ms"`
+		ServiceTimeMS float64          `json:"work_ms"`
+		DeadlineMS    float64          `json:"deadline_ms"`
 	}
 
-	// Model is a running one.
+	// Model is the state of one simulation.
 	Model struct {
-		settings  Settings
-		random    *rand.Rand
-		entries   []*entry
-		upstreams []*upstream
-		directory []kqmember.Candidate
-		events    events
-		order     int
-		now       time.Time
-		next      int
-		tally     *Tally
+		settings   Settings
+		random     *rand.Rand
+		entries    []*entry
+		upstreams  []*upstream
+		candidates []kqmember.Candidate
+		events     events
+		sequence   int
+		now        time.Time
+		nextEntry  int
+		tally      *Tally
 	}
 
 	queue interface {
@@ -71,9 +75,9 @@
 	}
 
 	upstream struct {
-		queue  queue
-		factor float64
-		calls  map[*kqslots.Ticket]*call
+		queue             queue
+		serviceTimeFactor float64
+		calls             map[*kqslots.Ticket]*call
 	}
 
 	call struct {
@@ -81,181 +85,185 @@
 		arrived, deadline time.Time
 		entry             *entry
 		peer              *kqpick.Peer
-		tried             []kqname.Node
+		triedNodes        []kqname.Node
 		ticket            *kqslots.Ticket
 	}
 
 	event struct {
-		at    time.Time
-		order int
-		do    func()
+		at       time.Time
+		sequence int
+		action   func()
 	}
 
 	events []event
 )
 
-// New returns a model at its beginning; the seed fixes all its chances.
+// New returns a model at virtual time 0. Equal settings and seeds give equal runs.
 func New(s Settings, seed uint64) *Model {
 	m := &Model{settings: s, random: rand.New(rand.NewPCG(seed, seed)), now: time.UnixMilli(0), tally: newTally()}
 	for i := range s.Upstreams {
-		u := &upstream{factor: 1, calls: make(map[*kqslots.Ticket]*call)}
+		u := &upstream{serviceTimeFactor: 1, calls: make(map[*kqslots.Ticket]*call)}
 		u.queue = kqslots.New(s.Slots, uint64(i)*1e9+seed)
 		if s.Baseline {
 			u.queue = kqfifo.New(s.Slots)
 		}
 		m.upstreams = append(m.upstreams, u)
-		m.directory = append(m.directory, kqmember.Candidate{
+		m.candidates = append(m.candidates, kqmember.Candidate{
 			Upstream: kqmember.Upstream{Service: "store", Version: "v1", Slots: s.Slots},
-			Node:     kqname.Node(fmt.Sprint(i)), Domain: kqname.Domain(fmt.Sprint(i % domains)),
+			Node:     kqname.Node(fmt.Sprint(i)), Domain: kqname.Domain(fmt.Sprint(i % failureDomains)),
 		})
 	}
 	for i := range s.Entries {
 		m.entries = append(m.entries, &entry{
-			pool:    kqpick.New(kqname.Domain(fmt.Sprint(i%domains)), kqpick.WithPlain(s.Baseline)),
+			pool:    kqpick.New(kqname.Domain(fmt.Sprint(i%failureDomains)), kqpick.WithPlain(s.Baseline)),
 			shedder: kqshed.New(), budget: kqretry.New(true),
 		})
 	}
 	return m
 }
 
-// Offer has a stream's calls arrive from now on.
-func (m *Model) Offer(s Stream) {
-	until := m.now.Add(ms(s.ForMS))
-	var arrive func()
-	arrive = func() {
-		m.arrive(s)
-		m.after(m.gap(s), until, arrive)
+// AddStream starts a stream's arrivals at the current virtual time.
+func (m *Model) AddStream(s Stream) {
+	until := m.now.Add(milliseconds(s.DurationMS))
+	var handleArrival func()
+	handleArrival = func() {
+		m.handleArrival(s)
+		m.schedule(m.interarrivalTime(s), until, handleArrival)
 	}
-	m.after(m.gap(s), until, arrive)
+	m.schedule(m.interarrivalTime(s), until, handleArrival)
 }
 
-// Slow makes an upstream take factor times as long for calls that begin from
-// now on.
-func (m *Model) Slow(upstream int, factor float64) { m.upstreams[upstream].factor = factor }
+// ScaleServiceTime multiplies an upstream's service time by a factor, for calls
+// that start from now on.
+func (m *Model) ScaleServiceTime(upstream int, serviceTimeFactor float64) {
+	m.upstreams[upstream].serviceTimeFactor = serviceTimeFactor
+}
 
-// Mark forgets the tally, so that what follows is told apart.
-func (m *Model) Mark() { m.tally = newTally() }
+// ResetTally discards the results so far, so that the tally covers only the calls
+// that end from now on.
+func (m *Model) ResetTally() { m.tally = newTally() }
 
-// Run plays all that happens until then.
-func (m *Model) Run(until time.Time) {
+// RunUntil processes all events up to and including the given virtual time.
+func (m *Model) RunUntil(until time.Time) {
 	for len(m.events) > 0 && !m.events[0].at.After(until) {
-		// The heap holds events only.
+		// The heap contains only events.
 		e, _ := heap.Pop(&m.events).(event)
 		m.now = e.at
-		e.do()
+		e.action()
 	}
 	m.now = until
 }
 
-// Tally returns what the callers of calls that ended since the last mark
-// received.
+// Tally returns the results of the calls that ended since the last ResetTally.
 func (m *Model) Tally() *Tally { return m.tally }
 
-func (m *Model) gap(s Stream) time.Duration {
+func (m *Model) interarrivalTime(s Stream) time.Duration {
 	return time.Duration(m.random.ExpFloat64() / s.Rate * float64(time.Second))
 }
 
-func (m *Model) after(d time.Duration, until time.Time, do func()) {
+// schedule adds an event after d, unless that is at or past a non-zero until.
+func (m *Model) schedule(d time.Duration, until time.Time, do func()) {
 	at := m.now.Add(d)
 	if !until.IsZero() && !at.Before(until) {
 		return
 	}
-	m.order++
-	heap.Push(&m.events, event{at, m.order, do})
+	m.sequence++
+	heap.Push(&m.events, event{at, m.sequence, do})
 }
 
-func (m *Model) arrive(s Stream) {
-	e := m.entries[m.next%len(m.entries)]
-	m.next++
-	c := &call{Stream: s, arrived: m.now, deadline: m.now.Add(ms(s.DeadlineMS)), entry: e}
+func (m *Model) handleArrival(s Stream) {
+	e := m.entries[m.nextEntry%len(m.entries)]
+	m.nextEntry++
+	c := &call{Stream: s, arrived: m.now, deadline: m.now.Add(milliseconds(s.DeadlineMS)), entry: e}
 	e.budget.Earn()
 	if !m.settings.Baseline && e.shedder.Refuse(s.Class, false, m.now, m.random) {
-		m.end(c, kqcall.Refuse(kqcall.Overload))
+		m.finish(c, kqcall.Refuse(kqcall.Overload))
 		return
 	}
-	m.try(c, kqcall.Refuse(kqcall.NoUpstream))
+	m.sendAttempt(c, kqcall.Refuse(kqcall.NoUpstream))
 }
 
-func (m *Model) try(c *call, last kqcall.Outcome) {
-	c.entry.pool.Set(m.directory, m.now)
-	c.peer = c.entry.pool.Pick(kqpick.Target{}, c.tried, m.now, m.random)
+func (m *Model) sendAttempt(c *call, lastOutcome kqcall.Outcome) {
+	c.entry.pool.Set(m.candidates, m.now)
+	c.peer = c.entry.pool.Pick(kqpick.Target{}, c.triedNodes, m.now, m.random)
 	if c.peer == nil {
-		m.end(c, last)
+		m.finish(c, lastOutcome)
 		return
 	}
-	c.tried = append(c.tried, c.peer.Node)
-	u := m.upstreams[m.index(c.peer.Node)]
-	m.after(oneWay, time.Time{}, func() { m.enter(u, c) })
+	c.triedNodes = append(c.triedNodes, c.peer.Node)
+	u := m.upstreams[m.upstreamIndex(c.peer.Node)]
+	m.schedule(oneWayDelay, time.Time{}, func() { m.enqueue(u, c) })
 }
 
-func (m *Model) enter(u *upstream, c *call) {
+func (m *Model) enqueue(u *upstream, c *call) {
 	c.ticket = &kqslots.Ticket{Caller: c.Caller, Route: c.Route, Class: c.Class, Deadline: c.deadline}
 	u.calls[c.ticket] = c
 	u.queue.Enter(c.ticket, m.now)
-	m.settle(u, c.ticket)
+	m.applyVerdict(u, c.ticket)
 	if t := c.ticket; t.Verdict == kqslots.Wait {
-		m.after(t.GiveUp.Sub(m.now), time.Time{}, func() {
+		m.schedule(t.GiveUp.Sub(m.now), time.Time{}, func() {
 			if u.calls[t] != nil && t.Verdict == kqslots.Wait && u.queue.Expire(t) {
-				m.settle(u, t)
+				m.applyVerdict(u, t)
 			}
 		})
 	}
 }
 
-// settle acts on a ticket's verdict.
-func (m *Model) settle(u *upstream, t *kqslots.Ticket) {
+// applyVerdict starts or refuses a call according to its ticket's verdict. A call
+// that would run past its deadline times out at the deadline.
+func (m *Model) applyVerdict(u *upstream, t *kqslots.Ticket) {
 	c := u.calls[t]
 	switch t.Verdict {
 	case kqslots.Run:
-		took := time.Duration(float64(ms(c.WorkMS)) * u.factor)
-		if left := c.deadline.Sub(m.now); took > left {
-			m.after(left, time.Time{}, func() { m.leave(u, c, left, kqcall.Lose(kqcall.Timeout)) })
+		took := time.Duration(float64(milliseconds(c.ServiceTimeMS)) * u.serviceTimeFactor)
+		if remaining := c.deadline.Sub(m.now); took > remaining {
+			m.schedule(remaining, time.Time{}, func() { m.completeCall(u, c, remaining, kqcall.Lose(kqcall.Timeout)) })
 			return
 		}
-		m.after(took, time.Time{}, func() { m.leave(u, c, took, kqcall.OK()) })
+		m.schedule(took, time.Time{}, func() { m.completeCall(u, c, took, kqcall.OK()) })
 	case kqslots.Refuse:
 		delete(u.calls, t)
-		m.respond(u, c, t.Refusal)
+		m.sendResponse(u, c, t.Refusal)
 	}
 }
 
-func (m *Model) leave(u *upstream, c *call, took time.Duration, o kqcall.Outcome) {
+func (m *Model) completeCall(u *upstream, c *call, took time.Duration, o kqcall.Outcome) {
 	delete(u.calls, c.ticket)
 	for _, t := range u.queue.Leave(c.ticket, took, m.now) {
-		m.settle(u, t)
+		m.applyVerdict(u, t)
 	}
-	m.respond(u, c, o)
+	m.sendResponse(u, c, o)
 }
 
-func (m *Model) respond(u *upstream, c *call, o kqcall.Outcome) {
+func (m *Model) sendResponse(u *upstream, c *call, o kqcall.Outcome) {
 	load := u.queue.Load()
-	m.after(oneWay, time.Time{}, func() { m.judge(c, o, load) })
+	m.schedule(oneWayDelay, time.Time{}, func() { m.handleResponse(c, o, load) })
 }
 
-func (m *Model) judge(c *call, o kqcall.Outcome, load kqcall.Load) {
+func (m *Model) handleResponse(c *call, o kqcall.Outcome, load kqcall.Load) {
 	e := c.entry
 	if o.Reason == kqcall.QueueFull {
 		e.shedder.Refused(c.Class)
 	}
 	e.pool.Done(c.peer, o, false, &load, m.now)
-	again := e.budget.Spend(o, true)
+	retry := e.budget.Spend(o, true)
 	if m.settings.Baseline {
-		again = o.Result == kqcall.NotRun && o.Reason != kqcall.Late
+		retry = o.Result == kqcall.NotRun && o.Reason != kqcall.Late
 	}
-	if !again || len(c.tried) == maxTries || !m.now.Before(c.deadline) {
-		m.end(c, o)
+	if !retry || len(c.triedNodes) == maxAttempts || !m.now.Before(c.deadline) {
+		m.finish(c, o)
 		return
 	}
 	m.tally.Retries++
-	m.try(c, o)
+	m.sendAttempt(c, o)
 }
 
-func (m *Model) end(c *call, o kqcall.Outcome) {
-	m.tally.add(c, o, m.now.Sub(c.arrived), m.now.After(c.deadline.Add(oneWay)))
+func (m *Model) finish(c *call, o kqcall.Outcome) {
+	m.tally.add(c, o, m.now.Sub(c.arrived), m.now.After(c.deadline.Add(oneWayDelay)))
 }
 
-func (m *Model) index(n kqname.Node) int {
-	for i, c := range m.directory {
+func (m *Model) upstreamIndex(n kqname.Node) int {
+	for i, c := range m.candidates {
 		if c.Node == n {
 			return i
 		}
@@ -263,7 +271,7 @@
 	return 0
 }
 
-func ms(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
+func milliseconds(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
 // Len implements heap.Interface.
 func (e events) Len() int { return len(e) }
@@ -271,7 +279,7 @@
 // Less implements heap.Interface.
 func (e events) Less(i, j int) bool {
 	if e[i].at.Equal(e[j].at) {
-		return e[i].order < e[j].order
+		return e[i].sequence < e[j].sequence
 	}
 	return e[i].at.Before(e[j].at)
 }
@@ -281,9 +289,9 @@
 
 // Push implements heap.Interface.
 func (e *events) Push(x any) {
-	// The heap holds events only.
-	one, _ := x.(event)
-	*e = append(*e, one)
+	// The heap contains only events.
+	item, _ := x.(event)
+	*e = append(*e, item)
 }
 
 // Pop implements heap.Interface.
--- a/internal/lab/kqloadmodel/tally.go
+++ b/internal/lab/kqloadmodel/tally.go
@@ -9,42 +9,43 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-const highest = int64(time.Minute / time.Microsecond)
+const maxLatencyMicros = int64(time.Minute / time.Microsecond)
 
 type (
-	// Tally is what callers received.
+	// Tally is the results of calls as their callers received them. RefusalLatency
+	// is in microseconds.
 	Tally struct {
 		Group
-		Retries  int
-		Unknown  int
-		Late     int
-		Refused  map[kqcall.Reason]int
-		Refusals *hdrhistogram.Histogram
-		Callers  map[kqname.Caller]*Group
-		Routes   map[kqname.Route]*Group
+		Retries          int
+		Unknown          int
+		Late             int
+		RefusalsByReason map[kqcall.Reason]int
+		RefusalLatency   *hdrhistogram.Histogram
+		Callers          map[kqname.Caller]*Group
+		Routes           map[kqname.Route]*Group
 	}
 
-	// Group is one caller's, one route's or all calls. Took holds what each
-	// call that was not refused took, in microseconds.
+	// Group is the results of one caller's, one route's or all calls. Latency
+	// holds the latency of each call that was not refused, in microseconds.
 	Group struct {
 		Ended, InTime int
-		Took          *hdrhistogram.Histogram
+		Latency       *hdrhistogram.Histogram
 	}
 )
 
 func newTally() *Tally {
 	return &Tally{
-		Group: newGroup(), Refused: make(map[kqcall.Reason]int), Refusals: newHistogram(),
+		Group: newGroup(), RefusalsByReason: make(map[kqcall.Reason]int), RefusalLatency: newHistogram(),
 		Callers: make(map[kqname.Caller]*Group), Routes: make(map[kqname.Route]*Group),
 	}
 }
 
-func newGroup() Group { return Group{Took: newHistogram()} }
+func newGroup() Group { return Group{Latency: newHistogram()} }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, highest, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, 3) }
 
-// Share returns the share of calls that were answered in time.
-func (g *Group) Share() float64 { return float64(g.InTime) / float64(max(g.Ended, 1)) }
+// InTimeShare returns the share of calls, from 0 to 1, that were answered in time.
+func (g *Group) InTimeShare() float64 { return float64(g.InTime) / float64(max(g.Ended, 1)) }
 
 func (t *Tally) add(c *call, o kqcall.Outcome, took time.Duration, late bool) {
 	if t.Callers[c.Caller] == nil {
@@ -60,9 +61,10 @@
 	}
 	switch {
 	case o.Result == kqcall.NotRun:
-		t.Refused[o.Reason]++
-		// Calls end within their deadline; the histogram's bound is a minute.
-		_ = t.Refusals.RecordValue(took.Microseconds())
+		t.RefusalsByReason[o.Reason]++
+		// RecordValue fails only above the histogram's bound of one minute;
+		// calls end by their deadline.
+		_ = t.RefusalLatency.RecordValue(took.Microseconds())
 	case o.Result == kqcall.Unknown:
 		t.Unknown++
 	case late:
@@ -78,6 +80,6 @@
 	if o.Result == kqcall.Answered && !late {
 		g.InTime++
 	}
-	// As above.
-	_ = g.Took.RecordValue(took.Microseconds())
+	// RecordValue fails only above the histogram's bound of one minute.
+	_ = g.Latency.RecordValue(took.Microseconds())
 }
--- a/internal/lab/kqplayers/load.go
+++ b/internal/lab/kqplayers/load.go
@@ -22,34 +22,34 @@
 	// loadInput is one of: a stream of calls that begins, an upstream that
 	// becomes slower or faster, or a mark from which the outcomes count anew.
 	loadInput struct {
-		Stream *kqloadmodel.Stream `json:"stream"`
-		Slow   *loadSlow           `json:"slow"`
-		Mark   bool                `json:"mark"`
+		Stream           *kqloadmodel.Stream `json:"stream"`
+		ScaleServiceTime *serviceTimeScale   `json:"slow"`
+		ResetTally       bool                `json:"mark"`
 	}
 
-	loadSlow struct {
+	serviceTimeScale struct {
 		Upstream int     `json:"upstream"`
 		Factor   float64 `json:"factor"`
 	}
 
 	loadState struct {
-		Ended      int                  `json:"ended"`
-		InTime     int                  `json:"in_time"`
-		Share      float64              `json:"in_time_share"`
-		Late       int                  `json:"answered_late"`
-		Unknown    int                  `json:"unknown"`
-		Retries    int                  `json:"retries"`
-		Refused    map[string]int       `json:"refused"`
-		RefusalP99 float64              `json:"refusal_ms_p99"`
-		Callers    map[string]loadGroup `json:"by_caller"`
-		Routes     map[string]loadGroup `json:"by_route"`
+		Ended            int                  `json:"ended"`
+		InTime           int                  `json:"in_time"`
+		InTimeShare      float64              `json:"in_time_share"`
+		Late             int                  `json:"answered_late"`
+		Unknown          int                  `json:"unknown"`
+		Retries          int                  `json:"retries"`
+		RefusalsByReason map[string]int       `json:"refused"`
+		RefusalP99       float64              `json:"refusal_ms_p99"`
+		Callers          map[string]loadGroup `json:"by_caller"`
+		Routes           map[string]loadGroup `json:"by_route"`
 	}
 
 	loadGroup struct {
-		Ended int     `json:"ended"`
-		Share float64 `json:"in_time_share"`
-		P50   float64 `json:"p50_ms"`
-		P99   float64 `json:"p99_ms"`
+		Ended       int     `json:"ended"`
+		InTimeShare float64 `json:"in_time_share"`
+		P50         float64 `json:"p50_ms"`
+		P99         float64 `json:"p99_ms"`
 	}
 )
 
@@ -70,14 +70,14 @@
 	if err := read(input, &in); err != nil {
 		return nil, err
 	}
-	l.model.Run(time.UnixMilli(0).Add(at))
+	l.model.RunUntil(time.UnixMilli(0).Add(at))
 	switch {
-	case in.Stream != nil && in.Stream.Rate > 0 && in.Stream.WorkMS > 0 && in.Stream.DeadlineMS > 0:
-		l.model.Offer(*in.Stream)
-	case in.Slow != nil && in.Slow.Upstream >= 0 && in.Slow.Upstream < l.upstreams && in.Slow.Factor > 0:
-		l.model.Slow(in.Slow.Upstream, in.Slow.Factor)
-	case in.Mark:
-		l.model.Mark()
+	case in.Stream != nil && in.Stream.Rate > 0 && in.Stream.ServiceTimeMS > 0 && in.Stream.DeadlineMS > 0:
+		l.model.AddStream(*in.Stream)
+	case in.ScaleServiceTime != nil && in.ScaleServiceTime.Upstream >= 0 && in.ScaleServiceTime.Upstream < l.upstreams && in.ScaleServiceTime.Factor > 0:
+		l.model.ScaleServiceTime(in.ScaleServiceTime.Upstream, in.ScaleServiceTime.Factor)
+	case in.ResetTally:
+		l.model.ResetTally()
 	default:
 		return nil, fmt.Errorf("input %s is no stream with rate, work_ms and deadline_ms, no slow upstream and no mark", input)
 	}
@@ -86,15 +86,15 @@
 
 // State implements kqreplay.Player.
 func (l *load) State(at time.Duration) (any, error) {
-	l.model.Run(time.UnixMilli(0).Add(at))
+	l.model.RunUntil(time.UnixMilli(0).Add(at))
 	t := l.model.Tally()
 	s := loadState{
-		Ended: t.Ended, InTime: t.InTime, Share: t.Share(), Late: t.Late, Unknown: t.Unknown, Retries: t.Retries,
-		Refused: make(map[string]int), RefusalP99: quantile(t.Refusals, 99),
+		Ended: t.Ended, InTime: t.InTime, InTimeShare: t.InTimeShare(), Late: t.Late, Unknown: t.Unknown, Retries: t.Retries,
+		RefusalsByReason: make(map[string]int), RefusalP99: quantile(t.RefusalLatency, 99),
 		Callers: make(map[string]loadGroup), Routes: make(map[string]loadGroup),
 	}
-	for reason, n := range t.Refused {
-		s.Refused[string(reason)] = n
+	for reason, n := range t.RefusalsByReason {
+		s.RefusalsByReason[string(reason)] = n
 	}
 	for name, g := range t.Callers {
 		s.Callers[string(name)] = groupOf(g)
@@ -106,7 +106,7 @@
 }
 
 func groupOf(g *kqloadmodel.Group) loadGroup {
-	return loadGroup{Ended: g.Ended, Share: g.Share(), P50: quantile(g.Took, 50), P99: quantile(g.Took, 99)}
+	return loadGroup{Ended: g.Ended, InTimeShare: g.InTimeShare(), P50: quantile(g.Latency, 50), P99: quantile(g.Latency, 99)}
 }
 
 // quantile is in milliseconds.
