--- a/internal/lab/kqsurvey/trial.go
+++ b/internal/lab/kqsurvey/trial.go
@@ -96,11 +96,11 @@
 
 // inform lets the informed test weigh a tick, and reports whether it is sure.
 // It knows when the badness begins, and counts from there.
-func (t *trial) inform(at int, s kqworld.Second) bool {
+func (t *trial) inform(at int, s kqworld.TickResult) bool {
 	if !s.Bad && !t.world.Kind.Good() {
 		return t.shown >= 0
 	}
-	t.odds += s.Odds
+	t.odds += s.LogLikelihoodRatio
 	if t.odds >= t.sure && t.shown < 0 {
 		t.shown = at
 	}
@@ -109,7 +109,7 @@
 
 // charge counts what a bad version got. A version that is never taken back is
 // charged until the deadline.
-func (r *result) charge(t *trial, at int, s kqworld.Second) {
+func (r *result) charge(t *trial, at int, s kqworld.TickResult) {
 	if !s.Bad {
 		return
 	}
--- a/internal/lab/kqworld/calls.go
+++ b/internal/lab/kqworld/calls.go
@@ -6,104 +6,111 @@
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqevidence"
 )
 
-// smallest are the badnesses of which one is a good version's rival.
-var smallest = []effect{{factor: 1.3}, {factor: 1, errors: 0.005}}
-
-// calls draws one version's calls of one route in one tick, counts them and
-// returns the log of how much likelier they are with the badness than without.
-// As at the gates, what upstreams that have just started do counts without its
-// latency, which goes to young instead; the test that knows all weighs all.
-func (w *World) calls(c, young *kqevidence.Cell, i int, m moment, e effect) float64 {
+// smallestEffects are the regressions that a good version's calls are compared
+// with; each world uses one.
+var smallestEffects = []effect{{latencyFactor: 1.3}, {latencyFactor: 1, errorRate: 0.005}}
+
+// drawCalls draws one version's calls of route i in one tick, adds them to c and
+// returns their log likelihood ratio with the regression to without it. As at the
+// gates, latencies of upstreams that have just started go to recentlyStarted
+// instead of c. The ratio includes the failures of all calls and the latencies of
+// all calls to upstreams past their cold start.
+func (w *World) drawCalls(c, recentlyStarted *kqevidence.Cell, i int, m versionState, e effect) float64 {
 	o := w.routes[i]
 	n := w.poisson(m.rate * o.weight)
-	errors := o.errors + m.errors
-	failing := clamp(errors + e.errors)
+	errorRate := o.errorRate + m.errorRate
+	totalErrorRate := clamp(errorRate + e.errorRate)
 	c.Calls = uint32(n)
-	c.Failed = uint32(w.binomial(n, failing))
-	c.Failed += uint32(min(n-int(c.Failed), w.poisson(m.cut*m.rate*o.weight*o.mean())))
-	// Slowness by load: an upstream near its slots' limit slows down.
-	base := math.Log(o.work*m.factor) + math.Log1p(0.5*math.Pow(min(m.use, 1), 4))
+	c.Failed = uint32(w.binomial(n, totalErrorRate))
+	c.Failed += uint32(min(n-int(c.Failed), w.poisson(m.interrupted*m.rate*o.weight*o.mean())))
+	// Latency grows as the upstream's utilization nears 1.
+	logMedian := math.Log(o.serviceTime*m.latencyFactor) + math.Log1p(0.5*math.Pow(min(m.utilization, 1), 4))
 	cold := w.binomial(n, m.cold)
 	all := kqevidence.Cell{Calls: c.Calls, Failed: c.Failed}
-	w.shape(&w.truth, base, o.spread, e)
-	w.spread(&all, n-cold, &w.truth)
-	odds := 0.0
+	w.fillDistribution(&w.distribution, logMedian, o.spread, e)
+	w.spread(&all, n-cold, &w.distribution)
+	logRatio := 0.0
 	switch {
 	case w.Kind.Good():
-		odds = w.weighRival(&all, n-cold, base, o.spread, errors)
-	case e != none:
-		odds = w.weigh(&all, n-cold, base, o.spread, errors, failing)
+		logRatio = w.compareWithAlternative(&all, n-cold, logMedian, o.spread, errorRate)
+	case e != noEffect:
+		logRatio = w.compareWithNoEffect(&all, n-cold, logMedian, o.spread, errorRate, totalErrorRate)
 	}
-	w.count(c, young, &all, (m.young-m.cold)/max(1-m.cold, 1e-9))
-	w.shape(&w.truth, base+math.Log(coldFactor), o.spread, e)
+	w.addLatencies(c, recentlyStarted, &all, (m.recentlyStarted-m.cold)/max(1-m.cold, 1e-9))
+	w.fillDistribution(&w.distribution, logMedian+math.Log(coldStartFactor), o.spread, e)
 	var slow kqevidence.Cell
-	w.spread(&slow, cold, &w.truth)
+	w.spread(&slow, cold, &w.distribution)
 	excluded := 1.0
-	if w.coldFor > w.excluded {
-		excluded = float64(w.excluded) / float64(w.coldFor)
+	if w.coldSeconds > w.excluded {
+		excluded = float64(w.excluded) / float64(w.coldSeconds)
 	}
-	w.count(c, young, &slow, excluded)
-	return odds
+	w.addLatencies(c, recentlyStarted, &slow, excluded)
+	return logRatio
 }
 
-// count puts each latency into the cell, or into young by the given share.
-func (w *World) count(c, young, from *kqevidence.Cell, share float64) {
+// addLatencies adds from's latencies to c, except for a random share of them, which
+// goes to recentlyStarted.
+func (w *World) addLatencies(c, recentlyStarted, from *kqevidence.Cell, share float64) {
 	for b, k := range from.Latency {
 		if k == 0 {
 			continue
 		}
-		apart := uint32(w.binomial(int(k), clamp(share)))
-		c.Latency[b] += k - apart
-		young.Latency[b] += apart
-		young.Calls += apart
+		separate := uint32(w.binomial(int(k), clamp(share)))
+		c.Latency[b] += k - separate
+		recentlyStarted.Latency[b] += separate
+		recentlyStarted.Calls += separate
 	}
 }
 
-func (w *World) weigh(c *kqevidence.Cell, n int, base, spread, errors, failing float64) float64 {
-	w.shape(&w.alone, base, spread, none)
-	return w.compare(c, n, errors, failing)
+// compareWithNoEffect returns the log likelihood ratio of a bad version's calls with
+// its regression to without it.
+func (w *World) compareWithNoEffect(c *kqevidence.Cell, n int, logMedian, spread, errorRate, totalErrorRate float64) float64 {
+	w.fillDistribution(&w.referenceDistribution, logMedian, spread, noEffect)
+	return w.logLikelihoodRatio(c, n, errorRate, totalErrorRate)
 }
 
-func (w *World) compare(c *kqevidence.Cell, n int, errors, failing float64) float64 {
-	odds := ratio(float64(c.Failed), failing, errors) + ratio(float64(c.Calls-c.Failed), 1-failing, 1-errors)
+// logLikelihoodRatio compares the calls' failures and n latencies under distribution
+// and totalErrorRate with those under referenceDistribution and errorRate.
+func (w *World) logLikelihoodRatio(c *kqevidence.Cell, n int, errorRate, totalErrorRate float64) float64 {
+	logRatio := weightedLogRatio(float64(c.Failed), totalErrorRate, errorRate) + weightedLogRatio(float64(c.Calls-c.Failed), 1-totalErrorRate, 1-errorRate)
 	if n == 0 {
-		return odds
+		return logRatio
 	}
 	for b, k := range c.Latency {
-		odds += ratio(float64(k), w.truth[b], w.alone[b])
+		logRatio += weightedLogRatio(float64(k), w.distribution[b], w.referenceDistribution[b])
 	}
-	return odds
+	return logRatio
 }
 
-// weighRival weighs a good version's calls against the badness that the limit
-// has to tell it from.
-func (w *World) weighRival(c *kqevidence.Cell, n int, base, spread, errors float64) float64 {
-	w.alone = w.truth
-	w.shape(&w.truth, base, spread, w.rival)
-	failing := clamp(errors + w.rival.errors)
-	return w.compare(c, n, errors, failing)
+// compareWithAlternative returns the log likelihood ratio of a good version's calls
+// with the world's alternative regression to without it.
+func (w *World) compareWithAlternative(c *kqevidence.Cell, n int, logMedian, spread, errorRate float64) float64 {
+	w.referenceDistribution = w.distribution
+	w.fillDistribution(&w.distribution, logMedian, spread, w.alternative)
+	totalErrorRate := clamp(errorRate + w.alternative.errorRate)
+	return w.logLikelihoodRatio(c, n, errorRate, totalErrorRate)
 }
 
-func ratio(count, one, other float64) float64 {
+func weightedLogRatio(count, numerator, denominator float64) float64 {
 	if count == 0 {
 		return 0
 	}
-	const least = 1e-9
-	return count * math.Log(max(one, least)/max(other, least))
+	const minProbability = 1e-9
+	return count * math.Log(max(numerator, minProbability)/max(denominator, minProbability))
 }
 
-// shape fills in the share of calls in each latency bucket.
-func (w *World) shape(p *[kqevidence.Buckets]float64, base, spread float64, e effect) {
+// fillDistribution sets p to the share of calls in each latency bucket.
+func (w *World) fillDistribution(p *[kqevidence.Buckets]float64, logMedian, spread float64, e effect) {
 	cumulative := func(b int, shift float64) float64 {
-		return 0.5 * math.Erfc(-(edges[b]-base-shift)/(spread*math.Sqrt2))
+		return 0.5 * math.Erfc(-(logBucketEdges[b]-logMedian-shift)/(spread*math.Sqrt2))
 	}
 	before := 0.0
 	for b := range p {
 		below := 1.0
 		if b < kqevidence.Buckets-1 {
-			below = cumulative(b, math.Log(e.factor))
+			below = cumulative(b, math.Log(e.latencyFactor))
 			if e.tail > 0 {
-				below = (1-e.tail)*below + e.tail*cumulative(b, math.Log(e.factor*tailFactor))
+				below = (1-e.tail)*below + e.tail*cumulative(b, math.Log(e.latencyFactor*tailFactor))
 			}
 		}
 		p[b] = below - before
@@ -111,7 +118,7 @@
 	}
 }
 
-// spread draws n calls into the cell's buckets.
+// spread draws the latency buckets of n calls from p and adds them to the cell.
 func (w *World) spread(c *kqevidence.Cell, n int, p *[kqevidence.Buckets]float64) {
 	left := 1.0
 	for b := 0; b < kqevidence.Buckets && n > 0; b++ {
@@ -153,22 +160,22 @@
 		k := math.Round(mean + math.Sqrt(mean*(1-p))*w.random.NormFloat64())
 		return int(min(max(k, 0), float64(n)))
 	}
-	// Inversion by the recurrence of the probabilities.
+	// Inverse transform sampling with the recurrence of the binomial probabilities.
 	u := w.random.Float64()
-	chance := math.Pow(1-p, float64(n))
+	probability := math.Pow(1-p, float64(n))
 	odds := p / (1 - p)
 	k := 0
-	for u > chance && k < n {
-		u -= chance
+	for u > probability && k < n {
+		u -= probability
 		k++
-		chance *= odds * float64(n-k+1) / float64(k)
+		probability *= odds * float64(n-k+1) / float64(k)
 	}
 	return k
 }
 
 func clamp(p float64) float64 { return min(max(p, 0), 1) }
 
-var edges = logEdges()
+var logBucketEdges = logEdges()
 
 func logEdges() (e [kqevidence.Buckets]float64) {
 	for b := range e {
--- a/internal/lab/kqworld/doc.go
+++ b/internal/lab/kqworld/doc.go
@@ -1,5 +1,6 @@
-// Package kqworld models, in virtual time, a service whose new upstream version
-// is good or bad in a stated way: slots, load-dependent slowness, cold starts,
-// noise, herd restarts, a slow shared dependency and differences by route. One
-// tick is one second; calls are drawn together for each tick.
+// Package kqworld simulates a rollout of a service's new upstream version in
+// virtual time. The version is good or has a defined regression; the simulation
+// includes slots, load-dependent latency, cold starts, noise, simultaneous
+// restarts, a slow shared dependency and differences between routes. A tick is
+// one second, and the calls of a tick are drawn as counts, not one by one.
 package kqworld
--- a/internal/lab/kqworld/draw.go
+++ b/internal/lab/kqworld/draw.go
@@ -15,40 +15,43 @@
 
 	route struct {
 		weight float64
-		// work is the median service time in seconds, spread the standard
+		// serviceTime is the median in seconds, spread is the standard
 		// deviation of its logarithm.
-		work, spread float64
-		errors       float64
+		serviceTime, spread float64
+		errorRate           float64
 	}
 
-	// herd is a time at which upstreams die together.
-	herd struct {
-		at, back int
-		old, new float64
+	// herdRestart is a simultaneous crash of upstreams: from second at until second
+	// recoveredAt, the shares old and new of the versions' upstreams are down.
+	herdRestart struct {
+		at, recoveredAt int
+		old, new        float64
 	}
 
-	// spell is a time in which both versions are slower and fail more.
-	spell struct {
-		from, to       int
-		factor, errors float64
+	// incident is a period, in seconds, in which both versions are slower and fail
+	// more calls.
+	incident struct {
+		from, to                 int
+		latencyFactor, errorRate float64
 	}
 )
 
-// deployments are the two users' of today, from the brief.
+// deployments are the servers and slots per server of the two users' current
+// deployments, as their requirements state them.
 var deployments = []deployment{{6, 6}, {4, 6}, {6, 12}, {4, 12}}
 
 func (w *World) draw(r *rand.Rand) {
 	d := deployments[r.IntN(len(deployments))]
-	w.SlotsEach = d.slots
+	w.SlotsPerServer = d.slots
 	w.Servers = d.servers * []int{1, 1, 1, 2, 4}[r.IntN(5)]
-	w.window = int(math.Exp(between(r, math.Log(120), math.Log(3600))))
+	w.window = int(math.Exp(uniform(r, math.Log(120), math.Log(3600))))
 	w.Window = time.Duration(w.window) * time.Second
-	w.load = between(r, 0.2, 0.6)
-	work := math.Exp(between(r, math.Log(0.008), math.Log(0.06)))
-	errors := math.Exp(between(r, math.Log(0.0002), math.Log(0.005)))
+	w.load = uniform(r, 0.2, 0.6)
+	serviceTime := math.Exp(uniform(r, math.Log(0.008), math.Log(0.06)))
+	errorRate := math.Exp(uniform(r, math.Log(0.0002), math.Log(0.005)))
 	sum, mean := 0.0, 0.0
 	for range 2 + r.IntN(4) {
-		one := route{weight: between(r, 0.1, 1), work: work * between(r, 0.5, 2), spread: between(r, 0.4, 0.8), errors: errors * between(r, 0.5, 1.5)}
+		one := route{weight: uniform(r, 0.1, 1), serviceTime: serviceTime * uniform(r, 0.5, 2), spread: uniform(r, 0.4, 0.8), errorRate: errorRate * uniform(r, 0.5, 1.5)}
 		w.routes = append(w.routes, one)
 		sum += one.weight
 	}
@@ -56,51 +59,52 @@
 		w.routes[i].weight /= sum
 		mean += w.routes[i].weight * w.routes[i].mean()
 	}
-	w.rate = float64(w.Servers*w.SlotsEach) * w.load / mean
+	w.rate = float64(w.Servers*w.SlotsPerServer) * w.load / mean
 	if w.Kind == LowTraffic {
-		w.rate = between(r, 2, 20)
-		w.load = w.rate * mean / float64(w.Servers*w.SlotsEach)
+		w.rate = uniform(r, 2, 20)
+		w.load = w.rate * mean / float64(w.Servers*w.SlotsPerServer)
 	}
-	w.differs = 1
+	w.serviceTimeRatio = 1
 	if w.Kind.Good() {
-		// Bad versions are as slow as their kind says, no more and no less.
-		w.differs = between(r, 0.9, 1.05)
+		// Bad versions differ from the old one only by the effect of their kind.
+		w.serviceTimeRatio = uniform(r, 0.9, 1.05)
 	}
-	w.coldFor = int(between(r, 2, 10))
-	// The new version's upstreams start up to two minutes before the move.
-	w.begun = -int(between(r, 0, 120))
+	w.coldSeconds = int(uniform(r, 2, 10))
+	// The new version's upstreams start up to two minutes before the rollout.
+	w.newVersionStart = -int(uniform(r, 0, 120))
 	w.excluded = int(kqplan.Plan{Deadline: time.Time{}.Add(w.Window)}.Cold() / time.Second)
 	w.drawNoise(r)
 	w.drawEffect(r)
 }
 
 func (w *World) drawNoise(r *rand.Rand) {
-	w.wobble, w.ownWobble = 0.1, 0.01
-	spells, herds := 0.0015, 0.0002
+	w.sharedNoise, w.newVersionNoise = 0.1, 0.01
+	// These are probabilities per second.
+	incidents, herdRestarts := 0.0015, 0.0002
 	switch w.Kind {
 	case Noisy:
-		w.wobble, w.ownWobble, spells = 0.3, 0.03, 0.005
+		w.sharedNoise, w.newVersionNoise, incidents = 0.3, 0.03, 0.005
 	case Cold:
-		w.coldFor, w.begun = int(between(r, 10, 40)), int(between(r, -10, 10))
+		w.coldSeconds, w.newVersionStart = int(uniform(r, 10, 40)), int(uniform(r, -10, 10))
 	case HerdRestarts:
-		herds = 3 / float64(w.window)
+		herdRestarts = 3 / float64(w.window)
 	case SlowDependency:
-		spells = max(0.003, 2/float64(w.window))
+		incidents = max(0.003, 2/float64(w.window))
 	}
 	for t := range w.window {
-		if r.Float64() < spells {
-			w.spells = append(w.spells, spell{t, t + 3 + r.IntN(40), between(r, 1.2, 5), math.Exp(between(r, math.Log(0.001), math.Log(0.1)))})
+		if r.Float64() < incidents {
+			w.incidents = append(w.incidents, incident{t, t + 3 + r.IntN(40), uniform(r, 1.2, 5), math.Exp(uniform(r, math.Log(0.001), math.Log(0.1)))})
 		}
-		if r.Float64() < herds {
-			w.herds = append(w.herds, herd{t, t + 5 + r.IntN(30), between(r, 0, 0.6), between(r, 0, 0.6)})
+		if r.Float64() < herdRestarts {
+			w.herdRestarts = append(w.herdRestarts, herdRestart{t, t + 5 + r.IntN(30), uniform(r, 0, 0.6), uniform(r, 0, 0.6)})
 		}
 	}
 }
 
 func (w *World) drawEffect(r *rand.Rand) {
-	w.effect, w.from, w.onRoute = none, 0, -1
-	w.rival = smallest[r.IntN(len(smallest))]
-	e, ok := fixed[w.Kind]
+	w.effect, w.effectStart, w.effectRoute = noEffect, 0, -1
+	w.alternative = smallestEffects[r.IntN(len(smallestEffects))]
+	e, ok := fixedEffects[w.Kind]
 	if ok {
 		w.effect = e
 		return
@@ -108,21 +112,21 @@
 	if w.Kind.Good() {
 		return
 	}
-	w.effect = effect{factor: 1, errors: between(r, 0.2, 1)}
+	w.effect = effect{latencyFactor: 1, errorRate: uniform(r, 0.2, 1)}
 	if w.Kind != FailsAtOnce && r.IntN(2) == 0 {
-		w.effect = effect{factor: between(r, 2, 10)}
+		w.effect = effect{latencyFactor: uniform(r, 2, 10)}
 	}
 	switch w.Kind {
 	case FailsLater:
-		w.from = int(between(r, min(60, 0.5*float64(w.window)), 0.95*float64(w.window)))
+		w.effectStart = int(uniform(r, min(60, 0.5*float64(w.window)), 0.95*float64(w.window)))
 	case UnderLoad:
-		w.above = between(r, 0.5, 0.9) * w.load
+		w.effectMinUtilization = uniform(r, 0.5, 0.9) * w.load
 	case OneRoute:
-		w.onRoute = r.IntN(len(w.routes))
+		w.effectRoute = r.IntN(len(w.routes))
 	}
 }
 
 // mean returns the mean service time in seconds.
-func (o route) mean() float64 { return o.work * math.Exp(o.spread*o.spread/2) }
+func (o route) mean() float64 { return o.serviceTime * math.Exp(o.spread*o.spread/2) }
 
-func between(r *rand.Rand, low, high float64) float64 { return low + (high-low)*r.Float64() }
+func uniform(r *rand.Rand, low, high float64) float64 { return low + (high-low)*r.Float64() }
--- a/internal/lab/kqworld/world.go
+++ b/internal/lab/kqworld/world.go
@@ -13,207 +13,216 @@
 )
 
 const (
-	coldFactor = 3
-	// memory is how much of the wobble lasts from one second to the next.
-	memory = 0.97
+	coldStartFactor = 3
+	// noiseCorrelation is the correlation of the noise between successive seconds.
+	noiseCorrelation = 0.97
 )
 
 type (
-	// World is one rollout's surroundings.
+	// World is the simulated service during one rollout.
 	World struct {
-		Kind      Kind
-		Servers   int
-		SlotsEach int
-		Window    time.Duration
-
-		window       int
-		rate, load   float64
-		routes       []route
-		differs      float64
-		wobble       float64
-		ownWobble    float64
-		coldFor      int
-		excluded     int
-		begun        int
-		spells       []spell
-		herds        []herd
-		effect       effect
-		rival        effect
-		from         int
-		above        float64
-		onRoute      int
-		random       *rand.Rand
-		shared, own  float64
-		names        []kqname.Route
-		all          []kqmember.Candidate
-		truth, alone [kqevidence.Buckets]float64
-	}
-
-	// Second is what happened in one tick.
-	Second struct {
+		Kind           Kind
+		Servers        int
+		SlotsPerServer int
+		Window         time.Duration
+
+		// rate is the mean number of calls per second, load the share of one
+		// version's slots that they use.
+		window           int
+		rate, load       float64
+		routes           []route
+		serviceTimeRatio float64
+		// The noise amplitudes are standard deviations of the log of the latency.
+		sharedNoise     float64
+		newVersionNoise float64
+		// coldSeconds is how long upstreams are slow after a start; excluded is for
+		// how many seconds after a start the gates leave out their latencies.
+		coldSeconds     int
+		excluded        int
+		newVersionStart int
+		incidents       []incident
+		herdRestarts    []herdRestart
+		// alternative is the regression that a good version's calls are compared with.
+		effect                                 effect
+		alternative                            effect
+		effectStart                            int
+		effectMinUtilization                   float64
+		effectRoute                            int
+		random                                 *rand.Rand
+		sharedNoiseState, newVersionNoiseState float64
+		routeNames                             []kqname.Route
+		allCandidates                          []kqmember.Candidate
+		distribution, referenceDistribution    [kqevidence.Buckets]float64
+	}
+
+	// TickResult is what happened in one tick.
+	TickResult struct {
 		Sample kqevidence.Sample
-		// Share is the part of all calls that the new version got.
+		// Share is the new version's share of all calls.
 		Share float64
-		// Bad tells that the new version was bad in this tick, so that calls
-		// could show it.
+		// Bad reports that the regression was active and the new version had
+		// traffic, so that its calls could show it.
 		Bad bool
-		// Odds is how much likelier these calls are under the true badness,
-		// or for a good version the smallest one, than without it: the log of
-		// the ratio, in nats.
-		Odds float64
-	}
-
-	// moment is what holds for one version during one tick.
-	moment struct {
-		rate, use      float64
-		alive, cold    float64
-		young          float64
-		factor, errors float64
-		cut            float64
+		// LogLikelihoodRatio compares the probability of these calls with the true
+		// regression, or for a good version with one of the smallest regressions,
+		// to that without it, in nats.
+		LogLikelihoodRatio float64
+	}
+
+	// versionState is the state of one version during one tick. alive, cold and
+	// recentlyStarted are shares of its upstreams; interrupted is the share that
+	// crashes in this tick, which fails its calls in flight.
+	versionState struct {
+		rate, utilization        float64
+		alive, cold              float64
+		recentlyStarted          float64
+		latencyFactor, errorRate float64
+		interrupted              float64
 	}
 )
 
-// New draws the world of a kind; equal arguments draw equal worlds.
+// New returns a random world of a kind; equal arguments give equal worlds.
 func New(kind Kind, seed, index uint64) *World {
 	w := &World{Kind: kind}
 	w.draw(rand.New(rand.NewPCG(seed, index)))
 	w.random = rand.New(rand.NewPCG(seed^0x9e3779b97f4a7c15, index))
 	for i := range w.routes {
-		w.names = append(w.names, kqname.Route(fmt.Sprintf("route-%d", i)))
+		w.routeNames = append(w.routeNames, kqname.Route(fmt.Sprintf("route-%d", i)))
 	}
 	for i := range w.Servers {
-		w.all = append(w.all, w.candidate("old", i))
+		w.allCandidates = append(w.allCandidates, w.candidate("old", i))
 	}
 	for i := range w.Servers {
-		w.all = append(w.all, w.candidate("new", i))
+		w.allCandidates = append(w.allCandidates, w.candidate("new", i))
 	}
 	return w
 }
 
 func (w *World) candidate(v kqname.UpstreamVersion, i int) kqmember.Candidate {
 	return kqmember.Candidate{
-		Upstream: kqmember.Upstream{Service: "service", Version: v, Slots: w.SlotsEach},
+		Upstream: kqmember.Upstream{Service: "service", Version: v, Slots: w.SlotsPerServer},
 		Node:     kqname.Node(fmt.Sprintf("%s-%02d", v, i)),
 	}
 }
 
-// Slots returns the old version's slots and the new one's, those of upstreams
-// apart that started too lately for their slowness to count.
+// Slots returns the slots of the live upstreams: the old version's, and the new
+// version's by whether the upstream's latencies are counted (warm) or excluded
+// because it started too recently (cold).
 func (w *World) Slots(at int) (old, warm, cold int) {
-	total := float64(w.Servers * w.SlotsEach)
-	alive, _ := w.standing(at, true, w.coldFor)
-	standing, young := w.standing(at, false, w.excluded)
-	return int(total * alive), int(total * standing * (1 - young)), int(total * standing * young)
+	total := float64(w.Servers * w.SlotsPerServer)
+	alive, _ := w.liveShare(at, true, w.coldSeconds)
+	liveShare, recentlyStarted := w.liveShare(at, false, w.excluded)
+	return int(total * alive), int(total * liveShare * (1 - recentlyStarted)), int(total * liveShare * recentlyStarted)
 }
 
-// Tick plays one second in which the new version's share is as given.
-func (w *World) Tick(at int, of float64, small bool) Second {
-	w.shared = memory*w.shared + w.wobble*math.Sqrt(1-memory*memory)*w.random.NormFloat64()
-	w.own = memory*w.own + w.ownWobble*math.Sqrt(1-memory*memory)*w.random.NormFloat64()
-	old, next := w.moments(at, of, small)
-	bad := w.active(at, next)
-	young := kqevidence.Pair{Route: kqevidence.Young}
-	s := Second{Share: next.rate / (old.rate + next.rate), Bad: bad && next.rate > 0}
+// Tick simulates one second in which the new version's configured share is
+// newShare; small is passed on to kqshare.Share.
+func (w *World) Tick(at int, newShare float64, small bool) TickResult {
+	w.sharedNoiseState = noiseCorrelation*w.sharedNoiseState + w.sharedNoise*math.Sqrt(1-noiseCorrelation*noiseCorrelation)*w.random.NormFloat64()
+	w.newVersionNoiseState = noiseCorrelation*w.newVersionNoiseState + w.newVersionNoise*math.Sqrt(1-noiseCorrelation*noiseCorrelation)*w.random.NormFloat64()
+	old, next := w.versionStates(at, newShare, small)
+	bad := w.isEffectActive(at, next)
+	recentlyStarted := kqevidence.Pair{Route: kqevidence.Young}
+	s := TickResult{Share: next.rate / (old.rate + next.rate), Bad: bad && next.rate > 0}
 	for i := range w.routes {
-		p := kqevidence.Pair{Route: w.names[i]}
-		w.calls(&p.Old, &young.Old, i, old, none)
-		e := none
-		if bad && (w.onRoute < 0 || w.onRoute == i) {
+		p := kqevidence.Pair{Route: w.routeNames[i]}
+		w.drawCalls(&p.Old, &recentlyStarted.Old, i, old, noEffect)
+		e := noEffect
+		if bad && (w.effectRoute < 0 || w.effectRoute == i) {
 			e = w.effect
 		}
-		s.Odds += w.calls(&p.New, &young.New, i, next, e)
+		s.LogLikelihoodRatio += w.drawCalls(&p.New, &recentlyStarted.New, i, next, e)
 		s.Sample = append(s.Sample, p)
 	}
-	s.Sample = append(s.Sample, young)
+	s.Sample = append(s.Sample, recentlyStarted)
 	return s
 }
 
-// candidates returns the upstreams that live, the old ones first.
-func (w *World) candidates(old, next float64) []kqmember.Candidate {
+// liveCandidates returns the live upstreams, the old version's first.
+func (w *World) liveCandidates(old, next float64) []kqmember.Candidate {
 	if old == 1 && next == 1 {
-		return w.all
+		return w.allCandidates
 	}
-	some := append([]kqmember.Candidate{}, w.all[:int(math.Ceil(old*float64(w.Servers)))]...)
-	return append(some, w.all[w.Servers:w.Servers+int(math.Ceil(next*float64(w.Servers)))]...)
+	live := append([]kqmember.Candidate{}, w.allCandidates[:int(math.Ceil(old*float64(w.Servers)))]...)
+	return append(live, w.allCandidates[w.Servers:w.Servers+int(math.Ceil(next*float64(w.Servers)))]...)
 }
 
-// active reports whether the badness shows at the load that the new version's
-// upstreams have.
-func (w *World) active(at int, next moment) bool {
-	return !w.Kind.Good() && at >= w.from && next.use >= w.above
+// isEffectActive reports whether the regression occurs at this time and load.
+func (w *World) isEffectActive(at int, next versionState) bool {
+	return !w.Kind.Good() && at >= w.effectStart && next.utilization >= w.effectMinUtilization
 }
 
-func (w *World) moments(at int, of float64, small bool) (old, next moment) {
-	share := kqshare.Share{From: "old", To: "new", Of: of, Small: small}
-	old, next = w.surroundings(at, true), w.surroundings(at, false)
-	b := share.Burst(w.candidates(old.alive, next.alive))
+func (w *World) versionStates(at int, newShare float64, small bool) (old, next versionState) {
+	share := kqshare.Share{From: "old", To: "new", Of: newShare, Small: small}
+	old, next = w.conditions(at, true), w.conditions(at, false)
+	b := share.Burst(w.liveCandidates(old.alive, next.alive))
 	serving := float64(w.Servers)
 	if b.Nodes != nil {
 		serving = float64(len(b.Nodes))
 	}
-	day := w.rate * (1 + 0.2*math.Sin(2*math.Pi*float64(at)/1800))
+	totalRate := w.rate * (1 + 0.2*math.Sin(2*math.Pi*float64(at)/1800))
 	if next.alive > 0 && serving < float64(w.Servers) {
-		// The few are picked among those that live.
+		// Burst selects nodes among the live upstreams only.
 		next.alive = 1
 	}
-	next.rate = day * b.Within * b.Duty
-	next.use = day * b.Within * w.load / w.rate * float64(w.Servers) / serving / max(next.alive, 0.05)
-	if factor := w.slowdown(at, next); factor*next.use > 1 {
-		// What the slots cannot take is refused at the gate and goes to the
-		// old version.
-		next.rate /= factor * next.use
+	next.rate = totalRate * b.Within * b.Duty
+	next.utilization = totalRate * b.Within * w.load / w.rate * float64(w.Servers) / serving / max(next.alive, 0.05)
+	if latencyFactor := w.slowdown(at, next); latencyFactor*next.utilization > 1 {
+		// Calls beyond the slots' capacity are refused by the gate and retried at
+		// the old version.
+		next.rate /= latencyFactor * next.utilization
 	}
-	old.rate = day - next.rate
-	old.use = old.rate / w.rate * w.load / max(old.alive, 0.05)
-	next.factor *= w.differs * math.Exp(w.own)
+	old.rate = totalRate - next.rate
+	old.utilization = old.rate / w.rate * w.load / max(old.alive, 0.05)
+	next.latencyFactor *= w.serviceTimeRatio * math.Exp(w.newVersionNoiseState)
 	return old, next
 }
 
-func (w *World) slowdown(at int, next moment) float64 {
-	if w.active(at, next) && w.onRoute < 0 {
-		return w.effect.factor
+func (w *World) slowdown(at int, next versionState) float64 {
+	if w.isEffectActive(at, next) && w.effectRoute < 0 {
+		return w.effect.latencyFactor
 	}
 	return 1
 }
 
-func (w *World) surroundings(at int, old bool) moment {
-	m := moment{factor: math.Exp(w.shared)}
-	m.alive, m.cold = w.standing(at, old, w.coldFor)
-	_, m.young = w.standing(at, old, w.excluded)
-	m.young = max(m.young, m.cold)
-	for _, s := range w.spells {
+func (w *World) conditions(at int, old bool) versionState {
+	m := versionState{latencyFactor: math.Exp(w.sharedNoiseState)}
+	m.alive, m.cold = w.liveShare(at, old, w.coldSeconds)
+	_, m.recentlyStarted = w.liveShare(at, old, w.excluded)
+	m.recentlyStarted = max(m.recentlyStarted, m.cold)
+	for _, s := range w.incidents {
 		if at >= s.from && at < s.to {
-			m.factor *= s.factor
-			m.errors += s.errors
+			m.latencyFactor *= s.latencyFactor
+			m.errorRate += s.errorRate
 		}
 	}
-	for _, h := range w.herds {
+	for _, h := range w.herdRestarts {
 		if at == h.at {
-			m.cut += h.hit(old)
+			m.interrupted += h.killedShare(old)
 		}
 	}
 	return m
 }
 
-// standing returns the part of a version's upstreams that live, and the part
-// of those that started within the last seconds.
-func (w *World) standing(at int, old bool, within int) (alive, cold float64) {
+// liveShare returns the share of a version's upstreams that are alive, and the
+// share that started less than the given number of seconds ago.
+func (w *World) liveShare(at int, old bool, within int) (alive, cold float64) {
 	alive = 1
-	if !old && at < w.begun+within {
+	if !old && at < w.newVersionStart+within {
 		cold = 1
 	}
-	for _, h := range w.herds {
+	for _, h := range w.herdRestarts {
 		switch {
-		case at >= h.at && at < h.back:
-			alive -= h.hit(old)
-		case at >= h.back && at < h.back+within:
-			cold += h.hit(old)
+		case at >= h.at && at < h.recoveredAt:
+			alive -= h.killedShare(old)
+		case at >= h.recoveredAt && at < h.recoveredAt+within:
+			cold += h.killedShare(old)
 		}
 	}
 	return max(alive, 0), min(cold, 1)
 }
 
-func (h herd) hit(old bool) float64 {
+func (h herdRestart) killedShare(old bool) float64 {
 	if old {
 		return h.old
 	}
