--- a/internal/lab/kqsurvey/baseline.go
+++ b/internal/lab/kqsurvey/baseline.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// The baseline is what teams commonly run: five equal steps by the clock,
-	// and a plain threshold on the new version's failures.
-	baselineSteps     = 5
-	baselineWindow    = 30
-	baselineLeast     = 50
-	baselineThreshold = 0.02
+	// The baseline is a common rollout procedure: five steps of equal length and a
+	// fixed threshold on the new version's error rate in a sliding window.
+	baselineSteps        = 5
+	baselineWindowTicks  = 30
+	baselineMinCalls     = 50
+	baselineMaxErrorRate = 0.02
 )
 
 var baselineShares = [baselineSteps]float64{0.05, 0.25, 0.5, 0.75, 1}
 
-// playBaseline runs one rollout by a timer with a plain error threshold.
-func playBaseline(w *kqworld.World, prefer kqdocument.Preference) result {
+// simulateBaseline runs one rollout with the baseline's schedule and threshold.
+func simulateBaseline(w *kqworld.World, prefer kqdocument.Preference) result {
 	r := result{kind: w.Kind, at: -1}
-	t := &trial{world: w, shown: -1, sure: alarm(prefer)}
+	t := &trial{world: w, detectableAt: -1, threshold: detectionThreshold(prefer)}
 	n := int(w.Window / time.Second)
 	calls, failed := make([]float64, n), make([]float64, n)
 	sumCalls, sumFailed := 0.0, 0.0
 	for at := range n {
 		s := w.Tick(at, baselineShares[at*baselineSteps/n], false)
-		t.inform(at, s)
-		r.charge(t, at, s)
+		t.observe(at, s)
+		r.recordBadTick(t, at, s)
 		if r.at >= 0 {
-			// The tick that it takes until no call goes by the old share.
+			// One more tick passed after the decision, until it was in force everywhere.
 			break
 		}
 		for i := range s.Sample {
@@ -39,14 +39,14 @@
 		}
 		sumCalls += calls[at]
 		sumFailed += failed[at]
-		if at >= baselineWindow {
-			sumCalls -= calls[at-baselineWindow]
-			sumFailed -= failed[at-baselineWindow]
+		if at >= baselineWindowTicks {
+			sumCalls -= calls[at-baselineWindowTicks]
+			sumFailed -= failed[at-baselineWindowTicks]
 		}
-		if sumCalls >= baselineLeast && sumFailed > baselineThreshold*sumCalls {
-			r.at = at + lag
+		if sumCalls >= baselineMinCalls && sumFailed > baselineMaxErrorRate*sumCalls {
+			r.at = at + propagationTicks
 		}
 	}
-	r.right = (r.at < 0) == w.Kind.Good()
+	r.correct = (r.at < 0) == w.Kind.Good()
 	return r
 }
--- a/internal/lab/kqsurvey/doc.go
+++ b/internal/lab/kqsurvey/doc.go
@@ -1,4 +1,5 @@
-// Package kqsurvey plays many seeded rollouts in virtual time and reports how
-// often good versions finish on time and bad ones are taken back, beside two
-// references: a fixed timer, and a test that knows the true distributions.
+// Package kqsurvey simulates many seeded rollouts in virtual time and reports how
+// often good versions finish on time and bad ones are rolled back. It compares
+// kumquatgw with two references: a baseline that advances on a fixed schedule, and
+// an oracle that knows the true distributions.
 package kqsurvey
--- a/internal/lab/kqsurvey/record.go
+++ b/internal/lab/kqsurvey/record.go
@@ -15,7 +15,7 @@
 )
 
 type (
-	head struct {
+	traceHead struct {
 		Kind     string   `json:"kind"`
 		Decision string   `json:"decision"`
 		Seed     uint64   `json:"seed"`
@@ -28,31 +28,32 @@
 		SmallShare float64               `json:"small_share"`
 	}
 
-	line struct {
+	traceLine struct {
 		Kind  string `json:"kind"`
 		AtMS  int64  `json:"at_ms"`
 		Input any    `json:"input,omitempty"`
-		// Expect is what the recorded run came to.
+		// Expect is the outcome of the recorded run.
 		Expect any `json:"expect,omitempty"`
 	}
 
-	expectation struct {
+	outcome struct {
 		State string `json:"state"`
 		Step  int    `json:"step"`
 	}
 )
 
-// Record plays one rollout of a kind and writes it as a trace that states how
-// it ended. It returns the last second played.
+// Record simulates one rollout of a kind and writes it as a trace with its final
+// outcome. It reports whether the rollout ended as it should: a good version done,
+// a bad one taken back.
 func Record(out io.Writer, kind kqworld.Kind, seed, index uint64, prefer kqdocument.Preference) (bool, error) {
 	w := kqworld.New(kind, seed, index)
 	start := time.UnixMilli(0)
-	t := &trial{world: w, judge: kqverdict.New(), shown: -1, plan: kqplan.Plan{
+	t := &trial{world: w, judge: kqverdict.New(), detectableAt: -1, plan: kqplan.Plan{
 		Name: "move", Start: start, Deadline: start.Add(w.Window), Prefer: prefer, SmallShare: 0.05,
 	}}
 	e := json.NewEncoder(out)
-	err := e.Encode(head{"trace", "rollout", seed, settings{prefer, w.Window.Milliseconds(), 0.05}})
-	end := expectation{State: "running"}
+	err := e.Encode(traceHead{"trace", "rollout", seed, settings{prefer, w.Window.Milliseconds(), 0.05}})
+	end := outcome{State: "running"}
 	for at := 0; err == nil && at < int(w.Window/tick) && end.State == "running"; at++ {
 		s := w.Tick(at, kqstep.Share(t.plan, t.progress.Step), t.progress.Step <= kqstep.Small)
 		t.judge.Observe(s.Sample)
@@ -60,10 +61,10 @@
 		input := kqtick.Tick{Sample: s.Sample}
 		input.OldSlots, input.NewSlots, input.ColdSlots = w.Slots(at)
 		ms := int64(at+1) * tick.Milliseconds()
-		err = e.Encode(line{Kind: "input", AtMS: ms, Input: input})
-		end.note(d, t)
+		err = e.Encode(traceLine{Kind: "input", AtMS: ms, Input: input})
+		end.apply(d, t)
 		if end.State != "running" && err == nil {
-			err = e.Encode(line{Kind: "outcome", AtMS: ms, Expect: end})
+			err = e.Encode(traceLine{Kind: "outcome", AtMS: ms, Expect: end})
 		}
 	}
 	if err != nil {
@@ -72,8 +73,8 @@
 	return (end.State == "done") == kind.Good() && end.State != "running", nil
 }
 
-// note takes in a decision.
-func (x *expectation) note(d kqstep.Decision, t *trial) {
+// apply updates the outcome and the trial's step after a decision.
+func (x *outcome) apply(d kqstep.Decision, t *trial) {
 	switch d.Action {
 	case kqstep.Advance:
 		t.progress.Step++
--- a/internal/lab/kqsurvey/survey.go
+++ b/internal/lab/kqsurvey/survey.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	defaultCount = 1000
-	// smallShare leaves room for a second with some calls more than the mean.
-	smallShare = 0.0505
+	defaultRollouts = 1000
+	// maxSmallShare is the bound of 5% with a tolerance for ticks in which random
+	// arrivals exceed the mean.
+	maxSmallShare = 0.0505
 )
 
 type (
-	// Survey plays rollouts; Run makes the report.
+	// Survey simulates rollouts of all kinds; Run returns the report.
 	Survey struct {
 		seed    uint64
 		count   int
@@ -26,16 +27,16 @@
 		kinds   []kqworld.Kind
 	}
 
-	// Option sets up a Survey.
+	// Option configures a Survey.
 	Option func(*Survey)
 
-	// Report is what all rollouts came to.
+	// Report is the results of all rollouts.
 	Report struct {
 		Seed     uint64   `json:"seed"`
 		Policies []Policy `json:"policies"`
 	}
 
-	// Policy is what one decider made of one policy's rollouts.
+	// Policy is the results of one decider under one policy.
 	Policy struct {
 		Policy  kqname.Policy `json:"policy"`
 		Decider string        `json:"decider"`
@@ -45,123 +46,127 @@
 		Bad          int     `json:"bad"`
 		BadTakenBack float64 `json:"bad_taken_back"`
 		// BadShareMax is the largest share of traffic that a version had
-		// while it was bad; versions that turn bad later are left out, since
-		// they had earned it.
+		// while it was bad. FailsLater versions are left out, since their share
+		// had grown while they were good.
 		BadShareMax float64 `json:"bad_share_max"`
-		// SecondsAfterShowing is the 99th percentile of the seconds from when
-		// the informed test was sure to no traffic.
+		// SecondsAfterShowing is the 99th percentile of the time, in seconds, that
+		// bad versions still had traffic after the oracle had detected them.
 		SecondsAfterShowing float64 `json:"seconds_after_showing_p99"`
 		Kinds               []Kind  `json:"kinds"`
 	}
 
-	// Kind is what one decider made of one kind of version.
+	// Kind is the results of one decider for one kind of version.
 	Kind struct {
 		Kind  kqworld.Kind `json:"kind"`
 		Count int          `json:"count"`
-		// Right is the share, from 0 to 1, that ended as they should.
+		// Right is the share of rollouts, from 0 to 1, with the correct end.
 		Right float64 `json:"right"`
 
-		// ShareMax and the seconds and calls after showing are for the table.
+		// ShareMax is the largest share of traffic that a version had while it was
+		// bad. SecondsP99 and CallsP99 count from the oracle's detection. These
+		// fields appear only in the printed table.
 		ShareMax float64 `json:"-"`
-		// Over is how many had more than 5% of the traffic while they were bad.
+		// Over counts the versions that had more than 5% of the traffic, as bounded
+		// by maxSmallShare, while they were bad.
 		Over       int     `json:"-"`
 		SecondsP99 float64 `json:"-"`
 		CallsP99   float64 `json:"-"`
 	}
 )
 
-// WithCount sets how many rollouts each policy gets.
+// WithCount sets the number of rollouts per policy.
 func WithCount(n int) Option { return func(s *Survey) { s.count = n } }
 
-// WithWorkers sets how many rollouts are played at a time.
+// WithWorkers sets how many rollouts are simulated concurrently.
 func WithWorkers(n int) Option { return func(s *Survey) { s.workers = max(n, 1) } }
 
-// New returns a survey of 1,000 rollouts a policy, spread evenly over all kinds.
+// New returns a survey of 1,000 rollouts per policy, distributed evenly over all
+// kinds.
 func New(seed uint64, options ...Option) *Survey {
-	s := &Survey{seed: seed, count: defaultCount, workers: min(4, runtime.GOMAXPROCS(0)), kinds: kqworld.Kinds}
+	s := &Survey{seed: seed, count: defaultRollouts, workers: min(4, runtime.GOMAXPROCS(0)), kinds: kqworld.Kinds}
 	for _, o := range options {
 		o(s)
 	}
 	return s
 }
 
-// Run plays all rollouts. Equal seeds give equal reports.
+// Run simulates all rollouts. Equal seeds give equal reports.
 func (s *Survey) Run() Report {
 	report := Report{Seed: s.seed}
 	for _, p := range []struct {
 		name   kqname.Policy
 		prefer kqdocument.Preference
 	}{{"finishing-first", kqdocument.PreferFinishing}, {"taking-back-first", kqdocument.PreferTakingBack}} {
-		ours, limit, baseline := s.play(p.prefer)
+		actual, oracle, baseline := s.simulate(p.prefer)
 		report.Policies = append(report.Policies,
-			s.sum(p.name, "kumquatgw", ours), s.sum(p.name, "baseline", baseline), s.sum(p.name, "limit", limit))
+			s.summarize(p.name, "kumquatgw", actual), s.summarize(p.name, "baseline", baseline), s.summarize(p.name, "limit", oracle))
 	}
 	return report
 }
 
-func (s *Survey) play(prefer kqdocument.Preference) (ours, limit, baseline []result) {
-	ours, limit, baseline = make([]result, s.count), make([]result, s.count), make([]result, s.count)
+func (s *Survey) simulate(prefer kqdocument.Preference) (actual, oracle, baseline []result) {
+	actual, oracle, baseline = make([]result, s.count), make([]result, s.count), make([]result, s.count)
 	workers := pool.New().WithMaxGoroutines(s.workers)
 	for i := range s.count {
 		workers.Go(func() {
 			kind := s.kinds[i%len(s.kinds)]
-			ours[i], limit[i] = play(kqworld.New(kind, s.seed, uint64(i)), prefer)
-			baseline[i] = playBaseline(kqworld.New(kind, s.seed, uint64(i)), prefer)
+			actual[i], oracle[i] = simulate(kqworld.New(kind, s.seed, uint64(i)), prefer)
+			baseline[i] = simulateBaseline(kqworld.New(kind, s.seed, uint64(i)), prefer)
 		})
 	}
 	workers.Wait()
-	return ours, limit, baseline
+	return actual, oracle, baseline
 }
 
-func (s *Survey) sum(policy kqname.Policy, decider string, results []result) Policy {
+func (s *Survey) summarize(policy kqname.Policy, decider string, results []result) Policy {
 	p := Policy{Policy: policy, Decider: decider}
-	var seconds []float64
+	var badSeconds []float64
 	for _, k := range s.kinds {
-		one := Kind{Kind: k}
+		summary := Kind{Kind: k}
 		var kindSeconds, kindCalls []float64
 		for _, r := range results {
 			if r.kind != k {
 				continue
 			}
-			one.Count++
-			if r.right {
-				one.Right++
+			summary.Count++
+			if r.correct {
+				summary.Right++
 			}
-			one.ShareMax = max(one.ShareMax, r.share)
-			if r.share > smallShare {
-				one.Over++
+			summary.ShareMax = max(summary.ShareMax, r.maxBadShare)
+			if r.maxBadShare > maxSmallShare {
+				summary.Over++
 			}
-			kindSeconds = append(kindSeconds, r.seconds)
-			kindCalls = append(kindCalls, r.calls)
+			kindSeconds = append(kindSeconds, r.badSeconds)
+			kindCalls = append(kindCalls, r.badCalls)
 		}
-		p.add(k, one)
-		one.Right /= float64(max(one.Count, 1))
-		one.SecondsP99, one.CallsP99 = percentile(kindSeconds), percentile(kindCalls)
-		p.Kinds = append(p.Kinds, one)
+		p.addKind(k, summary)
+		summary.Right /= float64(max(summary.Count, 1))
+		summary.SecondsP99, summary.CallsP99 = p99(kindSeconds), p99(kindCalls)
+		p.Kinds = append(p.Kinds, summary)
 		if !k.Good() {
-			seconds = append(seconds, kindSeconds...)
+			badSeconds = append(badSeconds, kindSeconds...)
 		}
 	}
 	p.GoodOnTime /= float64(max(p.Good, 1))
 	p.BadTakenBack /= float64(max(p.Bad, 1))
-	p.SecondsAfterShowing = percentile(seconds)
+	p.SecondsAfterShowing = p99(badSeconds)
 	return p
 }
 
-func (p *Policy) add(k kqworld.Kind, one Kind) {
+func (p *Policy) addKind(k kqworld.Kind, summary Kind) {
 	if k.Good() {
-		p.Good += one.Count
-		p.GoodOnTime += one.Right
+		p.Good += summary.Count
+		p.GoodOnTime += summary.Right
 		return
 	}
-	p.Bad += one.Count
-	p.BadTakenBack += one.Right
+	p.Bad += summary.Count
+	p.BadTakenBack += summary.Right
 	if k != kqworld.FailsLater {
-		p.BadShareMax = max(p.BadShareMax, one.ShareMax)
+		p.BadShareMax = max(p.BadShareMax, summary.ShareMax)
 	}
 }
 
-func percentile(values []float64) float64 {
+func p99(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
--- a/internal/lab/kqsurvey/trial.go
+++ b/internal/lab/kqsurvey/trial.go
@@ -14,57 +14,60 @@
 
 const (
 	tick = time.Second
-	// lag is how many ticks pass from a decision until no call goes by the old
-	// one: a tick until the gates have reported, and the way to all nodes.
-	lag = 1
+	// propagationTicks is how many ticks pass from a decision until all calls
+	// follow it: the gates' reports take up to a tick, and the decision has to
+	// reach all nodes.
+	propagationTicks = 1
 )
 
 type (
-	// result is how one rollout ended under one decider.
+	// result is the outcome of one rollout under one decider.
 	result struct {
-		kind  kqworld.Kind
-		right bool
-		// share is the most that a version had while it was bad.
-		share float64
-		// seconds and calls are from the badness showing to no traffic.
-		seconds, calls float64
-		// at is the second at which it was taken back, -1 if it was not.
+		kind    kqworld.Kind
+		correct bool
+		// maxBadShare is the version's largest share of traffic while it was bad.
+		maxBadShare float64
+		// badSeconds and badCalls count the ticks and calls of the bad version
+		// after the oracle has detected the regression.
+		badSeconds, badCalls float64
+		// at is the second from which taking the version back was in force (for the
+		// oracle, when it detected the regression), -1 if it was kept.
 		at int
 	}
 
-	// trial plays one rollout.
+	// trial is the state of one simulated rollout.
 	trial struct {
 		world    *kqworld.World
 		plan     kqplan.Plan
 		progress kqprogress.Progress
 		judge    *kqverdict.Judge
-		// odds is what the informed test has, and shown the tick at which it
-		// was sure.
-		odds  float64
-		shown int
-		sure  float64
+		// logLikelihoodRatio is the oracle's evidence so far. detectableAt is the
+		// tick in which it reached threshold, -1 before.
+		logLikelihoodRatio float64
+		detectableAt       int
+		threshold          float64
 	}
 )
 
-// play runs one rollout under kumquatgw's decisions and, on the same calls,
-// under the test that knows the true distributions. The calls go on after the
-// rollout is taken back, for that test alone.
-func play(w *kqworld.World, prefer kqdocument.Preference) (ours, limit result) {
+// simulate runs one rollout with kumquatgw's decisions and, on the same calls, the
+// oracle that knows the true distributions. Calls continue after the rollout is
+// taken back, for the oracle only.
+func simulate(w *kqworld.World, prefer kqdocument.Preference) (actual, oracle result) {
 	start := time.Unix(0, 0)
 	t := &trial{
-		world: w, judge: kqverdict.New(), shown: -1, sure: alarm(prefer),
+		world: w, judge: kqverdict.New(), detectableAt: -1, threshold: detectionThreshold(prefer),
 		plan: kqplan.Plan{Name: "move", Start: start, Deadline: start.Add(w.Window), Prefer: prefer, SmallShare: 0.05},
 	}
-	ours = result{kind: w.Kind, at: -1}
-	limit = result{kind: w.Kind, at: -1}
-	ended, off := false, -1
+	actual = result{kind: w.Kind, at: -1}
+	oracle = result{kind: w.Kind, at: -1}
+	ended, drainedAt := false, -1
 	for at := 0; at < int(w.Window/tick); at++ {
 		s := w.Tick(at, kqstep.Share(t.plan, t.progress.Step), t.progress.Step <= kqstep.Small)
-		if t.inform(at, s) && limit.at < 0 {
-			limit.at = at
+		if t.observe(at, s) && oracle.at < 0 {
+			oracle.at = at
 		}
-		if off < 0 || at <= off {
-			ours.charge(t, at, s)
+		if drainedAt < 0 || at <= drainedAt {
+			actual.recordBadTick(t, at, s)
 		}
 		if ended {
 			continue
@@ -72,20 +75,20 @@
 		t.judge.Observe(s.Sample)
 		switch d := t.decide(start.Add(time.Duration(at+1) * tick)); d.Action {
 		case kqstep.TakeBack:
-			ended, off, ours.at = true, at+lag, at+lag
+			ended, drainedAt, actual.at = true, at+propagationTicks, at+propagationTicks
 		case kqstep.Done:
 			ended = true
-			ours.right = w.Kind.Good()
+			actual.correct = w.Kind.Good()
 		case kqstep.Advance:
 			t.progress.Step++
 		case kqstep.Hold:
 		}
 	}
 	if !w.Kind.Good() {
-		ours.right = ours.at >= 0
+		actual.correct = actual.at >= 0
 	}
-	limit.right = (limit.at >= 0 || t.odds > 0) != w.Kind.Good()
-	return ours, limit
+	oracle.correct = (oracle.at >= 0 || t.logLikelihoodRatio > 0) != w.Kind.Good()
+	return actual, oracle
 }
 
 func (t *trial) decide(now time.Time) kqstep.Decision {
@@ -94,34 +97,36 @@
 	return kqstep.Decide(now, s)
 }
 
-// inform lets the informed test weigh a tick, and reports whether it is sure.
-// It knows when the badness begins, and counts from there.
-func (t *trial) inform(at int, s kqworld.TickResult) bool {
+// observe adds a tick to the oracle's evidence and reports whether the oracle has
+// detected a regression. For bad versions it uses only ticks with the regression.
+func (t *trial) observe(at int, s kqworld.TickResult) bool {
 	if !s.Bad && !t.world.Kind.Good() {
-		return t.shown >= 0
+		return t.detectableAt >= 0
 	}
-	t.odds += s.LogLikelihoodRatio
-	if t.odds >= t.sure && t.shown < 0 {
-		t.shown = at
+	t.logLikelihoodRatio += s.LogLikelihoodRatio
+	if t.logLikelihoodRatio >= t.threshold && t.detectableAt < 0 {
+		t.detectableAt = at
 	}
-	return t.shown >= 0
+	return t.detectableAt >= 0
 }
 
-// charge counts what a bad version got. A version that is never taken back is
-// charged until the deadline.
-func (r *result) charge(t *trial, at int, s kqworld.TickResult) {
+// recordBadTick records a bad version's traffic in one tick. For a version that is
+// never taken back, this continues until the deadline.
+func (r *result) recordBadTick(t *trial, at int, s kqworld.TickResult) {
 	if !s.Bad {
 		return
 	}
-	r.share = max(r.share, s.Share)
-	if t.shown >= 0 && at > t.shown {
-		r.seconds++
-		_, calls := s.Sample.Calls()
-		r.calls += float64(calls)
+	r.maxBadShare = max(r.maxBadShare, s.Share)
+	if t.detectableAt >= 0 && at > t.detectableAt {
+		r.badSeconds++
+		_, badCalls := s.Sample.Calls()
+		r.badCalls += float64(badCalls)
 	}
 }
 
-func alarm(prefer kqdocument.Preference) float64 {
+// detectionThreshold returns the log likelihood ratio at which the oracle detects a
+// regression.
+func detectionThreshold(prefer kqdocument.Preference) float64 {
 	if prefer == kqdocument.PreferTakingBack {
 		return math.Log(1 / 0.01)
 	}
