--- a/internal/lab/kqplayers/doc.go
+++ b/internal/lab/kqplayers/doc.go
@@ -1,4 +1,4 @@
-// Package kqplayers lets recorded traces run through the decision packages,
-// one file a decision. A new decision adds its line to All and a section to
-// docs/TRACES.md.
+// Package kqplayers implements a kqreplay.Player for each decision that traces can
+// be recorded for, one file per decision. A new decision needs an entry in All and
+// a section in docs/TRACES.md.
 package kqplayers
--- a/internal/lab/kqplayers/load.go
+++ b/internal/lab/kqplayers/load.go
@@ -12,15 +12,15 @@
 )
 
 type (
-	// load plays all decisions on a service's calls together, judged by what
-	// callers receive.
+	// load is the player for all decisions on a service's calls together, run in
+	// kqloadmodel. Its state is the results that callers receive.
 	load struct {
 		model     *kqloadmodel.Model
 		upstreams int
 	}
 
-	// loadInput is one of: a stream of calls that begins, an upstream that
-	// becomes slower or faster, or a mark from which the outcomes count anew.
+	// loadInput is one of: a stream of calls that starts, a change of an upstream's
+	// service time, or a reset of the tally.
 	loadInput struct {
 		Stream           *kqloadmodel.Stream `json:"stream"`
 		ScaleServiceTime *serviceTimeScale   `json:"slow"`
@@ -55,7 +55,7 @@
 
 func newLoad(settings json.RawMessage, seed uint64) (kqreplay.Player, error) {
 	s := kqloadmodel.Settings{Upstreams: 6, Slots: 6, Entries: 6}
-	if err := read(settings, &s); err != nil {
+	if err := decodeStrict(settings, &s); err != nil {
 		return nil, err
 	}
 	if s.Upstreams < 1 || s.Slots < 1 || s.Entries < 1 {
@@ -67,7 +67,7 @@
 // Input implements kqreplay.Player.
 func (l *load) Input(at time.Duration, input json.RawMessage) ([]kqreplay.Decision, error) {
 	var in loadInput
-	if err := read(input, &in); err != nil {
+	if err := decodeStrict(input, &in); err != nil {
 		return nil, err
 	}
 	l.model.RunUntil(time.UnixMilli(0).Add(at))
@@ -79,7 +79,7 @@
 	case in.ResetTally:
 		l.model.ResetTally()
 	default:
-		return nil, fmt.Errorf("input %s is no stream with rate, work_ms and deadline_ms, no slow upstream and no mark", input)
+		return nil, fmt.Errorf("input %s must have a stream with rate, work_ms and deadline_ms over 0, a slow with a known upstream and a factor over 0, or a mark", input)
 	}
 	return nil, nil
 }
@@ -97,19 +97,19 @@
 		s.RefusalsByReason[string(reason)] = n
 	}
 	for name, g := range t.Callers {
-		s.Callers[string(name)] = groupOf(g)
+		s.Callers[string(name)] = summarizeGroup(g)
 	}
 	for name, g := range t.Routes {
-		s.Routes[string(name)] = groupOf(g)
+		s.Routes[string(name)] = summarizeGroup(g)
 	}
 	return s, nil
 }
 
-func groupOf(g *kqloadmodel.Group) loadGroup {
+func summarizeGroup(g *kqloadmodel.Group) loadGroup {
 	return loadGroup{Ended: g.Ended, InTimeShare: g.InTimeShare(), P50: quantile(g.Latency, 50), P99: quantile(g.Latency, 99)}
 }
 
-// quantile is in milliseconds.
+// quantile returns a quantile of a histogram of microseconds, in milliseconds.
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
--- a/internal/lab/kqplayers/players_test.go
+++ b/internal/lab/kqplayers/players_test.go
@@ -10,12 +10,12 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqreplay"
 )
 
-// A decision that changes its mind makes a recorded day end otherwise; the
-// trace that states the outcome then names the line.
+// A change to a decision package that alters the outcome of a recorded trace must
+// fail with the line of that outcome.
 func TestRecordedTraces(t *testing.T) {
 	files, err := filepath.Glob("../../../testdata/traces/*.jsonl")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("traces %v, %v, want some", files, err)
+		t.Fatalf("found traces %v with error %v, want at least one", files, err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -28,11 +28,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			maker, ok := kqplayers.All()[trace.Decision]
+			newPlayer, ok := kqplayers.All()[trace.Decision]
 			if !ok {
 				t.Fatalf("decision %q has no player", trace.Decision)
 			}
-			if _, err := trace.Run(maker, func(int, time.Duration, kqreplay.Decision) {}); err != nil {
+			if _, err := trace.Run(newPlayer, func(int, time.Duration, kqreplay.Decision) {}); err != nil {
 				t.Error(err)
 			}
 		})
--- a/internal/lab/kqplayers/rollout.go
+++ b/internal/lab/kqplayers/rollout.go
@@ -15,14 +15,14 @@
 )
 
 type (
-	// rollout plays kqverdict and kqstep: what each second's calls do to a
-	// rollout's step.
+	// rollout is the player for kqverdict and kqstep: the rollout's step after each
+	// second's calls.
 	rollout struct {
-		plan     kqplan.Plan
-		progress kqprogress.Progress
-		judge    *kqverdict.Judge
-		last     kqstep.Decision
-		final    kqprogress.Final
+		plan         kqplan.Plan
+		progress     kqprogress.Progress
+		judge        *kqverdict.Judge
+		lastDecision kqstep.Decision
+		final        kqprogress.Final
 	}
 
 	rolloutSettings struct {
@@ -41,11 +41,11 @@
 
 func newRollout(settings json.RawMessage, _ uint64) (kqreplay.Player, error) {
 	s := rolloutSettings{Prefer: kqdocument.PreferFinishing, SmallShare: 0.05}
-	if err := read(settings, &s); err != nil {
+	if err := decodeStrict(settings, &s); err != nil {
 		return nil, err
 	}
 	if s.WindowMS <= 0 {
-		return nil, fmt.Errorf("window_ms %v must be over 0", s.WindowMS)
+		return nil, fmt.Errorf("window_ms %v must be greater than 0", s.WindowMS)
 	}
 	start := time.UnixMilli(0)
 	return &rollout{judge: kqverdict.New(), plan: kqplan.Plan{
@@ -57,7 +57,7 @@
 // Input implements kqreplay.Player.
 func (r *rollout) Input(at time.Duration, input json.RawMessage) ([]kqreplay.Decision, error) {
 	var t kqtick.Tick
-	if err := read(input, &t); err != nil {
+	if err := decodeStrict(input, &t); err != nil {
 		return nil, err
 	}
 	if r.final != kqprogress.Open {
@@ -77,11 +77,11 @@
 	case kqstep.TakeBack:
 		r.final = kqprogress.TakenBack
 	case kqstep.Hold:
-		if r.last.Action == kqstep.Hold {
+		if r.lastDecision.Action == kqstep.Hold {
 			return nil, nil
 		}
 	}
-	r.last = d
+	r.lastDecision = d
 	return []kqreplay.Decision{{
 		Text:   fmt.Sprintf("%s, step %d, share %.2f", d.Action, r.progress.Step, r.share()),
 		Reason: d.Why,
@@ -90,7 +90,7 @@
 
 // State implements kqreplay.Player.
 func (r *rollout) State(time.Duration) (any, error) {
-	s := rolloutState{State: "running", Step: r.progress.Step, Share: r.share(), Why: r.last.Why}
+	s := rolloutState{State: "running", Step: r.progress.Step, Share: r.share(), Why: r.lastDecision.Why}
 	if r.final != kqprogress.Open {
 		s.State = string(r.final)
 	}
--- a/internal/lab/kqplayers/slots.go
+++ b/internal/lab/kqplayers/slots.go
@@ -15,19 +15,20 @@
 )
 
 type (
-	// slots plays kqslots: which call gets one of an upstream's slots.
+	// slots is the player for kqslots: which calls get an upstream's slots.
 	slots struct {
-		decide  *kqslots.Slots
-		tickets map[int]*kqslots.Ticket
-		state   slotsState
+		admission *kqslots.Slots
+		tickets   map[int]*kqslots.Ticket
+		state     slotsState
 	}
 
 	slotsSettings struct {
 		Slots int `json:"slots"`
 	}
 
-	// slotsInput names one call that enters, leaves its slot after took_ms or
-	// has used up its time; or it changes the slots or closes the gate.
+	// slotsInput is one of: a call that arrives (enter), that releases its slot after
+	// took_ms (leave) or whose wait times out (expire), a new number of slots, or the
+	// close of the gate. Calls are identified by positive numbers.
 	slotsInput struct {
 		Enter      int              `json:"enter"`
 		Caller     kqname.Caller    `json:"caller"`
@@ -50,23 +51,23 @@
 
 func newSlots(settings json.RawMessage, seed uint64) (kqreplay.Player, error) {
 	s := slotsSettings{Slots: 6}
-	if err := read(settings, &s); err != nil {
+	if err := decodeStrict(settings, &s); err != nil {
 		return nil, err
 	}
 	if s.Slots < 1 {
 		return nil, fmt.Errorf("slots %d must be at least 1", s.Slots)
 	}
 	return &slots{
-		decide:  kqslots.New(s.Slots, seed),
-		tickets: make(map[int]*kqslots.Ticket),
-		state:   slotsState{Running: []int{}, Waiting: []int{}, Refused: make(map[int]kqcall.Reason)},
+		admission: kqslots.New(s.Slots, seed),
+		tickets:   make(map[int]*kqslots.Ticket),
+		state:     slotsState{Running: []int{}, Waiting: []int{}, Refused: make(map[int]kqcall.Reason)},
 	}, nil
 }
 
 // Input implements kqreplay.Player.
 func (s *slots) Input(at time.Duration, input json.RawMessage) ([]kqreplay.Decision, error) {
 	var in slotsInput
-	if err := read(input, &in); err != nil {
+	if err := decodeStrict(input, &in); err != nil {
 		return nil, err
 	}
 	now := time.UnixMilli(0).Add(at)
@@ -77,32 +78,33 @@
 			Deadline: time.UnixMilli(0).Add(milliseconds(in.DeadlineMS)),
 		}
 		s.tickets[in.Enter] = t
-		s.decide.Enter(t, now)
+		s.admission.Enter(t, now)
 	case in.Leave > 0 && slices.Contains(s.state.Running, in.Leave):
 		t := s.tickets[in.Leave]
 		delete(s.tickets, in.Leave)
-		s.decide.Leave(t, milliseconds(in.TookMS), now)
+		s.admission.Leave(t, milliseconds(in.TookMS), now)
 	case in.Expire > 0 && slices.Contains(s.state.Waiting, in.Expire):
-		s.decide.Expire(s.tickets[in.Expire])
+		s.admission.Expire(s.tickets[in.Expire])
 	case in.Slots > 0:
-		s.decide.Resize(in.Slots, now)
+		s.admission.Resize(in.Slots, now)
 	case in.Close:
-		s.decide.Close()
+		s.admission.Close()
 	default:
 		return nil, fmt.Errorf("input %s names no new call to enter, no running call to leave and no waiting call to expire", input)
 	}
-	return s.settle(), nil
+	return s.applyVerdicts(), nil
 }
 
 // State implements kqreplay.Player.
 func (s *slots) State(time.Duration) (any, error) { return s.state, nil }
 
-// settle takes over the tickets' verdicts and tells those that are new.
-func (s *slots) settle() []kqreplay.Decision {
+// applyVerdicts updates the state from the tickets' verdicts and returns the
+// decisions that are new.
+func (s *slots) applyVerdicts() []kqreplay.Decision {
 	var decisions []kqreplay.Decision
 	before := s.state
 	s.state = slotsState{Running: []int{}, Waiting: []int{}, Refused: before.Refused}
-	tell := func(known bool, text, reason string) {
+	addIfNew := func(known bool, text, reason string) {
 		if !known {
 			decisions = append(decisions, kqreplay.Decision{Text: text, Reason: reason})
 		}
@@ -112,14 +114,14 @@
 		switch t.Verdict {
 		case kqslots.Run:
 			s.state.Running = append(s.state.Running, call)
-			tell(slices.Contains(before.Running, call), fmt.Sprintf("call %d runs", call), "a slot is free")
+			addIfNew(slices.Contains(before.Running, call), fmt.Sprintf("call %d runs", call), "a slot is free")
 		case kqslots.Wait:
 			s.state.Waiting = append(s.state.Waiting, call)
-			tell(slices.Contains(before.Waiting, call), fmt.Sprintf("call %d waits", call), fmt.Sprintf("%d calls run", s.decide.Load().Running))
+			addIfNew(slices.Contains(before.Waiting, call), fmt.Sprintf("call %d waits", call), fmt.Sprintf("%d calls run", s.admission.Load().Running))
 		case kqslots.Refuse:
 			_, known := before.Refused[call]
 			s.state.Refused[call] = t.Refusal.Reason
-			tell(known, fmt.Sprintf("call %d is refused", call), string(t.Refusal.Reason))
+			addIfNew(known, fmt.Sprintf("call %d is refused", call), string(t.Refusal.Reason))
 		}
 	}
 	return decisions
--- a/internal/lab/kqreplay/doc.go
+++ b/internal/lab/kqreplay/doc.go
@@ -1,3 +1,3 @@
-// Package kqreplay runs recorded traces through the decision packages and
-// compares what they decide with the outcomes that a trace states.
+// Package kqreplay replays recorded traces through the decision packages and
+// compares their state with the outcomes that a trace expects.
 package kqreplay
--- a/internal/lab/kqreplay/replay.go
+++ b/internal/lab/kqreplay/replay.go
@@ -6,25 +6,25 @@
 )
 
 type (
-	// Player runs one decision package on recorded inputs. Time is what the
-	// trace says; a player reads no clock.
+	// Player feeds recorded inputs to a decision package. It takes the time from the
+	// trace and reads no clock.
 	Player interface {
-		// Input takes one recorded input at a time since the trace's start and
-		// returns the decisions that it led to.
+		// Input processes one recorded input; at is the time since the trace's
+		// start. It returns the decisions that the input caused.
 		Input(at time.Duration, input json.RawMessage) ([]Decision, error)
-		// State returns the values that a trace can state as outcomes, as a
-		// value whose JSON form is an object of snake_case fields.
+		// State returns the values that outcomes are compared with. It must encode
+		// as a JSON object with snake_case fields.
 		State(at time.Duration) (any, error)
 	}
 
-	// Decision is one thing decided, told in words for --explain.
+	// Decision describes one decision for the output of --explain.
 	Decision struct {
-		// Text says what was decided, such as "call 7 waits".
+		// Text is the decision, such as "call 7 waits".
 		Text string
-		// Reason says why, such as "all 6 slots are taken".
+		// Reason is the reason for it, such as "all 6 slots are taken".
 		Reason string
 	}
 
-	// Maker makes a player from the settings and the seed in a trace's head.
-	Maker func(settings json.RawMessage, seed uint64) (Player, error)
+	// PlayerFactory creates a player from the settings and seed in a trace's head.
+	PlayerFactory func(settings json.RawMessage, seed uint64) (Player, error)
 )
--- a/internal/lab/kqreplay/replay_test.go
+++ b/internal/lab/kqreplay/replay_test.go
@@ -12,7 +12,7 @@
 
 const head = `{"kind":"trace","decision":"count","seed":1}` + "\n"
 
-// counter is the simplest player: it counts its inputs.
+// counter is a Player that counts its inputs.
 type counter struct{ seen int }
 
 func (c *counter) Input(time.Duration, json.RawMessage) ([]kqreplay.Decision, error) {
@@ -42,27 +42,27 @@
 	}
 }
 
-// A stated outcome is not met, or a trace was written by hand with a slip. The
-// reader is told the file, the line and the place, and nothing passes quietly.
-func TestFaultsNameTheLine(t *testing.T) {
+// A trace whose outcome doesn't match, or with a mistake from editing by hand, must
+// fail with an error that names the file, the line and the field.
+func TestErrorsNameTheLine(t *testing.T) {
 	outcome := `{"kind":"outcome","at_ms":1,"expect":{"seen":0}}` + "\n"
 	for name, c := range map[string]struct {
 		text, want string
 		is         error
 	}{
-		"missed":        {head + outcome + `{"kind":"outcome","at_ms":2,"expect":{"seen":3}}`, "trace:3: outcome missed at 2ms: state.seen is 0, want 3", kqreplay.ErrMissed},
-		"missed range":  {head + `{"kind":"outcome","at_ms":2,"expect":{"seen":{"min":1}}}`, "trace:2:", kqreplay.ErrMissed},
-		"missed list":   {head + `{"kind":"outcome","at_ms":2,"expect":{"other":["a","b"]}}`, "state.other", kqreplay.ErrMissed},
-		"unknown field": {head + `{"kind":"outcome","at_ms":2,"expect":{"nothing":1}}`, "state.nothing is missing", kqreplay.ErrMissed},
-		"not JSON":      {head + outcome + "{", "trace:3:", kqreplay.ErrMalformed},
-		"two values":    {head + outcome + "{}{}", "trace:3:", kqreplay.ErrMalformed},
-		"typing slip":   {head + outcome + `{"kind":"input","at":3,"input":{}}`, "trace:3:", kqreplay.ErrMalformed},
-		"back in time":  {head + outcome + `{"kind":"input","at_ms":0,"input":{}}`, "is before the line above", kqreplay.ErrMalformed},
-		"unknown kind":  {head + outcome + `{"kind":"note","at_ms":3}`, `unknown kind "note"`, kqreplay.ErrMalformed},
-		"no head":       {outcome, "trace:1:", kqreplay.ErrMalformed},
-		"empty":         {"", "no head line", kqreplay.ErrMalformed},
-		"no outcome":    {head, "nothing would be checked", kqreplay.ErrMalformed},
-		"long line":     {head + strings.Repeat("x", kqreplay.MaxLineBytes+1), "trace:2:", kqreplay.ErrMalformed},
+		"missed":           {head + outcome + `{"kind":"outcome","at_ms":2,"expect":{"seen":3}}`, "trace:3: outcome missed at 2ms: state.seen is 0, want 3", kqreplay.ErrOutcomeMismatch},
+		"missed range":     {head + `{"kind":"outcome","at_ms":2,"expect":{"seen":{"min":1}}}`, "trace:2:", kqreplay.ErrOutcomeMismatch},
+		"missed list":      {head + `{"kind":"outcome","at_ms":2,"expect":{"other":["a","b"]}}`, "state.other", kqreplay.ErrOutcomeMismatch},
+		"unknown field":    {head + `{"kind":"outcome","at_ms":2,"expect":{"nothing":1}}`, "state.nothing is missing", kqreplay.ErrOutcomeMismatch},
+		"not JSON":         {head + outcome + "{", "trace:3:", kqreplay.ErrMalformed},
+		"two values":       {head + outcome + "{}{}", "trace:3:", kqreplay.ErrMalformed},
+		"misspelled field": {head + outcome + `{"kind":"input","at":3,"input":{}}`, "trace:3:", kqreplay.ErrMalformed},
+		"time decreases":   {head + outcome + `{"kind":"input","at_ms":0,"input":{}}`, "is before the line above", kqreplay.ErrMalformed},
+		"unknown kind":     {head + outcome + `{"kind":"note","at_ms":3}`, `unknown kind "note"`, kqreplay.ErrMalformed},
+		"no head":          {outcome, "trace:1:", kqreplay.ErrMalformed},
+		"empty":            {"", "no head line", kqreplay.ErrMalformed},
+		"no outcome":       {head, "nothing would be checked", kqreplay.ErrMalformed},
+		"long line":        {head + strings.Repeat("x", kqreplay.MaxLineBytes+1), "trace:2:", kqreplay.ErrMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := run(c.text)
@@ -78,7 +78,7 @@
 	f.Add(head + `{"kind":"outcome","at_ms":-1}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		err := run(text)
-		if err != nil && !errors.Is(err, kqreplay.ErrMalformed) && !errors.Is(err, kqreplay.ErrMissed) {
+		if err != nil && !errors.Is(err, kqreplay.ErrMalformed) && !errors.Is(err, kqreplay.ErrOutcomeMismatch) {
 			t.Errorf("%q: %v", text, err)
 		}
 	})
--- a/internal/lab/kqreplay/run.go
+++ b/internal/lab/kqreplay/run.go
@@ -7,39 +7,40 @@
 	"time"
 )
 
-// ErrMissed tells that a stated outcome was not met; its error names the line.
-var ErrMissed = errors.New("outcome missed")
+// ErrOutcomeMismatch is wrapped by errors for an expected outcome that does not
+// match the player's state; they name file and line.
+var ErrOutcomeMismatch = errors.New("outcome missed")
 
 type (
-	// Explainer is told of each decision and the line that led to it.
+	// Explainer is called for each decision with the trace line that caused it.
 	Explainer func(line int, at time.Duration, d Decision)
 )
 
-// Run plays the trace and returns how many outcomes were met. It ends at the
-// first one that is missed, with ErrMissed, or at the first input that the
-// player cannot take, with ErrMalformed.
-func (t Trace) Run(maker Maker, explain Explainer) (int, error) {
-	player, err := maker(t.Settings, t.Seed)
+// Run replays the trace and returns how many outcomes matched. It stops with
+// ErrOutcomeMismatch at the first outcome that does not match, or with ErrMalformed
+// at the first input that the player rejects.
+func (t Trace) Run(newPlayer PlayerFactory, explain Explainer) (int, error) {
+	player, err := newPlayer(t.Settings, t.Seed)
 	if err != nil {
 		return 0, fmt.Errorf("%s:1: %w: %w", t.Name, ErrMalformed, err)
 	}
-	met := 0
+	matched := 0
 	for _, s := range t.Steps {
 		if s.Input != nil {
-			if err := t.input(player, s, explain); err != nil {
-				return met, err
+			if err := t.playInput(player, s, explain); err != nil {
+				return matched, err
 			}
 			continue
 		}
-		if err := t.outcome(player, s); err != nil {
-			return met, err
+		if err := t.checkOutcome(player, s); err != nil {
+			return matched, err
 		}
-		met++
+		matched++
 	}
-	return met, nil
+	return matched, nil
 }
 
-func (t Trace) input(player Player, s Step, explain Explainer) error {
+func (t Trace) playInput(player Player, s Step, explain Explainer) error {
 	decisions, err := player.Input(s.At, s.Input)
 	if err != nil {
 		return fmt.Errorf("%s:%d: %w: %w", t.Name, s.Line, ErrMalformed, err)
@@ -50,12 +51,12 @@
 	return nil
 }
 
-func (t Trace) outcome(player Player, s Step) error {
+func (t Trace) checkOutcome(player Player, s Step) error {
 	state, err := player.State(s.At)
 	if err != nil {
 		return fmt.Errorf("%s:%d: read state: %w", t.Name, s.Line, err)
 	}
-	seen, err := plain(state)
+	got, err := toJSONValue(state)
 	if err != nil {
 		return fmt.Errorf("%s:%d: read state: %w", t.Name, s.Line, err)
 	}
@@ -63,14 +64,15 @@
 	if err := json.Unmarshal(s.Expect, &want); err != nil {
 		return fmt.Errorf("%s:%d: %w: %w", t.Name, s.Line, ErrMalformed, err)
 	}
-	if difference := differ("", want, seen); difference != "" {
-		return fmt.Errorf("%s:%d: %w at %v: %s", t.Name, s.Line, ErrMissed, s.At, difference)
+	if difference := firstDifference("", want, got); difference != "" {
+		return fmt.Errorf("%s:%d: %w at %v: %s", t.Name, s.Line, ErrOutcomeMismatch, s.At, difference)
 	}
 	return nil
 }
 
-// plain turns a value into what encoding/json makes of its JSON form.
-func plain(value any) (any, error) {
+// toJSONValue converts a value to the generic form that encoding/json decodes JSON
+// into.
+func toJSONValue(value any) (any, error) {
 	data, err := json.Marshal(value)
 	if err != nil {
 		return nil, fmt.Errorf("encode: %w", err)
--- a/internal/lab/kqreplay/trace.go
+++ b/internal/lab/kqreplay/trace.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// MaxLineBytes bounds one line of a trace.
+	// MaxLineBytes is the maximum length of one line of a trace.
 	MaxLineBytes = 1 << 20
 
 	kindTrace   = "trace"
@@ -19,13 +19,15 @@
 	kindOutcome = "outcome"
 )
 
-// ErrMalformed tells that a trace cannot be read; its error names file and line.
+// ErrMalformed is wrapped by errors for a trace that cannot be read or replayed;
+// they name file and line.
 var ErrMalformed = errors.New("malformed trace")
 
 type (
-	// Trace is a recorded trace: its head and its steps in the order of time.
+	// Trace is a recorded trace: the values of its head line and its steps, ordered
+	// by time.
 	Trace struct {
-		// Name says where the trace comes from, such as its file.
+		// Name is the trace's source for error messages, such as its file.
 		Name     string
 		Decision string
 		Seed     uint64
@@ -33,16 +35,16 @@
 		Steps    []Step
 	}
 
-	// Step is one input or one stated outcome; the other of the two is nil.
+	// Step is one input or one expected outcome; the other field is nil.
 	Step struct {
-		// Line counts from 1.
+		// Line is the line number, starting at 1.
 		Line   int
 		At     time.Duration
 		Input  json.RawMessage
 		Expect json.RawMessage
 	}
 
-	// line is the JSON form of every line; Kind says which fields it may have.
+	// line is the JSON form of every line; Kind determines which fields are allowed.
 	line struct {
 		Kind     string          `json:"kind"`
 		Decision *string         `json:"decision"`
@@ -54,8 +56,8 @@
 	}
 )
 
-// Read reads a whole trace before any of it runs, so that a trace with a fault
-// in its last line has decided nothing.
+// Read reads and validates a whole trace, so that a mistake in its last line is
+// found before any of it is replayed.
 func Read(name string, r io.Reader) (Trace, error) {
 	t := Trace{Name: name}
 	lines := bufio.NewScanner(r)
@@ -67,7 +69,7 @@
 		if len(text) == 0 {
 			continue
 		}
-		if err := t.take(number, text); err != nil {
+		if err := t.addLine(number, text); err != nil {
 			return Trace{}, fmt.Errorf("%s:%d: %w: %w", name, number, ErrMalformed, err)
 		}
 		if n := len(t.Steps); n > 0 && t.Steps[n-1].Line == number && t.Steps[n-1].Expect != nil {
@@ -86,7 +88,7 @@
 	return t, nil
 }
 
-func (t *Trace) take(number int, text []byte) error {
+func (t *Trace) addLine(number int, text []byte) error {
 	var l line
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
@@ -97,19 +99,19 @@
 		return errors.New("more than one JSON value")
 	}
 	if t.Decision == "" {
-		return t.head(l)
+		return t.setHead(l)
 	}
-	return t.step(number, l)
+	return t.addStep(number, l)
 }
 
-func (t *Trace) head(l line) error {
+func (t *Trace) setHead(l line) error {
 	switch {
 	case l.Kind != kindTrace:
 		return fmt.Errorf("the first line is of kind %q, not %q", l.Kind, kindTrace)
 	case l.Decision == nil || *l.Decision == "":
-		return errors.New("no decision is named")
+		return errors.New("the head names no decision")
 	case l.AtMS != nil || l.Input != nil || l.Expect != nil:
-		return errors.New("the head has a field of other kinds")
+		return errors.New("the head has a field of an input or outcome line")
 	}
 	t.Decision, t.Settings = *l.Decision, l.Settings
 	if l.Seed != nil {
@@ -118,20 +120,20 @@
 	return nil
 }
 
-func (t *Trace) step(number int, l line) error {
+func (t *Trace) addStep(number int, l line) error {
 	switch {
 	case l.Kind != kindInput && l.Kind != kindOutcome:
 		return fmt.Errorf("unknown kind %q", l.Kind)
 	case l.Decision != nil || l.Seed != nil || l.Settings != nil:
-		return errors.New("a field of the head stands in a later line")
+		return errors.New("a field of the head is set in a later line")
 	case l.AtMS == nil:
 		return errors.New("at_ms is missing")
 	case !(*l.AtMS >= 0 && *l.AtMS <= 1e12):
 		return fmt.Errorf("at_ms %v is not from 0 to 1e12", *l.AtMS)
 	case l.Kind == kindInput && (l.Input == nil || l.Expect != nil):
-		return errors.New("an input needs input and no expect")
+		return errors.New("an input line needs the field input and must not have expect")
 	case l.Kind == kindOutcome && (l.Expect == nil || l.Input != nil):
-		return errors.New("an outcome needs expect and no input")
+		return errors.New("an outcome line needs the field expect and must not have input")
 	}
 	s := Step{Line: number, At: time.Duration(*l.AtMS * float64(time.Millisecond)), Input: l.Input, Expect: l.Expect}
 	if n := len(t.Steps); n > 0 && s.At < t.Steps[n-1].At {
