--- a/internal/lab/kqcallbench/callbench.go
+++ b/internal/lab/kqcallbench/callbench.go
@@ -21,46 +21,46 @@
 	oneHop  = "one_hop"
 	twoHops = "two_hops"
 
-	service   = "store"
-	rounds    = 3
-	caller    = "127.0.0.1"
-	slots     = 512
-	readyWait = 10 * time.Second
-	readyPoll = 10 * time.Millisecond
-	highest   = int64(time.Minute / time.Microsecond)
+	service          = "store"
+	rounds           = 3
+	caller           = "127.0.0.1"
+	slots            = 512
+	readyWait        = 10 * time.Second
+	readyPoll        = 10 * time.Millisecond
+	maxLatencyMicros = int64(time.Minute / time.Microsecond)
 )
 
 type (
-	// Bench measures at some rates.
+	// Bench measures each path at several rates.
 	Bench struct {
-		rates []float64
-		slice time.Duration
+		rates       []float64
+		roundLength time.Duration
 	}
 
-	// Report is what was measured.
+	// Report is the results of a Bench.
 	Report struct {
 		Runs []Run `json:"runs"`
 	}
 
-	// Run is one path at one rate. The load generator, the upstream and the
-	// nodes share the process: what a node costs is the difference to direct.
+	// Run is the results of one path at one rate. The load generator, the upstream
+	// and the nodes share one process, so a node's cost is the difference to direct.
 	Run struct {
 		Path    string  `json:"path"`
 		Rate    float64 `json:"rate"`
 		Calls   int     `json:"calls"`
 		Failed  int     `json:"failed"`
 		Latency Latency `json:"latency_us"`
-		// CallsPerSecondPerCore is, for direct, the whole process's; for the
-		// others, that of the nodes alone: one over the processor time per call
-		// that is above direct's, and for two_hops per node.
+		// CallsPerSecondPerCore is the inverse of the CPU seconds per call: for
+		// direct those of the whole process, for the other paths those above
+		// direct's, divided by the number of nodes.
 		CallsPerSecondPerCore float64 `json:"calls_per_second_per_core"`
-		// CPU is the process's time per call, in microseconds.
+		// CPU is the process's CPU time per call, in microseconds.
 		CPU float64 `json:"process_cpu_us_per_call"`
-		// AllocationsPerCall is the whole process's.
+		// AllocationsPerCall is the heap allocations of the whole process per call.
 		AllocationsPerCall float64 `json:"allocations_per_call"`
 	}
 
-	// Latency is in microseconds.
+	// Latency holds latency quantiles in microseconds.
 	Latency struct {
 		P50  int64 `json:"p50"`
 		P99  int64 `json:"p99"`
@@ -75,14 +75,16 @@
 	}
 )
 
-// New returns a bench that gives each path rounds of slice at each rate, in
-// calls a second.
-func New(slice time.Duration, rates ...float64) *Bench { return &Bench{rates: rates, slice: slice} }
+// New returns a bench that runs several rounds of roundLength for each path and
+// rate, in calls per second.
+func New(roundLength time.Duration, rates ...float64) *Bench {
+	return &Bench{rates: rates, roundLength: roundLength}
+}
 
 // Run measures every path at every rate.
 func (b *Bench) Run(ctx context.Context) (Report, error) {
 	fleet := kqfleet.New()
-	paths, err := prepare(ctx, fleet)
+	paths, err := startPaths(ctx, fleet)
 	if err != nil {
 		return Report{}, fmt.Errorf("prepare: %w", err)
 	}
@@ -92,9 +94,9 @@
 		for round := range rounds {
 			for _, p := range []string{direct, oneHop, twoHops} {
 				if tallies[p] == nil {
-					tallies[p] = &tally{histogram: hdrhistogram.New(1, highest, 3)}
+					tallies[p] = &tally{histogram: hdrhistogram.New(1, maxLatencyMicros, 3)}
 				}
-				tallies[p].measure(ctx, paths[p], uint64(i*rounds+round), rate, b.slice)
+				tallies[p].measure(ctx, paths[p], uint64(i*rounds+round), rate, b.roundLength)
 			}
 		}
 		report.Runs = append(report.Runs, summarize(rate, tallies)...)
@@ -105,7 +107,7 @@
 	return report, ctx.Err()
 }
 
-func prepare(ctx context.Context, fleet *kqfleet.Fleet) (map[string]*kqopenloop.Generator, error) {
+func startPaths(ctx context.Context, fleet *kqfleet.Fleet) (map[string]*kqopenloop.Generator, error) {
 	back, err := fleet.Start(kqfleet.Spec{Node: "back", Domain: "one", Region: "one", Service: service, Version: "v1", Slots: slots})
 	if err != nil {
 		return nil, err
@@ -133,18 +135,19 @@
 	ctx, cancel := context.WithTimeout(ctx, readyWait)
 	defer cancel()
 	for _, p := range paths {
-		if err := await(ctx, p); err != nil {
+		if err := waitForAnswer(ctx, p); err != nil {
 			return nil, err
 		}
 	}
 	return paths, nil
 }
 
-// await returns once a path answers, and so has its configuration.
-func await(ctx context.Context, g *kqopenloop.Generator) error {
-	one := []*kqopenloop.Stream{stream(time.Second/2, 4)}
+// waitForAnswer returns once a path has answered a call, which shows that its nodes
+// have their configuration.
+func waitForAnswer(ctx context.Context, g *kqopenloop.Generator) error {
+	probe := []*kqopenloop.Stream{stream(time.Second/2, 4)}
 	for {
-		for _, s := range g.Run(ctx, 1, one) {
+		for _, s := range g.Run(ctx, 1, probe) {
 			if s.Result == kqcall.Answered {
 				return nil
 			}
@@ -159,16 +162,16 @@
 
 func stream(length time.Duration, rate float64) *kqopenloop.Stream {
 	return &kqopenloop.Stream{
-		Caller: caller, Class: "all", Host: service, Path: "/", Phases: []kqopenloop.Phase{{For: length, Rate: rate}},
+		Caller: caller, Class: "all", Host: service, Path: "/", Phases: []kqopenloop.Phase{{Length: length, Rate: rate}},
 	}
 }
 
 func (t *tally) measure(ctx context.Context, g *kqopenloop.Generator, seed uint64, rate float64, length time.Duration) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	cpu := processorTime()
+	cpu := processCPUTime()
 	samples := g.Run(ctx, seed, []*kqopenloop.Stream{stream(length, rate)})
-	t.cpu += processorTime() - cpu
+	t.cpu += processCPUTime() - cpu
 	runtime.ReadMemStats(&after)
 	t.allocations += after.Mallocs - before.Mallocs
 	for _, s := range samples {
@@ -177,42 +180,43 @@
 			t.failed++
 			continue
 		}
-		// A latency over the histogram's bound of a minute cannot come about: calls end sooner.
-		_ = t.histogram.RecordValue(s.Took.Microseconds())
+		// RecordValue fails only above the histogram's bound of one minute, and calls
+		// end sooner.
+		_ = t.histogram.RecordValue(s.Latency.Microseconds())
 	}
 }
 
 func summarize(rate float64, tallies map[string]*tally) []Run {
 	var runs []Run
-	base := tallies[direct].perCall()
+	directCPUPerCall := tallies[direct].cpuSecondsPerCall()
 	for _, p := range []struct {
 		path  string
 		nodes float64
 	}{{direct, 0}, {oneHop, 1}, {twoHops, 2}} {
 		t := tallies[p.path]
-		used := t.perCall()
+		cpuPerCall := t.cpuSecondsPerCall()
 		if p.nodes > 0 {
-			used = (used - base) / p.nodes
+			cpuPerCall = (cpuPerCall - directCPUPerCall) / p.nodes
 		}
 		runs = append(runs, Run{
 			Path: p.path, Rate: rate, Calls: t.calls, Failed: t.failed,
 			Latency: Latency{
 				P50: t.histogram.ValueAtQuantile(50), P99: t.histogram.ValueAtQuantile(99), P999: t.histogram.ValueAtQuantile(99.9),
 			},
-			CallsPerSecondPerCore: 1 / used,
-			CPU:                   t.perCall() * 1e6,
+			CallsPerSecondPerCore: 1 / cpuPerCall,
+			CPU:                   t.cpuSecondsPerCall() * 1e6,
 			AllocationsPerCall:    float64(t.allocations) / float64(max(t.calls, 1)),
 		})
 	}
 	return runs
 }
 
-// perCall returns processor seconds per call.
-func (t *tally) perCall() float64 { return t.cpu.Seconds() / float64(max(t.calls, 1)) }
+// cpuSecondsPerCall returns the CPU seconds per call.
+func (t *tally) cpuSecondsPerCall() float64 { return t.cpu.Seconds() / float64(max(t.calls, 1)) }
 
-func processorTime() time.Duration {
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
-	// Reading the process's own usage has no way to fail.
+	// Getrusage cannot fail for the calling process with a valid pointer.
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
--- a/internal/lab/kqcallbench/doc.go
+++ b/internal/lab/kqcallbench/doc.go
@@ -1,4 +1,5 @@
-// Package kqcallbench measures what kumquatgw adds to a call: the same calls go
-// straight to an upstream, through one node and through two, in turn within one
-// run, so that whatever else the machine does touches all three alike.
+// Package kqcallbench measures the latency and CPU time that kumquatgw adds to a
+// call. The same calls go directly to an upstream, through one node and through
+// two. The three paths alternate within one run, so that other load on the server
+// affects all of them alike.
 package kqcallbench
--- a/internal/lab/kqloadbench/doc.go
+++ b/internal/lab/kqloadbench/doc.go
@@ -1,4 +1,4 @@
-// Package kqloadbench measures what callers receive under the load patterns of
-// the users' brief, with kumquatgw's decisions and with a plain baseline beside
-// them: first-come queue, random choice, plain retries.
+// Package kqloadbench measures the results that callers receive under the load
+// patterns of the users' requirements, with kumquatgw's decisions and with a
+// baseline: a first-come queue, random selection of upstreams and plain retries.
 package kqloadbench
--- a/internal/lab/kqloadbench/loadbench.go
+++ b/internal/lab/kqloadbench/loadbench.go
@@ -17,57 +17,57 @@
 )
 
 const (
-	service = "store"
-	servers = 6
-	slots   = 6
-	domains = 4
-	work    = 40 * time.Millisecond
-	// timeout is each call's deadline, stated by its route.
+	service        = "store"
+	servers        = 6
+	slots          = 6
+	failureDomains = 4
+	serviceTime    = 40 * time.Millisecond
+	// timeout is the deadline of each call, set by its route.
 	timeout = 2 * time.Second
-	// capacity is what the upstreams can answer, in calls a second.
+	// capacity is the maximum throughput of the upstreams, in calls per second.
 	capacity = float64(servers*slots) / 0.040
 	seed     = 20261
 
-	readyWait = 15 * time.Second
-	readyPoll = 50 * time.Millisecond
-	highest   = int64(time.Minute / time.Microsecond)
+	readyWait        = 15 * time.Second
+	readyPoll        = 50 * time.Millisecond
+	maxLatencyMicros = int64(time.Minute / time.Microsecond)
 )
 
 type (
-	// Bench measures one pattern under some policies.
+	// Bench measures one load pattern under several policies.
 	Bench struct {
 		pattern  string
 		policies []string
 	}
 
-	// Report is what was measured.
+	// Report is the results of a Bench.
 	Report struct {
 		Pattern string `json:"pattern"`
 		Runs    []Run  `json:"runs"`
 	}
 
-	// Run is one policy's.
+	// Run is the results of one policy.
 	Run struct {
 		Policy         string `json:"policy"`
 		Offered        int    `json:"offered"`
 		AnsweredInTime int    `json:"answered_in_time"`
-		// AnsweredLate counts answers that came as a success after the
-		// deadline; Unknown counts calls that may have run without an answer.
+		// AnsweredLate counts answers that arrived after the deadline; Unknown
+		// counts calls that may have run but got no answer.
 		AnsweredLate int `json:"answered_late"`
 		Unknown      int `json:"unknown"`
-		// GoodputShare is what was answered in time, of the lesser of what was
-		// offered and what the upstreams' slots can answer.
+		// GoodputShare is the number of calls answered in time divided by the
+		// smaller of the offered calls and the upstreams' capacity.
 		GoodputShare float64        `json:"goodput_share"`
 		Refused      map[string]int `json:"refused"`
 		RefusalP99   float64        `json:"refusal_ms_p99"`
-		// Latency holds the quantiles of the calls not refused, and those of the
-		// pattern's own windows.
+		// Latency holds the latency quantiles of the calls that were not refused,
+		// and the p99 and in-time share of each of the pattern's windows.
 		Latency  map[string]float64 `json:"latency_ms"`
 		ByCaller map[string]Group   `json:"by_caller"`
 		ByClass  map[string]Group   `json:"by_class"`
 	}
 
-	// Group is one caller's or one class's calls.
+	// Group is the results of one caller or one class.
 	Group struct {
 		Offered        int     `json:"offered"`
 		AnsweredInTime int     `json:"answered_in_time"`
@@ -84,16 +84,16 @@
 	}
 )
 
-// New returns a bench of one of Patterns.
+// New returns a bench for a pattern, one of Patterns, and the given policies.
 func New(pattern string, policies ...string) *Bench {
 	return &Bench{pattern: pattern, policies: policies}
 }
 
-// Run measures the pattern under each policy in turn, on a fleet of its own.
+// Run measures the pattern under each policy in turn, each with a new fleet.
 func (b *Bench) Run(ctx context.Context) (Report, error) {
 	report := Report{Pattern: b.pattern}
 	for _, p := range b.policies {
-		samples, err := sample(ctx, patterns[b.pattern], p)
+		samples, err := runPattern(ctx, patterns[b.pattern], p)
 		if err != nil {
 			return report, fmt.Errorf("pattern %s under %s: %w", b.pattern, p, err)
 		}
@@ -102,12 +102,12 @@
 	return report, nil
 }
 
-func sample(ctx context.Context, p pattern, policy string) ([]kqopenloop.Sample, error) {
+func runPattern(ctx context.Context, p pattern, policy string) ([]kqopenloop.Sample, error) {
 	fleet := kqfleet.New(kqfleet.WithSettings(func(s *kqsettings.Settings) { s.Call.Policy = policy }))
 	var entries []kqname.Address
 	for i := range servers {
 		s, err := fleet.Start(kqfleet.Spec{
-			Node: kqname.Node(fmt.Sprintf("store-%d", i+1)), Domain: kqname.Domain(fmt.Sprintf("d%d", i%domains+1)), Region: "one",
+			Node: kqname.Node(fmt.Sprintf("store-%d", i+1)), Domain: kqname.Domain(fmt.Sprintf("d%d", i%failureDomains+1)), Region: "one",
 			Service: service, Version: "v1", Slots: slots, Behaviour: p.behaviour,
 		})
 		if err != nil {
@@ -118,14 +118,14 @@
 	if err := commit(ctx, fleet); err != nil {
 		return nil, err
 	}
-	if err := await(ctx, fleet, entries); err != nil {
+	if err := waitUntilReady(ctx, fleet, entries); err != nil {
 		return nil, err
 	}
 	generator := kqopenloop.New(entries...)
 	defer generator.Close()
 	if p.change != nil {
-		slow := time.AfterFunc(p.changeAt, func() { p.change(fleet.Servers()[0].Upstream) })
-		defer slow.Stop()
+		changeTimer := time.AfterFunc(p.changeAt, func() { p.change(fleet.Servers()[0].Upstream) })
+		defer changeTimer.Stop()
 	}
 	samples := generator.Run(ctx, seed, p.streams)
 	if err := fleet.Close(); err != nil {
@@ -152,23 +152,25 @@
 	return nil
 }
 
-// await returns once every entry has its configuration and knows every upstream.
-func await(ctx context.Context, fleet *kqfleet.Fleet, entries []kqname.Address) error {
+// waitUntilReady returns once every entry has its configuration, knows every
+// upstream and has answered the calls of a warm-up of 1 s. The first 100 of these
+// calls may fail.
+func waitUntilReady(ctx context.Context, fleet *kqfleet.Fleet, entries []kqname.Address) error {
 	ctx, cancel := context.WithTimeout(ctx, readyWait)
 	defer cancel()
 	for _, s := range fleet.Servers() {
-		for known(s) < servers || s.Node.Version() == 0 {
+		for knownUpstreams(s) < servers || s.Node.Version() == 0 {
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("wait for %s to know all upstreams: %w", s.Spec.Node, ctx.Err())
+				return fmt.Errorf("wait until %s has a configuration and knows all upstreams: %w", s.Spec.Node, ctx.Err())
 			case <-time.After(readyPoll):
 			}
 		}
 	}
-	warm := []*kqopenloop.Stream{{Caller: "127.0.0.1", Host: service, Path: "/", Phases: []kqopenloop.Phase{{For: time.Second, Rate: 300}}}}
+	warmUp := []*kqopenloop.Stream{{Caller: "127.0.0.1", Host: service, Path: "/", Phases: []kqopenloop.Phase{{Length: time.Second, Rate: 300}}}}
 	g := kqopenloop.New(entries...)
 	defer g.Close()
-	for _, s := range g.Run(ctx, seed, warm)[100:] {
+	for _, s := range g.Run(ctx, seed, warmUp)[100:] {
 		if s.Result != kqcall.Answered {
 			return fmt.Errorf("warm up: %s %s: %w", s.Result, s.Reason, errNotReady)
 		}
@@ -176,7 +178,7 @@
 	return nil
 }
 
-func known(s *kqfleet.Server) int {
+func knownUpstreams(s *kqfleet.Server) int {
 	n := 0
 	for _, m := range s.Node.Members() {
 		n += len(m.Upstreams)
@@ -193,59 +195,60 @@
 		windows[i] = newGroup()
 	}
 	for _, s := range samples {
-		r.count(s, refusals)
+		r.countResult(s, refusals)
 		all.add(s)
 		callers.add(s.Stream.Caller, s)
 		classes.add(s.Stream.Class, s)
 		for i, w := range p.windows {
-			if w.holds(s) {
+			if w.includes(s) {
 				windows[i].add(s)
 			}
 		}
 	}
 	r.AnsweredInTime = all.inTime
-	r.GoodputShare = float64(all.inTime) / min(float64(len(samples)), p.canAnswer())
+	r.GoodputShare = float64(all.inTime) / min(float64(len(samples)), p.maxAnswers())
 	r.RefusalP99 = refusals.quantile(99)
 	r.Latency["p50"], r.Latency["p99"], r.Latency["p999"] = all.quantile(50), all.quantile(99), all.quantile(99.9)
 	for i, w := range p.windows {
 		r.Latency[w.name+"_p99"] = windows[i].quantile(99)
-		r.Latency[w.name+"_in_time_share"] = windows[i].share()
+		r.Latency[w.name+"_in_time_share"] = windows[i].inTimeShare()
 	}
 	r.ByCaller, r.ByClass = callers.summary(), classes.summary()
 	return r
 }
 
-func (r *Run) count(s kqopenloop.Sample, refusals *group) {
+func (r *Run) countResult(s kqopenloop.Sample, refusals *group) {
 	switch {
 	case s.Result == kqcall.NotRun:
 		r.Refused[string(s.Reason)]++
-		_ = refusals.histogram.RecordValue(s.Took.Microseconds())
+		_ = refusals.histogram.RecordValue(s.Latency.Microseconds())
 	case s.Result == kqcall.Unknown:
 		r.Unknown++
-	case s.Took > timeout:
+	case s.Latency > timeout:
 		r.AnsweredLate++
 	}
 }
 
-func newGroup() *group { return &group{histogram: hdrhistogram.New(1, highest, 3)} }
+func newGroup() *group { return &group{histogram: hdrhistogram.New(1, maxLatencyMicros, 3)} }
 
 func (g *group) add(s kqopenloop.Sample) {
 	g.offered++
 	if s.Result == kqcall.NotRun || s.Status >= 500 && s.Result == kqcall.Answered {
 		return
 	}
-	if s.Result == kqcall.Answered && s.Took <= timeout {
+	if s.Result == kqcall.Answered && s.Latency <= timeout {
 		g.inTime++
 	}
-	// Whoever got no answer has waited too: left out, an upstream that answers
-	// nobody would look fast. Calls end within seconds, the bound is a minute.
-	_ = g.histogram.RecordValue(s.Took.Microseconds())
+	// Calls without an answer are included; otherwise an upstream that never
+	// answers would look fast. RecordValue fails only above the histogram's bound
+	// of one minute, and calls end within seconds.
+	_ = g.histogram.RecordValue(s.Latency.Microseconds())
 }
 
-// quantile is in milliseconds.
+// quantile returns a latency quantile in milliseconds.
 func (g *group) quantile(q float64) float64 { return float64(g.histogram.ValueAtQuantile(q)) / 1000 }
 
-func (g *group) share() float64 { return float64(g.inTime) / float64(max(g.offered, 1)) }
+func (g *group) inTimeShare() float64 { return float64(g.inTime) / float64(max(g.offered, 1)) }
 
 func (g groups) add(name string, s kqopenloop.Sample) {
 	if g[name] == nil {
@@ -256,10 +259,10 @@
 
 func (g groups) summary() map[string]Group {
 	all := make(map[string]Group, len(g))
-	for name, one := range g {
+	for name, member := range g {
 		all[name] = Group{
-			Offered: one.offered, AnsweredInTime: one.inTime, InTimeShare: one.share(),
-			P50: one.quantile(50), P99: one.quantile(99),
+			Offered: member.offered, AnsweredInTime: member.inTime, InTimeShare: member.inTimeShare(),
+			P50: member.quantile(50), P99: member.quantile(99),
 		}
 	}
 	return all
--- a/internal/lab/kqopenloop/doc.go
+++ b/internal/lab/kqopenloop/doc.go
@@ -1,5 +1,5 @@
-// Package kqopenloop sends calls at the times of a schedule, whatever became of
-// the calls before. A generator that waits for answers slows down together with
-// the system under test and so hides the waits that its users would have had;
-// here a latency counts from the time that the schedule stated.
+// Package kqopenloop is an open-loop load generator: it sends calls at scheduled
+// times, whether or not earlier calls have been answered. A closed-loop generator
+// slows down with the system under test and so hides queueing delays (coordinated
+// omission); here latency is measured from the scheduled time.
 package kqopenloop
--- a/internal/lab/kqopenloop/openloop_test.go
+++ b/internal/lab/kqopenloop/openloop_test.go
@@ -12,33 +12,32 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// An upstream stalls once for a while. A generator that waits for each answer
-// before it sends the next call meets the stall with one call only, and reports
-// a system in which hardly anybody waited; on a schedule every caller of that
-// while has waited, and the samples say so.
+// An upstream stalls for 300 ms. A generator that waits for each answer before it
+// sends the next call would record the stall for one call only; measured from the
+// schedule, every call scheduled during the stall must include the rest of it.
 func TestLatencyCountsFromTheSchedule(t *testing.T) {
 	const stall = 300 * time.Millisecond
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The stall begins with the first call, so that it cannot end before the generator's
-	// own clock says so, however late that starts.
+	// The stall starts with the first call, so that it cannot end early by the
+	// generator's clock even if the generator starts late.
 	until := sync.OnceValue(func() time.Time { return time.Now().Add(stall) })
 	s := &fasthttp.Server{Handler: func(*fasthttp.RequestCtx) { time.Sleep(time.Until(until())) }}
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(l) }()
 	g := kqopenloop.New(kqname.Address(l.Addr().String()))
 	samples := g.Run(t.Context(), 1, []*kqopenloop.Stream{
-		{Caller: "127.0.0.1", Host: "a", Path: "/", Phases: []kqopenloop.Phase{{For: stall, Rate: 200}}},
+		{Caller: "127.0.0.1", Host: "a", Path: "/", Phases: []kqopenloop.Phase{{Length: stall, Rate: 200}}},
 	})
 	for _, c := range samples {
-		if c.At+c.Took < stall {
-			t.Errorf("a call scheduled at %v was answered after %v, before the stall's end", c.At, c.Took)
+		if c.ScheduledAt+c.Latency < stall {
+			t.Errorf("a call scheduled at %v has a latency of %v, so it ended before the stall did", c.ScheduledAt, c.Latency)
 		}
 	}
 	if len(samples) < 30 {
-		t.Errorf("%d calls were sent, want the schedule's 60 or so", len(samples))
+		t.Errorf("%d calls were sent, want at least 30 of the about 60 scheduled", len(samples))
 	}
 	g.Close()
 	if err := s.Shutdown(); err != nil {
