--- a/internal/lab/kqplot/doc.go
+++ b/internal/lab/kqplot/doc.go
@@ -1,2 +1,2 @@
-// Package kqplot draws what a measurement found, as SVG.
+// Package kqplot draws measurement results as SVG charts.
 package kqplot
--- a/internal/lab/kqplot/plot.go
+++ b/internal/lab/kqplot/plot.go
@@ -18,52 +18,52 @@
 	height = 11 * vg.Centimeter
 )
 
-// ErrEmpty tells that there is nothing to draw.
-var ErrEmpty = errors.New("nothing to draw")
+// ErrEmpty is returned for a plot without series.
+var ErrEmpty = errors.New("plot has no series")
 
 type (
-	// Point is one measured value.
+	// Point is one data point.
 	Point struct{ X, Y float64 }
 
-	// Series is one line.
+	// Series is one named line of a chart.
 	Series struct {
 		Name   string
 		Points []Point
 	}
 
-	// Plot is a chart of some series.
+	// Plot is a line chart.
 	Plot struct {
 		Title, X, Y string
-		// Names stand at X = 0, 1, 2 and so on, where X is no quantity.
+		// Names label X = 0, 1, 2 and so on, for a nominal X axis.
 		Names  []string
 		Series []Series
 	}
 )
 
-// Write draws the plot into an SVG file.
+// Write draws the plot to an SVG file.
 func (p Plot) Write(file string) error {
 	if len(p.Series) == 0 {
 		return fmt.Errorf("draw %q: %w", p.Title, ErrEmpty)
 	}
-	drawn := plot.New()
-	drawn.Title.Text, drawn.X.Label.Text, drawn.Y.Label.Text = p.Title, p.X, p.Y
-	drawn.Y.Min, drawn.Legend.Top = 0, true
-	drawn.Add(plotter.NewGrid())
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = p.Title, p.X, p.Y
+	chart.Y.Min, chart.Legend.Top = 0, true
+	chart.Add(plotter.NewGrid())
 	for i, s := range p.Series {
-		if err := add(drawn, i, s); err != nil {
+		if err := addSeries(chart, i, s); err != nil {
 			return fmt.Errorf("draw %q: %w", p.Title, err)
 		}
 	}
 	if len(p.Names) > 0 {
-		drawn.NominalX(p.Names...)
+		chart.NominalX(p.Names...)
 	}
-	return write(drawn, file)
+	return writeSVG(chart, file)
 }
 
-func add(drawn *plot.Plot, i int, s Series) error {
+func addSeries(chart *plot.Plot, i int, s Series) error {
 	points := make(plotter.XYs, len(s.Points))
-	for j, one := range s.Points {
-		points[j].X, points[j].Y = one.X, one.Y
+	for j, point := range s.Points {
+		points[j].X, points[j].Y = point.X, point.Y
 	}
 	line, marks, err := plotter.NewLinePoints(points)
 	if err != nil {
@@ -71,14 +71,14 @@
 	}
 	line.Color, marks.Color = plotutil.Color(i), plotutil.Color(i)
 	line.Dashes, marks.Shape = plotutil.Dashes(i), plotutil.Shape(i)
-	drawn.Add(line, marks)
-	drawn.Legend.Add(s.Name, line, marks)
+	chart.Add(line, marks)
+	chart.Legend.Add(s.Name, line, marks)
 	return nil
 }
 
-func write(drawn *plot.Plot, file string) error {
+func writeSVG(chart *plot.Plot, file string) error {
 	canvas := vgsvg.New(width, height)
-	drawn.Draw(draw.New(canvas))
+	chart.Draw(draw.New(canvas))
 	f, err := os.Create(file)
 	if err != nil {
 		return fmt.Errorf("write plot: %w", err)
