--- a/internal/lab/kqcallbench/callbench.go
+++ b/internal/lab/kqcallbench/callbench.go
@@ -86,7 +86,7 @@
 	fleet := kqfleet.New()
 	paths, err := startPaths(ctx, fleet)
 	if err != nil {
-		return Report{}, fmt.Errorf("prepare: %w", err)
+		return Report{}, fmt.Errorf("start fleet: %w", err)
 	}
 	var report Report
 	for i, rate := range b.rates {
@@ -102,7 +102,7 @@
 		report.Runs = append(report.Runs, summarize(rate, tallies)...)
 	}
 	if err := fleet.Close(); err != nil {
-		return report, fmt.Errorf("stop: %w", err)
+		return report, fmt.Errorf("stop fleet: %w", err)
 	}
 	return report, ctx.Err()
 }
--- a/internal/lab/kqloadbench/loadbench.go
+++ b/internal/lab/kqloadbench/loadbench.go
@@ -129,7 +129,7 @@
 	}
 	samples := generator.Run(ctx, seed, p.streams)
 	if err := fleet.Close(); err != nil {
-		return nil, fmt.Errorf("stop: %w", err)
+		return nil, fmt.Errorf("stop fleet: %w", err)
 	}
 	return samples, ctx.Err()
 }
--- a/internal/lab/kqloadmodel/model.go
+++ b/internal/lab/kqloadmodel/model.go
@@ -24,9 +24,9 @@
 )
 
 type (
-	// Settings are the size of the simulated fleet and the decisions it uses.
-	// With Baseline, gates use a first-come, first-served queue, entries pick
-	// upstreams at random and never shed load, and retries have no
+	// Settings are the size of the simulated fleet, with Slots per upstream, and the
+	// decisions it uses. With Baseline, gates use a first-come, first-served queue,
+	// entries pick upstreams at random and never shed load, and retries have no
 	// budget.
 	Settings struct {
 		Upstreams int  `json:"upstreams"`
@@ -240,6 +240,8 @@
 	m.schedule(oneWayDelay, time.Time{}, func() { m.handleResponse(c, o, load) })
 }
 
+// handleResponse retries a call or finishes it, after its response has reached the
+// entry.
 func (m *Model) handleResponse(c *call, o kqcall.Outcome, load kqcall.Load) {
 	e := c.entry
 	if o.Reason == kqcall.QueueFull {
--- a/internal/lab/kqloadmodel/model_test.go
+++ b/internal/lab/kqloadmodel/model_test.go
@@ -37,7 +37,7 @@
 
 // A burst of five times the usual load lasts 2 s, at 1.5 times the capacity. A
 // queue that is too short refuses calls that could have been answered in time;
-// no call may be refused.
+// every call must be answered in time.
 func TestBurst(t *testing.T) {
 	decided, baseline := runWithAndWithoutDecisions(t, func(m *kqloadmodel.Model) *kqloadmodel.Tally {
 		m.AddStream(stream("a", "short", 0.3, 40, 12*time.Second))
--- a/internal/lab/kqloadmodel/tally.go
+++ b/internal/lab/kqloadmodel/tally.go
@@ -12,8 +12,9 @@
 const maxLatencyMicros = int64(time.Minute / time.Microsecond)
 
 type (
-	// Tally is the results of calls as their callers received them. RefusalLatency
-	// is in microseconds.
+	// Tally is the results of calls as their callers received them. Unknown counts
+	// calls that may have run but got no answer, Late those answered after the
+	// deadline. RefusalLatency is in microseconds.
 	Tally struct {
 		Group
 		Retries          int
@@ -47,7 +48,7 @@
 // InTimeShare returns the share of calls, from 0 to 1, that were answered in time.
 func (g *Group) InTimeShare() float64 { return float64(g.InTime) / float64(max(g.Ended, 1)) }
 
-func (t *Tally) add(c *call, o kqcall.Outcome, took time.Duration, late bool) {
+func (t *Tally) add(c *call, o kqcall.Outcome, latency time.Duration, late bool) {
 	if t.Callers[c.Caller] == nil {
 		g := newGroup()
 		t.Callers[c.Caller] = &g
@@ -57,14 +58,14 @@
 		t.Routes[c.Route] = &g
 	}
 	for _, g := range []*Group{&t.Group, t.Callers[c.Caller], t.Routes[c.Route]} {
-		g.add(o, took, late)
+		g.add(o, latency, late)
 	}
 	switch {
 	case o.Result == kqcall.NotRun:
 		t.RefusalsByReason[o.Reason]++
 		// RecordValue fails only above the histogram's bound of one minute;
 		// calls end by their deadline.
-		_ = t.RefusalLatency.RecordValue(took.Microseconds())
+		_ = t.RefusalLatency.RecordValue(latency.Microseconds())
 	case o.Result == kqcall.Unknown:
 		t.Unknown++
 	case late:
@@ -72,7 +73,7 @@
 	}
 }
 
-func (g *Group) add(o kqcall.Outcome, took time.Duration, late bool) {
+func (g *Group) add(o kqcall.Outcome, latency time.Duration, late bool) {
 	g.Ended++
 	if o.Result == kqcall.NotRun {
 		return
@@ -81,5 +82,5 @@
 		g.InTime++
 	}
 	// RecordValue fails only above the histogram's bound of one minute.
-	_ = g.Latency.RecordValue(took.Microseconds())
+	_ = g.Latency.RecordValue(latency.Microseconds())
 }
--- a/internal/lab/kqsurvey/trial.go
+++ b/internal/lab/kqsurvey/trial.go
@@ -30,8 +30,8 @@
 		// badSeconds and badCalls count the ticks and calls of the bad version
 		// after the oracle has detected the regression.
 		badSeconds, badCalls float64
-		// at is the second from which taking the version back was in force (for the
-		// oracle, when it detected the regression), -1 if it was kept.
+		// at is the last second in which a version that was taken back could get
+		// calls, or for the oracle the second of its detection; -1 if there was none.
 		at int
 	}
 
--- a/internal/lab/kqworld/draw.go
+++ b/internal/lab/kqworld/draw.go
@@ -51,9 +51,9 @@
 	errorRate := math.Exp(uniform(r, math.Log(0.0002), math.Log(0.005)))
 	sum, mean := 0.0, 0.0
 	for range 2 + r.IntN(4) {
-		one := route{weight: uniform(r, 0.1, 1), serviceTime: serviceTime * uniform(r, 0.5, 2), spread: uniform(r, 0.4, 0.8), errorRate: errorRate * uniform(r, 0.5, 1.5)}
-		w.routes = append(w.routes, one)
-		sum += one.weight
+		drawn := route{weight: uniform(r, 0.1, 1), serviceTime: serviceTime * uniform(r, 0.5, 2), spread: uniform(r, 0.4, 0.8), errorRate: errorRate * uniform(r, 0.5, 1.5)}
+		w.routes = append(w.routes, drawn)
+		sum += drawn.weight
 	}
 	for i := range w.routes {
 		w.routes[i].weight /= sum
--- a/internal/lab/kqworld/world.go
+++ b/internal/lab/kqworld/world.go
@@ -26,9 +26,10 @@
 		SlotsPerServer int
 		Window         time.Duration
 
+		// window is Window in ticks.
+		window int
 		// rate is the mean number of calls per second, load the share of one
 		// version's slots that they use.
-		window           int
 		rate, load       float64
 		routes           []route
 		serviceTimeRatio float64
@@ -42,7 +43,10 @@
 		newVersionStart int
 		incidents       []incident
 		herdRestarts    []herdRestart
-		// alternative is the regression that a good version's calls are compared with.
+		// effect is a bad version's regression, from tick effectStart and utilization
+		// effectMinUtilization on, on all routes or only on effectRoute if it is at
+		// least 0. alternative is the regression that a good version's calls are
+		// compared with.
 		effect                                 effect
 		alternative                            effect
 		effectStart                            int
