--- a/cmd/kumquatgw/admin_test.go
+++ b/cmd/kumquatgw/admin_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// An operator looks at a fleet from a terminal, over TLS. With the fleet's CA
-// and his token he sees it; with a wrong token, or not knowing the CA, he is
-// told which of the two is amiss.
+// Checks the status command over TLS: it works with the fleet's CA and a valid token, and
+// otherwise its error says whether the token or the certificate is at fault. The token
+// is never printed.
 func TestStatusOverTLS(t *testing.T) {
 	folder := t.TempDir()
 	for _, arguments := range [][]string{{"keys", "init", "--folder", folder}, {"keys", "issue", "home", "--folder", folder}} {
@@ -23,8 +23,8 @@
 		t.Fatal(err)
 	}
 	token := strings.TrimSpace(strings.TrimPrefix(string(out), "token "))
-	platform := after(t, start(t, "platform", "--listen", "127.0.0.1:0"), "listens on ")
-	file := settings(t, "home", platform, "", "")
+	platform := readAfter(t, startCommand(t, "platform", "--listen", "127.0.0.1:0"), "listens on ")
+	file := writeSettings(t, "home", platform, "", "")
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 	if err := os.WriteFile(file, append(text, more...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	url := "https://" + after(t, start(t, "node", "--settings", file), "admin ")
+	url := "https://" + readAfter(t, startCommand(t, "node", "--settings", file), "admin ")
 	ca := filepath.Join(folder, "ca.pem")
 	for _, c := range []struct {
 		name      string
@@ -48,7 +48,7 @@
 	} {
 		out, err := command(t, append([]string{"status", "--admin", url}, c.arguments...)...).CombinedOutput()
 		if (err != nil) != c.fails || !strings.Contains(string(out), c.want) {
-			t.Errorf("%s: error %v, want %q in\n%s", c.name, err, c.want, out)
+			t.Errorf("%s: error %v, want %q in output\n%s", c.name, err, c.want, out)
 		}
 		if strings.Contains(string(out), token) {
 			t.Errorf("%s: the token is printed", c.name)
--- a/cmd/kumquatgw/conns_limits_test.go
+++ b/cmd/kumquatgw/connection_limits_test.go
@@ -14,25 +14,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Calls last longer than the node that is told to stop may take. Their callers must be
-// told before it ends that their calls' end is unknown.
-func TestCallsThatOutlastTheLeaveAreAnswered(t *testing.T) {
+// Checks that calls that last longer than the drain timeout get a 504, which states that
+// their outcome is unknown, before the node ends.
+func TestCallsLongerThanTheDrainAreAnswered(t *testing.T) {
 	f := newFleet(t, "drain_timeout = 1s\n", "")
-	c := f.crowd(f.entry)
-	c.add(8, manner{least: 2500, most: 2600})
+	c := f.callers(f.entry)
+	c.add(8, callerProfile{minWork: 2500, maxWork: 2600})
 	time.Sleep(300 * time.Millisecond)
 	f.front.signal(t, syscall.SIGTERM)
 	<-f.front.ended
 	r := c.end()
-	r.report(t, "outlast")
+	r.report(t, "calls longer than the drain")
 	if r.unknown != 8 {
-		t.Errorf("%d of 8 callers were told that their call's end is unknown", r.unknown)
+		t.Errorf("%d of 8 callers got a 504, want all", r.unknown)
 	}
 }
 
-// A caller connects early and says nothing for a while. A node that is told to stop
-// must end in its time, say goodbye and report no failure.
-func TestSilentCallerDoesNotFailTheLeave(t *testing.T) {
+// Checks that a caller's idle connection neither delays a drain nor makes it fail.
+func TestIdleCallerDoesNotFailTheDrain(t *testing.T) {
 	f := newFleet(t, "drain_timeout = 2s\n", "")
 	conn, err := net.Dial("tcp", f.entry)
 	if err != nil {
@@ -42,19 +41,19 @@
 	f.front.stop(t)
 }
 
-// A caller ends its side of the connection once it has sent its call, and waits. Nobody
-// can tell it from one that went away, so its call is given up; it must have a whole
-// answer, and a true one: the call has run.
-func TestHalfClosedCallerHasAWholeAnswer(t *testing.T) {
+// Checks the response to a caller that half-closes its connection after sending its call.
+// It cannot be told from a caller that disconnected, so its call is cancelled, but it must
+// get a complete response that does not deny that the call ran.
+func TestHalfClosedCallerGetsACompleteResponse(t *testing.T) {
 	f := newFleet(t, "", "")
 	conn, err := net.Dial("tcp", f.entry)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	fmt.Fprintf(conn, "GET /?ms=1000 HTTP/1.1\r\nHost: store\r\n%s: half\r\n\r\n", workHeader)
+	fmt.Fprintf(conn, "GET /?ms=1000 HTTP/1.1\r\nHost: store\r\n%s: half\r\n\r\n", callIDHeader)
 	for range 100 {
-		if f.upstream.ran("half") > 0 {
+		if f.upstream.runCount("half") > 0 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -64,15 +63,15 @@
 	}
 	a, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	if body, err := io.ReadAll(a.Body); err != nil || a.StatusCode != http.StatusGatewayTimeout && a.StatusCode != http.StatusOK {
-		t.Errorf("%d %q %v, want a whole answer that does not deny the run", a.StatusCode, body, err)
+		t.Errorf("response %d %q, error %v, want a complete 200 or 504", a.StatusCode, body, err)
 	}
 }
 
-// So many callers connect that the node has no descriptor left for the next. It must
-// go on with those that it has, and take more once some have gone.
+// Checks a node whose descriptors are exhausted by its callers' connections: it must
+// finish its in-flight call, and accept calls again once the connections are closed.
 func TestNodeOutlivesAShortageOfDescriptors(t *testing.T) {
 	f := newFleet(t, "", "")
 	answers := make(chan string, 1)
@@ -91,18 +90,19 @@
 		held = append(held, conn)
 	}
 	if a := <-answers; !strings.HasPrefix(a, "200 ") {
-		t.Errorf("a call under way ended with %q", a)
+		t.Errorf("in-flight call: response %q, want 200", a)
 	}
 	for _, c := range held {
 		_ = c.Close()
 	}
 	time.Sleep(300 * time.Millisecond)
-	f.front.alive(t)
+	f.front.assertRunning(t)
 	if a := callPath(t, f.entry, "/"); !strings.HasPrefix(a, "200 ") {
-		t.Errorf("a call afterwards ended with %q", a)
+		t.Errorf("call afterwards: response %q, want 200", a)
 	}
 }
 
+// callPath sends a GET without keep-alive and returns the status, body and error as text.
 func callPath(t *testing.T, address, path string) string {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+path, nil)
--- /dev/null
+++ b/cmd/kumquatgw/descriptor_limit_test.go
@@ -0,0 +1,67 @@
+package main_test
+
+import (
+	"net"
+	"os"
+	"strconv"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// descriptorsVariable sets the descriptor limit of the test binary run as kumquatgw.
+const descriptorsVariable = "KUMQUATGW_FILES"
+
+// limitDescriptors lowers this process's descriptor limit if descriptorsVariable is set.
+func limitDescriptors() {
+	n, err := strconv.ParseUint(os.Getenv(descriptorsVariable), 10, 32)
+	if err != nil {
+		return
+	}
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}); err != nil {
+		panic(err)
+	}
+}
+
+// Checks a node whose descriptors are exhausted by idle connections, so that it can
+// neither accept nor connect. It must finish its in-flight calls, and recover once the
+// connections are closed: a listener that gave up would leave it out of service.
+func TestNodeRecoversFromIdleConnectionFlood(t *testing.T) {
+	t.Setenv(descriptorsVariable, "64")
+	m := newMesh(t, 700*time.Millisecond)
+	answers := m.startCalls(t, 4)
+	time.Sleep(200 * time.Millisecond)
+	var idle []net.Conn
+	for range 150 {
+		c, err := net.DialTimeout("tcp", m.entry, 50*time.Millisecond)
+		if err != nil {
+			break
+		}
+		idle = append(idle, c)
+	}
+	for range 60 {
+		if c, err := net.DialTimeout("tcp", m.control, 50*time.Millisecond); err == nil {
+			idle = append(idle, c)
+		}
+	}
+	assertAnswered(t, answers())
+	time.Sleep(4 * time.Second)
+	m.front.assertRunning(t)
+	t.Logf("%d idle connections; %s", len(idle), m.descriptors(t))
+	for _, c := range idle {
+		_ = c.Close()
+	}
+	assertAnswered(t, m.startCalls(t, 4)())
+	m.front.assertRunning(t)
+	m.back.assertRunning(t)
+}
+
+// descriptors returns the number of open descriptors of the front node as a text.
+func (m *mesh) descriptors(t *testing.T) string {
+	t.Helper()
+	list, err := os.ReadDir("/proc/" + strconv.Itoa(m.front.command.Process.Pid) + "/fd")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return strconv.Itoa(len(list)) + " descriptors"
+}
--- a/cmd/kumquatgw/docs_test.go
+++ b/cmd/kumquatgw/docs_test.go
@@ -10,9 +10,9 @@
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqproblem"
 )
 
-// An operator is woken by a metric, or told a code, and looks for it in the
-// operators' page. A name that is not there leaves him alone with it.
-func TestOperationsNamesEverything(t *testing.T) {
+// Checks that the operators' page documents every metric, reason of a refused call and
+// error code, so that an operator who sees one can look it up.
+func TestOperationsPageDocumentsMetricsAndCodes(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 	}
 	for name := range names {
 		if !strings.Contains(string(page), "`"+name+"`") && !strings.Contains(string(page), "`"+name+"{") {
-			t.Errorf("docs/OPERATIONS.md does not tell of %s", name)
+			t.Errorf("docs/OPERATIONS.md does not document %s", name)
 		}
 	}
 	if len(names) < 45 {
--- a/cmd/kumquatgw/conns_fleet_test.go
+++ b/cmd/kumquatgw/fleet_test.go
@@ -21,23 +21,23 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-const workHeader = "Work-Id"
+const callIDHeader = "Work-Id"
 
 type (
-	// fleet is two nodes as processes, and an upstream of the test's own beside the
-	// back one, so that the test knows what ran.
+	// fleet is two node processes, and an upstream of the back one in the test's own
+	// process, so that the test knows which calls ran.
 	fleet struct {
 		t           *testing.T
 		platform    string
 		front, back *process
-		// entry, local and control are the front's entry, the back's local address
-		// and the front's control address.
+		// entry, local and control are the front node's entry address, the back
+		// node's local address and the front node's control address.
 		entry, local, control string
-		upstream              *worker
+		upstream              *testUpstream
 	}
 
-	// worker is an upstream that does what a call's path says.
-	worker struct {
+	// testUpstream is an upstream that behaves as a call's query parameters say.
+	testUpstream struct {
 		*httptest.Server
 		mu   sync.Mutex
 		runs map[string]int
@@ -45,20 +45,21 @@
 	}
 )
 
-// newFleet returns a fleet that serves. The texts are further lines of [node].
+// newFleet starts a fleet and waits until it serves. front and back are further lines of
+// the [node] section of each node.
 func newFleet(t *testing.T, front, back string) *fleet {
 	t.Helper()
-	f := &fleet{t: t, platform: after(t, start(t, "platform", "--listen", "127.0.0.1:0"), "listens on ")}
-	f.front = node(t, extended(t, settings(t, "front", f.platform, "", ""), front))
-	f.entry = f.front.after(t, "entry ")
-	f.control = f.front.after(t, "control ")
-	f.back = node(t, extended(t, settings(t, "back", f.platform, f.control, "store"), back))
-	f.local = f.back.after(t, "local ")
-	// Not by way of f: a test puts another process in its place when it starts one again.
+	f := &fleet{t: t, platform: readAfter(t, startCommand(t, "platform", "--listen", "127.0.0.1:0"), "listens on ")}
+	f.front = startNode(t, extendSettings(t, writeSettings(t, "front", f.platform, "", ""), front))
+	f.entry = f.front.readAfter(t, "entry ")
+	f.control = f.front.readAfter(t, "control ")
+	f.back = startNode(t, extendSettings(t, writeSettings(t, "back", f.platform, f.control, "store"), back))
+	f.local = f.back.readAfter(t, "local ")
+	// Not read from f in the goroutine: a test that restarts a node replaces f.back.
 	for _, p := range []*process{f.front, f.back} {
-		go func() { _, _ = io.Copy(logs(), p.lines) }()
+		go func() { _, _ = io.Copy(logOutput(), p.lines) }()
 	}
-	f.upstream = newWorker(t, f.local)
+	f.upstream = newTestUpstream(t, f.local)
 	file := filepath.Join(t.TempDir(), "document.json")
 	if err := os.WriteFile(file, []byte(document), 0o600); err != nil {
 		t.Fatal(err)
@@ -71,7 +72,7 @@
 	return f
 }
 
-// await returns once a node's entry serves.
+// await waits until a node's entry serves, and fails the test after ten seconds.
 func (f *fleet) await(entry string) {
 	f.t.Helper()
 	last := ""
@@ -81,12 +82,12 @@
 		}
 		time.Sleep(25 * time.Millisecond)
 	}
-	f.t.Fatalf("last answer %q, want the upstream's", last)
+	f.t.Fatalf("last response %q, want the upstream's", last)
 }
 
-// extended adds lines to the [node] section of a settings file, in place of those
-// with the same keys.
-func extended(t *testing.T, file, lines string) string {
+// extendSettings adds lines to the [node] section of a settings file and removes lines
+// with the same keys. It returns the file.
+func extendSettings(t *testing.T, file, lines string) string {
 	t.Helper()
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -107,9 +108,10 @@
 	return file
 }
 
-func newWorker(t *testing.T, node string) *worker {
+// newTestUpstream starts an upstream that announces itself to a node until the test ends.
+func newTestUpstream(t *testing.T, node string) *testUpstream {
 	t.Helper()
-	w := &worker{runs: make(map[string]int), node: node}
+	w := &testUpstream{runs: make(map[string]int), node: node}
 	w.Server = httptest.NewServer(w)
 	t.Cleanup(w.Close)
 	stop, done := make(chan struct{}), make(chan struct{})
@@ -130,7 +132,7 @@
 	return w
 }
 
-func (w *worker) announce() {
+func (w *testUpstream) announce() {
 	body, err := json.Marshal(kqlocal.Announcement{Service: "store", Version: "v1", Address: kqname.Address(w.Listener.Addr().String()), Slots: 256})
 	if err != nil {
 		return
@@ -141,10 +143,10 @@
 	}
 }
 
-// ServeHTTP implements http.Handler: "ms" is how long it works, "bytes" how long the
-// answer is. The answer tells the call's id and how long its body was.
-func (w *worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
-	id := r.Header.Get(workHeader)
+// ServeHTTP implements http.Handler. The query parameter ms is the processing time, bytes
+// the size of the response, which begins with the call's id and the size of its body.
+func (w *testUpstream) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+	id := r.Header.Get(callIDHeader)
 	w.mu.Lock()
 	w.runs[id]++
 	w.mu.Unlock()
@@ -156,24 +158,24 @@
 	if size > len(text) {
 		out.Header().Set("Content-Length", strconv.Itoa(size))
 	}
-	out.Header().Set(workHeader, id)
+	out.Header().Set(callIDHeader, id)
 	_, _ = io.WriteString(out, text)
 	if size > len(text) {
 		_, _ = out.Write(bytes.Repeat([]byte{'.'}, size-len(text)))
 	}
 }
 
-// ran returns how often a call has run.
-func (w *worker) ran(id string) int {
+// runCount returns how often a call has run.
+func (w *testUpstream) runCount(id string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.runs[id]
 }
 
-// port returns an address that is free, out of the range from which the kernel takes
-// ports for connections and for listeners that name none: one of these would be taken
-// again by any other test's connection before a node listens there.
-func port(t *testing.T) string {
+// freeAddress returns a free address with a port outside the kernel's ephemeral range.
+// An ephemeral port could be taken by another test's connection before a node listens
+// there.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	const least, span = 20000, 10000
 	for range 100 {
@@ -184,12 +186,13 @@
 		defer func() { _ = l.Close() }()
 		return l.Addr().String()
 	}
-	t.Fatal("no port is free")
+	t.Fatal("no free port found")
 	return ""
 }
 
-// logs is where the nodes' logs go: nowhere, unless someone looks by hand.
-func logs() io.Writer {
+// logOutput returns the destination of the nodes' logs: standard error if CONNS_LOGS is
+// set, else nowhere.
+func logOutput() io.Writer {
 	if os.Getenv("CONNS_LOGS") != "" {
 		return os.Stderr
 	}
--- a/cmd/kumquatgw/fragile_test.go
+++ b/cmd/kumquatgw/fragile_test.go
@@ -16,18 +16,20 @@
 )
 
 const (
-	// fragileCalls names an adapter that panics where a call's header tells it to.
-	fragileCalls = "fragile-calls"
-	// fragileParts names one that panics in the first call of each kind to the store.
-	fragileParts = "fragile-parts"
-	// fragileHeader names the step of its call that panics.
-	fragileHeader = "Panic-In"
+	// callPanicAdapter names an adapter that panics in the step that a call's header
+	// names.
+	callPanicAdapter = "fragile-calls"
+	// storePanicAdapter names an adapter that panics in the first call of each kind to
+	// the store.
+	storePanicAdapter = "fragile-parts"
+	// panicHeader names the step of the call that panics.
+	panicHeader = "Panic-In"
 )
 
 type (
-	fragileDialect struct{}
+	panickingDialect struct{}
 
-	fragileStore struct {
+	panickingStore struct {
 		kqstore.Store
 
 		mu   sync.Mutex
@@ -35,67 +37,69 @@
 	}
 )
 
-func joinFragileCalls(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
-	return s, kqstoreclient.New(s.Platform.URL, kqstoreclient.WithTimeout(s.Platform.Timeout)), kqnode.Adapter{Dialect: fragileDialect{}}, nil
+func joinCallPanicAdapter(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
+	return s, kqstoreclient.New(s.Platform.URL, kqstoreclient.WithTimeout(s.Platform.Timeout)), kqnode.Adapter{Dialect: panickingDialect{}}, nil
 }
 
-func joinFragileParts(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
+func joinStorePanicAdapter(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
 	store := kqstoreclient.New(s.Platform.URL, kqstoreclient.WithTimeout(s.Platform.Timeout))
-	return s, &fragileStore{Store: store, seen: make(map[string]bool)}, kqnode.Adapter{}, nil
+	return s, &panickingStore{Store: store, seen: make(map[string]bool)}, kqnode.Adapter{}, nil
 }
 
-func breaks(h *fasthttp.RequestHeader, step string) {
-	if string(h.Peek(fragileHeader)) == step {
-		panic("fragile in " + step)
+// panicAt panics if the header names the step.
+func panicAt(h *fasthttp.RequestHeader, step string) {
+	if string(h.Peek(panicHeader)) == step {
+		panic("injected panic in " + step)
 	}
 }
 
-func (fragileDialect) Accept(h *fasthttp.RequestHeader) kqcall.Told {
-	breaks(h, "accept")
+func (panickingDialect) Accept(h *fasthttp.RequestHeader) kqcall.Told {
+	panicAt(h, "accept")
 	return kqcall.Told{}
 }
 
-func (fragileDialect) Tell(c *kqcall.Call, _ time.Duration) { breaks(&c.Request.Header, "tell") }
+func (panickingDialect) Tell(c *kqcall.Call, _ time.Duration) { panicAt(&c.Request.Header, "tell") }
 
-func (fragileDialect) Belongs(c *kqcall.Call) bool {
-	breaks(&c.Request.Header, "belongs")
+func (panickingDialect) Belongs(c *kqcall.Call) bool {
+	panicAt(&c.Request.Header, "belongs")
 	return true
 }
 
-func (fragileDialect) Judge(c *kqcall.Call) kqcall.Verdict {
-	breaks(&c.Request.Header, "judge")
+func (panickingDialect) Judge(c *kqcall.Call) kqcall.Verdict {
+	panicAt(&c.Request.Header, "judge")
 	return kqcall.Verdict{}
 }
 
-func (fragileDialect) RetryAfter(d time.Duration) string {
+func (panickingDialect) RetryAfter(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
 
-func (f *fragileStore) first(verb string) {
+// panicOnFirst panics in the first call with that verb.
+func (f *panickingStore) panicOnFirst(verb string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.seen[verb] {
 		f.seen[verb] = true
-		panic("fragile in " + verb)
+		panic("injected panic in " + verb)
 	}
 }
 
-func (f *fragileStore) Get(ctx context.Context, key string) (kqstore.Entry, error) {
-	f.first("get " + key)
+func (f *panickingStore) Get(ctx context.Context, key string) (kqstore.Entry, error) {
+	f.panicOnFirst("get " + key)
 	return f.Store.Get(ctx, key)
 }
 
-func (f *fragileStore) Watch(ctx context.Context, key string, after kqstore.Revision, wait time.Duration) (kqstore.Entry, error) {
-	f.first("watch")
+func (f *panickingStore) Watch(ctx context.Context, key string, after kqstore.Revision, wait time.Duration) (kqstore.Entry, error) {
+	f.panicOnFirst("watch")
 	return f.Store.Watch(ctx, key, after, wait)
 }
 
-func (f *fragileStore) Grant(ctx context.Context, ttl time.Duration) (kqstore.Lease, error) {
-	f.first("grant")
+func (f *panickingStore) Grant(ctx context.Context, ttl time.Duration) (kqstore.Lease, error) {
+	f.panicOnFirst("grant")
 	return f.Store.Grant(ctx, ttl)
 }
 
-func (f *fragileStore) Renew(ctx context.Context, l kqstore.Lease) error {
-	f.first("renew")
+func (f *panickingStore) Renew(ctx context.Context, l kqstore.Lease) error {
+	f.panicOnFirst("renew")
 	return f.Store.Renew(ctx, l)
 }
--- a/cmd/kumquatgw/conns_upstream_test.go
+++ b/cmd/kumquatgw/full_upstream_test.go
@@ -17,25 +17,31 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// fullUpstream serves so many connections at once and resets further ones.
+// fullUpstream is an upstream that serves a limited number of connections at once and
+// resets further ones.
 type fullUpstream struct {
 	net.Listener
 	t    *testing.T
 	node string
 
-	mu           sync.Mutex
+	mu sync.Mutex
+	// open is the number of connections served, resets that of the rejected ones.
 	open, resets int
+	// runs counts the runs of each call; disconnected holds the calls to /long whose
+	// connection was closed.
 	runs         map[string]int
-	gone         map[string]bool
+	disconnected map[string]bool
 }
 
-func newFullUpstream(t *testing.T, node string, most, slots int) *fullUpstream {
+// newFullUpstream starts an upstream that serves at most maxConns connections at once and
+// announces slots slots to a node until the test ends.
+func newFullUpstream(t *testing.T, node string, maxConns, slots int) *fullUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &fullUpstream{Listener: l, t: t, node: node, runs: make(map[string]int), gone: make(map[string]bool)}
+	u := &fullUpstream{Listener: l, t: t, node: node, runs: make(map[string]int), disconnected: make(map[string]bool)}
 	var group sync.WaitGroup
 	stop := make(chan struct{})
 	group.Go(func() {
@@ -44,7 +50,7 @@
 			if err != nil {
 				return
 			}
-			if !u.take(most) {
+			if !u.admit(maxConns) {
 				_ = c.(*net.TCPConn).SetLinger(0)
 				_ = c.Close()
 				continue
@@ -77,10 +83,11 @@
 	}
 }
 
-func (u *fullUpstream) take(most int) bool {
+// admit reports whether a further connection is served, and counts it.
+func (u *fullUpstream) admit(maxConns int) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.open >= most {
+	if u.open >= maxConns {
 		u.resets++
 		return false
 	}
@@ -88,7 +95,8 @@
 	return true
 }
 
-// serve answers one call after the other; "/long" runs until its connection is closed.
+// serve answers the calls of one connection. A call to /long runs until the connection is
+// closed.
 func (u *fullUpstream) serve(c net.Conn) {
 	defer func() {
 		_ = c.Close()
@@ -104,52 +112,53 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
-		id := r.Header.Get(workHeader)
+		id := r.Header.Get(callIDHeader)
 		u.mu.Lock()
 		u.runs[id]++
 		u.mu.Unlock()
 		if r.URL.Path == "/long" {
 			_, _ = in.ReadByte()
 			u.mu.Lock()
-			u.gone[id] = true
+			u.disconnected[id] = true
 			u.mu.Unlock()
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
-		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", workHeader, id, len(id), id)
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", callIDHeader, id, len(id), id)
 	}
 }
 
-func (u *fullUpstream) saw(f func() bool) bool {
+// withLock returns the result of f, which it calls with the lock held.
+func (u *fullUpstream) withLock(f func() bool) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return f()
 }
 
-// fullFleet is a fleet whose one upstream is full at so many connections, and announces
-// so many slots.
-func fullFleet(t *testing.T, most, slots int) (*fleet, *fullUpstream) {
+// newFullFleet starts a fleet whose only upstream serves at most maxConns connections at
+// once and announces slots slots.
+func newFullFleet(t *testing.T, maxConns, slots int) (*fleet, *fullUpstream) {
 	t.Helper()
 	f := newFleet(t, "", "")
 	f.upstream.Close()
-	u := newFullUpstream(t, f.local, most, slots)
-	for end := time.Now().Add(20 * time.Second); !u.saw(func() bool { return u.runs["known"] > 0 }); time.Sleep(20 * time.Millisecond) {
+	u := newFullUpstream(t, f.local, maxConns, slots)
+	for end := time.Now().Add(20 * time.Second); !u.withLock(func() bool { return u.runs["known"] > 0 }); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the upstream is never used")
+			t.Fatal("no call reached the upstream within 20 s")
 		}
-		_, _ = work(f.entry, http.MethodGet, "/", "known")
+		_, _ = sendCall(f.entry, http.MethodGet, "/", "known")
 	}
 	return f, u
 }
 
-// work sends a call and returns its answer's status and text.
-func work(entry, method, path, id string) (int, string) {
+// sendCall sends a call and returns the status and body of the response, or 0 and the error.
+func sendCall(entry, method, path, id string) (int, string) {
 	q, err := http.NewRequest(method, "http://"+entry+path, http.NoBody)
 	if err != nil {
 		return 0, err.Error()
 	}
 	q.Host = "store"
-	q.Header.Set(workHeader, id)
+	q.Header.Set(callIDHeader, id)
 	a, err := (&http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Do(q)
 	if err != nil {
 		return 0, err.Error()
@@ -159,64 +168,65 @@
 	return a.StatusCode, string(text)
 }
 
-// Guards against calls that are lost, or run twice, at an upstream that resets connections
-// while it is full. One that announces no more than it takes is never found full; at any
-// other a call may have been read before the reset, and its end is unknown.
+// Guards against calls that are lost or run twice at an upstream that resets connections
+// while it is full. If it announces no more slots than it serves connections, it must
+// never be full. If it announces more, a call may have been read before the reset, and its
+// outcome may be reported as unknown.
 func TestUpstreamThatResetsWhenFullLosesNoCall(t *testing.T) {
-	const most = 3
-	for _, slots := range []int{most, 2 * most} {
+	const maxConns = 3
+	for _, slots := range []int{maxConns, 2 * maxConns} {
 		t.Run(fmt.Sprintf("%d slots", slots), func(t *testing.T) {
-			f, u := fullFleet(t, most, slots)
+			f, u := newFullFleet(t, maxConns, slots)
 			var group sync.WaitGroup
 			for caller := range 12 {
 				group.Go(func() {
 					for i := range 10 {
 						id := fmt.Sprintf("full-%d-%d", caller, i)
-						status, text := work(f.entry, http.MethodPost, "/", id)
+						status, text := sendCall(f.entry, http.MethodPost, "/", id)
 						runs := 0
-						u.saw(func() bool { runs = u.runs[id]; return true })
+						u.withLock(func() bool { runs = u.runs[id]; return true })
 						switch {
 						case status == http.StatusOK && text == id && runs == 1:
 						case status == http.StatusServiceUnavailable && strings.HasPrefix(text, "not_run: ") && runs == 0:
-						case status == http.StatusGatewayTimeout && strings.HasPrefix(text, "unknown: ") && runs <= 1 && slots > most:
+						case status == http.StatusGatewayTimeout && strings.HasPrefix(text, "unknown: ") && runs <= 1 && slots > maxConns:
 						default:
-							t.Errorf("%s: answer %d %q after %d runs", id, status, text, runs)
+							t.Errorf("%s: response %d %q after %d runs", id, status, text, runs)
 						}
 					}
 				})
 			}
 			group.Wait()
-			u.saw(func() bool { t.Logf("%d connections were reset", u.resets); return true })
-			if slots == most && u.saw(func() bool { return u.resets > 0 }) {
-				t.Error("the upstream was sent more than it takes")
+			u.withLock(func() bool { t.Logf("%d connections were reset", u.resets); return true })
+			if slots == maxConns && u.withLock(func() bool { return u.resets > 0 }) {
+				t.Error("the upstream got more connections than it serves")
 			}
-			if slots > most && u.saw(func() bool { return u.resets == 0 }) {
+			if slots > maxConns && u.withLock(func() bool { return u.resets == 0 }) {
 				t.Error("the upstream was never full")
 			}
 		})
 	}
 }
 
-// Guards against upstreams that go on working for callers who have closed their connection.
-func TestUpstreamSeesItsCallerClose(t *testing.T) {
-	f, u := fullFleet(t, 3, 3)
+// Guards against upstreams that keep processing calls whose callers have disconnected.
+func TestUpstreamSeesItsCallerDisconnect(t *testing.T) {
+	f, u := newFullFleet(t, 3, 3)
 	for i := range 3 {
 		id := fmt.Sprintf("long-%d", i)
 		c, err := net.Dial("tcp", f.entry)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(c, "POST /long HTTP/1.1\r\nHost: store\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", workHeader, id)
-		for end := time.Now().Add(10 * time.Second); !u.saw(func() bool { return u.runs[id] > 0 }); time.Sleep(5 * time.Millisecond) {
+		fmt.Fprintf(c, "POST /long HTTP/1.1\r\nHost: store\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", callIDHeader, id)
+		for end := time.Now().Add(10 * time.Second); !u.withLock(func() bool { return u.runs[id] > 0 }); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("%s never ran", id)
 			}
 		}
 		_ = c.Close()
 		closed := time.Now()
-		for !u.saw(func() bool { return u.gone[id] }) {
+		for !u.withLock(func() bool { return u.disconnected[id] }) {
 			if time.Since(closed) > 500*time.Millisecond*memoryFactor {
-				t.Fatalf("%s is still at work %v after its caller closed", id, time.Since(closed))
+				t.Fatalf("%s still runs %v after its caller disconnected", id, time.Since(closed))
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
--- a/cmd/kumquatgw/main.go
+++ b/cmd/kumquatgw/main.go
@@ -1,5 +1,5 @@
-// Command kumquatgw distributes a service mesh's configuration and carries its
-// calls; see README.md.
+// Command kumquatgw runs a service mesh: it distributes the mesh's configuration and
+// proxies its calls; see README.md.
 package main
 
 import (
--- a/cmd/kumquatgw/main_test.go
+++ b/cmd/kumquatgw/main_test.go
@@ -23,13 +23,13 @@
 		"routes":[{"name":"store","team":"shop","host":"store","path_prefix":"/","service":"store"}]}`
 )
 
-// TestMain lets the test's own program serve as kumquatgw, so that each role
-// runs as a process of its own without a build beside the test's.
+// TestMain lets the test binary run as kumquatgw, so that each role runs in a process of
+// its own without a separate build.
 func TestMain(m *testing.M) {
 	run := func() {
-		limitFiles()
+		limitDescriptors()
 		command := kqcommand.New(os.Stdout, os.Stderr,
-			kqcommand.WithAdapter(fragileCalls, joinFragileCalls), kqcommand.WithAdapter(fragileParts, joinFragileParts))
+			kqcommand.WithAdapter(callPanicAdapter, joinCallPanicAdapter), kqcommand.WithAdapter(storePanicAdapter, joinStorePanicAdapter))
 		os.Exit(command.Run(os.Args[1:]))
 	}
 	if os.Getenv(runVariable) != "" {
@@ -38,15 +38,15 @@
 	testscript.Main(m, map[string]func(){"kumquatgw": run})
 }
 
-// A caller asks one node for a service whose upstream stands beside another.
-// Every role is a process of its own; the user gets the upstream's answer.
+// Checks a call that enters at one node and is served by an upstream of another node,
+// with every role in a process of its own.
 func TestWholePathAcrossProcesses(t *testing.T) {
-	platform := after(t, start(t, "platform", "--listen", "127.0.0.1:0"), "listens on ")
-	entry := start(t, "node", "--settings", settings(t, "front", platform, "", ""))
-	front := after(t, entry, "entry ")
-	control := after(t, entry, "control ")
-	local := after(t, start(t, "node", "--settings", settings(t, "back", platform, control, "store")), "local ")
-	start(t, "upstream", "--service", "store", "--node", local)
+	platform := readAfter(t, startCommand(t, "platform", "--listen", "127.0.0.1:0"), "listens on ")
+	entry := startCommand(t, "node", "--settings", writeSettings(t, "front", platform, "", ""))
+	front := readAfter(t, entry, "entry ")
+	control := readAfter(t, entry, "control ")
+	local := readAfter(t, startCommand(t, "node", "--settings", writeSettings(t, "back", platform, control, "store")), "local ")
+	startCommand(t, "upstream", "--service", "store", "--node", local)
 	file := filepath.Join(t.TempDir(), "document.json")
 	if err := os.WriteFile(file, []byte(document), 0o600); err != nil {
 		t.Fatal(err)
@@ -62,10 +62,11 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatalf("last answer %q, want the upstream's", last)
+	t.Fatalf("last response %q, want the upstream's", last)
 }
 
-func settings(t *testing.T, name, platform, seed, service string) string {
+// writeSettings writes a settings file for a node and returns its path.
+func writeSettings(t *testing.T, name, platform, seed, service string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), name+".ini")
 	text := fmt.Sprintf(`[node]
@@ -88,6 +89,7 @@
 	return file
 }
 
+// command returns a command that runs the test binary as kumquatgw.
 func command(t *testing.T, arguments ...string) *exec.Cmd {
 	t.Helper()
 	self, err := os.Executable()
@@ -99,7 +101,8 @@
 	return c
 }
 
-func start(t *testing.T, arguments ...string) *bufio.Reader {
+// startCommand starts a kumquatgw command until the test ends and returns its output.
+func startCommand(t *testing.T, arguments ...string) *bufio.Reader {
 	t.Helper()
 	c := command(t, arguments...)
 	c.Stderr = os.Stderr
@@ -114,8 +117,8 @@
 	return bufio.NewReader(out)
 }
 
-// after reads lines until one holds the mark and returns what stands behind it.
-func after(t *testing.T, r *bufio.Reader, mark string) string {
+// readAfter reads lines until one contains the mark, and returns the rest of that line.
+func readAfter(t *testing.T, r *bufio.Reader, mark string) string {
 	t.Helper()
 	for {
 		line, err := r.ReadString('\n')
@@ -128,6 +131,7 @@
 	}
 }
 
+// call sends a GET to a service's host and returns the status and body, or the error.
 func call(t *testing.T, address, host string) string {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+"/", nil)
--- a/cmd/kumquatgw/ends_memory_test.go
+++ b/cmd/kumquatgw/memory_large_bodies_test.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// largeBody is half of the largest body that settings allow, in bytes.
+	// largeBody is half of the max_body setting, in bytes.
 	largeBody = 32 << 20
-	// memoryBound is the memory that a server gives a node, in bytes: the kernel ends a
-	// process that holds more.
+	// memoryBound is the memory limit of a node in bytes, above which the kernel would
+	// kill its process.
 	memoryBound = 184 << 20
 )
 
-// Several callers send large bodies at once. A node that holds each whole until it is
-// sent on holds all of them, and a process over its server's memory is killed, with
-// all calls under way. Those that there is no room for are told so, as not run.
+// Guards against concurrent large bodies, each buffered whole before it is forwarded, that
+// exceed a server's memory: the process is killed together with all in-flight calls.
+// Calls that do not fit must be refused as not run.
 func TestLargeBodiesAtOnceKeepWithinMemory(t *testing.T) {
 	m := newMeshWith(t, 200*time.Millisecond, "\n[call]\nmax_body = 64MB\n[node]\nmemory = 184MB")
 	for _, count := range []int{4, 8, 16} {
@@ -32,24 +32,24 @@
 			for i := range count {
 				group.Go(func() { answers[i] = m.upload(t, largeBody, largeBody) })
 			}
-			small := m.calls(t, 4)
+			small := m.startCalls(t, 4)
 			group.Wait()
-			answered(t, small())
+			assertAnswered(t, small())
 			for _, a := range answers {
 				if !strings.HasPrefix(a, "200 ") && !strings.HasPrefix(a, "503 not_run") {
-					t.Errorf("answer %q, want the upstream's, or not run", a)
+					t.Errorf("response %q, want the upstream's or not_run", a)
 				}
 			}
-			t.Logf("%d bodies: front %d MB, back %d MB at most", count, m.front.peak(t)>>20, m.back.peak(t)>>20)
-			if got := max(m.front.peak(t), m.back.peak(t)); got > memoryBound*memoryFactor {
-				t.Errorf("a node has held %d MB, want %d MB at most", got>>20, memoryBound*memoryFactor>>20)
+			t.Logf("%d bodies: peak memory: front %d MB, back %d MB", count, m.front.peakMemory(t)>>20, m.back.peakMemory(t)>>20)
+			if got := max(m.front.peakMemory(t), m.back.peakMemory(t)); got > memoryBound*memoryFactor {
+				t.Errorf("a node used %d MB, want %d MB at most", got>>20, memoryBound*memoryFactor>>20)
 			}
 		})
 	}
 }
 
-// Callers that do not state how long their bodies are can take as much memory as those
-// that do; what they send is bounded by max_body alone.
+// Checks that the memory limit also covers bodies without a content-length, whose size is
+// otherwise bounded by max_body alone.
 func TestBodiesOfUnstatedLengthKeepWithinMemory(t *testing.T) {
 	m := newMeshWith(t, 200*time.Millisecond, "\n[call]\nmax_body = 64MB\n[node]\nmemory = 184MB")
 	var group sync.WaitGroup
@@ -57,19 +57,19 @@
 		group.Go(func() { m.upload(t, largeBody, -1) })
 	}
 	group.Wait()
-	m.front.alive(t)
-	if got := max(m.front.peak(t), m.back.peak(t)); got > memoryBound*memoryFactor {
-		t.Errorf("a node has held %d MB, want %d MB at most", got>>20, memoryBound*memoryFactor>>20)
+	m.front.assertRunning(t)
+	if got := max(m.front.peakMemory(t), m.back.peakMemory(t)); got > memoryBound*memoryFactor {
+		t.Errorf("a node used %d MB, want %d MB at most", got>>20, memoryBound*memoryFactor>>20)
 	}
 }
 
-// A caller that does not state how long its body is must be served like any other while
-// there is room, and be told that its call did not run where there is none: cut off
-// without an answer it could not know whether it ran.
-func TestBodiesOfUnstatedLengthAreAnswered(t *testing.T) {
+// Checks that a call whose body has no content-length is served while memory is
+// available, and refused as not run otherwise. If its connection were just closed, the
+// caller could not know whether the call ran.
+func TestBodiesOfUnknownLengthAreAnswered(t *testing.T) {
 	m := newMeshWith(t, 200*time.Millisecond, "\n[call]\nmax_body = 64MB\n[node]\nmemory = 184MB")
 	if a := m.upload(t, largeBody, -1); !strings.HasPrefix(a, "200 ") {
-		t.Errorf("alone: answer %q, want the upstream's", a)
+		t.Errorf("alone: response %q, want the upstream's", a)
 	}
 	var group sync.WaitGroup
 	answers := make([]string, 8)
@@ -79,15 +79,16 @@
 	group.Wait()
 	for _, a := range answers {
 		if !strings.HasPrefix(a, "200 ") && !strings.HasPrefix(a, "503 not_run") {
-			t.Errorf("among others: answer %q, want the upstream's, or not run", a)
+			t.Errorf("concurrent: response %q, want the upstream's or not_run", a)
 		}
 	}
 	if a := m.upload(t, largeBody, -1); !strings.HasPrefix(a, "200 ") {
-		t.Errorf("afterwards: answer %q, want the upstream's", a)
+		t.Errorf("afterwards: response %q, want the upstream's", a)
 	}
 }
 
-// upload sends a body of zeroes; the length that it states is -1 for none.
+// upload sends a body of size zero bytes with that content-length, or none for -1, and
+// returns the status and body of the response, or the error.
 func (m *mesh) upload(t *testing.T, size, length int64) string {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+m.entry+"/", io.LimitReader(zeroes{}, size))
@@ -105,6 +106,7 @@
 	return fmt.Sprintf("%d %s", a.StatusCode, body)
 }
 
+// zeroes is an endless reader of zero bytes.
 type zeroes struct{}
 
 func (zeroes) Read(b []byte) (int, error) {
@@ -112,8 +114,8 @@
 	return len(b), nil
 }
 
-// peak returns the most memory that the process has held, in bytes.
-func (p *process) peak(t *testing.T) int {
+// peakMemory returns the process's peak resident memory in bytes.
+func (p *process) peakMemory(t *testing.T) int {
 	t.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.command.Process.Pid))
 	if err != nil {
@@ -123,7 +125,7 @@
 	kb, _, _ := strings.Cut(strings.TrimSpace(rest), " ")
 	n, err := strconv.Atoi(kb)
 	if err != nil {
-		t.Fatalf("read peak: %v", err)
+		t.Fatalf("read peak memory: %v", err)
 	}
 	return n << 10
 }
--- a/cmd/kumquatgw/mesh_test.go
+++ b/cmd/kumquatgw/mesh_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// mesh is a small fleet of processes: callers use the front node, and the
-// service's upstream stands beside the back node.
+// mesh is a fleet of two node processes: callers use the front node, and the service's
+// upstream is local to the back node.
 type mesh struct {
 	front, back *process
 	// local and control are the back node's and the front node's addresses.
@@ -18,22 +18,22 @@
 	entry          string
 }
 
-// newMesh returns a fleet that serves: a call takes as long as work says.
+// newMesh starts a mesh and waits until it serves. work is the duration of a call.
 func newMesh(t *testing.T, work time.Duration) *mesh {
 	t.Helper()
 	return newMeshWith(t, work, "")
 }
 
-// newMeshWith returns a fleet whose nodes have further settings of their platform.
+// newMeshWith is newMesh with further settings, which follow the nodes' platform url.
 func newMeshWith(t *testing.T, work time.Duration, further string) *mesh {
 	t.Helper()
-	platform := after(t, start(t, "platform", "--listen", "127.0.0.1:0"), "listens on ")
-	m := &mesh{front: node(t, settings(t, "front", platform+further, "", ""))}
-	m.entry = m.front.after(t, "entry ")
-	m.control = m.front.after(t, "control ")
-	m.back = node(t, settings(t, "back", platform+further, m.control, "store"))
-	m.local = m.back.after(t, "local ")
-	start(t, "upstream", "--service", "store", "--node", m.local, "--work", work.String(), "--slots", "64")
+	platform := readAfter(t, startCommand(t, "platform", "--listen", "127.0.0.1:0"), "listens on ")
+	m := &mesh{front: startNode(t, writeSettings(t, "front", platform+further, "", ""))}
+	m.entry = m.front.readAfter(t, "entry ")
+	m.control = m.front.readAfter(t, "control ")
+	m.back = startNode(t, writeSettings(t, "back", platform+further, m.control, "store"))
+	m.local = m.back.readAfter(t, "local ")
+	startCommand(t, "upstream", "--service", "store", "--node", m.local, "--work", work.String(), "--slots", "64")
 	file := filepath.Join(t.TempDir(), "document.json")
 	if err := os.WriteFile(file, []byte(document), 0o600); err != nil {
 		t.Fatal(err)
@@ -49,12 +49,13 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatalf("last answer %q, want the upstream's", last)
+	t.Fatalf("last response %q, want the upstream's", last)
 	return nil
 }
 
-// calls has some callers ask at once, and returns their answers once all have one.
-func (m *mesh) calls(t *testing.T, count int) func() []string {
+// startCalls sends calls concurrently, and returns a function that waits for all of their
+// responses.
+func (m *mesh) startCalls(t *testing.T, count int) func() []string {
 	t.Helper()
 	answers := make([]string, count)
 	var group sync.WaitGroup
@@ -67,18 +68,18 @@
 	}
 }
 
-// answered fails the test for each answer that is not the upstream's.
-func answered(t *testing.T, answers []string) {
+// assertAnswered fails the test for each response that is not the upstream's.
+func assertAnswered(t *testing.T, answers []string) {
 	t.Helper()
 	for i, a := range answers {
 		if !strings.HasPrefix(a, "200 store v1") {
-			t.Errorf("call %d of %d: %q, want the upstream's answer", i, len(answers), a)
+			t.Errorf("call %d of %d: response %q, want the upstream's", i, len(answers), a)
 		}
 	}
 }
 
-// alive fails the test if the process has ended.
-func (p *process) alive(t *testing.T) {
+// assertRunning fails the test if the process has ended.
+func (p *process) assertRunning(t *testing.T) {
 	t.Helper()
 	select {
 	case <-p.ended:
@@ -87,8 +88,8 @@
 	}
 }
 
-// change gives the process other settings, without a signal.
-func (p *process) change(t *testing.T, text string) {
+// appendSettings adds text to the process's settings file, without a signal.
+func (p *process) appendSettings(t *testing.T, text string) {
 	t.Helper()
 	old, err := os.ReadFile(p.file)
 	if err != nil {
--- a/cmd/kumquatgw/conns_behind_test.go
+++ b/cmd/kumquatgw/pipelining_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// behind sends calls of that many milliseconds behind each other on one connection, and
-// returns a function that reads their answers: the call's name, or its status where it has
-// no success.
-func (f *fleet) behind(ms ...int) func() []string {
+// sendPipelined sends calls of ms milliseconds each, pipelined on one connection, and
+// returns a function that reads their responses: the name of the call, or the status if it
+// is not 200.
+func (f *fleet) sendPipelined(ms ...int) func() []string {
 	f.t.Helper()
 	conn, err := net.Dial("tcp", f.entry)
 	if err != nil {
@@ -23,7 +23,7 @@
 	f.t.Cleanup(func() { _ = conn.Close() })
 	var sent strings.Builder
 	for i, m := range ms {
-		fmt.Fprintf(&sent, "GET /?ms=%d HTTP/1.1\r\nHost: store\r\n%s: call-%d\r\n\r\n", m, workHeader, i)
+		fmt.Fprintf(&sent, "GET /?ms=%d HTTP/1.1\r\nHost: store\r\n%s: call-%d\r\n\r\n", m, callIDHeader, i)
 	}
 	if _, err := io.WriteString(conn, sent.String()); err != nil {
 		f.t.Fatal(err)
@@ -36,11 +36,11 @@
 		for range ms {
 			a, err := http.ReadResponse(r, nil)
 			if err != nil {
-				f.t.Fatalf("after %v: %v", names, err)
+				f.t.Fatalf("response after %v: %v", names, err)
 			}
 			body, err := io.ReadAll(a.Body)
 			if err != nil {
-				f.t.Fatalf("after %v: %v", names, err)
+				f.t.Fatalf("response after %v: %v", names, err)
 			}
 			_ = a.Body.Close()
 			name, _, _ := strings.Cut(string(body), " ")
@@ -53,37 +53,36 @@
 	}
 }
 
-// A caller sends five calls of 400 ms behind each other. Worked on one after the other,
-// its last answer would come after two seconds, though four upstream slots stood free.
-func TestCallsBehindEachOtherRunAtOnce(t *testing.T) {
+// Checks that five pipelined calls of 400 ms run concurrently. In sequence the last
+// response would come after two seconds although four slots of the upstream are free.
+func TestPipelinedCallsRunConcurrently(t *testing.T) {
 	f := newFleet(t, "", "")
 	began := time.Now()
-	got := strings.Join(f.behind(400, 400, 400, 400, 400)(), " ")
+	got := strings.Join(f.sendPipelined(400, 400, 400, 400, 400)(), " ")
 	if want := "call-0 call-1 call-2 call-3 call-4"; got != want {
-		t.Errorf("answers %q, want %q", got, want)
+		t.Errorf("responses %q, want %q", got, want)
 	}
 	if took := time.Since(began); took > 1600*time.Millisecond {
-		t.Errorf("the last answer came after %v", took)
+		t.Errorf("the last response came after %v, want at most 1.6 s", took)
 	}
 }
 
-// The node beside the upstream is killed while five calls that came behind each other run
-// there. Their caller is due an answer to each, in their order, and on the same connection;
-// what it may repeat can go elsewhere then.
-func TestCallsBehindEachOtherAreAnsweredWhenTheirGateDies(t *testing.T) {
+// Checks that five pipelined calls are all answered, in order and on the same connection,
+// when the gate that runs them is killed. A call may be retried at another gate.
+func TestPipelinedCallsAreAnsweredWhenTheirGateDies(t *testing.T) {
 	f := newFleet(t, "", "")
-	answers := f.behind(50, 3000, 3000, 3000, 3000)
+	answers := f.sendPipelined(50, 3000, 3000, 3000, 3000)
 	time.Sleep(500 * time.Millisecond)
 	if err := f.back.command.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
 	got := answers()
 	if got[0] != "call-0" {
-		t.Errorf("the first answer is %q, want that of the call that had ended", got[0])
+		t.Errorf("the first response is %q, want that of the completed call", got[0])
 	}
 	for i, a := range got[1:] {
 		if strings.HasPrefix(a, "call-") && a != fmt.Sprint("call-", i+1) {
-			t.Errorf("answer %d is %q: another call's", i+1, a)
+			t.Errorf("response %d is %q, which belongs to another call", i+1, a)
 		}
 	}
 }
--- a/cmd/kumquatgw/process_test.go
+++ b/cmd/kumquatgw/process_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// linePatience is how long a test waits for a line of a process.
-const linePatience = 20 * time.Second
+// lineTimeout bounds the wait for a line of a process's output.
+const lineTimeout = 20 * time.Second
 
-// process is a node whose output and end a test looks at.
+// process is a node in a process whose output and exit a test checks.
 type process struct {
 	command *exec.Cmd
 	// reader is this test's end of the process's standard output.
@@ -20,13 +20,14 @@
 	lines  *bufio.Reader
 	file   string
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// ended is closed when the process has ended; err is then its exit error.
 	ended chan struct{}
 	err   error
 }
 
-// node starts a node with those settings.
-func node(t *testing.T, file string) *process {
+// startNode starts a node with a settings file.
+func startNode(t *testing.T, file string) *process {
 	t.Helper()
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -50,16 +51,16 @@
 	return p
 }
 
-// after reads the process's output up to a line with the mark, and returns what
-// stands behind it.
-func (p *process) after(t *testing.T, mark string) string {
+// readAfter reads the process's output up to a line that contains the mark, and returns
+// the rest of that line.
+func (p *process) readAfter(t *testing.T, mark string) string {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err := p.reader.SetReadDeadline(time.Now().Add(linePatience)); err != nil {
-		t.Fatalf("wait for a line with %q: %v", mark, err)
+	if err := p.reader.SetReadDeadline(time.Now().Add(lineTimeout)); err != nil {
+		t.Fatalf("set deadline for a line with %q: %v", mark, err)
 	}
-	return after(t, p.lines, mark)
+	return readAfter(t, p.lines, mark)
 }
 
 // signal sends the process a signal.
--- a/cmd/kumquatgw/script_test.go
+++ b/cmd/kumquatgw/script_test.go
@@ -9,7 +9,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
 )
 
-// Each script has a platform of its own at $PLATFORM.
+// TestScripts runs the scripts in testdata. Each has a platform of its own at $PLATFORM.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
--- a/cmd/kumquatgw/signal_test.go
+++ b/cmd/kumquatgw/signal_test.go
@@ -9,16 +9,13 @@
 	"time"
 )
 
-// Orders and status calls ended without an answer at a node that was being stopped,
-// while their upstreams were at work on them. The node had been told to stop 1.4 s
-// before, which it does by finishing what it has; then its settings changed, and it was
-// told of that as well. It had stopped listening for the reload signal when it was told
-// to stop, and by default that signal ends a process: the connections ended in the very
-// millisecond of the signal, at a leaving node only, and the process was back sooner
-// than a leave takes. With the default in force the node ends with "signal: hangup" here.
-func TestReloadSignalDoesNotEndALeavingNode(t *testing.T) {
-	platform := after(t, start(t, "platform", "--listen", "127.0.0.1:0"), "listens on ")
-	c := command(t, "node", "--settings", settings(t, "front", platform, "", ""))
+// Guards against a reload signal that ends a draining node. The node had stopped handling
+// SIGHUP when its drain began, and the default action of SIGHUP ends a process: a reload
+// 1.4 s into the drain cut the connections of all in-flight calls. With that fault the
+// node exits here with "signal: hangup".
+func TestReloadSignalDoesNotEndADrainingNode(t *testing.T) {
+	platform := readAfter(t, startCommand(t, "platform", "--listen", "127.0.0.1:0"), "listens on ")
+	c := command(t, "node", "--settings", writeSettings(t, "front", platform, "", ""))
 	pipe, err := c.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -27,8 +24,8 @@
 		t.Fatal(err)
 	}
 	out := bufio.NewReader(pipe)
-	// An open connection keeps the node waiting for its caller.
-	caller, err := net.Dial("tcp", after(t, out, "entry "))
+	// An open connection keeps the drain waiting for its caller.
+	caller, err := net.Dial("tcp", readAfter(t, out, "entry "))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +35,7 @@
 	}
 	for line := ""; !strings.Contains(line, "Leaving."); {
 		if line, err = out.ReadString('\n'); err != nil {
-			t.Fatalf("the node ended before it left: %v", err)
+			t.Fatalf("the node ended before its drain began: %v", err)
 		}
 	}
 	if err := c.Process.Signal(syscall.SIGHUP); err != nil {
@@ -48,25 +45,26 @@
 		_, err = out.ReadString('\n')
 	}
 	if err := c.Wait(); err != nil {
-		t.Errorf("the node ended with %v, want a whole leave", err)
+		t.Errorf("the node exited with %v, want a complete drain", err)
 	}
 }
 
-// The same with calls at work: each is answered, and the node ends by itself after them.
+// Checks that reload signals during a drain neither interrupt in-flight calls nor keep the
+// node from ending by itself afterwards.
 func TestCallsOutliveAReloadSignalWhileTheNodeLeaves(t *testing.T) {
 	m := newMesh(t, time.Second)
-	answers := m.calls(t, 8)
+	answers := m.startCalls(t, 8)
 	time.Sleep(200 * time.Millisecond)
 	m.front.signal(t, syscall.SIGTERM)
-	m.front.after(t, "Leaving.")
+	m.front.readAfter(t, "Leaving.")
 	for range 3 {
 		m.front.signal(t, syscall.SIGHUP)
 		time.Sleep(100 * time.Millisecond)
 	}
-	m.front.change(t, "[log]\nsample = 1\n")
+	m.front.appendSettings(t, "[log]\nsample = 1\n")
 	m.front.signal(t, syscall.SIGHUP)
-	answered(t, answers())
+	assertAnswered(t, answers())
 	if <-m.front.ended; m.front.err != nil {
-		t.Errorf("the node ended with %v, want a whole leave", m.front.err)
+		t.Errorf("the node exited with %v, want a complete drain", m.front.err)
 	}
 }
--- a/cmd/kumquatgw/soak_fault_test.go
+++ b/cmd/kumquatgw/soak_fault_test.go
@@ -11,14 +11,13 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqsoakrun"
 )
 
-// faultSeeds are how many seeds the soak may need to find a fault: where one is at
-// work is a matter of which calls it meets.
+// faultSeeds is the number of seeds within which the soak must find a fault. Whether a
+// run triggers it depends on the calls that happen to be in flight.
 const faultSeeds = 4
 
-// A check that finds nothing may be blind. Each fault here is one that callers would
-// notice: a node that ends while it leaves, with its calls, as its settings change;
-// orders that run twice when a node or an upstream dies; calls at an upstream that
-// has said goodbye. The soak must find each, by the kind of harm that it does.
+// Checks that the soak detects injected faults, each by its kind of violation: a node
+// that a reload ends during its drain, orders that run twice when a node or an upstream
+// dies, and calls to an upstream that has deregistered.
 func TestSoakFindsFaultsPutInOnPurpose(t *testing.T) {
 	for _, c := range []struct {
 		fault     kqfault.Kind
@@ -39,12 +38,12 @@
 					return
 				}
 			}
-			t.Errorf("%d seeds did not find %s", faultSeeds, c.want)
+			t.Errorf("no run of %d seeds found %s", faultSeeds, c.want)
 		})
 	}
 }
 
-// kinds are the kinds of the violations of a run.
+// kinds counts the violations of a run by kind.
 func kinds(r kqsoakrun.Report) map[kqsoakcheck.Kind]int {
 	found := make(map[kqsoakcheck.Kind]int)
 	for _, v := range r.Violations {
--- a/cmd/kumquatgw/soak_test.go
+++ b/cmd/kumquatgw/soak_test.go
@@ -8,8 +8,8 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqsoakrun"
 )
 
-// soak runs a short soak and returns what it found. What it leaves is told where
-// something does not hold.
+// soak runs the soak command with an additional environment variable and returns its
+// report. Its error is that of the command.
 func soak(t *testing.T, environment string, arguments ...string) (kqsoakrun.Report, error) {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), "kept")
@@ -23,14 +23,13 @@
 	return r, err
 }
 
-// A process or a connection ends while calls are at work, and callers lose them, or
-// have them run twice. The soak plays that with the real programs; what its callers
-// and upstreams see must hold on a busy machine as well.
+// Runs a short soak with real processes. It guards against calls that are lost or run
+// twice when a process or a connection ends, and must pass on a loaded server as well.
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	r, err := soak(t, "", "--seed", "4", "--for", "8s")
 	if err != nil || len(r.Violations) > 0 || r.Calls.Answered == 0 {
-		t.Errorf("%v, calls %+v, play it again: %s", err, r.Calls, r.Command)
+		t.Errorf("%v, calls %+v; reproduce with: %s", err, r.Calls, r.Command)
 		for _, v := range r.Violations {
 			text, _ := json.Marshal(v)
 			t.Errorf("%s", text)
--- a/cmd/kumquatgw/conns_upload_test.go
+++ b/cmd/kumquatgw/upload_test.go
@@ -11,10 +11,9 @@
 	"time"
 )
 
-// A caller still sent its call's body, slowly, when its node was told to stop. The leave
-// ended before the body did, and the caller's connection with it, without an answer: no
-// call was under way yet by the node's count, so that none was cancelled and told so. Its
-// caller is due a whole answer, which may say that the call did not run.
+// Guards against a slow upload that is cut without a response when the drain times out.
+// The node did not count the call as in flight until its body had arrived, so it did not
+// cancel and answer it. The response may state that the call did not run.
 func TestCallerThatStillSendsAtTheEndIsAnswered(t *testing.T) {
 	f := newFleet(t, "drain_timeout = 1s\n", "")
 	conn, err := net.Dial("tcp", f.entry)
@@ -22,7 +21,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	fmt.Fprintf(conn, "POST /?ms=5 HTTP/1.1\r\nHost: store\r\n%s: slow\r\nContent-Length: 40\r\n\r\n", workHeader)
+	fmt.Fprintf(conn, "POST /?ms=5 HTTP/1.1\r\nHost: store\r\n%s: slow\r\nContent-Length: 40\r\n\r\n", callIDHeader)
 	go func() {
 		for range 40 {
 			time.Sleep(100 * time.Millisecond)
@@ -35,14 +34,14 @@
 	f.front.signal(t, syscall.SIGTERM)
 	a, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Fatalf("no answer: %v; the call ran %d times", err, f.upstream.ran("slow"))
+		t.Fatalf("no response: %v; the call ran %d times", err, f.upstream.runCount("slow"))
 	}
 	_ = a.Body.Close()
 }
 
-// Guards against callers that are told that their request is malformed where it was on
-// its way, between two chunks, when its time or its node's was up.
-func TestCallerBetweenChunksIsToldTheTrueReason(t *testing.T) {
+// Guards against a chunked request that is refused as malformed although only the read
+// timeout or the drain timeout ended it between two chunks.
+func TestCallerBetweenChunksGetsTheTrueReason(t *testing.T) {
 	for reason, c := range map[string]struct {
 		settings string
 		stop     bool
@@ -66,7 +65,7 @@
 				}
 				a, err := http.ReadResponse(bufio.NewReader(conn), nil)
 				if err != nil {
-					t.Fatalf("no answer: %v", err)
+					t.Fatalf("no response: %v", err)
 				}
 				defer func() { _ = a.Body.Close() }()
 				text, err := io.ReadAll(a.Body)
@@ -74,7 +73,7 @@
 					t.Fatal(err)
 				}
 				if want := "not_run: " + reason + "\n"; a.StatusCode != c.status || string(text) != want {
-					t.Errorf("answer %d %q, want %d %q", a.StatusCode, text, c.status, want)
+					t.Errorf("response %d %q, want %d %q", a.StatusCode, text, c.status, want)
 				}
 			})
 		}
