--- a/internal/decide/kqfailing/failing.go
+++ b/internal/decide/kqfailing/failing.go
@@ -6,44 +6,44 @@
 )
 
 const (
-	// windowCalls is the number of calls over which the share is averaged.
+	// windowCalls is the number of calls over which the failure rate is averaged.
 	windowCalls = 32
-	// halfLife is the time without calls in which the share falls by half.
+	// halfLife is the time without calls in which the failure rate falls by half.
 	halfLife = 3 * time.Second
-	// minShare is the share below which 0 is reported: less than two failures in 32 calls.
-	minShare = 0.05
+	// minRate is the failure rate below which 0 is reported: less than two failures in 32 calls.
+	minRate = 0.05
 )
 
-// Failing measures the failing calls of one upstream. The zero value is ready to use. It
-// is not safe for concurrent use.
+// Failing is the failure rate of one upstream, a decaying mean over its calls. The zero
+// value is ready to use. It is not safe for concurrent use.
 type Failing struct {
-	share    float64
+	rate     float64
 	lastCall time.Time
 }
 
-// Note records whether a call failed.
+// Note records a call and whether it failed.
 func (f *Failing) Note(failed bool, now time.Time) {
-	share := Faded(f.share, now.Sub(f.lastCall))
-	ended := 0.0
+	rate := Faded(f.rate, now.Sub(f.lastCall))
+	sample := 0.0
 	if failed {
-		ended = 1
+		sample = 1
 	}
-	f.share, f.lastCall = share+(ended-share)/windowCalls, now
+	f.rate, f.lastCall = rate+(sample-rate)/windowCalls, now
 }
 
-// Share returns the share of recent calls that failed, from 0 to 1. It is 0 where the
-// failures may be chance.
+// Share returns the failure rate, from 0 to 1. It is 0 below minRate, where the failures
+// may be chance.
 func (f *Failing) Share(now time.Time) float64 {
-	if share := Faded(f.share, now.Sub(f.lastCall)); share >= minShare {
-		return share
+	if rate := Faded(f.rate, now.Sub(f.lastCall)); rate >= minRate {
+		return rate
 	}
 	return 0
 }
 
-// Faded returns the share after decaying for the given age.
-func Faded(share float64, age time.Duration) float64 {
-	if share == 0 || age <= 0 {
-		return share
+// Faded returns a failure rate after its decay over the given time without calls.
+func Faded(rate float64, age time.Duration) float64 {
+	if rate == 0 || age <= 0 {
+		return rate
 	}
-	return share * math.Exp2(-age.Seconds()/halfLife.Seconds())
+	return rate * math.Exp2(-age.Seconds()/halfLife.Seconds())
 }
