--- a/internal/decide/kqpick/doc.go
+++ b/internal/decide/kqpick/doc.go
@@ -9,8 +9,8 @@
 //
 // The best candidate has the least expected time: the work and wait that its gate reported
 // for the route, increased while the upstream is cold, plus this entry's calls since then.
-// Judged by calls of any kind, an upstream that answers many short calls would look idle
-// to long ones until it refuses them. If its gate has not reported the route, the
+// Judged by calls of all routes together, an upstream that serves many short calls would
+// look idle to long calls until it refuses them. If its gate has not reported the route, the
 // upstream's recent calls count, with a wait once nearly all of its slots are in use.
 // While slots are free, a fast upstream with some calls beats a slow one with none; under
 // overload, the wait decides. Upstreams of the entry's own failure domain count as a fifth
--- a/internal/decide/kqpick/peer.go
+++ b/internal/decide/kqpick/peer.go
@@ -14,12 +14,14 @@
 // Peer is one upstream of a pool.
 type Peer struct {
 	kqmember.Candidate
+	// sent is the number of this entry's in-flight calls to the upstream.
 	sent       int
 	load       kqcall.Load
 	reportedAt time.Time
 	addedAt    time.Time
 	state      kqeject.State
-	routes     routes
+	// routeLoads holds the last report for each route.
+	routeLoads routeLoads
 }
 
 // Known returns the upstream's last reported load and its age, both zero if there is none.
@@ -48,7 +50,7 @@
 
 // localBest returns the best sampled upstream of the own failure domain if its expected
 // time is below target.Ample, else nil. A faster upstream in another domain would gain
-// nothing then, while its answers would cross between domains.
+// nothing then, while its responses would cross between domains.
 func (p *Pool) localBest(list []*Peer, target Target, now time.Time, random *rand.Rand) *Peer {
 	local := 0
 	for i, peer := range list {
@@ -66,11 +68,11 @@
 
 // leastExpected returns the upstream with the least expected time in a random sample of
 // the list, and that time in seconds. Sampling keeps entries, each of which only has
-// reports from its own answers, from all choosing the same upstream.
+// the load reports in the responses to its own calls, from all choosing the same upstream.
 //
 // While the service has spare capacity, upstreams that fail part of their calls do not
-// count towards the sample size: if half of the upstreams fail, one sample in sixteen
-// would hold no other.
+// count towards the sample size: if half of the upstreams fail, one sample of four in
+// sixteen would hold only failing ones.
 func (p *Pool) leastExpected(list []*Peer, route kqname.Route, now time.Time, random *rand.Rand) (found *Peer, leastExpected float64) {
 	hasSpareCapacity := p.hasSpareCapacity(now)
 	healthy := 0
@@ -97,43 +99,44 @@
 
 // expectedTime returns the expected time in seconds of a call of the route at the
 // upstream, from its gate's report for the route. Without such a report, it uses the
-// route's work at other upstreams: by its calls of any kind, an upstream whose orders take
-// 100 ms would seem to need as long for a lookup of 20 ms, and would never get one while
-// the others have more lookups than slots. If no upstream has reported the route, calls of
-// any kind count.
+// route's least work at any upstream, and only if none has reported the route, the
+// upstream's work over all routes: by the latter, an upstream that mostly serves orders of
+// 100 ms would look too slow for lookups of 20 ms and get none, even while the others have
+// more lookups than slots.
 func (p *Pool) expectedTime(peer *Peer, route kqname.Route, now time.Time) float64 {
-	k := peer.routes.current(route, now)
-	if k.work == 0 {
-		work := p.Work(route)
-		if work == 0 {
-			work = peer.work(p.typicalWork(now))
+	load := peer.routeLoads.current(route, now)
+	if load.expectedWork == 0 {
+		expectedWork := p.Work(route)
+		if expectedWork == 0 {
+			expectedWork = peer.expectedWork(p.typicalWork(now))
 		}
-		return peer.estimate(work, now)
+		return peer.estimateFromWork(expectedWork, now)
 	}
 	slots := float64(max(peer.Slots, 1))
-	work := k.work.Seconds() * peer.coldSlowdown(now)
-	ahead := float64(k.sentSince) / slots
-	return work*(1+occupancyCost*float64(peer.sent+1)/slots+ahead) + k.wait.Seconds()
+	expectedWork := load.expectedWork.Seconds() * peer.coldSlowdown(now)
+	ahead := float64(load.sentSince) / slots
+	return expectedWork*(1+occupancyCost*float64(peer.sent+1)/slots+ahead) + load.wait.Seconds()
 }
 
-// work returns the work of the upstream's calls of any kind, or the median if it has not
-// reported.
-func (peer *Peer) work(median time.Duration) time.Duration {
+// expectedWork returns the upstream's reported work over all routes, or typical, the
+// median over all upstreams, if it has not reported.
+func (peer *Peer) expectedWork(typical time.Duration) time.Duration {
 	if peer.load.Work > 0 {
 		return peer.load.Work
 	}
-	return max(median, time.Millisecond)
+	return max(typical, time.Millisecond)
 }
 
-// estimate returns the expected time in seconds of a call with the given work at the
-// upstream, including its cold slowdown and the wait for a slot.
-func (peer *Peer) estimate(work time.Duration, now time.Time) float64 {
+// estimateFromWork returns the expected time in seconds of a call with the given work at
+// the upstream, including its cold slowdown and the wait for a slot. Utilization above
+// queueingUtilization costs twice the work per unit, since calls then queue.
+func (peer *Peer) estimateFromWork(work time.Duration, now time.Time) float64 {
 	busy := float64(peer.sent + 1)
 	if now.Sub(peer.reportedAt) < reportTTL {
 		busy += float64(peer.load.Running + peer.load.Waiting)
 	}
 	used := busy / float64(max(peer.Slots, 1))
-	return work.Seconds() * peer.coldSlowdown(now) * (1 + occupancyCost*used + 2*max(used-queueingUse, 0))
+	return work.Seconds() * peer.coldSlowdown(now) * (1 + occupancyCost*used + 2*max(used-queueingUtilization, 0))
 }
 
 // failurePenalty returns the factor on the expected time for the risk of failure. It is 1
@@ -151,12 +154,13 @@
 	return kqfailing.Faded(peer.load.Failing, now.Sub(peer.reportedAt))
 }
 
-// coldSlowdown returns how many times slower the upstream is expected to be after its
-// start.
+// coldSlowdown returns how many times slower the upstream is expected to be while it is
+// cold. Warm is the announced end of its cold start; without one, the slowdown falls
+// linearly over coldDuration.
 func (peer *Peer) coldSlowdown(now time.Time) float64 {
 	if !peer.Warm.IsZero() {
 		if now.Before(peer.Warm) {
-			return announcedColdFactor
+			return coldFactorBeforeWarm
 		}
 		return 1
 	}
@@ -169,7 +173,7 @@
 // hasFreeSlot reports whether the upstream probably has a free slot. If the service is
 // saturated, it takes a recent report to say so.
 func (peer *Peer) hasFreeSlot(saturated bool, now time.Time) bool {
-	ttl := fullReportTTL
+	ttl := unsaturatedReportTTL
 	if saturated {
 		ttl = reportTTL
 	}
--- a/internal/decide/kqpick/pick.go
+++ b/internal/decide/kqpick/pick.go
@@ -21,32 +21,34 @@
 	// to another domain takes 1 to 3 ms on calls of 30 to 150 ms, and traffic between
 	// domains is paid for.
 	localFactor = 0.8
-	// queueingUse is the share of slots in use above which a call is expected to queue,
-	// given a report that is some calls old. occupancyCost is the weight of each slot in
-	// use below it, which spreads calls over equal upstreams.
-	queueingUse   = 0.75
-	occupancyCost = 0.25
-	// announcedColdFactor is how many times slower an upstream is that announces itself
-	// cold.
-	announcedColdFactor = 2.0
+	// queueingUtilization is the share of slots in use above which a call is expected to
+	// queue, given a report that is some calls old. occupancyCost is the weight of each
+	// slot in use below it, which spreads calls over equal upstreams.
+	queueingUtilization = 0.75
+	occupancyCost       = 0.25
+	// coldFactorBeforeWarm is how many times slower an upstream is expected to be until the
+	// end of the cold start that it announced.
+	coldFactorBeforeWarm = 2.0
 	// failureCost is the cost of a failed call in units of a call's work. The call is
 	// retried elsewhere, which spends a budget shared by all nodes, or is lost if it is
-	// not idempotent. The cost applies while less than spareUse of the service's slots are
-	// in use.
-	failureCost = 40.0
-	spareUse    = 0.5
-	// saturatedUse is the share of slots in use, including waiting calls, from which on
-	// the service has more calls than it can run at once.
-	saturatedUse = 1.0
+	// not idempotent. The cost applies while less than spareUtilization of the service's
+	// slots are in use.
+	failureCost      = 40.0
+	spareUtilization = 0.5
+	// saturatedUtilization is the share of slots in use, including waiting calls, from
+	// which on the service has more calls than it can run at once.
+	saturatedUtilization = 1.0
 	// coldFactor is how many times slower an upstream counts as when it is added, unless
 	// it announces its warm-up itself. It falls to 1 over coldDuration.
 	coldFactor   = 4.0
 	coldDuration = 10 * time.Second
-	reportTTL    = time.Second
-	medianTTL    = 100 * time.Millisecond
-	// fullReportTTL is how long an upstream reported as full counts as full: about the
-	// duration of a call.
-	fullReportTTL = 100 * time.Millisecond
+	// reportTTL is how long a load report is used.
+	reportTTL = time.Second
+	// aggregateTTL is how long the median work and the utilization are cached.
+	aggregateTTL = 100 * time.Millisecond
+	// unsaturatedReportTTL is how long a load report decides whether an upstream has a free
+	// slot while the service is not saturated: about the duration of a call.
+	unsaturatedReportTTL = 100 * time.Millisecond
 )
 
 type (
@@ -59,8 +61,9 @@
 		peers      []*Peer
 		eligible   []*Peer
 		ejector    kqeject.Ejector
-		median     time.Duration
-		medianAt   time.Time
+		// medianWork is the median of the upstreams' reported work at medianWorkAt.
+		medianWork   time.Duration
+		medianWorkAt time.Time
 		// lastUtilization is the share of the service's slots in use at utilizationAt.
 		lastUtilization float64
 		utilizationAt   time.Time
@@ -120,7 +123,7 @@
 		chosen.state.StartProbe()
 	}
 	chosen.sent++
-	chosen.routes.sent(target.Route)
+	chosen.routeLoads.sent(target.Route)
 	return chosen
 }
 
@@ -130,7 +133,7 @@
 	peer.sent--
 	if load != nil {
 		peer.load, peer.reportedAt = *load, now
-		peer.routes.update(load, now)
+		peer.routeLoads.update(load, now)
 	}
 	if p.uniform {
 		return
--- a/internal/decide/kqpick/routes.go
+++ b/internal/decide/kqpick/routes.go
@@ -11,52 +11,52 @@
 const maxRoutes = 64
 
 type (
-	// routes holds the load that an upstream's gate reported for each route.
-	routes map[kqname.Route]*routeLoad
+	// routeLoads holds the load that an upstream's gate reported for each route.
+	routeLoads map[kqname.Route]*routeLoad
 
 	routeLoad struct {
-		work, wait time.Duration
-		reportedAt time.Time
+		expectedWork, wait time.Duration
+		reportedAt         time.Time
 		// sentSince counts the calls sent to the upstream since the report.
 		sentSince int
 	}
 )
 
-// update stores the report that came with an answer.
-func (r *routes) update(l *kqcall.Load, now time.Time) {
-	if l.Route == "" || l.Expected == 0 {
+// update stores the load report of a response.
+func (r *routeLoads) update(report *kqcall.Load, now time.Time) {
+	if report.Route == "" || report.Expected == 0 {
 		return
 	}
 	if *r == nil {
-		*r = make(routes)
+		*r = make(routeLoads)
 	}
-	k, ok := (*r)[l.Route]
+	load, ok := (*r)[report.Route]
 	if !ok {
 		if len(*r) >= maxRoutes {
 			return
 		}
-		k = &routeLoad{}
-		(*r)[l.Route] = k
+		load = &routeLoad{}
+		(*r)[report.Route] = load
 	}
-	*k = routeLoad{work: l.Expected, wait: l.Wait, reportedAt: now}
+	*load = routeLoad{expectedWork: report.Expected, wait: report.Wait, reportedAt: now}
 }
 
 // sent counts a call that is sent to the upstream.
-func (r routes) sent(route kqname.Route) {
-	if k, ok := r[route]; ok {
-		k.sentSince++
+func (r routeLoads) sent(route kqname.Route) {
+	if load, ok := r[route]; ok {
+		load.sentSince++
 	}
 }
 
 // current returns the load reported for the route. Once the report is outdated, the work
 // still counts but the wait does not.
-func (r routes) current(route kqname.Route, now time.Time) routeLoad {
-	k, ok := r[route]
+func (r routeLoads) current(route kqname.Route, now time.Time) routeLoad {
+	load, ok := r[route]
 	if !ok {
 		return routeLoad{}
 	}
-	current := *k
-	if now.Sub(k.reportedAt) >= reportTTL {
+	current := *load
+	if now.Sub(load.reportedAt) >= reportTTL {
 		current.wait = 0
 	}
 	return current
--- a/internal/decide/kqpick/target.go
+++ b/internal/decide/kqpick/target.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// ampleShare is the share of a route's target within which an upstream of the own
-	// failure domain is preferred: most calls still meet the target, and their answers do
+	// comfortableShare is the share of a route's target within which an upstream of the own
+	// failure domain is preferred: most calls still meet the target, and their responses do
 	// not cross between domains.
-	ampleShare = 0.6
-	// nestedAmpleShare is the share for nested calls.
-	nestedAmpleShare = 0.35
+	comfortableShare = 0.6
+	// nestedComfortableShare is the share for nested calls.
+	nestedComfortableShare = 0.35
 )
 
 // Target restricts which upstreams of a service a call may go to.
@@ -61,7 +61,7 @@
 // callers, and a local queue is reason enough to use another domain.
 func Ample(target time.Duration, nested bool) time.Duration {
 	if nested {
-		return time.Duration(nestedAmpleShare * float64(target))
+		return time.Duration(nestedComfortableShare * float64(target))
 	}
-	return time.Duration(ampleShare * float64(target))
+	return time.Duration(comfortableShare * float64(target))
 }
--- a/internal/decide/kqpick/usage.go
+++ b/internal/decide/kqpick/usage.go
@@ -14,7 +14,7 @@
 // of each, so every call would be offered to one gate after another, with its body, until
 // the servers' links are full and even calls that have a slot are late.
 func (p *Pool) Spare(target Target, tried []kqname.Node, now time.Time) bool {
-	saturated := p.utilization(now) >= saturatedUse
+	saturated := p.utilization(now) >= saturatedUtilization
 	for _, peer := range p.peers {
 		if target.allows(peer.Candidate) && !slices.Contains(tried, peer.Node) && !peer.state.Ejected() && peer.hasFreeSlot(saturated, now) {
 			return true
@@ -28,8 +28,8 @@
 func (p *Pool) Work(route kqname.Route) time.Duration {
 	least := time.Duration(0)
 	for _, peer := range p.peers {
-		if k, ok := peer.routes[route]; ok && !peer.state.Ejected() && (least == 0 || k.work < least) {
-			least = k.work
+		if load, ok := peer.routeLoads[route]; ok && !peer.state.Ejected() && (least == 0 || load.expectedWork < least) {
+			least = load.expectedWork
 		}
 	}
 	return least
@@ -37,22 +37,22 @@
 
 // typicalWork returns the median of the upstreams' recent work.
 func (p *Pool) typicalWork(now time.Time) time.Duration {
-	if now.Sub(p.medianAt) < medianTTL {
-		return p.median
+	if now.Sub(p.medianWorkAt) < aggregateTTL {
+		return p.medianWork
 	}
-	p.medianAt, p.median = now, 0
+	p.medianWorkAt, p.medianWork = now, 0
 	var works []time.Duration
 	for _, peer := range p.peers {
 		if peer.load.Work > 0 {
 			works = append(works, peer.load.Work)
 		}
 	}
-	// The median of two would be one of them, which does not tell which is the outlier.
+	// With two values, the median would be one of them, which may be the outlier.
 	if len(works) > 2 {
 		slices.Sort(works)
-		p.median = works[len(works)/2]
+		p.medianWork = works[len(works)/2]
 	}
-	return p.median
+	return p.medianWork
 }
 
 // ejectionMedian returns the median work that slow upstreams are compared with for
@@ -69,11 +69,11 @@
 // hasSpareCapacity reports whether the service has spare slots, by the mean over recent
 // reports. A single report may be a second old, in which an upstream can fill up, while
 // the mean of many follows the load.
-func (p *Pool) hasSpareCapacity(now time.Time) bool { return p.utilization(now) < spareUse }
+func (p *Pool) hasSpareCapacity(now time.Time) bool { return p.utilization(now) < spareUtilization }
 
 // utilization returns the cached share of the service's slots in use.
 func (p *Pool) utilization(now time.Time) float64 {
-	if now.Sub(p.utilizationAt) >= medianTTL {
+	if now.Sub(p.utilizationAt) >= aggregateTTL {
 		p.utilizationAt, p.lastUtilization = now, p.measureUtilization(now)
 	}
 	return p.lastUtilization
