--- a/internal/decide/kqshed/shed.go
+++ b/internal/decide/kqshed/shed.go
@@ -9,25 +9,27 @@
 
 const (
 	halfLife = time.Second
-	// minCalls is the number of calls in the window below which nothing is shed.
+	// minCalls is the decayed number of calls below which nothing is shed.
 	minCalls = 20
 )
 
 type (
 	// Shedder sheds the load of one service. It is not safe for concurrent use.
 	Shedder struct {
-		classes [3]window
+		classes [3]decayingCounts
 	}
 
-	window struct {
+	// decayingCounts are counts of one class, halved once every halfLife.
+	decayingCounts struct {
 		// late counts the calls that could no longer meet their targets.
 		calls, late, refused float64
-		since                time.Time
+		lastHalving          time.Time
 	}
 )
 
-// factors are the multiples of accepted load that are sent to the gates, by class rank.
-var factors = [3]float64{4, 3, 2}
+// maxOfferedRatios limit the load that is offered to the gates, as a multiple of the load
+// that they accept, by class rank (0 is the most important).
+var maxOfferedRatios = [3]float64{4, 3, 2}
 
 // New returns a Shedder without data.
 func New() *Shedder { return &Shedder{} }
@@ -42,7 +44,7 @@
 	if late {
 		w.late++
 	}
-	if w.calls < minCalls || random.Float64() >= w.shedProbability(factors[i], late) {
+	if w.calls < minCalls || random.Float64() >= w.shedProbability(maxOfferedRatios[i], late) {
 		return false
 	}
 	w.refused++
@@ -52,25 +54,25 @@
 // Refused counts a call that a gate refused for load.
 func (s *Shedder) Refused(c kqdocument.Class) { s.classes[c.Rank()].refused++ }
 
-// shedProbability returns the probability with which to refuse such a call. The excess
-// load is taken from late calls first.
-func (w *window) shedProbability(factor float64, late bool) float64 {
-	taken := w.calls - w.refused
-	excess := w.calls - factor*taken
+// shedProbability returns the probability of refusing a call. Late calls are refused first,
+// up to the number of calls in excess of factor times the accepted ones.
+func (w *decayingCounts) shedProbability(factor float64, late bool) float64 {
+	accepted := w.calls - w.refused
+	excess := w.calls - factor*accepted
 	if late {
 		return excess / w.late
 	}
 	return (excess - w.late) / max(w.calls-w.late, 1)
 }
 
-func (w *window) decay(now time.Time) {
-	if w.since.IsZero() {
-		w.since = now
+func (w *decayingCounts) decay(now time.Time) {
+	if w.lastHalving.IsZero() {
+		w.lastHalving = now
 	}
-	for now.Sub(w.since) >= halfLife && w.calls > 0.5 {
-		w.calls, w.late, w.refused, w.since = w.calls/2, w.late/2, w.refused/2, w.since.Add(halfLife)
+	for now.Sub(w.lastHalving) >= halfLife && w.calls > 0.5 {
+		w.calls, w.late, w.refused, w.lastHalving = w.calls/2, w.late/2, w.refused/2, w.lastHalving.Add(halfLife)
 	}
-	if now.Sub(w.since) >= halfLife {
-		w.calls, w.late, w.refused, w.since = 0, 0, 0, now
+	if now.Sub(w.lastHalving) >= halfLife {
+		w.calls, w.late, w.refused, w.lastHalving = 0, 0, 0, now
 	}
 }
