--- a/internal/decide/kqfair/estimate.go
+++ b/internal/decide/kqfair/estimate.go
@@ -8,8 +8,9 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// RecordWait records whether a call of the caller expects almost no wait. A single such
-// call is no evidence: when all callers' queues are kept short, each is sometimes empty.
+// RecordWait records whether the estimated wait of a caller's call is almost none. A single
+// such call is no evidence: when all callers' queues are kept short, each is sometimes
+// empty.
 func (q *Queue) RecordWait(caller kqname.Caller, prompt bool, now time.Time) {
 	f := &q.flows[q.assignFlow(caller, now)]
 	f.streak++
@@ -41,8 +42,9 @@
 	return oldest
 }
 
-// QueueingFor returns for how long the caller's calls have had to wait.
-func (q *Queue) QueueingFor(caller kqname.Caller, now time.Time) time.Duration {
+// SinceLastPrompt returns the time since the caller's calls last had almost no wait, also if
+// it has sent none since, or 0 if the caller has no flow.
+func (q *Queue) SinceLastPrompt(caller kqname.Caller, now time.Time) time.Duration {
 	f := &q.flows[q.flowIndex(caller)]
 	if f.owner != caller {
 		return 0
@@ -52,41 +54,42 @@
 
 // WorkAhead returns the expected work that will be served before a call that the caller
 // pushed now: that of waiting calls and, for a caller with a backlog, that of calls of
-// lighter callers that will arrive meanwhile and go first. Without the latter, a hot
-// caller's calls would wait several times longer than expected, and be refused late
-// instead of at once.
+// callers with less queued work that will arrive meanwhile and go first. Without the
+// latter, a hot caller's calls would wait several times longer than expected, and be
+// refused late instead of at once.
 func (q *Queue) WorkAhead(caller kqname.Caller) time.Duration {
 	if q.length == 0 {
 		return 0
 	}
 	own := q.flowIndex(caller)
 	f := &q.flows[own]
-	turn := max(f.startTag, q.virtualTime) + f.work
-	ahead, lighter := f.work, q.recent-f.recent
+	finishTag := max(f.startTag, q.virtualTime) + f.queuedWork
+	ahead, lighterWork := f.queuedWork, q.recent-f.recent
 	for _, n := range q.backlogged {
 		other := &q.flows[n]
 		if n == own {
 			continue
 		}
-		ahead += min(other.work, max(0, turn-other.startTag))
-		if other.work >= f.work {
-			lighter -= other.recent
+		ahead += min(other.queuedWork, max(0, finishTag-other.startTag))
+		if other.queuedWork >= f.queuedWork {
+			lighterWork -= other.recent
 		}
 	}
-	if f.work == 0 {
+	if f.queuedWork == 0 {
 		return ahead
 	}
-	// Fair queueing bounds the wait: the flow gets its turn among all recently active
+	// Fair queueing bounds the wait: the flow is served in turn with all recently active
 	// flows.
-	turns := max(ahead, f.work*time.Duration(q.activeFlows+1))
-	left := 1 - float64(lighter)/float64(max(q.recent, 1))
-	if left <= 0 {
-		return turns
+	fairBound := max(ahead, f.queuedWork*time.Duration(q.activeFlows+1))
+	remainingShare := 1 - float64(lighterWork)/float64(max(q.recent, 1))
+	if remainingShare <= 0 {
+		return fairBound
 	}
-	return min(turns, time.Duration(float64(ahead)/left))
+	return min(fairBound, time.Duration(float64(ahead)/remainingShare))
 }
 
-// flowIndex returns the caller's flow, or the one that it would be assigned.
+// flowIndex returns the index of the caller's flow, or of the one that it would be
+// assigned. The hash's top 9 bits (64-55) select one of the NumFlows flows.
 func (q *Queue) flowIndex(caller kqname.Caller) int {
 	first := int((xxhash.Sum64String(string(caller)) ^ q.salt) * 0x9e3779b97f4a7c15 >> 55)
 	idle := -1
@@ -105,6 +108,8 @@
 	return first
 }
 
+// assignFlow returns the index of the caller's flow and makes the caller its owner, unless
+// the flow has waiting calls of another caller: the two then share it.
 func (q *Queue) assignFlow(caller kqname.Caller, now time.Time) int {
 	n := q.flowIndex(caller)
 	if f := &q.flows[n]; f.head == nil && f.owner != caller {
@@ -113,19 +118,21 @@
 	return n
 }
 
+// recordWork adds work given to the flow, and halves the recent work of all flows after
+// every recentWindow calls.
 func (q *Queue) recordWork(f *flow, work time.Duration) {
 	if f.recent == 0 && work > 0 {
 		q.activeFlows++
 	}
 	f.recent += work
 	q.recent += work
-	q.recorded++
-	if q.recorded < recentWindow {
+	q.callsSinceHalving++
+	if q.callsSinceHalving < recentWindow {
 		return
 	}
-	q.recorded, q.recent, q.activeFlows = 0, 0, 0
+	q.callsSinceHalving, q.recent, q.activeFlows = 0, 0, 0
 	for n := range q.flows {
-		q.flows[n].recent = q.flows[n].recent / 2 / minRecent * minRecent
+		q.flows[n].recent = q.flows[n].recent / 2 / recentUnit * recentUnit
 		q.recent += q.flows[n].recent
 		if q.flows[n].recent > 0 {
 			q.activeFlows++
--- a/internal/decide/kqfair/fair.go
+++ b/internal/decide/kqfair/fair.go
@@ -17,12 +17,13 @@
 	// calls for each of ten backlogged flows, below which the shares fluctuate.
 	recentWindow = 256
 
-	// promptStreak is how many calls in a row find almost no queue by more than chance.
+	// promptStreak is the number of consecutive calls with almost no wait from which on
+	// this is not taken for chance.
 	promptStreak = 8
 
-	// minRecent is the unit that recent work is rounded down to, so that idle flows are
+	// recentUnit is the unit that recent work is rounded down to, so that idle flows are
 	// freed.
-	minRecent = time.Microsecond
+	recentUnit = time.Microsecond
 )
 
 type (
@@ -35,13 +36,15 @@
 		// virtualTime is the start tag of the call served last: how much work each
 		// backlogged flow has been given.
 		virtualTime time.Duration
-		work        time.Duration
-		length      int
+		// queuedWork is the expected work of the waiting calls.
+		queuedWork time.Duration
+		length     int
 		// recent is the work recently given to all flows.
 		recent time.Duration
 		// activeFlows is how many flows were recently given work.
 		activeFlows int
-		recorded    int
+		// callsSinceHalving is the number of calls since recent work was last halved.
+		callsSinceHalving int
 	}
 
 	// Item is one call in the queue.
@@ -65,10 +68,12 @@
 		// startTag is the tag of the flow's head: the work that each backlogged flow had
 		// been given when the call became the head.
 		startTag time.Duration
-		work     time.Duration
-		// prompt is when a call of the flow last had almost no wait.
+		// queuedWork is the expected work of the flow's waiting calls.
+		queuedWork time.Duration
+		// prompt is the time at which a call of the flow last ran at once or completed a streak of
+		// promptStreak calls with almost no wait, or when the owner got the flow.
 		prompt time.Time
-		// streak counts the consecutive calls with almost no wait.
+		// streak counts the latest consecutive calls with almost no wait.
 		streak int
 		// recent is the work recently given to the flow.
 		recent time.Duration
@@ -83,7 +88,7 @@
 func (q *Queue) Len() int { return q.length }
 
 // Work returns the expected work of all waiting calls.
-func (q *Queue) Work() time.Duration { return q.work }
+func (q *Queue) Work() time.Duration { return q.queuedWork }
 
 // Push appends a call to its caller's flow.
 func (q *Queue) Push(item *Item) {
@@ -97,8 +102,8 @@
 		f.tail.next, item.prev = item, f.tail
 	}
 	f.tail = item
-	f.work += item.Work
-	q.work += item.Work
+	f.queuedWork += item.Work
+	q.queuedWork += item.Work
 	q.length++
 }
 
@@ -146,8 +151,8 @@
 		item.next.prev = item.prev
 	}
 	item.prev, item.next, item.queued = nil, nil, false
-	f.work -= item.Work
-	q.work -= item.Work
+	f.queuedWork -= item.Work
+	q.queuedWork -= item.Work
 	q.length--
 	if f.head == nil {
 		q.deactivate(item.flow)
--- a/internal/decide/kqlimit/limit.go
+++ b/internal/decide/kqlimit/limit.go
@@ -3,7 +3,12 @@
 import "time"
 
 const (
-	windowCalls     = 32
+	// windowCalls is the number of calls over which the mean latency is taken.
+	windowCalls = 32
+	// slowRatio and fastRatio are ratios of the mean latency to the baseline: above the
+	// first the limit falls, below the second it may rise. improvedRatio is the ratio of
+	// the mean latency to latencyBefore above which half of the slots withheld have not
+	// helped. baselineDivisor is the inverse of a call's weight in the baseline.
 	slowRatio       = 2.0
 	fastRatio       = 1.5
 	improvedRatio   = 0.8
@@ -16,7 +21,8 @@
 // use.
 type Limit struct {
 	announced, allowed int
-	// baseline is the mean latency with at most half of the slots in use.
+	// baseline is the mean latency with at most half of the slots in use, or the mean at
+	// the lowered limit if lowering it did not help.
 	baseline time.Duration
 	// latencyBefore is the mean latency at the announced slots, before the limit fell.
 	latencyBefore time.Duration
@@ -34,14 +40,16 @@
 // Allowed returns how many calls may run at once.
 func (l *Limit) Allowed() int { return l.allowed }
 
-// Announce resets the limit to a new number of announced slots.
-func (l *Limit) Announce(slots int) {
+// SetAnnounced resets the limit to a new number of announced slots. The baseline and the
+// raise delay are kept.
+func (l *Limit) SetAnnounced(slots int) {
 	l.announced, l.allowed = slots, slots
 	l.latencyBefore, l.sum, l.count = 0, 0, 0
 }
 
-// Observe records the latency of a short call; running is the number of running calls when
-// it ended, including itself.
+// Observe records the latency of a call; running is the number of running calls when it
+// ended, including itself. It must be called only for short calls and
+// while no long job runs.
 func (l *Limit) Observe(took time.Duration, running int) {
 	if running < l.allowed {
 		l.updateBaseline(took, running)
--- a/internal/decide/kqslots/doc.go
+++ b/internal/decide/kqslots/doc.go
@@ -27,8 +27,9 @@
 // target: the calling call holds a slot at its own upstream meanwhile, and its work is lost
 // if the nested call fails.
 //
-// Short calls and long jobs wait in separate queues, and the recent demand of short calls,
-// up to half of the slots, is reserved for them. Otherwise a few long jobs would occupy
-// every slot and delay each short call by the duration of a long job. Within a queue,
-// callers share by kqfair; more important classes are served first.
+// Long jobs are calls of routes that take long. They wait in queues apart from short calls,
+// and the recent demand of short calls, up to half of the slots, is reserved for the
+// latter. Otherwise a few long jobs would occupy every slot and delay each short call by
+// the duration of a long job. Within a queue, kqfair divides the slots among callers; more
+// important classes are served first.
 package kqslots
--- a/internal/decide/kqslots/queue.go
+++ b/internal/decide/kqslots/queue.go
@@ -16,35 +16,35 @@
 	allowedWait := s.allowedWait(t, wait, time.Duration(share*float64(left)), now)
 	// A longer wait means that the upstream has become slower since the call was queued.
 	// Where the allowed wait is short, the estimate may be off by the work of several calls.
-	longest := max(2*allowedWait, allowedWait+waitSlackCalls*expected)
-	if t.hasTarget() && !s.targetUnreachable(t, expected, now) {
+	maxWait := max(2*allowedWait, allowedWait+waitSlackCalls*expected)
+	if t.hasTarget() && !s.checkTargetUnreachable(t, expected, now) {
 		t.startBy = t.Target.Add(-time.Duration(targetMargin * float64(expected)))
-		if t.late = now.Add(wait).After(t.startBy); t.late {
+		if t.missesTarget = now.Add(wait).After(t.startBy); t.missesTarget {
 			wait += s.expectLateWait(t, expected)
 		} else {
 			allowedWait = max(allowedWait, t.startBy.Sub(now))
 		}
-		longest = allowedWait
+		maxWait = allowedWait
 	}
 	if wait > allowedWait || wait+expected > left {
 		t.refuse(kqcall.QueueFull, s.retryAfter())
 		return
 	}
 	t.Verdict = Wait
-	t.GiveUp = now.Add(min(longest, max(left-expected, 0)))
+	t.GiveUp = now.Add(min(maxWait, max(left-expected, 0)))
 	s.push(t, expected, now)
 }
 
-// targetUnreachable reports whether the upstream is too slow for the route's target even
-// when idle, and records the time left as the route's target. Without the check, all calls
-// of the route would count as late and be refused in favour of less important calls that
-// are not.
-func (s *Slots) targetUnreachable(t *Ticket, expected time.Duration, now time.Time) bool {
-	longest := max(s.targets[t.Route], t.Target.Sub(now))
+// checkTargetUnreachable updates the decaying maximum of the time that the route's calls
+// have left until their target, and reports whether the upstream is too slow for it even
+// when idle. Without the check, all calls of the route would count as late and be refused
+// in favour of less important calls that are not.
+func (s *Slots) checkTargetUnreachable(t *Ticket, expected time.Duration, now time.Time) bool {
+	longestLeft := max(s.targets[t.Route], t.Target.Sub(now))
 	if _, ok := s.targets[t.Route]; ok || len(s.targets) < maxTargetRoutes {
-		s.targets[t.Route] = longest - longest/targetDecay
+		s.targets[t.Route] = longestLeft - longestLeft/targetDecay
 	}
-	return time.Duration(targetMargin*float64(expected)) > longest
+	return time.Duration(targetMargin*float64(expected)) > longestLeft
 }
 
 // hasTarget reports whether the call is scheduled by its target. A nested call is not: the
@@ -63,20 +63,20 @@
 func (s *Slots) allowedWait(t *Ticket, wait, limit time.Duration, now time.Time) time.Duration {
 	q := s.queues(t)[t.priority]
 	q.RecordWait(t.Caller, wait < limit/congestedWaitDivisor/shortWaitDivisor, now)
-	if !t.Nested && q.QueueingFor(t.Caller, now) > congestedAfter {
+	if !t.Nested && q.SinceLastPrompt(t.Caller, now) > congestedAfter {
 		limit /= congestedWaitDivisor
 	}
 	return max(limit, minAllowedWait)
 }
 
 // expectLateWait returns the additional wait of a call that cannot meet its target: the
-// late work before it, at the recent share of slots that calls in time leave unused.
+// late work before it, at the recent share of slots that calls in time have not needed.
 func (s *Slots) expectLateWait(t *Ticket, expected time.Duration) time.Duration {
 	ahead := s.lateQueues[t.priority].WorkAhead(t.Caller) + expected
 	for i := range t.priority {
 		ahead += s.lateQueues[i].Work()
 	}
-	return time.Duration(float64(ahead) / (max(s.spare, minSpareShare) * float64(max(s.limit.Allowed(), 1))))
+	return time.Duration(float64(ahead) / (max(s.unneeded, minUnneededShare) * float64(max(s.limit.Allowed(), 1))))
 }
 
 // expectWait returns the expected wait of a call that arrives now, from the work that is
@@ -96,9 +96,11 @@
 	return (ahead + expected/2) / time.Duration(max(slots, 1))
 }
 
-// serve starts waiting calls while slots are free.
+// serve starts waiting calls while slots are free. It moves calls that no longer meet their
+// targets to the late queues, refuses those that have waited too long, and returns the
+// tickets that were started or refused.
 func (s *Slots) serve(now time.Time) []*Ticket {
-	var settled []*Ticket
+	var decided []*Ticket
 	for s.running < s.limit.Allowed() && s.waiting() > 0 {
 		queues := s.nextQueues(now)
 		if queues == nil {
@@ -111,19 +113,19 @@
 			// The call reached its maximum wait before Expire was called. Refuse it now,
 			// since its answer would be too late.
 			t.refuse(kqcall.Late, s.retryAfter())
-		case !t.late && !t.startBy.IsZero() && now.After(t.startBy):
-			t.late = true
+		case !t.missesTarget && !t.startBy.IsZero() && now.After(t.startBy):
+			t.missesTarget = true
 			if now.Add(s.expectLateWait(t, t.item.Work)).Before(t.GiveUp) {
 				s.push(t, t.item.Work, t.item.EnqueuedAt)
 				continue
 			}
 			t.refuse(kqcall.Late, s.retryAfter())
 		default:
-			s.start(t, t.late)
+			s.start(t, t.missesTarget)
 		}
-		settled = append(settled, t)
+		decided = append(decided, t)
 	}
-	return settled
+	return decided
 }
 
 // nextQueues returns the queues that the next free slot goes to: short calls until they
@@ -143,7 +145,7 @@
 	}
 }
 
-// pop removes the next call of the most important class that has any waiting.
+// pop removes the next call of the highest priority that has any waiting.
 func (s *Slots) pop(queues *[priorityLevels]*kqfair.Queue, now time.Time) *Ticket {
 	for _, q := range queues {
 		if q.Len() == 0 {
@@ -177,21 +179,21 @@
 
 // recordWait updates the mean actual and expected waits with the call's.
 func (s *Slots) recordWait(t *Ticket, now time.Time) {
-	if t.late {
+	if t.missesTarget {
 		return
 	}
 	s.actualWait += (now.Sub(t.item.EnqueuedAt).Seconds() - s.actualWait) / waitWindow
 	s.expectedWait += (t.expectedWait.Seconds() - s.expectedWait) / waitWindow
 }
 
-// start gives the ticket a slot. spare is set if no call that could meet its target was
+// start gives the ticket a slot. unneeded is set if no call that could meet its target was
 // waiting for the slot.
-func (s *Slots) start(t *Ticket, spare bool) {
+func (s *Slots) start(t *Ticket, unneeded bool) {
 	share := 0.0
-	if spare {
+	if unneeded {
 		share = 1
 	}
-	s.spare += (share - s.spare) / spareWindow
+	s.unneeded += (share - s.unneeded) / unneededWindow
 	t.Verdict = Run
 	s.running++
 	if t.isLongJob {
@@ -230,7 +232,7 @@
 }
 
 func (s *Slots) queue(t *Ticket) *kqfair.Queue {
-	if t.late {
+	if t.missesTarget {
 		return s.lateQueues[t.priority]
 	}
 	return s.queues(t)[t.priority]
--- a/internal/decide/kqslots/slots.go
+++ b/internal/decide/kqslots/slots.go
@@ -35,10 +35,10 @@
 	// minAllowedWait is the least maximum wait: a few queued calls keep the slots in use
 	// between arrivals.
 	minAllowedWait = 20 * time.Millisecond
-	// spareWindow is the number of calls over which the share of spare slots is averaged;
-	// minSpareShare is its lower bound in estimates.
-	spareWindow   = 32
-	minSpareShare = 0.01
+	// unneededWindow is the number of calls over which the share of unneeded slots is averaged;
+	// minUnneededShare is its lower bound in estimates.
+	unneededWindow   = 32
+	minUnneededShare = 0.01
 	// waitWindow is the number of calls over which waits are averaged; maxWaitCorrection
 	// bounds the correction of expected waits.
 	waitWindow        = 32
@@ -89,10 +89,11 @@
 		item      kqfair.Item
 		priority  int
 		isLongJob bool
-		// startBy is the latest start that meets the target; late is set once that has
-		// passed or is expected to pass.
-		startBy time.Time
-		late    bool
+		// startBy is the latest start that meets the target, while GiveUp ends the wait.
+		// missesTarget is set once startBy has passed or is expected to pass; such a late
+		// call is still served from slots that no other call needs.
+		startBy      time.Time
+		missesTarget bool
 		// expectedWait is the wait estimated on arrival, before correction.
 		expectedWait time.Duration
 	}
@@ -111,9 +112,9 @@
 		shortQueues, longQueues [priorityLevels]*kqfair.Queue
 		// lateQueues hold calls that can no longer meet their targets.
 		lateQueues [priorityLevels]*kqfair.Queue
-		// spare is the share of recent slots that no waiting call could have used to
-		// meet a target.
-		spare float64
+		// unneeded is the share of recently freed slots that no waiting call could
+		// have used to meet a target.
+		unneeded float64
 		// actualWait and expectedWait are the recent means of actual and expected waits
 		// in seconds.
 		actualWait, expectedWait float64
@@ -130,7 +131,7 @@
 // New returns Slots for an upstream that runs count calls at once. A different salt for
 // each gate keeps callers from colliding in the hash at all gates alike.
 func New(count int, salt uint64, options ...Option) *Slots {
-	s := &Slots{count: count, limit: kqlimit.New(count), work: kqwork.New(), spare: 1, targets: make(map[kqname.Route]time.Duration)}
+	s := &Slots{count: count, limit: kqlimit.New(count), work: kqwork.New(), unneeded: 1, targets: make(map[kqname.Route]time.Duration)}
 	for i := range priorityLevels {
 		s.shortQueues[i], s.longQueues[i] = kqfair.New(salt+uint64(i)), kqfair.New(salt+priorityLevels+uint64(i))
 		s.lateQueues[i] = kqfair.New(salt + 2*priorityLevels + uint64(i))
@@ -208,22 +209,22 @@
 // changes. Running calls continue.
 func (s *Slots) Resize(count int, now time.Time) []*Ticket {
 	s.count = count
-	s.limit.Announce(count)
+	s.limit.SetAnnounced(count)
 	return s.serve(now)
 }
 
 // Close refuses all further calls and all waiting ones, and returns the latter.
 func (s *Slots) Close() []*Ticket {
 	s.closed = true
-	var settled []*Ticket
+	var decided []*Ticket
 	for _, queues := range []*[priorityLevels]*kqfair.Queue{&s.shortQueues, &s.longQueues, &s.lateQueues} {
 		for totalLen(queues) > 0 {
 			t := s.pop(queues, time.Time{})
 			t.refuse(kqcall.Draining, minRetryAfter)
-			settled = append(settled, t)
+			decided = append(decided, t)
 		}
 	}
-	return settled
+	return decided
 }
 
 // Reopen admits calls again after the upstream has withdrawn its shutdown.
