--- a/internal/decide/kqsuspicion/suspicion.go
+++ b/internal/decide/kqsuspicion/suspicion.go
@@ -100,20 +100,20 @@
 		d.shiftTimes(pause)
 	}
 	d.checkedAt = now
-	var verdicts []Verdict
+	var changes []Verdict
 	for n, at := range d.suspectedAt {
 		if now.Sub(at) > time.Duration(d.refuteHeartbeats)*d.interval {
-			verdicts = append(verdicts, Verdict{n, Dead})
+			changes = append(changes, Verdict{n, Dead})
 			delete(d.lastHeard, n)
 		}
 	}
 	for n, at := range d.lastHeard {
 		if _, already := d.suspectedAt[n]; !already && now.Sub(at) > time.Duration(d.missedHeartbeats)*d.interval {
-			verdicts = append(verdicts, Verdict{n, Suspect})
+			changes = append(changes, Verdict{n, Suspect})
 		}
 	}
-	slices.SortFunc(verdicts, func(a, b Verdict) int { return cmp.Compare(a.Node, b.Node) })
-	return verdicts
+	slices.SortFunc(changes, func(a, b Verdict) int { return cmp.Compare(a.Node, b.Node) })
+	return changes
 }
 
 func (d *Detector) shiftTimes(pause time.Duration) {
--- a/internal/decide/kqsuspicion/suspicion_test.go
+++ b/internal/decide/kqsuspicion/suspicion_test.go
@@ -15,24 +15,24 @@
 func TestSilentMemberIsSuspectedThenDead(t *testing.T) {
 	d := kqsuspicion.New(interval)
 	d.Watch([]kqname.Node{"a", "b"}, start)
-	firstBeat := map[kqsuspicion.Judgement]int{}
-	for beat := range 20 {
-		now := start.Add(time.Duration(beat) * interval)
+	firstTick := map[kqsuspicion.Judgement]int{}
+	for tick := range 20 {
+		now := start.Add(time.Duration(tick) * interval)
 		d.Heard("a", now)
-		for _, v := range d.Judge(now) {
-			if v.Node != "b" {
-				t.Fatalf("beat %d: %s is %s, want no suspicion", beat, v.Node, v.Judgement)
+		for _, change := range d.Judge(now) {
+			if change.Node != "b" {
+				t.Fatalf("tick %d: %s is %s, want no suspicion", tick, change.Node, change.Judgement)
 			}
-			if _, ok := firstBeat[v.Judgement]; !ok {
-				firstBeat[v.Judgement] = beat
+			if _, ok := firstTick[change.Judgement]; !ok {
+				firstTick[change.Judgement] = tick
 			}
-			if v.Judgement == kqsuspicion.Suspect {
+			if change.Judgement == kqsuspicion.Suspect {
 				d.Suspects([]kqname.Node{"b"}, now)
 			}
 		}
 	}
-	if s, d := firstBeat[kqsuspicion.Suspect], firstBeat[kqsuspicion.Dead]; s == 0 || d < s+4 || d > 12 {
-		t.Fatalf("suspected at beat %d, dead at %d, want at least 4 beats between and dead by beat 12", s, d)
+	if s, d := firstTick[kqsuspicion.Suspect], firstTick[kqsuspicion.Dead]; s == 0 || d < s+4 || d > 12 {
+		t.Fatalf("suspected at tick %d, dead at %d, want at least 4 ticks between and dead by tick 12", s, d)
 	}
 }
 
@@ -42,10 +42,10 @@
 	d := kqsuspicion.New(interval)
 	d.Watch([]kqname.Node{"a", "b"}, start)
 	d.Judge(start)
-	if v := d.Judge(start.Add(time.Minute)); len(v) > 0 {
-		t.Fatalf("verdicts after a pause: %v, want none", v)
+	if changes := d.Judge(start.Add(time.Minute)); len(changes) > 0 {
+		t.Fatalf("changes after a pause: %v, want none", changes)
 	}
-	if v := d.Judge(start.Add(time.Minute - 30*time.Second)); len(v) > 0 {
-		t.Fatalf("verdicts after a clock jump back: %v, want none", v)
+	if changes := d.Judge(start.Add(time.Minute - 30*time.Second)); len(changes) > 0 {
+		t.Fatalf("changes after a clock jump back: %v, want none", changes)
 	}
 }
