--- a/internal/decide/kqneighbour/neighbour_test.go
+++ b/internal/decide/kqneighbour/neighbour_test.go
@@ -9,7 +9,7 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-const most = 6 + 2
+const maxNeighbours = 6 + 2
 
 func fleet(n int) []kqneighbour.Member {
 	var members []kqneighbour.Member
@@ -55,7 +55,7 @@
 			t.Errorf("%d nodes: reached %d in %d hops, want all in at most 6", n, count, hops)
 		}
 		for _, m := range members {
-			if got := (kqneighbour.Chooser{}).Choose(m, members); len(got) > most || slices.Contains(got, m.Node) {
+			if got := (kqneighbour.Chooser{}).Choose(m, members); len(got) > maxNeighbours || slices.Contains(got, m.Node) {
 				t.Errorf("%d nodes: %s has neighbours %v, want at most 8 other nodes", n, m.Node, got)
 			}
 		}
@@ -67,20 +67,20 @@
 func TestDomainLossKeepsOtherLinks(t *testing.T) {
 	members := fleet(550)
 	remaining := slices.DeleteFunc(slices.Clone(members), func(m kqneighbour.Member) bool { return m.Domain == "domain-3" })
-	kept, all := 0, 0
+	kept, live := 0, 0
 	for _, m := range remaining {
 		after := (kqneighbour.Chooser{}).Choose(m, remaining)
 		for _, n := range (kqneighbour.Chooser{}).Choose(m, members) {
 			if slices.ContainsFunc(remaining, func(l kqneighbour.Member) bool { return l.Node == n }) {
-				all++
+				live++
 				if slices.Contains(after, n) {
 					kept++
 				}
 			}
 		}
 	}
-	if kept*10 < all*9 {
-		t.Fatalf("kept %d of %d links to live nodes, want at least 90%%", kept, all)
+	if kept*10 < live*9 {
+		t.Fatalf("kept %d of %d links to live nodes, want at least 90%%", kept, live)
 	}
 	if count, _ := broadcast(remaining); count != len(remaining) {
 		t.Fatalf("reached %d of %d nodes, want all", count, len(remaining))
