--- a/internal/decide/kqeject/eject.go
+++ b/internal/decide/kqeject/eject.go
@@ -12,9 +12,11 @@
 	// seldom fails five in a row.
 	rateWindow     = 16
 	maxFailureRate = 0.3
-	minEjection    = 2 * time.Second
-	maxEjection    = 30 * time.Second
-	capDivisor     = 3
+	// minEjection and maxEjection bound the ejection time. 1/capDivisor is the largest share
+	// of a service's upstreams that is ejected at a time.
+	minEjection = 2 * time.Second
+	maxEjection = 30 * time.Second
+	capDivisor  = 3
 )
 
 type (
@@ -107,7 +109,7 @@
 }
 
 func (s *State) eject(now time.Time) {
-	// Answers to calls that were sent before the ejection carry no new information.
+	// Outcomes of calls that were sent before the ejection carry no new information.
 	if s.ejected && !s.probing {
 		return
 	}
--- a/internal/decide/kqfifo/fifo.go
+++ b/internal/decide/kqfifo/fifo.go
@@ -64,12 +64,12 @@
 // Close refuses all further calls and all waiting ones, and returns the latter.
 func (q *Queue) Close() []*kqslots.Ticket {
 	q.closed = true
-	settled := q.waiting
-	for _, t := range settled {
+	decided := q.waiting
+	for _, t := range decided {
 		refuse(t, kqcall.Draining)
 	}
 	q.waiting = nil
-	return settled
+	return decided
 }
 
 // Reopen admits calls again.
@@ -84,7 +84,7 @@
 func (q *Queue) Tell(*kqslots.Ticket, time.Time) kqcall.Load { return q.Load() }
 
 func (q *Queue) serve(now time.Time) []*kqslots.Ticket {
-	var settled []*kqslots.Ticket
+	var decided []*kqslots.Ticket
 	for q.running < q.count && len(q.waiting) > 0 {
 		t := q.waiting[0]
 		q.waiting = q.waiting[1:]
@@ -94,9 +94,9 @@
 		} else {
 			refuse(t, kqcall.Late)
 		}
-		settled = append(settled, t)
+		decided = append(decided, t)
 	}
-	return settled
+	return decided
 }
 
 func refuse(t *kqslots.Ticket, r kqcall.Reason) {
--- a/internal/decide/kqpick/peer.go
+++ b/internal/decide/kqpick/peer.go
@@ -100,9 +100,9 @@
 // expectedTime returns the expected time in seconds of a call of the route at the
 // upstream, from its gate's report for the route. Without such a report, it uses the
 // route's least work at any upstream, and only if none has reported the route, the
-// upstream's work over all routes: by the latter, an upstream that mostly serves orders of
-// 100 ms would look too slow for lookups of 20 ms and get none, even while the others have
-// more lookups than slots.
+// upstream's recent work for calls of any route: by the latter, an upstream that mostly
+// serves orders of 100 ms would look too slow for lookups of 20 ms and get none, even while
+// the others have more lookups than slots.
 func (p *Pool) expectedTime(peer *Peer, route kqname.Route, now time.Time) float64 {
 	load := peer.routeLoads.current(route, now)
 	if load.expectedWork == 0 {
@@ -118,8 +118,8 @@
 	return expectedWork*(1+occupancyCost*float64(peer.sent+1)/slots+ahead) + load.wait.Seconds()
 }
 
-// expectedWork returns the upstream's reported work over all routes, or typical, the
-// median over all upstreams, if it has not reported.
+// expectedWork returns the upstream's reported recent work of its short calls of any
+// route, or typical, the median over all upstreams, if it has not reported.
 func (peer *Peer) expectedWork(typical time.Duration) time.Duration {
 	if peer.load.Work > 0 {
 		return peer.load.Work
--- a/internal/decide/kqpick/route_test.go
+++ b/internal/decide/kqpick/route_test.go
@@ -11,9 +11,9 @@
 )
 
 // After a restart, the first calls that an upstream answers are probes of 1 ms. By its
-// calls of any kind it looks a hundred times faster than the others, and all entries would
-// send it calls that it refuses while the others are idle. The gate's report for the route
-// must count instead.
+// recent work for any route it looks a hundred times faster than the others, and all
+// entries would send it calls that it refuses while the others are idle. The gate's report
+// for the route must count instead.
 func TestFastProbesDoNotAttractOtherCalls(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 5))
--- a/internal/decide/kqpick/usage.go
+++ b/internal/decide/kqpick/usage.go
@@ -23,8 +23,8 @@
 	return false
 }
 
-// Work returns the least reported work of the route's calls at any upstream, or 0 if none
-// is known.
+// Work returns the least reported work of the route's calls at any upstream that is not
+// ejected, or 0 if none is known.
 func (p *Pool) Work(route kqname.Route) time.Duration {
 	least := time.Duration(0)
 	for _, peer := range p.peers {
--- a/internal/decide/kqretry/doc.go
+++ b/internal/decide/kqretry/doc.go
@@ -7,9 +7,10 @@
 //
 // Each call earns a fraction of a retry, and each retry spends a whole one. Refusals for
 // load may only be retried by calls from outside (depth 0), so that one level retries
-// rather than each. Calls that failed because a node or upstream has gone (connect_failed,
-// no_upstream, cut) may be retried at any depth, since the next choice is another
-// upstream, but from a budget so small that 13 levels of it stay within the total. If a
-// gate reports that its upstream drains or was rolled back, the retry is free: the entry
-// stops using that upstream, so only the few calls in flight are affected.
+// rather than each. Calls that failed because a node or upstream has gone or was replaced
+// (connect_failed, no_upstream, cut, moved), or because the response was another call's
+// (crossed), may be retried at any depth, since the next choice is another upstream, but
+// from a budget so small that 13 levels of it stay within the total. If a gate reports that
+// its upstream drains or was rolled back, the retry is free: the entry stops using that
+// upstream, so only the few calls in flight are affected.
 package kqretry
--- a/internal/decide/kqshed/shed_test.go
+++ b/internal/decide/kqshed/shed_test.go
@@ -10,7 +10,7 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 )
 
-// caller is a caller that retries when it is refused.
+// caller retries its call when it is refused.
 type caller struct {
 	at       time.Time
 	attempts int
--- a/internal/decide/kqwork/estimator.go
+++ b/internal/decide/kqwork/estimator.go
@@ -11,6 +11,8 @@
 	// long.
 	LongFactor = 4
 
+	// maxRoutes bounds the routes that are estimated separately. routeDivisor is the inverse
+	// of a call's weight in its route's estimate.
 	maxRoutes    = 256
 	routeDivisor = 8
 	// riseDivisor and fallDivisor divide the steps of the pace towards slower and faster
@@ -90,7 +92,8 @@
 	return e.Typical()
 }
 
-// Lookup returns the expected work of a call of the route, and false if none has ended.
+// Lookup returns the expected work of a call of the route, and false if none has ended or
+// the route is beyond maxRoutes.
 func (e *Estimator) Lookup(r kqname.Route) (time.Duration, bool) {
 	d, ok := e.routes[r]
 	return d, ok
