--- a/internal/rollout/kqstep/step.go
+++ b/internal/rollout/kqstep/step.go
@@ -30,8 +30,8 @@
 	// small share while the evidence is inconclusive.
 	extendSmallUntil = 0.85
 	// urgentFrom is the part of the window from which the slots of cold upstreams count
-	// in full, and until which an ordered rollout waits if there is evidence against the
-	// version.
+	// in full, and until which an ordered rollout (one with a Plan.Duration) waits if there
+	// is evidence against the version.
 	urgentFrom = 0.88
 	// maxStepDelay is the part of the window by which a step of an ordered rollout may be
 	// delayed for lack of calls or by recent evidence.
@@ -71,9 +71,9 @@
 		BusySlots float64
 	}
 
-	// stage is a step of the schedule: its share, and when it is due as a
+	// scheduleStep is one step of a schedule: its share, and when it is due as a
 	// part of the plan's window.
-	stage struct {
+	scheduleStep struct {
 		share, due float64
 	}
 
@@ -86,9 +86,9 @@
 		// maxTotal is the evidence since the start at which a version is rolled
 		// back when its next step is due.
 		maxTotal float64
-		// maxPooled is the same limit for the one test over all routes with the
-		// most evidence against the version.
-		maxPooled float64
+		// maxPooledTest is the same limit for the one test over all routes with the
+		// most evidence against the version, which is -Finding.InFavor.
+		maxPooledTest float64
 		// minCalls is how many calls of the new version are needed to finish: 30
 		// without a failure rule out a failure rate that is 10 points higher.
 		minCalls uint64
@@ -100,26 +100,29 @@
 )
 
 var (
-	// schedule spends 7/10 of the window at the small share. Done is due a little
-	// before the deadline, to leave time for the platform's answer.
-	schedule = [...]stage{{0, 0}, {0, 0}, {0.25, 0.70}, {0.5, 0.78}, {0.65, 0.90}, {1, 0.97}}
+	// schedule is indexed by step and spends 7/10 of the window at the small share. The
+	// entries of step 0 and of the small share are zero, since the latter's share is
+	// Plan.SmallShare and its start is the plan's. Done is due a little before the
+	// deadline, to leave time for the response of the platform's key-value service.
+	schedule = [...]scheduleStep{{0, 0}, {0, 0}, {0.25, 0.70}, {0.5, 0.78}, {0.65, 0.90}, {1, 0.97}}
 
 	// orderedSchedule is for rollouts of seconds. Versions that turn bad do so in
 	// the first three or four seconds, a third of the window. A clearly bad version
 	// then shows within a second at any share, so the new upstreams, which are idle
 	// while the old ones are loaded, get traffic early. Done leaves a fifth of the
-	// window, which is longer than the lease of an owner that dies at that time.
-	orderedSchedule = [...]stage{{0, 0}, {0, 0}, {0.25, 0.35}, {0.5, 0.47}, {0.65, 0.6}, {1, 0.8}}
+	// window, which in windows over 15 s is longer than the lease (3 s) of an owner that
+	// dies at that time.
+	orderedSchedule = [...]scheduleStep{{0, 0}, {0, 0}, {0.25, 0.35}, {0.5, 0.47}, {0.65, 0.6}, {1, 0.8}}
 
-	finishing = thresholds{rollback: math.Log(1 / 0.001), maxTotal: 2, maxPooled: 2.2, minCapacity: 0.3}
-	// ordered is for rollouts that are ordered with a duration of seconds. There are
+	preferFinishingThresholds = thresholds{rollback: math.Log(1 / 0.001), maxTotal: 2, maxPooledTest: 2.2, minCapacity: 0.3}
+	// orderedThresholds are for ordered rollouts, whose durations are seconds. There are
 	// too few calls in that time to distinguish a version that fails a few points more
 	// from a good one while servers die and restart, and holding it back would leave
 	// its upstreams idle beside overloaded old ones. What can be detected, tens of
 	// points more failures or latencies several times longer, reaches the rollback
 	// threshold within a few tens of calls.
-	ordered    = thresholds{rollback: math.Log(1 / 0.001), maxTotal: math.Log(1 / 0.01), maxPooled: math.Inf(1), minCapacity: 0.3}
-	takingBack = thresholds{rollback: math.Log(1 / 0.01), maxTotal: 0.7, maxPooled: 0.3, minCalls: 30, minCapacity: 0.8}
+	orderedThresholds        = thresholds{rollback: math.Log(1 / 0.001), maxTotal: math.Log(1 / 0.01), maxPooledTest: math.Inf(1), minCapacity: 0.3}
+	preferRollbackThresholds = thresholds{rollback: math.Log(1 / 0.01), maxTotal: 0.7, maxPooledTest: 0.3, minCalls: 30, minCapacity: 0.8}
 )
 
 // Share returns the share of traffic, from 0 to 1, that goes to the new
@@ -128,15 +131,15 @@
 	if step <= Small {
 		return float64(max(step, 0)) * p.SmallShare
 	}
-	return stageOf(p, min(step, LastStep)).share
+	return scheduleStepOf(p, min(step, LastStep)).share
 }
 
 // MayExceedShare reports whether, at a step of the plan, the new version may get more
-// than its share if its upstreams have a larger part of the slots. By that step the
-// comparison is done, and the share is limited only so that it can continue.
+// than its share if its upstreams have a larger part of the slots. By that step most of
+// the evidence is in, and a share for the old version is kept only to go on comparing.
 func MayExceedShare(p kqplan.Plan, step int) bool { return p.Duration > 0 && step >= LastStep }
 
-func stageOf(p kqplan.Plan, step int) stage {
+func scheduleStepOf(p kqplan.Plan, step int) scheduleStep {
 	if p.Duration > 0 {
 		return orderedSchedule[step]
 	}
@@ -186,30 +189,30 @@
 
 // decideNext decides whether a rollout under way goes to its next step.
 func decideNext(now time.Time, s State) Decision {
-	elapsed := float64(now.Sub(s.Plan.Start)) / float64(s.Plan.Window())
-	if !now.Before(s.Plan.Deadline) && (s.Progress.Step < LastStep || !hasCapacity(s, 1, 1) || !hasRoom(s)) {
+	elapsedFraction := float64(now.Sub(s.Plan.Start)) / float64(s.Plan.Window())
+	if !now.Before(s.Plan.Deadline) && (s.Progress.Step < LastStep || !hasCapacity(s, 1, 1) || !fitsBusySlots(s)) {
 		return decideOverdue(s)
 	}
 	to := s.Progress.Step + 1
 	switch {
-	case elapsed < stageOf(s.Plan, to).due:
+	case elapsedFraction < scheduleStepOf(s.Plan, to).due:
 		return Decision{Hold, "the next step is not due"}
-	case s.Progress.Step == Small && elapsed < extendSmallUntil && s.Plan.Duration == 0 && max(s.Finding.Total, -s.Finding.InFavor) > 0:
+	case s.Progress.Step == Small && elapsedFraction < extendSmallUntil && s.Plan.Duration == 0 && max(s.Finding.Total, -s.Finding.InFavor) > 0:
 		return Decision{Hold, "the small share goes on, since the evidence is not clear: " + Describe(s.Finding)}
-	case s.Plan.Duration > 0 && to <= LastStep && s.Finding.Calls < minOrderedCalls && elapsed < delayLimit(s, to):
+	case s.Plan.Duration > 0 && to <= LastStep && s.Finding.Calls < minOrderedCalls && elapsedFraction < delayLimit(s, to):
 		return Decision{Hold, fmt.Sprintf("%d calls are too few to go on by", s.Finding.Calls)}
-	case s.Plan.Duration > 0 && to <= LastStep && hasRecentEvidence(s) && elapsed < delayLimit(s, to):
+	case s.Plan.Duration > 0 && to <= LastStep && hasRecentEvidence(s) && elapsedFraction < delayLimit(s, to):
 		return Decision{Hold, "the share does not grow while the evidence is against it: " + Describe(s.Finding)}
 	case isOverLimits(s):
 		return Decision{TakeBack, "the time for it is up and the evidence leans against it: " + Describe(s.Finding)}
 	case to > LastStep && s.Finding.Calls < thresholdsOf(s.Plan).minCalls:
 		return Decision{TakeBack, fmt.Sprintf("the time is up and %d calls are too few to judge by", s.Finding.Calls)}
-	case to > LastStep && !hasRoom(s):
+	case to > LastStep && !fitsBusySlots(s):
 		return Decision{Hold, fmt.Sprintf("%.0f slots in use have no room in %d of the new version", s.BusySlots, s.NewSlots+s.ColdSlots)}
-	case to > LastStep && hasCapacity(s, 1, elapsed):
+	case to > LastStep && hasCapacity(s, 1, elapsedFraction):
 		return Decision{Done, fmt.Sprintf("no evidence against it after %d calls", s.Finding.Calls)}
-	case !hasCapacity(s, stageOf(s.Plan, to).share, elapsed):
-		return Decision{Hold, fmt.Sprintf("%d slots of the new version are too few for a share of %.2f", s.NewSlots+s.ColdSlots, stageOf(s.Plan, to).share)}
+	case !hasCapacity(s, scheduleStepOf(s.Plan, to).share, elapsedFraction):
+		return Decision{Hold, fmt.Sprintf("%d slots of the new version are too few for a share of %.2f", s.NewSlots+s.ColdSlots, scheduleStepOf(s.Plan, to).share)}
 	}
 	return Decision{Advance, "the next step is due and nothing speaks against it"}
 }
@@ -236,7 +239,7 @@
 	if isOverLimits(s) {
 		return urgentFrom
 	}
-	return stageOf(s.Plan, to).due + maxStepDelay
+	return scheduleStepOf(s.Plan, to).due + maxStepDelay
 }
 
 // hasRecentEvidence reports whether the recent calls are evidence against the version,
@@ -246,42 +249,45 @@
 // isOverLimits reports whether the evidence is too strong to go on once a step is due.
 func isOverLimits(s State) bool {
 	limits := thresholdsOf(s.Plan)
-	return s.Finding.Total >= limits.maxTotal || -s.Finding.InFavor >= limits.maxPooled
+	return s.Finding.Total >= limits.maxTotal || -s.Finding.InFavor >= limits.maxPooledTest
 }
 
-// hasCapacity reports whether the upstreams of the new version have the slots for the
-// share. Upstreams that have just started count half, and from urgentFrom in full: a few
-// slow calls are better than a rollout that does not finish in time.
-func hasCapacity(s State, share, elapsed float64) bool {
-	cold := 0.5
-	if elapsed >= urgentFrom {
-		cold = 1
+// hasCapacity reports whether the upstreams of the new version have at least four fifths of
+// the slots that the share takes of the old version's. Upstreams that have just started
+// count half, and from urgentFrom in full: a few slow calls are better than a rollout that
+// does not finish in time.
+func hasCapacity(s State, share, elapsedFraction float64) bool {
+	coldWeight := 0.5
+	if elapsedFraction >= urgentFrom {
+		coldWeight = 1
 	}
-	return float64(s.NewSlots)+cold*float64(s.ColdSlots) >= 0.8*share*float64(s.OldSlots)
+	return float64(s.NewSlots)+coldWeight*float64(s.ColdSlots) >= 0.8*share*float64(s.OldSlots)
 }
 
-// canCarryAll reports whether the upstreams of the new version, even if they are fewer,
-// can take all traffic.
+// canCarryAll reports whether the upstreams of the new version can take all traffic at the
+// deadline: they have at least minCapacity of the old version's slots and fit the calls in
+// flight.
 func canCarryAll(s State) bool {
 	slots := float64(s.NewSlots + s.ColdSlots)
-	return slots > 0 && slots >= thresholdsOf(s.Plan).minCapacity*float64(s.OldSlots) && hasRoom(s)
+	return slots > 0 && slots >= thresholdsOf(s.Plan).minCapacity*float64(s.OldSlots) && fitsBusySlots(s)
 }
 
-// hasRoom reports whether the calls in flight fit into the new version's slots. The old
-// upstreams are stopped once the rollout is done; if the traffic did not fit, callers would
-// be rejected from then on, which is worse than having to order a good version again. If
-// the old version has no more slots than the new one, a rollback would not help.
-func hasRoom(s State) bool {
+// fitsBusySlots reports whether the calls in flight fit into maxUtilization of the new
+// version's slots. The old upstreams are stopped once the rollout is done; if the traffic
+// did not fit, callers would be rejected from then on, which is worse than having to order
+// a good version again. If the old version has no more slots than the new one, the result
+// is true, since a rollback would not help.
+func fitsBusySlots(s State) bool {
 	slots := s.NewSlots + s.ColdSlots
 	return s.BusySlots <= maxUtilization*float64(slots) || slots >= s.OldSlots
 }
 
 func thresholdsOf(p kqplan.Plan) thresholds {
 	if p.Duration > 0 {
-		return ordered
+		return orderedThresholds
 	}
 	if p.Prefer == kqdocument.PreferTakingBack {
-		return takingBack
+		return preferRollbackThresholds
 	}
-	return finishing
+	return preferFinishingThresholds
 }
