--- a/internal/rollout/kqevidence/evidence.go
+++ b/internal/rollout/kqevidence/evidence.go
@@ -43,9 +43,9 @@
 		Route kqname.Route `json:"route"`
 		Old   Cell         `json:"old"`
 		New   Cell         `json:"new"`
-		// Margin is by how much, as a log, the new version's calls may take longer
+		// LogMargin is by how much, as a log, the new version's calls may take longer
 		// because of the servers that its upstreams run on.
-		Margin float64 `json:"margin,omitzero"`
+		LogMargin float64 `json:"margin,omitzero"`
 	}
 
 	// Sample holds the pairs of all routes over one span of time.
--- a/internal/rollout/kqledger/ledger.go
+++ b/internal/rollout/kqledger/ledger.go
@@ -123,7 +123,8 @@
 	return true
 }
 
-// Take returns what all gates counted since the last Take.
+// Take returns what all gates counted since the last Take, by their latest reports. This
+// gate's own counts are included up to its last Report.
 func (l *Ledger) Take() kqevidence.Sample {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,7 +148,7 @@
 		if !ok {
 			before = &Row{}
 		}
-		sample = append(sample, kqevidence.Pair{Route: route, Old: sum.Old.Since(&before.Old), New: sum.New.Since(&before.New), Margin: margin})
+		sample = append(sample, kqevidence.Pair{Route: route, Old: sum.Old.Since(&before.Old), New: sum.New.Since(&before.New), LogMargin: margin})
 	}
 	l.lastSums = sums
 	slices.SortFunc(sample, func(a, b kqevidence.Pair) int { return cmp.Compare(a.Route, b.Route) })
--- a/internal/rollout/kqverdict/route_tests.go
+++ b/internal/rollout/kqverdict/route.go
@@ -16,7 +16,8 @@
 	upstreamSpread = 0.08
 )
 
-// routeTests holds the tests of one route, or of all routes together.
+// routeTests holds the statistical tests of one route, of all routes together, or of the
+// upstreams that have just started (route kqevidence.Young).
 type routeTests struct {
 	route    kqname.Route
 	baseline baseline
@@ -35,7 +36,8 @@
 	}}
 }
 
-// newColdTests returns the test of upstreams that have just started.
+// newColdTests returns the test of cold upstreams: those that have just started. Their
+// calls are counted under the pseudo-route kqevidence.Young.
 func newColdTests() *routeTests {
 	return &routeTests{route: kqevidence.Young, tests: []*sequentialTest{newSlowdownTest("far slower than a cold start", toleratedColdSlowdown, 10)}}
 }
@@ -56,9 +58,10 @@
 	r.baseline.add(&p.Old)
 }
 
-// observeUnpaired compares calls of the new version with calls of the old one from other
-// seconds: either the old version has none in this tick, or the tick holds everything
-// counted before this node began to evaluate. Only large differences show this way.
+// observeUnpaired evaluates an unpaired tick, in which the new version's calls are compared
+// with the old version's of other seconds: either the old version has none in this tick, or
+// the baseline is not ready, usually since the tick holds everything counted before this
+// node began to evaluate. Only large differences show this way.
 func (r *routeTests) observeUnpaired(p *kqevidence.Pair) {
 	counts, ok := r.baseline.compareUnpaired(p)
 	if !ok {
@@ -66,11 +69,11 @@
 	}
 	maxGain := maxUnpairedGain
 	if p.Old.Calls > 0 {
-		counts, maxGain = counts.withoutCrashFailures(), maxBacklogGain
+		counts, maxGain = counts.withoutCrashFailures(), maxInitialGain
 	}
 	o := observation{errors: counts}
 	for _, t := range r.tests {
-		if t.usesUnpaired {
+		if t.acceptsUnpaired {
 			t.add(t.gain(&o), maxGain)
 		}
 	}
@@ -102,17 +105,17 @@
 		overallRate: b.slow.overallRate(), recentRate: b.slow.recentRate(), tailBucket: b.tailBucket,
 	}
 	o.slowWithoutMargin = o.slow
-	o.slow.newEvents = countAbove(&p.New, b.tailBucket+int(math.Ceil(kqevidence.BucketShift(math.Exp(p.Margin)))))
+	o.slow.newEvents = countAbove(&p.New, b.tailBucket+int(math.Ceil(kqevidence.BucketShift(math.Exp(p.LogMargin)))))
 	if old.calls < minTimedCalls || next.calls == 0 {
 		return o
 	}
 	o.hasLatencies = true
-	o.shift = next.mean - old.mean - p.Margin
+	o.shift = next.mean - old.mean - p.LogMargin
 	o.variance = b.variance*(1/old.calls+1/next.calls) + upstreamSpread*upstreamSpread
 	return o
 }
 
-// logMoments are the mean and variance of the logs of a cell's latencies.
+// logMoments are the number of latencies of a cell, and the mean and variance of their logs.
 type logMoments struct{ calls, mean, variance float64 }
 
 func logMomentsOf(c *kqevidence.Cell) logMoments {
--- a/internal/rollout/kqverdict/sequential.go
+++ b/internal/rollout/kqverdict/sequential.go
@@ -15,13 +15,15 @@
 	// affects both versions cannot be recognized then. Such faults usually end within
 	// about a second.
 	maxUnpairedGain = 0.9
-	// maxBacklogGain bounds what was counted before this node began to evaluate, and
-	// maxCrashFailures is how many failures of it are ignored: upstreams that crashed with
-	// calls in flight may have caused them, and the times of the failures are not known.
-	maxBacklogGain   = 2 * maxSpanGain
+	// maxInitialGain bounds a tick with calls of both versions before the baseline is
+	// ready, which usually holds everything counted before this node began to evaluate.
+	// maxCrashFailures is how many failures of such a tick are ignored: upstreams that
+	// crashed with calls in flight may have caused them, and their times are not known.
+	maxInitialGain   = 2 * maxSpanGain
 	maxCrashFailures = 25
-	// burstRate is the rate of the new version's events in a tick, above three times the old
-	// version's recent rate, beyond which withBurstLimit ignores them.
+	// burstRate plus three times the old version's recent rate is the share of the new
+	// version's calls in a tick up to which their events count; withBurstLimit ignores the
+	// others.
 	burstRate = 0.06
 	// minTotal bounds the evidence for the new version, so that a test that has favored
 	// it for long does not have to make up for all of it before it can alarm.
@@ -29,9 +31,10 @@
 )
 
 type (
-	// sequentialTest is one betting test on one metric of one route. Its gain in a
-	// tick is the log of the likelihood ratio of a version that is bad in the way
-	// tested to one that is good.
+	// sequentialTest is a sequential likelihood-ratio test of one metric of one route,
+	// also known as a betting test. Its gain in a tick is the log of the likelihood
+	// ratio of a version that is bad in the way tested to one that is good; its wealth
+	// is the product of the ratios, each of them bounded.
 	sequentialTest struct {
 		metric string
 		gain   func(o *observation) float64
@@ -40,8 +43,9 @@
 		// of one tick; a large one must be detected without delay.
 		span, ticks int
 		pending     observation
-		// usesUnpaired is set if the test also compares calls of different seconds.
-		usesUnpaired bool
+		// acceptsUnpaired is set if the test also evaluates unpaired ticks, whose calls are
+		// compared with the old version's of other seconds.
+		acceptsUnpaired bool
 		// total is the log of the test's wealth since the start, in nats.
 		total float64
 		// recent is the log of the wealth since the best starting point so far (as in
@@ -53,8 +57,9 @@
 	// observation is one tick of one route with the old version's baseline.
 	observation struct {
 		errors, slow eventCounts
-		// slowWithoutMargin counts the very slow calls without the margin for the
-		// new version's servers that slow allows for.
+		// slowWithoutMargin counts the calls above the threshold for very slow calls;
+		// slow counts those of the new version only above the threshold plus the
+		// margin for its servers.
 		slowWithoutMargin eventCounts
 		// shift is the mean log latency of the new version less that of the old one
 		// and the margin, and variance is the variance of shift. hasLatencies is set
@@ -75,22 +80,23 @@
 	}
 )
 
-// newErrorRiseTest bets that the failure rate is higher by points.
-func newErrorRiseTest(metric string, points float64, span int) *sequentialTest {
+// newErrorRiseTest tests whether the failure rate is higher by rise, a fraction.
+func newErrorRiseTest(metric string, rise float64, span int) *sequentialTest {
 	return &sequentialTest{metric: metric, span: span, gain: func(o *observation) float64 {
 		return o.errors.logLikelihoodRatio(
 			func(p float64) float64 { return p + toleratedErrorRise },
-			func(p float64) float64 { return p + points })
+			func(p float64) float64 { return p + rise })
 	}}
 }
 
-// withUnpairedTicks makes the test also compare calls of different seconds.
+// withUnpairedTicks makes the test also evaluate unpaired ticks (see observeUnpaired).
 func (t *sequentialTest) withUnpairedTicks() *sequentialTest {
-	t.usesUnpaired = true
+	t.acceptsUnpaired = true
 	return t
 }
 
-// newTailFactorTest bets that factor times as many calls exceed the old version's 99.5th percentile.
+// newTailFactorTest tests whether factor times as many calls exceed the old version's
+// 99.5th percentile.
 func newTailFactorTest(metric string, factor float64, span int) *sequentialTest {
 	return &sequentialTest{metric: metric, span: span, gain: func(o *observation) float64 {
 		return o.slow.logLikelihoodRatio(
@@ -99,20 +105,20 @@
 	}}
 }
 
-// newTailRiseTest bets that the share of calls over the old version's 99.5th percentile is
-// higher by points. Where servers differ, a version that is many times slower for only
+// newTailRiseTest tests whether the share of calls over the old version's 99.5th percentile is
+// higher by rise. Where servers differ, a version that is many times slower for only
 // some of its calls, on a fast server, may have the same mean as the old version on a
 // slow one. It shows here, since the percentile includes the old version's calls on slow
 // servers.
-func newTailRiseTest(metric string, points float64) *sequentialTest {
+func newTailRiseTest(metric string, rise float64) *sequentialTest {
 	return &sequentialTest{metric: metric, span: 1, gain: func(o *observation) float64 {
 		return o.slowWithoutMargin.logLikelihoodRatio(
 			func(p float64) float64 { return p + toleratedTailRise },
-			func(p float64) float64 { return p + points })
+			func(p float64) float64 { return p + rise })
 	}}
 }
 
-// newSlowdownTest bets that latencies are longer by factor. It compares the logs of the
+// newSlowdownTest tests whether latencies are longer by factor. It compares the logs of the
 // latencies within the tick, so that a slowdown of both versions cancels out.
 func newSlowdownTest(metric string, tolerated, factor float64) *sequentialTest {
 	good, bad := math.Log(tolerated), math.Log(factor)
@@ -179,8 +185,8 @@
 	c.newEvents += o.newEvents
 }
 
-// withBurstLimit limits the new version's events to what a burst of moderate
-// failures causes.
+// withBurstLimit limits the new version's events in a tick to one plus burstRate and three
+// times the old version's recent rate of its calls.
 func (c eventCounts) withBurstLimit() eventCounts {
 	c.newEvents = min(c.newEvents, 1+(burstRate+3*c.recentRate)*c.newCalls)
 	return c
@@ -215,12 +221,12 @@
 		if i == 0 {
 			p = clampRate(c.recentRate)
 		}
-		if i >= len(candidateRates)-absoluteRates {
+		if i >= len(candidateRates)-numAbsoluteRates {
 			p = factor
 		}
-		own := logCandidateWeights[i] + logLikelihood(c.oldEvents, c.oldCalls, p)
-		sumGood.add(own + logLikelihood(c.newEvents, c.newCalls, clampRate(good(p))))
-		sumBad.add(own + logLikelihood(c.newEvents, c.newCalls, clampRate(bad(p))))
+		oldLog := logCandidateWeights[i] + logLikelihood(c.oldEvents, c.oldCalls, p)
+		sumGood.add(oldLog + logLikelihood(c.newEvents, c.newCalls, clampRate(good(p))))
+		sumBad.add(oldLog + logLikelihood(c.newEvents, c.newCalls, clampRate(bad(p))))
 	}
 	// The rate that fits both versions best counts for the good hypothesis only:
 	// otherwise a shared burst whose rate lies between two candidates would look
@@ -258,15 +264,15 @@
 
 func clampRate(p float64) float64 { return min(max(p, 1e-6), 0.999) }
 
-// absoluteRates is how many entries at the end of candidateRates are rates by themselves
-// and not factors of the overall rate.
-const absoluteRates = 4
+// numAbsoluteRates is the number of entries at the end of candidateRates that are rates and
+// not factors of the overall rate.
+const numAbsoluteRates = 4
 
 var (
-	// candidateRates are the rates that the old version may have in one second:
-	// its recent rate (the first entry), its overall rate, multiples of that, and
-	// absolute rates that occur only in a burst. The weights, as logs, are their
-	// prior probabilities.
+	// candidateRates are the rates that the old version may have in one second: its
+	// recent rate (the first entry, whose 0 is not used), its overall rate and multiples
+	// of that, given as factors, and then numAbsoluteRates absolute rates that occur
+	// only in a burst. The weights, as logs, are their prior probabilities.
 	candidateRates      = [...]float64{0, 1, 0.4, 2.5, 6, 15, 0.02, 0.06, 0.2, 0.6}
 	logFittedWeight     = math.Log(0.1)
 	logCandidateWeights = logsOf([...]float64{0.35, 0.35, 0.08, 0.08, 0.04, 0.02, 0.02, 0.02, 0.02, 0.02})
--- a/internal/rollout/kqverdict/verdict.go
+++ b/internal/rollout/kqverdict/verdict.go
@@ -79,7 +79,7 @@
 		}
 		all.Old.Add(&p.Old)
 		all.New.Add(&p.New)
-		all.Margin = p.Margin
+		all.LogMargin = p.LogMargin
 		j.routeTests(p.Route).observe(p)
 	}
 	j.pooled.observe(&all)
