--- a/internal/rollout/kqboard/board_test.go
+++ b/internal/rollout/kqboard/board_test.go
@@ -37,9 +37,9 @@
 	return b
 }
 
-// Guards against calls for a version that was rolled back, from entries that do not know of the
-// rollback yet: the gate must refuse them. A later plan that tries the version again must not
-// be refused because of the earlier one.
+// Guards against calls for a version that was rolled back, from entries that do not know of
+// the rollback yet: the gate must refuse them. A later plan that tries the version again
+// must not be refused because of the earlier one.
 func TestGateRefusesRolledBackVersion(t *testing.T) {
 	plan := kqdocument.Rollout{Name: "move", Service: "shed", From: "v1", To: "v2", Policy: "first", Start: start, Deadline: start.Add(time.Minute)}
 	b := board(service(plan))
--- a/internal/rollout/kqboard/status.go
+++ b/internal/rollout/kqboard/status.go
@@ -64,8 +64,8 @@
 // Statuses returns all rollouts on this node, ordered by start and name.
 func (b *Board) Statuses(now time.Time) []Status {
 	list := []Status{}
-	for _, e := range b.allEntries() {
-		list = append(list, e.status(now))
+	for _, ps := range b.allPlanStates() {
+		list = append(list, ps.status(now))
 	}
 	slices.SortFunc(list, Compare)
 	return list
@@ -73,11 +73,11 @@
 
 // Status returns a rollout as shown to operators.
 func (b *Board) Status(id kqplan.ID, now time.Time) (Status, bool) {
-	e, ok := b.entry(id)
+	ps, ok := b.planState(id)
 	if !ok {
 		return Status{}, false
 	}
-	return e.status(now), true
+	return ps.status(now), true
 }
 
 // Compare orders rollouts by start, then by name.
@@ -85,29 +85,29 @@
 	return cmp.Or(a.Start.Compare(b.Start), cmp.Compare(a.Rollout, b.Rollout))
 }
 
-func (e *entry) status(now time.Time) Status {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	p := e.plan
+func (ps *planState) status(now time.Time) Status {
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
+	p := ps.plan
 	s := Status{
 		Rollout: p.Name, Service: p.Service, From: p.From, To: p.To, Policy: p.Policy, Start: p.Start,
-		Deadline: p.Deadline, State: Running, Step: e.progress.Step, Why: e.lastDecision.Why, Evidence: e.totals, Owner: e.owner,
+		Deadline: p.Deadline, State: Running, Step: ps.progress.Step, Why: ps.lastDecision.Why, Evidence: ps.totals, Owner: ps.owner,
 	}
-	s.Evidence.Metric, s.Evidence.Where = e.finding.WorstMetric, e.finding.Where
-	if nats := max(e.finding.Total, e.finding.Recent); !math.IsInf(nats, 0) {
+	s.Evidence.Metric, s.Evidence.Where = ps.finding.WorstMetric, ps.finding.Where
+	if nats := max(ps.finding.Total, ps.finding.Recent); !math.IsInf(nats, 0) {
 		s.Evidence.Nats = nats
 	}
 	switch {
-	case e.progress.Final == kqprogress.Done:
-		s.State, s.Share, s.Why = Done, 1, e.progress.Why
-	case e.progress.Final == kqprogress.TakenBack:
-		s.State, s.Why = TakenBack, e.progress.Why
-	case e.progress.RolledBack:
-		s.Why = "no traffic any more, waiting for the platform to record it: " + e.progress.Why
-	case !e.hasStarted(now):
+	case ps.progress.Final == kqprogress.Done:
+		s.State, s.Share, s.Why = Done, 1, ps.progress.Why
+	case ps.progress.Final == kqprogress.TakenBack:
+		s.State, s.Why = TakenBack, ps.progress.Why
+	case ps.progress.RolledBack:
+		s.Why = "no traffic any more, waiting for the platform to record it: " + ps.progress.Why
+	case !ps.hasStarted(now):
 		s.State = Pending
 	default:
-		s.Share = kqstep.Share(p, e.progress.Step)
+		s.Share = kqstep.Share(p, ps.progress.Step)
 	}
 	return s
 }
--- a/internal/rollout/kqboard/traffic.go
+++ b/internal/rollout/kqboard/traffic.go
@@ -26,10 +26,10 @@
 func (b *Board) Split(s kqresource.Service, now time.Time, random kqshare.Random) kqpick.Target {
 	base := s.Service.Version
 	rolledBackVersions := b.rolledBackVersions(s.Service.Name)
-	for _, e := range b.entriesOf(s.Service.Name) {
-		e.mu.Lock()
-		p, from, to := e.progress, e.plan.From, e.plan.To
-		e.mu.Unlock()
+	for _, ps := range b.planStatesOf(s.Service.Name) {
+		ps.mu.Lock()
+		p, from, to := ps.progress, ps.plan.From, ps.plan.To
+		ps.mu.Unlock()
 		if base == "" {
 			base = from
 		}
@@ -43,7 +43,7 @@
 			continue
 		}
 		if p.MayGetTraffic() {
-			return e.split(b.directory.Upstreams(s.Service.Name), p.Step, rolledBackVersions).Split(now, random)
+			return ps.split(b.directory.Upstreams(s.Service.Name), p.Step, rolledBackVersions).Split(now, random)
 		}
 		if from == "" {
 			rolledBackVersions = append(rolledBackVersions, to)
@@ -59,19 +59,19 @@
 
 // split returns how calls are split among the upstreams at a step. The result is cached
 // until the step or the upstreams change, since it is needed for every call.
-func (e *entry) split(all []kqmember.Candidate, step int, rolledBackVersions []kqname.UpstreamVersion) kqshare.Burst {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+func (ps *planState) split(all []kqmember.Candidate, step int, rolledBackVersions []kqname.UpstreamVersion) kqshare.Burst {
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
 	k := splitKey{step: step, count: len(all)}
 	if len(all) > 0 {
 		k.first = &all[0]
 	}
-	if e.cachedKey != k {
-		e.cachedKey, e.cachedSplit = k, newBurst(kqshare.Share{
-			From: e.plan.From, To: e.plan.To, Of: kqstep.Share(e.plan, step), Small: step <= kqstep.Small, MayGrow: kqstep.MayExceedShare(e.plan, step), Not: rolledBackVersions,
+	if ps.cachedKey != k {
+		ps.cachedKey, ps.cachedSplit = k, newBurst(kqshare.Share{
+			From: ps.plan.From, To: ps.plan.To, Of: kqstep.Share(ps.plan, step), Small: step <= kqstep.Small, MayGrow: kqstep.MayExceedShare(ps.plan, step), Not: rolledBackVersions,
 		}, all)
 	}
-	return e.cachedSplit
+	return ps.cachedSplit
 }
 
 // newBurst returns the split of calls for a share. A version without upstreams, for example
@@ -100,10 +100,10 @@
 	base := b.services[name].version
 	refused := b.services[name].rolledBackVersions[version]
 	b.mu.RUnlock()
-	for _, e := range b.entriesOf(name) {
-		e.mu.Lock()
-		p, to, from := e.progress, e.plan.To, e.plan.From
-		e.mu.Unlock()
+	for _, ps := range b.planStatesOf(name) {
+		ps.mu.Lock()
+		p, to, from := ps.progress, ps.plan.To, ps.plan.From
+		ps.mu.Unlock()
 		if to == version {
 			refused = p.RolledBack && p.Final != kqprogress.Done || p.Final == kqprogress.TakenBack
 		}
@@ -118,22 +118,22 @@
 // rollout from or to the call's version. started is when the upstream started, and warm
 // when its cold start ends according to the upstream, or the zero time if it did not say.
 func (b *Board) Observe(o kqgate.Observation, started, warm time.Time) {
-	for _, e := range b.entriesOf(o.Service) {
-		e.mu.Lock()
-		open := e.progress.Open() && !o.Began.Before(e.plan.Start)
-		old, to, cold := e.plan.Old(o.Version), e.plan.To, o.Began.Before(e.plan.WarmAt(started, warm))
-		e.mu.Unlock()
-		if !open || !old && o.Version != to || !e.shouldCount(o) {
+	for _, ps := range b.planStatesOf(o.Service) {
+		ps.mu.Lock()
+		open := ps.progress.Open() && !o.Began.Before(ps.plan.Start)
+		old, to, cold := ps.plan.Old(o.Version), ps.plan.To, o.Began.Before(ps.plan.WarmAt(started, warm))
+		ps.mu.Unlock()
+		if !open || !old && o.Version != to || !ps.shouldCount(o) {
 			continue
 		}
 		switch {
 		case !hasUsableLatency(o):
-			e.ledger.Count(o.Route, func(r *kqledger.Row) { r.CellOf(o.Version == to).CountUntimed(isFailure(o)) })
+			ps.ledger.Count(o.Route, func(r *kqledger.Row) { r.CellOf(o.Version == to).CountUntimed(isFailure(o)) })
 		case cold:
-			e.ledger.Count(kqevidence.Young, func(r *kqledger.Row) { r.CellOf(o.Version == to).Count(o.Took, isFailure(o)) })
-			e.ledger.Count(o.Route, func(r *kqledger.Row) { r.CellOf(o.Version == to).CountUntimed(isFailure(o)) })
+			ps.ledger.Count(kqevidence.Young, func(r *kqledger.Row) { r.CellOf(o.Version == to).Count(o.Took, isFailure(o)) })
+			ps.ledger.Count(o.Route, func(r *kqledger.Row) { r.CellOf(o.Version == to).CountUntimed(isFailure(o)) })
 		default:
-			e.ledger.Count(o.Route, func(r *kqledger.Row) { r.CellOf(o.Version == to).Count(o.Took, isFailure(o)) })
+			ps.ledger.Count(o.Route, func(r *kqledger.Row) { r.CellOf(o.Version == to).Count(o.Took, isFailure(o)) })
 		}
 	}
 }
@@ -144,17 +144,17 @@
 // because one server died. A failed connection counts again after one second and then every
 // two, until a connection succeeds, so that a version that accepts no connections is still
 // detected.
-func (e *entry) shouldCount(o kqgate.Observation) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+func (ps *planState) shouldCount(o kqgate.Observation) bool {
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
 	if o.Outcome.Reason != kqcall.ConnectFailed {
-		e.unreachablePause = 0
+		ps.uncountedFor = 0
 		return true
 	}
-	if e.unreachablePause > 0 && o.Began.Sub(e.lastUnreachable) < e.unreachablePause {
+	if ps.uncountedFor > 0 && o.Began.Sub(ps.lastCountedFailure) < ps.uncountedFor {
 		return false
 	}
-	e.lastUnreachable, e.unreachablePause = o.Began, min(max(2*e.unreachablePause, minUnreachablePause), maxUnreachablePause)
+	ps.lastCountedFailure, ps.uncountedFor = o.Began, min(max(2*ps.uncountedFor, minUncounted), maxUncounted)
 	return true
 }
 
@@ -181,10 +181,10 @@
 	return slices.Collect(maps.Keys(b.services[name].rolledBackVersions))
 }
 
-func (b *Board) entriesOf(name kqname.Service) []*entry {
+func (b *Board) planStatesOf(name kqname.Service) []*planState {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	return b.services[name].entries
+	return b.services[name].planStates
 }
 
 // isFailure reports whether the upstream failed the call. A caller that disconnects is no
--- a/internal/rollout/kqboard/view.go
+++ b/internal/rollout/kqboard/view.go
@@ -31,19 +31,19 @@
 // Views returns every plan that has started, was rolled back or was cancelled.
 func (b *Board) Views(now time.Time) []View {
 	var list []View
-	for _, e := range b.allEntries() {
-		e.mu.Lock()
-		if e.hasStarted(now) || e.progress.RolledBack || e.plan.Cancelled {
-			v := View{Plan: e.plan, Progress: e.progress, Seen: e.knownSince, Owner: e.owner, Heard: e.ownerSeen, Why: e.lastDecision.Why, Gone: !e.removedAt.IsZero()}
-			if e.progress.Open() {
-				v.Wish = e.dueFinal
+	for _, ps := range b.allPlanStates() {
+		ps.mu.Lock()
+		if ps.hasStarted(now) || ps.progress.RolledBack || ps.plan.Cancelled {
+			v := View{Plan: ps.plan, Progress: ps.progress, Seen: ps.knownSince, Owner: ps.owner, Heard: ps.ownerSeen, Why: ps.lastDecision.Why, Gone: !ps.removedAt.IsZero()}
+			if ps.progress.Open() {
+				v.Wish = ps.dueFinal
 			}
-			if e.progress.RolledBack {
-				v.Why = e.progress.Why
+			if ps.progress.RolledBack {
+				v.Why = ps.progress.Why
 			}
 			list = append(list, v)
 		}
-		e.mu.Unlock()
+		ps.mu.Unlock()
 	}
 	return list
 }
@@ -51,39 +51,39 @@
 // Report returns this gate's own evidence for a plan, at most once a tick. It returns
 // false if there is nothing new.
 func (b *Board) Report(id kqplan.ID, now time.Time) (kqledger.Report, bool) {
-	e, ok := b.entry(id)
-	if !ok || !e.isReportDue(now) {
+	ps, ok := b.planState(id)
+	if !ok || !ps.beginReport(now) {
 		return kqledger.Report{}, false
 	}
-	return e.ledger.Report()
+	return ps.ledger.Report()
 }
 
 // Event returns a sentence about the plan's last change, once for each change.
 func (b *Board) Event(id kqplan.ID) (string, bool) {
-	e, ok := b.entry(id)
+	ps, ok := b.planState(id)
 	if !ok {
 		return "", false
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	text := e.event()
-	if text == e.lastEvent {
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
+	text := ps.event()
+	if text == ps.lastEvent {
 		return "", false
 	}
-	e.lastEvent = text
+	ps.lastEvent = text
 	return text, text != ""
 }
 
-func (e *entry) event() string {
-	p := e.progress
-	head := fmt.Sprintf("Move %s of %s from %s to %s", e.plan.Name, e.plan.Service, e.plan.From, e.plan.To)
+func (ps *planState) event() string {
+	p := ps.progress
+	head := fmt.Sprintf("Move %s of %s from %s to %s", ps.plan.Name, ps.plan.Service, ps.plan.From, ps.plan.To)
 	switch {
 	case !p.Open():
 		return fmt.Sprintf("%s is %s: %s.", head, p.Final, p.Why)
 	case p.RolledBack:
 		return fmt.Sprintf("%s gets no traffic any more: %s.", head, p.Why)
 	case p.Step > 0:
-		return fmt.Sprintf("%s is at step %d, share %.2f.", head, p.Step, kqstep.Share(e.plan, p.Step))
+		return fmt.Sprintf("%s is at step %d, share %.2f.", head, p.Step, kqstep.Share(ps.plan, p.Step))
 	default:
 		return ""
 	}
@@ -91,11 +91,11 @@
 
 // Progress returns the progress of a plan.
 func (b *Board) Progress(id kqplan.ID) (kqprogress.Progress, bool) {
-	e, ok := b.entry(id)
+	ps, ok := b.planState(id)
 	if !ok {
 		return kqprogress.Progress{}, false
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.progress, true
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
+	return ps.progress, true
 }
