--- a/internal/rollout/kqowner/owner.go
+++ b/internal/rollout/kqowner/owner.go
@@ -41,13 +41,14 @@
 		Renew(ctx context.Context, lease kqstore.Lease) error
 	}
 
-	// ProgressMerger merges progress into the node's rollouts.
+	// ProgressMerger merges progress into the node's rollouts. Join reports whether the
+	// node's own progress changed and whether p lacks some of it.
 	ProgressMerger interface {
-		Join(id kqplan.ID, p kqprogress.Progress) (news, stale bool)
+		Join(id kqplan.ID, p kqprogress.Progress) (changed, senderStale bool)
 	}
 
-	// Owner manages the rollouts that this node may own. Work and Holds are
-	// safe for concurrent use.
+	// Owner keeps the leases of the rollouts that this node owns and acquires those that
+	// are free. Work and Holds are safe for concurrent use.
 	Owner struct {
 		self  kqname.Node
 		store Store
@@ -61,9 +62,10 @@
 	planState struct {
 		// loaded is set once the stored progress and final state have been read.
 		loaded bool
-		// platformDown is set if the last call to the platform failed for another reason than
-		// a conflict or an expired lease.
-		platformDown bool
+		// lastSyncFailed is set if the last call of Work failed for another reason than a
+		// conflict or an expired lease: the platform did not answer, or a stored value
+		// could not be decoded.
+		lastSyncFailed bool
 		// retryAt is the time of the next attempt after a failed call.
 		retryAt time.Time
 		lease   kqstore.Lease
@@ -90,16 +92,16 @@
 	return &Owner{self: self, store: store, board: board, plans: make(map[kqplan.ID]*planState)}
 }
 
-// Holds reports whether this node holds the plan's lease and may step it at the time now,
-// and whether the last call to the platform for it failed.
-func (o *Owner) Holds(id kqplan.ID, now time.Time) (holds, platformDown bool) {
+// Holds reports whether this node holds the plan's lease and may advance it at the time
+// now, and whether the last call of Work for it failed.
+func (o *Owner) Holds(id kqplan.ID, now time.Time) (holds, lastSyncFailed bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	state, ok := o.plans[id]
 	if !ok {
 		return false, false
 	}
-	return state.loaded && now.Before(state.validUntil), state.platformDown
+	return state.loaded && now.Before(state.validUntil), state.lastSyncFailed
 }
 
 // Work makes the platform calls that are due for one plan: it reads what is stored,
@@ -112,7 +114,7 @@
 	err := o.sync(ctx, state, v, candidate, now)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	state.platformDown = err != nil && !errors.Is(err, kqstore.ErrConflict) && !errors.Is(err, kqstore.ErrLeaseLapsed)
+	state.lastSyncFailed = err != nil && !errors.Is(err, kqstore.ErrConflict) && !errors.Is(err, kqstore.ErrLeaseLapsed)
 	if err != nil {
 		state.retryAt = now.Add(retryDelay)
 		return fmt.Errorf("update rollout %s on the platform: %w", v.Plan.Name, err)
--- a/internal/rollout/kqprogress/progress.go
+++ b/internal/rollout/kqprogress/progress.go
@@ -27,8 +27,8 @@
 )
 
 // Join returns the least upper bound of a and b. Final states come from one
-// compare-and-swap and so never differ; if they did, TakenBack would win, which harms no
-// caller.
+// compare-and-swap and so never differ; if they did, TakenBack would win, which keeps the
+// traffic on the old version.
 func Join(a, b Progress) Progress {
 	j := Progress{Step: max(a.Step, b.Step), RolledBack: a.RolledBack || b.RolledBack, Final: joinFinal(a.Final, b.Final)}
 	j.Why = joinReason(j, a, b)
@@ -54,8 +54,10 @@
 	}
 }
 
-// joinReason returns the reason of the side that set the joined state. If both did, it
-// returns the lesser text, so that the result does not depend on the order of joining.
+// joinReason returns the reason of the side whose rollback or final state is the joined
+// one, or "" if j has neither. If both sides have it, it returns the lexicographically
+// smaller text that is not empty, so that the result does not depend on the order of
+// joining.
 func joinReason(j, a, b Progress) string {
 	reason := ""
 	for _, p := range []Progress{a, b} {
