--- a/internal/rollout/kqmargin/margin.go
+++ b/internal/rollout/kqmargin/margin.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// minVariance is the variance of latencies that are known to a bucket of 25%.
+	// minVariance is about the variance of the log of a latency within its bucket, whose
+	// edges differ by 25%.
 	minVariance = 0.004
 	// minDeviations is how many standard deviations of the difference by the draw of
 	// servers are allowed at least. With two, a version that is twice as slow would be kept
--- a/internal/rollout/kqplan/plan.go
+++ b/internal/rollout/kqplan/plan.go
@@ -13,6 +13,7 @@
 )
 
 const (
+	// defaultSmallShare is the default and the maximum of a policy's small share.
 	defaultSmallShare = 0.05
 	// maxColdStart bounds the time after an upstream's start in which its slowness is
 	// attributed to the cold start, and coldWindowDivisor limits that time to a part of a
