--- a/internal/decide/kqneighbour/neighbour_test.go
+++ b/internal/decide/kqneighbour/neighbour_test.go
@@ -9,6 +9,7 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
+// maxNeighbours is 6 links, plus one for each of the two other regions of the fleet.
 const maxNeighbours = 6 + 2
 
 func fleet(n int) []kqneighbour.Member {
--- a/internal/rollout/kqboard/view.go
+++ b/internal/rollout/kqboard/view.go
@@ -11,7 +11,7 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// View is the state of a plan that the loop of its owner needs.
+// View is a copy of a plan's state for the loop that acts as the plan's owner.
 type View struct {
 	Plan     kqplan.Plan
 	Progress kqprogress.Progress
--- a/internal/rollout/kqverdict/route.go
+++ b/internal/rollout/kqverdict/route.go
@@ -110,7 +110,7 @@
 		return o
 	}
 	o.hasLatencies = true
-	o.shift = next.mean - old.mean - p.LogMargin
+	o.logDifference = next.mean - old.mean - p.LogMargin
 	o.variance = b.variance*(1/old.calls+1/next.calls) + upstreamSpread*upstreamSpread
 	return o
 }
--- a/internal/rollout/kqverdict/sequential.go
+++ b/internal/rollout/kqverdict/sequential.go
@@ -61,11 +61,11 @@
 		// slow counts those of the new version only above the threshold plus the
 		// margin for its servers.
 		slowWithoutMargin eventCounts
-		// shift is the mean log latency of the new version less that of the old one
-		// and the margin, and variance is the variance of shift. hasLatencies is set
-		// if both versions have enough latencies in the tick.
-		hasLatencies    bool
-		shift, variance float64
+		// logDifference is the mean log latency of the new version less that of the old
+		// one and the margin, and variance is its variance. hasLatencies is set if both
+		// versions have enough latencies in the tick.
+		hasLatencies            bool
+		logDifference, variance float64
 	}
 
 	// eventCounts are the calls of both versions in one tick and how many of them
@@ -126,7 +126,7 @@
 		if !o.hasLatencies {
 			return 0
 		}
-		return (bad - good) * (o.shift - (good+bad)/2) / o.variance
+		return (bad - good) * (o.logDifference - (good+bad)/2) / o.variance
 	}}
 }
 
