--- a/internal/call/kqcall/header.go
+++ b/internal/call/kqcall/header.go
@@ -34,7 +34,7 @@
 	// headerRetry carries Retry-After between nodes in milliseconds, since callers may
 	// need it in another format.
 	headerRetry = "Kq-Retry-Ms"
-	// headerStarved tells the calling node that a failure was caused by a lack of
+	// headerStarved reports to the calling node that a failure was caused by a lack of
 	// capacity in a service that the upstream called.
 	headerStarved = "Kq-Starved"
 
--- a/internal/call/kqconnection/chunk_counter.go
+++ b/internal/call/kqconnection/chunked_body_counter.go
@@ -1,8 +1,8 @@
 package kqconnection
 
-// chunkCounter counts the data bytes of a chunked body without its framing, since only the
+// chunkedBodyCounter counts the data bytes of a chunked body without its framing, since only the
 // data is held in memory: a chunk of one byte takes six on the wire.
-type chunkCounter struct {
+type chunkedBodyCounter struct {
 	state chunkState
 	// size is the part of the current chunk's size that has been parsed, and remaining the
 	// bytes of the chunk still to come, including the line end after it.
@@ -31,7 +31,7 @@
 )
 
 // add counts the data bytes in the next part of the body.
-func (c *chunkCounter) add(data []byte) {
+func (c *chunkedBodyCounter) add(data []byte) {
 	for len(data) > 0 {
 		switch c.state {
 		case inData:
@@ -54,7 +54,7 @@
 }
 
 // addHeaderByte parses one byte of the line before a chunk's data.
-func (c *chunkCounter) addHeaderByte(b byte) {
+func (c *chunkedBodyCounter) addHeaderByte(b byte) {
 	switch digit, hex := hexDigit(b); {
 	case b == '\n' && c.size == 0:
 		c.state = inTrailer
--- a/internal/call/kqconnection/chunk_counter_test.go
+++ b/internal/call/kqconnection/chunked_body_counter_test.go
@@ -13,10 +13,10 @@
 
 // Guards against counting a chunked body's framing: callers that send small chunks would be
 // refused for several times the memory that their bodies take.
-func TestRoomCountsChunkDataOnly(t *testing.T) {
+func TestReservedMemoryCountsChunkDataOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		room := &recordingRoom{}
-		server, caller, done := openConnection(t, kqconnection.WithRoom(room, 0))
+		limiter := &recordingLimiter{}
+		server, caller, done := openConnection(t, kqconnection.WithRoom(limiter, 0))
 		defer done()
 		chunks := rapid.SliceOfN(rapid.IntRange(1, 300), 1, 40).Draw(t, "chunks")
 		extension := rapid.SampledFrom([]string{"", ";a=b", " "}).Draw(t, "extension")
@@ -34,8 +34,8 @@
 		}
 		b := make([]byte, rapid.IntRange(1, 64).Draw(t, "buffer"))
 		readAll(server, b)
-		if room.size != want {
-			t.Fatalf("reserved room for %d bytes, want %d", room.size, want)
+		if limiter.size != want {
+			t.Fatalf("reserved memory for %d bytes, want %d", limiter.size, want)
 		}
 	})
 }
--- a/internal/call/kqconnection/doc.go
+++ b/internal/call/kqconnection/doc.go
@@ -8,6 +8,6 @@
 // When fasthttp gets one request at a time, each response is sent as soon as it is ready,
 // and the server can check for another pending request before it closes the connection.
 //
-// Requests behind the current one are read in the meantime, and safe ones are served ahead
-// of their turn. fasthttp still gets every request, and its response, in order.
+// Requests behind the current one are read in the meantime, and safe ones are started
+// before it has been answered. fasthttp still gets every request, and its response, in order.
 package kqconnection
--- a/internal/call/kqconnection/framer.go
+++ b/internal/call/kqconnection/framer.go
@@ -29,13 +29,13 @@
 	matched       int
 	// unknownLength is set if the current request has a body whose length is not stated.
 	// The framer does not find the end of such a body; the connection resets the framing
-	// once the request is answered. chunkCounter counts the body's bytes.
-	unknownLength bool
-	chunkCounter  chunkCounter
-	// partial is the framing stated by the complete lines of a head that has arrived in
-	// part, and partialLine the beginning of its last line.
-	partial     bodyFraming
-	partialLine []byte
+	// once the request is answered. chunkedBodyCounter counts the bytes of its data.
+	unknownLength      bool
+	chunkedBodyCounter chunkedBodyCounter
+	// partialFraming is the framing stated by the complete lines of a head that has arrived
+	// in part, and partialLine the beginning of its last line.
+	partialFraming bodyFraming
+	partialLine    []byte
 }
 
 // bodyFraming is what a request's head states about its body.
@@ -44,15 +44,16 @@
 	unknownLength bool
 }
 
-// requestBytes returns how many bytes of data, at least one, belong to the current request.
-func (fr *framer) requestBytes(data []byte) int {
+// consume advances the framing by the beginning of data that belongs to the current request,
+// and returns its length, at least one byte.
+func (fr *framer) consume(data []byte) int {
 	if fr.bodyRemaining > 0 {
 		n := min(fr.bodyRemaining, len(data))
 		fr.bodyRemaining -= n
 		return n
 	}
 	if fr.unknownLength {
-		fr.chunkCounter.add(data)
+		fr.chunkedBodyCounter.add(data)
 		return len(data)
 	}
 	end := fr.findHeadEnd(data)
@@ -62,7 +63,7 @@
 	}
 	f := fr.finishHead(data[:end])
 	if fr.unknownLength = f.unknownLength; fr.unknownLength {
-		fr.chunkCounter.add(data[end:])
+		fr.chunkedBodyCounter.add(data[end:])
 		return len(data)
 	}
 	n := min(f.contentLength, len(data)-end)
@@ -77,7 +78,7 @@
 		piece = append(fr.partialLine, piece...)
 	}
 	last := bytes.LastIndexByte(piece, '\n') + 1
-	fr.partial = fr.partial.addLines(piece[:last])
+	fr.partialFraming = fr.partialFraming.addLines(piece[:last])
 	fr.partialLine = bytes.Clone(piece[last:min(len(piece), last+maxPartialLine)])
 }
 
@@ -86,8 +87,8 @@
 	if len(fr.partialLine) > 0 {
 		piece = append(fr.partialLine, piece...)
 	}
-	f := fr.partial.addLines(piece)
-	fr.partial, fr.partialLine = bodyFraming{}, nil
+	f := fr.partialFraming.addLines(piece)
+	fr.partialFraming, fr.partialLine = bodyFraming{}, nil
 	return f
 }
 
@@ -125,7 +126,8 @@
 	return -1
 }
 
-// contentLength returns the body length that a head states, or 0 if it states none.
+// contentLength returns the body length that a head states, or 0 if it states none or one
+// that is malformed or does not fit into 31 bits.
 func contentLength(head []byte) int {
 	value, ok := headerField(head, contentLengthName)
 	if !ok {
--- a/internal/call/kqconnection/room_test.go
+++ b/internal/call/kqconnection/limiter_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// recordingRoom grants every request for room and records the largest size.
-type recordingRoom struct {
+// recordingLimiter grants all memory that is requested and records the largest size.
+type recordingLimiter struct {
 	mu   sync.Mutex
 	size int
 }
 
-func (r *recordingRoom) Grow(_ any, size int, _ time.Duration) bool {
+func (r *recordingLimiter) Grow(_ any, size int, _ time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.size = max(r.size, size)
 	return true
 }
 
-func (r *recordingRoom) Release(any) {}
+func (r *recordingLimiter) Release(any) {}
 
 // readAll reads a connection to its end, always into the same buffer.
 func readAll(c net.Conn, b []byte) {
--- a/internal/call/kqconnection/listener.go
+++ b/internal/call/kqconnection/listener.go
@@ -14,12 +14,12 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqhangup"
 )
 
-// ErrNoRoom is returned when there is no room for more of a body of unknown length.
+// ErrNoRoom is returned when no memory is left for more of a body of unknown length.
 var ErrNoRoom = errors.New("no memory left for the request body")
 
 type (
-	// BodyLimiter limits the memory, here called room, that bodies of unknown length take.
-	// A connection reserves more as more of its body arrives.
+	// BodyLimiter limits the memory that bodies of unknown length take. A connection
+	// reserves more as more of its body arrives.
 	BodyLimiter interface {
 		Grow(connection any, size int, wait time.Duration) bool
 		Release(connection any)
@@ -32,15 +32,18 @@
 	// concurrent use.
 	Listener struct {
 		net.Listener
-		limiter  BodyLimiter
-		roomWait time.Duration
+		// limiter is nil if bodies are not limited; limiterWait is how long a read waits for
+		// memory.
+		limiter     BodyLimiter
+		limiterWait time.Duration
 		// lingering counts closed connections whose remaining input is still being
 		// discarded.
 		lingering atomic.Int64
-		// pipeliningDisabled is set once no more requests are served ahead of their turn.
+		// pipeliningDisabled is set once no more requests are served before earlier ones
+		// have been answered.
 		pipeliningDisabled atomic.Bool
-		// pipelined counts the requests that are being served ahead of their turn or whose
-		// responses are held back until their turn.
+		// pipelined is the number of requests that have been started before earlier ones were
+		// answered, and have not become the current request since.
 		pipelined atomic.Int64
 
 		mu sync.Mutex
@@ -55,8 +58,8 @@
 		listener *Listener
 		used     atomic.Bool
 		framer   framer
-		// roomRefused is set if there was no room for more of a body of unknown length.
-		roomRefused bool
+		// memoryRefused is set if no memory was left for more of a body of unknown length.
+		memoryRefused bool
 		// lastReadErr is the error of the last read, or nil.
 		lastReadErr error
 		// sequential is set if requests are served one after the other.
@@ -65,8 +68,8 @@
 
 		mu sync.Mutex
 		// buffered holds the bytes read behind the current request. Its first startedBytes
-		// belong to the requests in started, which are served ahead of their turn. readErr
-		// is the error that ended the reading.
+		// belong to the requests in started, which have been started before earlier ones
+		// were answered. readErr is the error that ended the reading.
 		buffered     []byte
 		startedBytes int
 		started      []*pipelined
@@ -74,10 +77,10 @@
 	}
 )
 
-// WithRoom makes bodies of unknown length reserve room as they arrive and wait that long
-// for it; a read without room then fails with ErrNoRoom.
+// WithRoom makes bodies of unknown length reserve memory from r as they arrive. A read waits
+// for memory for at most wait, 0 for not at all, and then fails with ErrNoRoom.
 func WithRoom(r BodyLimiter, wait time.Duration) Option {
-	return func(l *Listener) { l.limiter, l.roomWait = r, wait }
+	return func(l *Listener) { l.limiter, l.limiterWait = r, wait }
 }
 
 // New returns a listener over l. Only TCP connections are split into requests; others are
@@ -136,7 +139,7 @@
 	delete(l.unused, c)
 }
 
-// release removes a closed connection, frees its room and reports whether it was still
+// release removes a closed connection, frees its body's memory and reports whether it was still
 // open.
 func (l *Listener) release(c *connection) bool {
 	l.mu.Lock()
@@ -152,7 +155,7 @@
 // Read implements net.Conn. It returns no bytes beyond the end of the current request.
 func (c *connection) Read(b []byte) (int, error) {
 	n, err := c.read(b)
-	if n > 0 && c.framer.unknownLength && !c.growRoom() {
+	if n > 0 && c.framer.unknownLength && !c.reserveMemory() {
 		n, err = 0, ErrNoRoom
 	}
 	c.lastReadErr = err
@@ -168,7 +171,7 @@
 		return n, err
 	}
 	c.listener.markUsed(c)
-	current := c.framer.requestBytes(b[:n])
+	current := c.framer.consume(b[:n])
 	if current < n {
 		c.mu.Lock()
 		c.buffered = append(c.buffered, b[current:n]...)
@@ -196,7 +199,7 @@
 		return 0, c.readErr
 	}
 	n := copy(b, c.buffered)
-	n = c.framer.requestBytes(b[:n])
+	n = c.framer.consume(b[:n])
 	if c.buffered = c.buffered[n:]; len(c.buffered) == 0 {
 		c.buffered = nil
 	}
@@ -204,14 +207,14 @@
 	return n, nil
 }
 
-// growRoom reserves room for more of a body of unknown length. Input after a refusal is
+// reserveMemory reserves memory for more of a body of unknown length. Input after a refusal is
 // only read to be discarded.
-func (c *connection) growRoom() bool {
-	if c.listener.limiter == nil || c.roomRefused {
+func (c *connection) reserveMemory() bool {
+	if c.listener.limiter == nil || c.memoryRefused {
 		return true
 	}
-	c.roomRefused = !c.listener.limiter.Grow(c, c.framer.chunkCounter.bodyBytes, c.listener.roomWait)
-	return !c.roomRefused
+	c.memoryRefused = !c.listener.limiter.Grow(c, c.framer.chunkedBodyCounter.bodyBytes, c.listener.limiterWait)
+	return !c.memoryRefused
 }
 
 // endRequest resets the framing after a request with a body of unknown length has been
@@ -224,8 +227,8 @@
 	if c.listener.limiter != nil {
 		c.listener.limiter.Release(c)
 	}
-	c.roomRefused, c.sequential = false, true
-	c.framer.unknownLength, c.framer.chunkCounter = false, chunkCounter{}
+	c.memoryRefused, c.sequential = false, true
+	c.framer.unknownLength, c.framer.chunkedBodyCounter = false, chunkedBodyCounter{}
 }
 
 // WriteTo implements io.WriterTo in place of TCPConn's method, which would skip the
--- a/internal/call/kqconnection/pipeline.go
+++ b/internal/call/kqconnection/pipeline.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// maxPipelined limits the requests per connection that are served ahead of their turn.
+	// maxPipelined limits the requests per connection that are served before earlier ones
+	// have been answered.
 	maxPipelined = 16
 	// maxReadAhead limits the bytes buffered behind the current request.
 	maxReadAhead = 64 << 10
-	// maxBufferedBody is the largest response body, in bytes, that is buffered whole ahead
-	// of its turn.
+	// maxBufferedBody is the largest response body, in bytes, that is buffered whole until
+	// the earlier requests have been answered.
 	maxBufferedBody = 64 << 10
 	// readSize is the size of the read buffer, in bytes.
 	readSize = 4 << 10
 )
 
 type (
-	// pipelined is a request that is served ahead of its turn; its response is held back
-	// until then.
+	// pipelined is a request that is served before earlier requests have been answered; its
+	// response is held back until they have.
 	pipelined struct {
 		head []byte
 		ctx  fasthttp.RequestCtx
@@ -50,13 +51,14 @@
 	}
 )
 
-// Serve returns a handler that serves a caller's pipelined requests concurrently with next
-// and returns the responses in order. One at a time, each would wait for the one before it:
+// Serve returns a handler that serves a caller's pipelined requests concurrently, by calling
+// next for each, and returns the responses in order. One at a time, each would wait for the
+// one before it:
 // a caller's third request of 200 ms would take 600 ms while upstreams are idle.
 //
-// Only safe requests without a body are served ahead of their turn. Any other request waits
-// for those before it and delays those behind it. A response closes the connection only if
-// no other request is pending on it.
+// Only safe requests without a body are served before earlier ones have been answered. Any
+// other request waits for those before it and delays those behind it. A response closes
+// the connection only if no other request is pending on it.
 func Serve(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		c, ok := ctx.Conn().(*connection)
@@ -64,10 +66,10 @@
 			next(ctx)
 			return
 		}
-		pipelined := c.takePipelined(ctx)
+		started := c.takePipelined(ctx)
 		stop := c.readAhead(ctx, next)
-		if pipelined != nil {
-			pipelined.copyResponse(ctx)
+		if started != nil {
+			started.copyResponse(ctx)
 		} else {
 			next(ctx)
 		}
@@ -126,7 +128,7 @@
 		p := &pipelined{head: bytes.Clone(c.buffered[c.startedBytes : c.startedBytes+end]), done: make(chan struct{})}
 		p.ctx.Init2(conn, nil, true)
 		if err := p.ctx.Request.Read(bufio.NewReader(bytes.NewReader(p.head))); err != nil {
-			// The server refuses it in its turn.
+			// The server refuses it once the earlier requests have been answered.
 			break
 		}
 		c.startedBytes += end
@@ -148,9 +150,10 @@
 	}
 }
 
-// takePipelined returns the request in ctx if it has been started ahead of its turn. If the
-// two differ, the boundaries between the requests were not found correctly and a caller
-// could get another request's response, so all further requests are served sequentially.
+// takePipelined returns the first pipelined request, which should be the one in ctx, or nil
+// if none has been started. If the two differ, the boundaries between the requests were not found correctly
+// and a caller could get another request's response, so all further requests are served
+// sequentially.
 func (c *connection) takePipelined(ctx *fasthttp.RequestCtx) *pipelined {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,7 +171,9 @@
 	return p
 }
 
-// discardPipelined discards the responses that will not be sent. The lock must be held.
+// discardPipelined closes the bodies of the responses that are ready but will not be sent,
+// and marks the other pipelined requests, so that servePipelined closes theirs. The lock must
+// be held.
 func (c *connection) discardPipelined() {
 	c.listener.pipelined.Add(-int64(len(c.started)))
 	for _, p := range c.started {
@@ -201,9 +206,10 @@
 	}
 }
 
-// bufferBody reads a streamed body of up to maxBufferedBody. If it were not read until its
-// turn, the call's deadline could pass first: the caller would lose a small response that
-// is already there, and with the connection all responses behind it.
+// bufferBody buffers a streamed body whole if it has at most maxBufferedBody bytes, else its
+// beginning. If it were not read until the earlier requests have been answered, the call's
+// deadline could pass first: the caller would lose a small response that is already there,
+// and with the connection all responses behind it.
 func (p *pipelined) bufferBody() {
 	r := &p.ctx.Response
 	if !r.IsBodyStream() {
@@ -229,8 +235,8 @@
 // Close implements io.Closer.
 func (r *prefetchedBody) Close() error { return r.close() }
 
-// closeBody closes the body of a discarded response; its upstream keeps working on it until
-// then.
+// closeBody closes the body of a discarded response; until then, the call is not finished
+// and its upstream may still be sending the body.
 func (p *pipelined) closeBody() { _ = p.ctx.Response.CloseBodyStream() }
 
 // canPipeline reports whether a request with this head is safe and has no body, and so may
--- a/internal/call/kqconnection/pipeline_test.go
+++ b/internal/call/kqconnection/pipeline_test.go
@@ -130,9 +130,9 @@
 	}
 }
 
-// A response of unknown length arrives long before its turn, and the deadline of its
-// upstream connection passes before its turn. If it were read only then, it would be cut
-// off, and the responses behind it with it.
+// A response of unknown length arrives long before the earlier request is answered, and the
+// deadline of its upstream connection passes in the meantime. If it were read only
+// afterwards, it would be cut off, and the responses behind it with it.
 func TestStreamedResponseIsReadAhead(t *testing.T) {
 	const size = 5000
 	caller, done := startServer(t, func(ctx *fasthttp.RequestCtx) {
--- a/internal/call/kqconnection/shutdown.go
+++ b/internal/call/kqconnection/shutdown.go
@@ -14,10 +14,10 @@
 	}
 }
 
-// InOrder stops serving requests ahead of their turn. A server that shuts down closes each
+// InOrder stops starting requests before earlier ones have been answered. A server that shuts down closes each
 // connection with the next response, so requests served behind it would get none.
 func (l *Listener) InOrder() { l.pipeliningDisabled.Store(true) }
 
-// Early returns the number of requests that are being served ahead of their turn or whose
-// responses are held back until their turn.
+// Early returns the number of requests that have been started before earlier ones were
+// answered, and have not become the current request since.
 func (l *Listener) Early() int { return int(l.pipelined.Load()) }
--- a/internal/call/kqconnection/split_head_test.go
+++ b/internal/call/kqconnection/split_head_test.go
@@ -12,12 +12,12 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqconnection"
 )
 
-// Guards against bodies of unknown length that reserve no room because their head arrived
+// Guards against bodies of unknown length that reserve no memory because their head arrived
 // in several parts.
-func TestRoomIsTakenIfTheHeadIsSplit(t *testing.T) {
+func TestMemoryIsReservedIfTheHeadIsSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		room := &recordingRoom{}
-		server, caller, done := openConnection(t, kqconnection.WithRoom(room, 0))
+		limiter := &recordingLimiter{}
+		server, caller, done := openConnection(t, kqconnection.WithRoom(limiter, 0))
 		defer done()
 		go func() {
 			_, _ = io.WriteString(caller, "PUT / HTTP/1.1\r\ntransfer-encoding: chunked\r\nhost: a\r\n\r\n5\r\nabcde\r\n0\r\n\r\n")
@@ -25,8 +25,8 @@
 		}()
 		b := make([]byte, rapid.IntRange(1, 100).Draw(t, "buffer"))
 		readAll(server, b)
-		if room.size < 5 {
-			t.Fatalf("reserved room for %d bytes of a body of 5", room.size)
+		if limiter.size < 5 {
+			t.Fatalf("reserved memory for %d bytes of a body of 5", limiter.size)
 		}
 	})
 }
@@ -36,6 +36,7 @@
 	server, caller, done := openConnection(t)
 	defer done()
 	head := "PUT / HTTP/1.1\r\nx: " + strings.Repeat("x", 1<<20) + "\r\ncontent-length: 3\r\n\r\nabc"
+	// The second request shows that reads stop at the end of the first.
 	go func() { _, _ = io.WriteString(caller, head+"GET / HTTP/1.1\r\n\r\n") }()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
--- a/internal/call/kqentry/at_most_once_test.go
+++ b/internal/call/kqentry/at_most_once_test.go
@@ -33,6 +33,8 @@
 	results map[string]kqcall.Outcome
 }
 
+// newTestFleet starts the entry and the given number of servers, each with an upstream that
+// has that many slots and takes the time work for each call.
 func newTestFleet(t testing.TB, servers, slots int, work time.Duration) *testFleet {
 	t.Helper()
 	s := &testFleet{Fleet: kqfleet.New(), results: make(map[string]kqcall.Outcome)}
@@ -76,7 +78,7 @@
 	return server
 }
 
-// send sends one order and returns the outcome that its caller got.
+// send sends one order with the given work id and returns the outcome that its caller got.
 func (s *testFleet) send(method, work string) (kqcall.Outcome, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/call/kqentry/headers_test.go
+++ b/internal/call/kqentry/headers_test.go
@@ -18,25 +18,27 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// rawSlots is the number of slots that a raw upstream announces.
-const rawSlots = 4
+// httpUpstreamSlots is the number of slots that an httpUpstream announces.
+const httpUpstreamSlots = 4
 
-// rawUpstream keeps each request's headers and responds as the test says.
-type rawUpstream struct {
+// httpUpstream is an upstream that responds as the test says. It keeps each request's
+// headers, with the request's path as a header "Path".
+type httpUpstream struct {
 	net.Listener
 	mu   sync.Mutex
 	seen []http.Header
 }
 
-// startRawUpstream starts a raw upstream of the service on a server that has no fake
-// one, and keeps announcing it.
-func startRawUpstream(t *testing.T, s *kqfleet.Server, service kqname.Service, answer func(w http.ResponseWriter, r *http.Request)) *rawUpstream {
+// startHTTPUpstream starts an httpUpstream of the service on a server without a kqupstream
+// fake, and keeps announcing it. It responds with the header HeaderWork of the request,
+// which testFleet.send checks.
+func startHTTPUpstream(t *testing.T, s *kqfleet.Server, service kqname.Service, handler func(w http.ResponseWriter, r *http.Request)) *httpUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &rawUpstream{Listener: l}
+	u := &httpUpstream{Listener: l}
 	server := &http.Server{ReadHeaderTimeout: testTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		u.mu.Lock()
 		header := r.Header.Clone()
@@ -44,11 +46,11 @@
 		u.seen = append(u.seen, header)
 		u.mu.Unlock()
 		w.Header().Set(kqupstream.HeaderWork, r.Header.Get(kqupstream.HeaderWork))
-		answer(w, r)
+		handler(w, r)
 	})}
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { _ = server.Close() })
-	a := fmt.Sprintf(`{"service":%q,"version":"v1","address":%q,"slots":%d}`, service, l.Addr(), rawSlots)
+	a := fmt.Sprintf(`{"service":%q,"version":"v1","address":%q,"slots":%d}`, service, l.Addr(), httpUpstreamSlots)
 	announce := func() {
 		resp, err := http.Post("http://"+string(s.Node.LocalAddress())+"/kq/announce", "application/json", strings.NewReader(a))
 		if err == nil {
@@ -82,12 +84,12 @@
 	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	go func() { _, _ = io.WriteString(c, request) }()
-	answer, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatalf("read response to %.40q: %v", request, err)
 	}
-	t.Cleanup(func() { _ = answer.Body.Close() })
-	return answer
+	t.Cleanup(func() { _ = response.Body.Close() })
+	return response
 }
 
 // Guards against outside callers and upstreams that set this project's headers, in any
@@ -97,7 +99,7 @@
 func TestForgedHeadersAreStripped(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 0, 0, 0)
-	u := startRawUpstream(t, s.front, "store", func(w http.ResponseWriter, r *http.Request) {
+	u := startHTTPUpstream(t, s.front, "store", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("kq-result", "not_run")
 		w.Header().Set("KQ-REASON", "queue_full")
 		w.Header().Set("Kq-Load", "0;0;1000;1")
@@ -107,11 +109,11 @@
 		o, err := s.send(http.MethodGet, "warm")
 		return err == nil && o.Reason != kqcall.NoUpstream
 	})
-	answer := exchange(t, s.front.Node.EntryAddress(), "POST /a HTTP/1.1\r\nHost: store\r\nContent-Length: 0\r\n"+
+	response := exchange(t, s.front.Node.EntryAddress(), "POST /a HTTP/1.1\r\nHost: store\r\nContent-Length: 0\r\n"+
 		"kQ-cAlL: x;someone;store;store;v9;critical;i;r;99000000;0\r\nKq-Depth: 7\r\nkq-version: v9\r\nKq-Anything: 1\r\n\r\n")
-	if answer.StatusCode != http.StatusOK || answer.Header.Get(kqcall.HeaderResult) != string(kqcall.Answered) ||
-		answer.Header.Get(kqcall.HeaderReason) != "" || answer.Header.Get("Kq-Load") != "" {
-		t.Errorf("caller got status %d and headers %v", answer.StatusCode, answer.Header)
+	if response.StatusCode != http.StatusOK || response.Header.Get(kqcall.HeaderResult) != string(kqcall.Answered) ||
+		response.Header.Get(kqcall.HeaderReason) != "" || response.Header.Get("Kq-Load") != "" {
+		t.Errorf("caller got status %d and headers %v", response.StatusCode, response.Header)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -139,13 +141,13 @@
 	}{
 		"large body": {"POST /a HTTP/1.1\r\nHost: store\r\nContent-Length: 99000000\r\n\r\n", http.StatusRequestEntityTooLarge, kqcall.TooLarge},
 		"large head": {"GET /a HTTP/1.1\r\nHost: store\r\nX: " + strings.Repeat("x", 40000) + "\r\n\r\n", http.StatusRequestEntityTooLarge, kqcall.TooLarge},
-		"no HTTP":    {"NONSENSE\r\n\r\n", http.StatusBadRequest, kqcall.Malformed},
+		"not HTTP":   {"NONSENSE\r\n\r\n", http.StatusBadRequest, kqcall.Malformed},
 		"no route":   {"GET /a HTTP/1.1\r\nHost: nowhere\r\n\r\n", http.StatusNotFound, kqcall.NoRoute},
 	} {
-		answer := exchange(t, s.front.Node.EntryAddress(), c.request)
-		if answer.StatusCode != c.status || answer.Header.Get(kqcall.HeaderResult) != string(kqcall.NotRun) ||
-			answer.Header.Get(kqcall.HeaderReason) != string(c.reason) {
-			t.Errorf("%s: got status %d and headers %v", name, answer.StatusCode, answer.Header)
+		response := exchange(t, s.front.Node.EntryAddress(), c.request)
+		if response.StatusCode != c.status || response.Header.Get(kqcall.HeaderResult) != string(kqcall.NotRun) ||
+			response.Header.Get(kqcall.HeaderReason) != string(c.reason) {
+			t.Errorf("%s: got status %d and headers %v", name, response.StatusCode, response.Header)
 		}
 	}
 }
@@ -159,7 +161,7 @@
 	s := newTestFleet(t, 0, 0, 0)
 	server := s.start(t, kqfleet.Spec{Node: "back", Domain: "one", Region: "one"})
 	var disconnects atomic.Int32
-	u := startRawUpstream(t, server, "store", func(w http.ResponseWriter, r *http.Request) {
+	u := startHTTPUpstream(t, server, "store", func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/long" {
 			<-r.Context().Done()
 			disconnects.Add(1)
@@ -172,17 +174,17 @@
 		return err == nil && o.Result == kqcall.Answered
 	})
 	var running []net.Conn
-	for range rawSlots {
+	for range httpUpstreamSlots {
 		running = append(running, s.sendUnread(t, "/long"))
 	}
-	poll(t, "every slot is taken", func() bool { return u.count("/long") == rawSlots })
+	poll(t, "every slot is taken", func() bool { return u.count("/long") == httpUpstreamSlots })
 	waiting := s.sendUnread(t, "/waits")
 	_ = waiting.Close()
 	poll(t, "the waiting call is cancelled", func() bool { return countCancelled(t, s.front) == 1 })
 	for _, c := range running {
 		_ = c.Close()
 	}
-	poll(t, "the upstream sees its callers' disconnects", func() bool { return disconnects.Load() == rawSlots })
+	poll(t, "the upstream sees its callers' disconnects", func() bool { return disconnects.Load() == httpUpstreamSlots })
 	poll(t, "the slots are free", func() bool {
 		o, err := s.send(http.MethodGet, "after")
 		return err == nil && o.Result == kqcall.Answered
@@ -205,7 +207,7 @@
 }
 
 // count returns how many requests for the path the upstream got.
-func (u *rawUpstream) count(path string) int {
+func (u *httpUpstream) count(path string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	n := 0
--- a/internal/call/kqentry/returning_callers_test.go
+++ b/internal/call/kqentry/returning_callers_test.go
@@ -22,26 +22,26 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// patientDialect is a dialect whose callers say how long they wait and which running
+// timeoutDialect is a dialect whose callers say how long they wait and which running
 // call they belong to.
-type patientDialect struct{}
+type timeoutDialect struct{}
 
 const callerTimeout = 3 * time.Second
 
-func (patientDialect) Accept(h *fasthttp.RequestHeader) kqcall.Told {
+func (timeoutDialect) Accept(h *fasthttp.RequestHeader) kqcall.Told {
 	return kqcall.Told{ID: kqcall.ID(h.Peek("Id")), Left: callerTimeout, Above: kqcall.ID(h.Peek("Above"))}
 }
-func (patientDialect) Tell(*kqcall.Call, time.Duration)  {}
-func (patientDialect) Belongs(*kqcall.Call) bool         { return true }
-func (patientDialect) Judge(*kqcall.Call) kqcall.Verdict { return kqcall.Verdict{} }
-func (patientDialect) RetryAfter(d time.Duration) string {
+func (timeoutDialect) Tell(*kqcall.Call, time.Duration)  {}
+func (timeoutDialect) Belongs(*kqcall.Call) bool         { return true }
+func (timeoutDialect) Judge(*kqcall.Call) kqcall.Verdict { return kqcall.Verdict{} }
+func (timeoutDialect) RetryAfter(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
 
-// newPatientCaller starts an entry with patientDialect that knows one gate, for a route
+// newCallerWithTimeout starts an entry with timeoutDialect that knows one gate, for a route
 // with a target of 400 ms. It returns a function that sends one call with the given
 // headers.
-func newPatientCaller(t *testing.T, g *fakeGate, nesting *kqnesting.Calls) func(headers ...string) *http.Response {
+func newCallerWithTimeout(t *testing.T, g *fakeGate, nesting *kqnesting.Calls) func(headers ...string) *http.Response {
 	t.Helper()
 	root, objects, err := kqresource.Split(kqdocument.Document{
 		Teams:    []kqdocument.Team{{Name: "t"}},
@@ -60,7 +60,7 @@
 		Upstream: kqmember.Upstream{Service: "store", Version: "v1", Slots: 6, Warm: time.Unix(1, 0)},
 		Node:     "gate", Gate: kqname.Address(g.Listener.Addr().String()),
 	}}
-	e := kqentry.New("self", fixedConfig{snapshot}, all, noLocal{}, kqentry.WithDialect(patientDialect{}), kqentry.WithNesting(nesting))
+	e := kqentry.New("self", fixedConfig{snapshot}, all, noLocal{}, kqentry.WithDialect(timeoutDialect{}), kqentry.WithNesting(nesting))
 	listener := fasthttputil.NewInmemoryListener()
 	go func() { _ = (&fasthttp.Server{Handler: e.ServeOutside}).Serve(listener) }()
 	t.Cleanup(func() { _ = listener.Close() })
@@ -92,7 +92,7 @@
 // that can still be in time. Its Retry-After must also reach beyond a burst.
 func TestRetryingCallerKeepsItsFirstTarget(t *testing.T) {
 	g := newFakeGate(t)
-	call := newPatientCaller(t, g, kqnesting.New())
+	call := newCallerWithTimeout(t, g, kqnesting.New())
 	g.full.Store(true)
 	call("Id: a")
 	time.Sleep(300 * time.Millisecond)
@@ -119,7 +119,7 @@
 func TestCallIsNestedOnlyUnderARunningCall(t *testing.T) {
 	g := newFakeGate(t)
 	nesting := kqnesting.New()
-	call := newPatientCaller(t, g, nesting)
+	call := newCallerWithTimeout(t, g, nesting)
 	nesting.Begin(&kqcall.Call{ID: "run", Caller: "10.9.9.9", Depth: 2})
 	for parent, want := range map[string]string{"run": "3 10.9.9.9", "made-up": "0 "} {
 		call("Id: x", "Above: "+parent)
--- a/internal/call/kqentry/serve.go
+++ b/internal/call/kqentry/serve.go
@@ -38,7 +38,8 @@
 // to close the connection.
 func (e *Entry) Leave() { e.draining.Store(true) }
 
-// Quiet returns how long ago the last call arrived.
+// Quiet returns the time since the last call arrived, or since the entry was created if
+// none has.
 func (e *Entry) Quiet(now time.Time) time.Duration {
 	return now.Sub(e.started) - time.Duration(e.lastArrival.Load())
 }
--- a/internal/call/kqentry/service.go
+++ b/internal/call/kqentry/service.go
@@ -148,8 +148,8 @@
 }
 
 // spendAllowance reports whether the operators' limit permits another attempt, and
-// charges it. A call that only a gate refused has not reached an upstream and is not
-// charged.
+// charges it. A call that only a gate refused has not reached an upstream: it is not charged,
+// and is retried only if that upstream takes no calls at all.
 func (s *service) spendAllowance(c *kqcall.Call, o kqcall.Outcome) bool {
 	switch {
 	case o.Result == kqcall.NotRun && !reachedUpstream(o):
@@ -158,8 +158,7 @@
 		return s.allowance.Spend(s.nodeCount())
 	case c.Starved:
 		// A call that this one made was refused for lack of capacity. Another upstream
-		// would
-		// call the same overloaded service, fail as well, and hold a slot meanwhile.
+		// would call the same overloaded service, fail as well, and hold a slot meanwhile.
 		return false
 	case !c.Idempotent || o.Reason == kqcall.Timeout || o.Reason == kqcall.Cancelled:
 		return false
--- a/internal/call/kqentry/stream_test.go
+++ b/internal/call/kqentry/stream_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	s := newTestFleet(t, 0, 0, 0)
 	server := s.start(t, kqfleet.Spec{Node: "back", Domain: "one", Region: "one"})
-	startRawUpstream(t, server, "store", func(w http.ResponseWriter, r *http.Request) {
+	startHTTPUpstream(t, server, "store", func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
--- a/internal/call/kqgate/gate.go
+++ b/internal/call/kqgate/gate.go
@@ -31,8 +31,8 @@
 		Find(service kqname.Service, version kqname.UpstreamVersion) (kqlocal.Announcement, bool)
 	}
 
-	// Withdrawer removes an upstream that accepts no connections from the announced
-	// ones.
+	// Withdrawer removes an upstream that accepts no connections from those that the node
+	// publishes to its peers.
 	Withdrawer interface {
 		Withdraw(address kqname.Address, now time.Time)
 	}
@@ -81,7 +81,7 @@
 		keeper   *kqkeeper.Keeper
 		nesting  *kqnesting.Calls
 		sequence atomic.Uint64
-		leaving  atomic.Bool
+		draining atomic.Bool
 
 		mu        sync.Mutex
 		upstreams map[upstreamKey]*upstream
@@ -150,7 +150,7 @@
 // WithObserver sets the observer that gets the result of each call.
 func WithObserver(o Observer) Option { return func(g *Gate) { g.observer = o } }
 
-// WithWithdrawer sets what withdraws upstreams that accept no connections.
+// WithWithdrawer sets what stops the publication of upstreams that accept no connections.
 func WithWithdrawer(w Withdrawer) Option { return func(g *Gate) { g.withdraw = w } }
 
 // WithDialect sets the dialect that upstreams use instead of this project's headers.
@@ -216,7 +216,7 @@
 	c.Answer(o)
 	c.WriteStarved()
 	load.Write(&ctx.Response.Header)
-	if g.leaving.Load() {
+	if g.draining.Load() {
 		// The calling node is asked to close the connection: if this server closed it, a
 		// call already on its way could be lost.
 		ctx.SetConnectionClose()
@@ -234,19 +234,19 @@
 // Leave starts draining the gate before the node stops: new and waiting calls are
 // refused, running calls finish.
 func (g *Gate) Leave() {
-	g.leaving.Store(true)
+	g.draining.Store(true)
 	g.Sweep(g.now())
 }
 
 // Sweep applies changes of the local upstreams: it closes the queue of an upstream that
-// drains or is gone, and deletes one that is gone once its last call has ended and its
-// last connection is closed.
+// drains or is gone, or of each if the gate itself drains, and deletes an upstream that is
+// gone once its last call has ended and its last connection is closed.
 func (g *Gate) Sweep(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for key, u := range g.upstreams {
 		a, ok := g.local.Find(key.service, key.version)
-		if !ok || a.Address != key.address || a.Draining || g.leaving.Load() {
+		if !ok || a.Address != key.address || a.Draining || g.draining.Load() {
 			u.close()
 		}
 		if u.client.Sweep(now) == 0 && (!ok || a.Address != key.address) && u.isIdle() {
@@ -283,7 +283,7 @@
 
 // forward admits the call, sends it to the upstream and reports its outcome.
 func (g *Gate) forward(c *kqcall.Call, r *Record, now time.Time) (kqcall.Outcome, kqcall.Load) {
-	if g.leaving.Load() {
+	if g.draining.Load() {
 		return kqcall.Refuse(kqcall.Draining), kqcall.Load{}
 	}
 	a, ok := g.local.Find(c.Service, c.Version)
@@ -308,14 +308,14 @@
 	}
 	if reason := cancelReason(c, r.Waited); reason != kqcall.NoReason {
 		o = kqcall.Refuse(reason)
-		return o, u.leave(t, o, false, 0, g.now())
+		return o, u.releaseSlot(t, o, false, 0, g.now())
 	}
 	began, released := g.now(), false
 	defer func() {
 		// A slot that a panic kept would be lost; after a few panics the upstream took
 		// no calls.
 		if !released {
-			u.leave(t, kqcall.Lose(kqcall.Panicked), true, 0, began)
+			u.releaseSlot(t, kqcall.Lose(kqcall.Panicked), true, 0, began)
 		}
 	}()
 	c.Instance = a.Instance
@@ -340,13 +340,13 @@
 	upstreamFailed := upstreamFailed(c, o)
 	released = true
 	if !c.Response.IsBodyStream() {
-		return o, u.leave(t, o, upstreamFailed, took, ended)
+		return o, u.releaseSlot(t, o, upstreamFailed, took, ended)
 	}
 	// The slot stays in use until the whole streamed response has been read.
 	c.Finish = func() {
 		c.Finish = nil
 		now := g.now()
-		u.leave(t, o, upstreamFailed, now.Sub(began), now)
+		u.releaseSlot(t, o, upstreamFailed, now.Sub(began), now)
 	}
 	return o, u.load(t, ended)
 }
@@ -359,8 +359,8 @@
 	return c.Cancel.Reason()
 }
 
-// upstreamFailed reports whether the upstream failed the call: it answered 5xx, broke
-// the connection off, or rejected a call although it had a slot for it.
+// upstreamFailed reports whether the upstream failed the call: it answered 5xx, or the call
+// was not answered, unless its caller disconnected or it was refused because of draining.
 func upstreamFailed(c *kqcall.Call, o kqcall.Outcome) bool {
 	if o.Result == kqcall.Answered {
 		return c.Response.StatusCode() >= fasthttp.StatusInternalServerError
--- a/internal/call/kqgate/unreachable_test.go
+++ b/internal/call/kqgate/unreachable_test.go
@@ -37,11 +37,12 @@
 	}
 	do()
 	if len(published) != 1 {
-		t.Fatal("upstream was withdrawn after a single failed connection")
+		t.Fatal("upstream is no longer published after a single failed connection")
 	}
+	// Longer than kqgate's unreachableAfter.
 	time.Sleep(150 * time.Millisecond)
 	do()
 	if len(published) != 0 {
-		t.Error("upstream was not withdrawn after 150 ms without a connection")
+		t.Error("upstream is still published after connections have failed for 150 ms")
 	}
 }
--- a/internal/call/kqgate/upstream.go
+++ b/internal/call/kqgate/upstream.go
@@ -162,10 +162,10 @@
 	}
 }
 
-// leave releases the slot, recycles the ticket and returns the load. The duration counts
-// only if the upstream answered or the call timed out: a broken connection says nothing
-// about how long the work takes.
-func (u *upstream) leave(t *kqslots.Ticket, o kqcall.Outcome, failed bool, took time.Duration, now time.Time) kqcall.Load {
+// releaseSlot releases the slot, recycles the ticket and returns the load. The duration
+// counts only if the upstream answered or the call timed out: a broken connection says
+// nothing about how long the work takes.
+func (u *upstream) releaseSlot(t *kqslots.Ticket, o kqcall.Outcome, failed bool, took time.Duration, now time.Time) kqcall.Load {
 	if o.Result != kqcall.Answered && o.Reason != kqcall.Timeout {
 		took = 0
 	}
--- a/internal/call/kqlocal/pause_test.go
+++ b/internal/call/kqlocal/pause_test.go
@@ -11,9 +11,9 @@
 // Guards against a node that takes its own pause for an upstream's silence. A node that
 // was paused for longer than an announcement lasts removed expired ones before it read
 // those that had arrived meanwhile, and refused calls until the next announcement. Its
-// peers saw the upstream leave and then a new one, which they used with the caution due
-// to a newly started one.
-func TestAnnouncementsOutliveTheNodesOwnPause(t *testing.T) {
+// peers saw the upstream leave and then a new one, to which they sent fewer calls, as to
+// any that has just started.
+func TestNodePauseDoesNotExpireAnnouncements(t *testing.T) {
 	const ttl, interval, pause = 3 * time.Second, 250 * time.Millisecond, 10 * time.Second
 	now := time.Unix(1000, 0)
 	var published [][]kqmember.Upstream
@@ -41,7 +41,7 @@
 // made the node drop its upstream and refuse calls if it swept before it had read the
 // waiting announcements. An upstream that is really silent must still expire, even on a
 // node that is paused again and again.
-func TestAnnouncementsOutliveAShortPause(t *testing.T) {
+func TestShortNodePauseDoesNotExpireAnnouncements(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var published []kqmember.Upstream
 	u := kqlocal.New(600*time.Millisecond, func(list []kqmember.Upstream) { published = list })
--- a/internal/call/kqsend/client.go
+++ b/internal/call/kqsend/client.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// takeIdle returns an idle connection, or nil after reserving a place for a new one.
+// takeIdle returns an idle connection, or nil after counting a new one as open.
 func (c *Client) takeIdle() (*connection, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/call/kqsend/client_test.go
+++ b/internal/call/kqsend/client_test.go
@@ -18,21 +18,21 @@
 
 const callTimeout = 10 * time.Second
 
-// peer is a TCP server that runs the test's function for each connection, with the
+// testServer is a TCP server that runs the test's function for each connection, with the
 // connection's number from 1.
-type peer struct {
+type testServer struct {
 	net.Listener
 	opened atomic.Int32
 }
 
-func newPeer(t *testing.T, serve func(number int, c net.Conn, r *bufio.Reader)) *peer {
+func startServer(t *testing.T, serve func(number int, c net.Conn, r *bufio.Reader)) *testServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	p := &peer{Listener: l}
+	p := &testServer{Listener: l}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -46,7 +46,7 @@
 	return p
 }
 
-func (p *peer) client() *kqsend.Client { return kqsend.New(kqname.Address(p.Addr().String())) }
+func (p *testServer) client() *kqsend.Client { return kqsend.New(kqname.Address(p.Addr().String())) }
 
 // readRequestPath reads one request and returns its path.
 func readRequestPath(r *bufio.Reader) (string, error) {
@@ -75,7 +75,7 @@
 // unknown, and an order could be neither repeated nor given up.
 func TestConnectionClosedBetweenCalls(t *testing.T) {
 	closed := make(chan struct{})
-	p := newPeer(t, func(number int, c net.Conn, r *bufio.Reader) {
+	p := startServer(t, func(number int, c net.Conn, r *bufio.Reader) {
 		if path, err := readRequestPath(r); err == nil {
 			writeResponse(c, path)
 		}
@@ -99,7 +99,7 @@
 // that sending it again, or reporting it as not run, could execute it twice. It is sent
 // once and reported as unknown.
 func TestCutAfterTheRequest(t *testing.T) {
-	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	p := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		_, _ = readRequestPath(r)
 		_ = c.Close()
 	})
@@ -113,7 +113,7 @@
 
 // Nothing listens at the address. No byte was sent, so the call is reported as not run.
 func TestConnectionRefusedIsNotRun(t *testing.T) {
-	p := newPeer(t, func(int, net.Conn, *bufio.Reader) {})
+	p := startServer(t, func(int, net.Conn, *bufio.Reader) {})
 	_ = p.Close()
 	if o := p.client().Do(call("/order", callTimeout)); o != kqcall.Refuse(kqcall.ConnectFailed) {
 		t.Errorf("outcome is %v, want not_run: connect_failed", o)
@@ -125,7 +125,7 @@
 // caller's.
 func TestLateAnswerReachesNobody(t *testing.T) {
 	late := make(chan struct{})
-	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	p := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			path, err := readRequestPath(r)
 			if err != nil {
@@ -151,7 +151,7 @@
 // A peer sends a second, unsolicited response behind the first. If the connection were
 // kept, the next caller would get it.
 func TestSurplusAnswerReachesNobody(t *testing.T) {
-	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	p := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			path, err := readRequestPath(r)
 			if err != nil {
@@ -173,7 +173,7 @@
 // the call id shows. The caller must get an unknown outcome, and the connection must not be
 // reused.
 func TestCrossedAnswerIsCaught(t *testing.T) {
-	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	p := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := readRequestPath(r); err == nil {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nKq-Call-Id: other\r\nContent-Length: 6\r\n\r\nstolen")
 			_, _ = r.ReadByte()
@@ -194,7 +194,7 @@
 // peer must see the connection close.
 func TestCancelClosesTheConnection(t *testing.T) {
 	began, seen := make(chan struct{}), make(chan struct{})
-	p := newPeer(t, func(_ int, _ net.Conn, r *bufio.Reader) {
+	p := startServer(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 		_, _ = readRequestPath(r)
 		close(began)
 		_, _ = r.ReadByte()
--- a/internal/call/kqsend/descriptor_test.go
+++ b/internal/call/kqsend/descriptor_test.go
@@ -25,12 +25,12 @@
 	}
 }
 
-// Guards against connect_failed for want of a descriptor that is freed a moment later:
-// callers that had held all of a node's descriptors left, connections waiting at the entry
+// Guards against connect_failed for lack of a descriptor that is freed a moment later:
+// callers that had held all of a node's descriptors disconnected, connections waiting at the entry
 // took each one as it was freed, and none was left for an accepted call to connect to its
 // upstream.
 func TestCallWaitsForADescriptor(t *testing.T) {
-	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	p := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if path, err := readRequestPath(r); err == nil {
 			writeResponse(c, path)
 		}
--- a/internal/call/kqsend/exchange_test.go
+++ b/internal/call/kqsend/exchange_test.go
@@ -17,7 +17,7 @@
 // connection. Writing the rest fails, but the caller must get that response rather than an
 // unknown outcome.
 func TestEarlyResponseIsReturned(t *testing.T) {
-	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	p := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
@@ -36,7 +36,7 @@
 // As above, but the response has no length and ends with the connection, which the upstream
 // resets. It may be truncated, so it must not be returned as complete.
 func TestEarlyResponseWithoutLengthIsCut(t *testing.T) {
-	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	p := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
@@ -56,7 +56,7 @@
 // connection. A call sent at that moment would be cut, and its caller could not tell
 // whether it ran.
 func TestKeepAliveHeaderIsHonoredAndRemoved(t *testing.T) {
-	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	p := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			path, err := readRequestPath(r)
 			if err != nil {
@@ -86,7 +86,7 @@
 // another node.
 func TestCancelReasonIsReported(t *testing.T) {
 	began := make(chan struct{})
-	p := newPeer(t, func(_ int, _ net.Conn, r *bufio.Reader) {
+	p := startServer(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 		if _, err := readRequestPath(r); err == nil {
 			close(began)
 		}
--- a/internal/call/kqsend/keepalive.go
+++ b/internal/call/kqsend/keepalive.go
@@ -13,8 +13,8 @@
 // than ours, by the time that the response takes to arrive.
 const idleTimeoutMargin = 300 * time.Millisecond
 
-// readKeepAlive sets the connection's idle timeout from the peer's Keep-Alive header,
-// maxIdle at most, and removes the header, which does not apply to the caller's connection.
+// readKeepAlive sets the connection's idle timeout from the peer's Keep-Alive header, limit
+// at most, and removes the header, which does not apply to the caller's connection.
 // A call sent when the peer closes would be cut with an unknown outcome.
 func (n *connection) readKeepAlive(h *fasthttp.ResponseHeader, limit time.Duration) {
 	n.maxIdle = limit
--- a/internal/call/kqsend/keepalive_test.go
+++ b/internal/call/kqsend/keepalive_test.go
@@ -10,11 +10,11 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
 )
 
-// Guards against calls that cross the upstream's close of an idle connection and end as
-// unknown: an upstream states a short Keep-Alive timeout, and the client keeps the
-// connection for its own, longer idle timeout. Probing the connection just before the call
+// Guards against calls that race with the upstream's close of an idle connection, so that
+// their outcome is unknown: an upstream states a short Keep-Alive timeout, and the client
+// keeps the connection for its own, longer idle timeout. Probing the connection just before the call
 // does not help, since it is still open then.
-func TestKeepAliveTimeoutOfPeerIsHonored(t *testing.T) {
+func TestKeepAliveTimeoutOfUpstreamIsHonored(t *testing.T) {
 	for _, c := range []struct {
 		name, header string
 		pause        time.Duration
@@ -28,13 +28,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			p := newPeer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+			p := startServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				var last time.Time
 				for ; ; last = time.Now() {
 					path, err := readRequestPath(r)
 					if err != nil || !last.IsZero() && time.Since(last) > 950*time.Millisecond {
-						// The peer's idle timer has fired: it closes without reading the
-						// call.
+						// The upstream's idle timer has fired: it closes without reading
+						// the call.
 						_ = conn.Close()
 						return
 					}
@@ -44,7 +44,7 @@
 			client := p.client()
 			for range 2 {
 				if o := client.Do(call("/order", callTimeout)); o != kqcall.OK() {
-					t.Fatalf("got outcome %+v, want the peer's response", o)
+					t.Fatalf("got outcome %+v, want the upstream's response", o)
 				}
 				time.Sleep(c.pause)
 			}
--- a/internal/call/kqsend/silence_linux_test.go
+++ b/internal/call/kqsend/silence_linux_test.go
@@ -20,7 +20,7 @@
 const pauseDuration = 3 * time.Second
 
 // Guards against giving up a paused peer while a call that is not idempotent waits for it.
-// The peer's process or server was stopped for a few seconds and then went on; the sender
+// The peer's process or server was stopped for a few seconds and then resumed; the sender
 // had given it up one second after its send window was full, or two after its last packet,
 // and the caller could not tell whether the call had run. An idempotent call is retried at
 // another upstream, but any other call only loses a response that comes a moment later.
@@ -47,7 +47,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			p := newPeer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+			p := startServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				if path, err := c.pause(t, conn, r); err == nil {
 					writeResponse(conn, path)
 				}
@@ -66,7 +66,7 @@
 // A peer that stays silent must not delay a call that another upstream can serve, even on a
 // connection whose previous call was not idempotent.
 func TestIdempotentCallGivesUpOnSilentPeer(t *testing.T) {
-	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	p := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if path, err := readRequestPath(r); err == nil {
 			writeResponse(c, path)
 		}
@@ -108,10 +108,10 @@
 
 // Guards against truncated responses: a node was suspended for some seconds while it
 // streamed a large one, and the receiver gave up although the rest came as soon as the node
-// went on. No other upstream can serve a response that has begun to arrive.
+// resumed. No other upstream can serve a response that has begun to arrive.
 func TestStreamedResponseSurvivesSilentPeer(t *testing.T) {
 	const size = 4 * kqsend.MaxBufferedBody
-	p := newPeer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	p := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := readRequestPath(r); err != nil {
 			return
 		}
