--- a/internal/config/kqcommit/collect.go
+++ b/internal/config/kqcommit/collect.go
@@ -13,13 +13,14 @@
 )
 
 type (
-	// Deleter is the operation that collection needs in addition to Store.
+	// Deleter is the operation that garbage collection needs in addition to Store.
 	Deleter interface {
 		Delete(ctx context.Context, key string, expected kqstore.Revision) error
 	}
 
-	// CollectStats counts what one collection deleted or trimmed.
+	// CollectStats counts what one garbage collection deleted or trimmed.
 	CollectStats struct {
+		// Objects includes objects that were gone by the time of their deletion.
 		Objects int `json:"objects"`
 		Roots   int `json:"roots"`
 		Intents int `json:"intents"`
@@ -31,35 +32,36 @@
 	// collection is the state of one run of Collect. Objects in live are in
 	// use; candidates maps the objects to delete to their revisions.
 	collection struct {
-		committer      *Committer
-		deleter        Deleter
-		cutoff         time.Time
-		root           kqresource.Root
-		rootRevision   kqstore.Revision
-		ledger         ledger
-		ledgerRevision kqstore.Revision
-		live           map[kqresource.Digest]bool
-		candidates     map[kqresource.Digest]kqstore.Revision
-		expiredRoots   []Past
-		expiredIntents []string
-		stats          CollectStats
+		committer           *Committer
+		deleter             Deleter
+		cutoff              time.Time
+		root                kqresource.Root
+		rootRevision        kqstore.Revision
+		intentIndex         intentIndex
+		intentIndexRevision kqstore.Revision
+		live                map[kqresource.Digest]bool
+		candidates          map[kqresource.Digest]kqstore.Revision
+		expiredRoots        []Past
+		expiredIntents      []string
+		stats               CollectStats
 	}
 )
 
-// Collect deletes objects that are referenced neither by the current root, nor
-// by a root replaced after cutoff, nor by an intent written after cutoff. It
-// returns kqstore.ErrConflict, with nothing deleted, if a commit interfered; it
-// can then be called again.
+// Collect is the garbage collection. It deletes objects that are referenced
+// neither by the current root, nor by a root replaced after cutoff, nor by an
+// intent written after cutoff. It returns kqstore.ErrConflict if a commit
+// interfered, with nothing deleted unless that was after the deletions had begun;
+// it can then be called again.
 //
 // The order of steps prevents a race: a commit could rewrite an old object while
 // it is being collected and then swap in a root whose object has been deleted,
 // and no node could apply that version. The revisions of old objects are read
-// first. Then the swap of the ledger proves that no commit has registered since
-// the intents were read, and the rewrite of the root fails the swap of any
-// commit whose intent was too old to protect its objects. Only then are the
-// objects deleted, conditional on their revisions. A commit that registers later
-// writes each object again: before the deletion, its new revision makes the
-// deletion fail; after it, the object is recreated.
+// first. Then the swap of the intent index proves that no commit has added an
+// intent to it since the intents were read, and the rewrite of the root fails the
+// swap of any commit whose intent was too old to protect its objects. Only then
+// are the objects deleted, conditional on their revisions. A commit that adds its
+// intent later writes each object again: before the deletion, its new revision
+// makes the deletion fail; after it, the object is recreated.
 func (c *Committer) Collect(ctx context.Context, deleter Deleter, cutoff time.Time) (CollectStats, error) {
 	run := &collection{
 		committer: c, deleter: deleter, cutoff: cutoff,
@@ -85,7 +87,7 @@
 	c.markLive(c.root.Digests())
 	replaced := c.root.At
 	for v := c.root.Version; v > 1; v-- {
-		p, err := c.committer.record(ctx, v-1)
+		p, err := c.committer.historyRecord(ctx, v-1)
 		if err != nil {
 			return err
 		}
@@ -104,16 +106,16 @@
 
 func (c *collection) readIntents(ctx context.Context) error {
 	var err error
-	c.ledger, c.ledgerRevision, err = c.committer.readLedger(ctx)
+	c.intentIndex, c.intentIndexRevision, err = c.committer.readIntentIndex(ctx)
 	if err != nil {
 		return err
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.ledger.Intents)) {
+	for _, id := range slices.Sorted(maps.Keys(c.intentIndex.Intents)) {
 		i, _, err := c.committer.readIntent(ctx, id)
 		if err != nil && !errors.Is(err, kqstore.ErrNotFound) {
 			return err
 		}
-		if !c.ledger.Intents[id].Before(c.cutoff) {
+		if !c.intentIndex.Intents[id].Before(c.cutoff) {
 			c.markLive(i.Objects)
 			continue
 		}
@@ -163,7 +165,7 @@
 	if len(c.expiredIntents) == 0 && len(c.expiredRoots) == 0 {
 		return nil
 	}
-	if err := c.committer.writeLedger(ctx, c.ledger, c.ledgerRevision); err != nil {
+	if err := c.committer.writeIntentIndex(ctx, c.intentIndex, c.intentIndexRevision); err != nil {
 		return err
 	}
 	if c.root.Version == 0 {
@@ -174,7 +176,7 @@
 		return err
 	}
 	if _, err := c.committer.store.Swap(ctx, RootKey, c.rootRevision, data, kqstore.NoLease); err != nil {
-		return fmt.Errorf("renew root: %w", err)
+		return fmt.Errorf("rewrite root: %w", err)
 	}
 	return nil
 }
@@ -220,7 +222,7 @@
 	return nil
 }
 
-// trimIntents removes old intents from the ledger. Their records stay, without
+// trimIntents removes old intents from the index. Their records stay, without
 // the objects, so that a used request ID is recognized forever.
 func (c *collection) trimIntents(ctx context.Context) error {
 	if len(c.expiredIntents) == 0 {
@@ -243,7 +245,7 @@
 			return fmt.Errorf("trim intent %s: %w", id, err)
 		}
 	}
-	l, revision, err := c.committer.readLedger(ctx)
+	l, revision, err := c.committer.readIntentIndex(ctx)
 	if err != nil {
 		return err
 	}
@@ -253,5 +255,5 @@
 			c.stats.Intents++
 		}
 	}
-	return c.committer.writeLedger(ctx, l, revision)
+	return c.committer.writeIntentIndex(ctx, l, revision)
 }
--- a/internal/config/kqcommit/commit.go
+++ b/internal/config/kqcommit/commit.go
@@ -23,7 +23,7 @@
 	// Conflict means that another commit won and this one will never take
 	// effect; Outcome.Difference holds the changes since the base.
 	Conflict Status = "conflict"
-	// Unknown means that answers were lost and the result could not be
+	// Unknown means that responses were lost and the result could not be
 	// determined; call Settle, or repeat the commit with the same ID.
 	Unknown Status = "unknown"
 
@@ -49,7 +49,7 @@
 	// ErrNotBegun means that no commit has been started with a request ID.
 	ErrNotBegun = namespace.NewType("not_begun").New("no commit was begun under this request id")
 
-	errRootRenewed = errors.New("root revision was renewed during the commit")
+	errRootRewritten = errors.New("root was rewritten during the commit")
 )
 
 type (
@@ -105,7 +105,7 @@
 	}
 )
 
-// WithBackoff sets the delay before the first retry after a lost answer or a
+// WithBackoff sets the delay before the first retry after a lost response or a
 // lost race; it grows linearly with each retry.
 func WithBackoff(d time.Duration) Option { return func(c *Committer) { c.backoff = d } }
 
@@ -138,7 +138,7 @@
 	var o Outcome
 	for range maxCommitAttempts {
 		o, err = c.commitOnce(ctx, &attempt{request: q, content: content, objects: objects})
-		if !errors.Is(err, errRootRenewed) {
+		if !errors.Is(err, errRootRewritten) {
 			break
 		}
 	}
--- a/internal/config/kqcommit/commit_test.go
+++ b/internal/config/kqcommit/commit_test.go
@@ -26,16 +26,18 @@
 }
 
 func (h *hookedStore) Put(ctx context.Context, key string, value []byte, l kqstore.Lease) (kqstore.Revision, error) {
-	defer h.step()()
+	defer h.runHooks()()
 	return h.Standin.Put(ctx, key, value, l)
 }
 
 func (h *hookedStore) Swap(ctx context.Context, key string, e kqstore.Revision, value []byte, l kqstore.Lease) (kqstore.Revision, error) {
-	defer h.step()()
+	defer h.runHooks()()
 	return h.Standin.Swap(ctx, key, e, value, l)
 }
 
-func (h *hookedStore) step() func() {
+// runHooks calls before with the number of the next write and returns a function that calls
+// after with it.
+func (h *hookedStore) runHooks() func() {
 	h.writes++
 	n := h.writes
 	if h.before != nil {
@@ -71,7 +73,7 @@
 	}
 }
 
-// The platform applies a write but its answer is lost, for each write of a
+// The platform applies a write but its response is lost, for each write of a
 // commit in turn. A retry with the same ID must report the change as committed,
 // and the history must hold it once, not twice.
 func TestAnswerLostAtEachWrite(t *testing.T) {
@@ -86,14 +88,14 @@
 		q := request("second", 1, document("store", "yard"))
 		o, err := committer(store).Commit(t.Context(), q)
 		if err == nil && o.Status != kqcommit.Committed {
-			t.Errorf("answer to write %d lost: %+v, want committed", n, o)
+			t.Errorf("response to write %d lost: %+v, want committed", n, o)
 		}
 		again, err := committer(platform).Commit(t.Context(), q)
 		if err != nil || again.Status != kqcommit.Committed || again.Version != 2 {
-			t.Errorf("answer to write %d lost, retried: %+v, %v, want committed as 2", n, again, err)
+			t.Errorf("response to write %d lost, retried: %+v, %v, want committed as 2", n, again, err)
 		}
 		if history, err := committer(platform).History(t.Context(), 10); err != nil || len(history) != 2 {
-			t.Errorf("answer to write %d lost: %d versions, %v, want 2", n, len(history), err)
+			t.Errorf("response to write %d lost: %d versions, %v, want 2", n, len(history), err)
 		}
 		if store.writes < n {
 			if n < 5 {
@@ -104,7 +106,7 @@
 	}
 }
 
-// The answer of the root swap is lost and the platform stays down, so the
+// The response to the root swap is lost and the platform stays down, so the
 // outcome is unknown. After two later commits by others, Settle and a repeated
 // commit must still report the change as committed, with its own version.
 func TestUnknownOutcomeIsSettledAfterLaterCommits(t *testing.T) {
@@ -122,9 +124,9 @@
 			platform.SetFaults(kqstandin.Faults{Down: true})
 		}
 	}
-	lossy := lostSwapStore{store}
+	lostResponses := lostResponseStore{store}
 	q := request("mine", 1, document("store", "yard"))
-	o, err := committer(lossy).Commit(t.Context(), q)
+	o, err := committer(lostResponses).Commit(t.Context(), q)
 	if err != nil || o.Status != kqcommit.Unknown || o.RequestID != "mine" {
 		t.Fatalf("got %+v, %v, want unknown", o, err)
 	}
@@ -144,10 +146,10 @@
 	}
 }
 
-// lostSwapStore loses the answer of each successful swap of the root.
-type lostSwapStore struct{ *hookedStore }
+// lostResponseStore loses the response to each successful swap of the root.
+type lostResponseStore struct{ *hookedStore }
 
-func (l lostSwapStore) Swap(ctx context.Context, key string, e kqstore.Revision, value []byte, lease kqstore.Lease) (kqstore.Revision, error) {
+func (l lostResponseStore) Swap(ctx context.Context, key string, e kqstore.Revision, value []byte, lease kqstore.Lease) (kqstore.Revision, error) {
 	r, err := l.hookedStore.Swap(ctx, key, e, value, lease)
 	if key == kqcommit.RootKey && err == nil {
 		return 0, fmt.Errorf("lost: %w", kqstore.ErrUnavailable)
@@ -186,8 +188,8 @@
 	}
 }
 
-// The platform returns stale reads, from before the last write, after the answer
-// of a write was lost. The outcome may be unknown but must never be wrong.
+// The platform returns stale reads, from before the last write, after the response
+// to a write was lost. The outcome may be unknown but must never be wrong.
 func TestOutcomeIsCorrectDespiteStaleReads(t *testing.T) {
 	platform := kqstandin.New()
 	mustCommit(t, platform, request("first", 0, document("store")))
--- a/internal/config/kqcommit/history.go
+++ b/internal/config/kqcommit/history.go
@@ -70,14 +70,14 @@
 	if v == current.Version {
 		return c.joinDocument(ctx, current)
 	}
-	record, err := c.record(ctx, v)
+	historyRecord, err := c.historyRecord(ctx, v)
 	if err != nil {
 		return kqdocument.Document{}, err
 	}
-	if record.Trimmed {
+	if historyRecord.Trimmed {
 		return kqdocument.Document{}, fmt.Errorf("read document %d: %w", v, ErrCollected)
 	}
-	return c.joinDocument(ctx, record.Root)
+	return c.joinDocument(ctx, historyRecord.Root)
 }
 
 // History returns up to limit versions, from the current one backwards. If a
@@ -88,7 +88,7 @@
 	if err != nil || root.Version == 0 {
 		return nil, err
 	}
-	first, err := newPast(root)
+	first, err := newHistoryRecord(root)
 	if err != nil {
 		return nil, err
 	}
@@ -98,7 +98,7 @@
 		if last.Version <= 1 {
 			break
 		}
-		p, err := c.record(ctx, last.Version-1)
+		p, err := c.historyRecord(ctx, last.Version-1)
 		if err != nil {
 			return list, err
 		}
@@ -138,13 +138,13 @@
 	return d, nil
 }
 
-// record reads the history record of a version and verifies it.
-func (c *Committer) record(ctx context.Context, v kqname.ConfigVersion) (Past, error) {
+// historyRecord reads the history record of a version and verifies it.
+func (c *Committer) historyRecord(ctx context.Context, v kqname.ConfigVersion) (Past, error) {
 	var p Past
 	if _, err := c.readValue(ctx, HistoryKey(v), &p); err != nil {
 		return Past{}, fmt.Errorf("read version %d: %w", v, err)
 	}
-	whole, err := newPast(p.Root)
+	whole, err := newHistoryRecord(p.Root)
 	if err != nil {
 		return Past{}, fmt.Errorf("read version %d: %w", v, err)
 	}
@@ -157,7 +157,7 @@
 // writeHistory writes the history record of a root. Each commit does so before
 // it replaces the root, so that every version but the current one has a record.
 func (c *Committer) writeHistory(ctx context.Context, root kqresource.Root) error {
-	p, err := newPast(root)
+	p, err := newHistoryRecord(root)
 	if err != nil {
 		return fmt.Errorf("write history: %w", err)
 	}
@@ -171,7 +171,7 @@
 	return nil
 }
 
-func newPast(root kqresource.Root) (Past, error) {
+func newHistoryRecord(root kqresource.Root) (Past, error) {
 	data, err := kqresource.Encode(root)
 	if err != nil {
 		return Past{}, err
--- a/internal/config/kqcommit/intent.go
+++ b/internal/config/kqcommit/intent.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	intentPrefix      = "kumquatgw/intent/"
-	ledgerKey         = "kumquatgw/intents"
-	maxLedgerAttempts = 20
+	intentPrefix     = "kumquatgw/intent/"
+	intentIndexKey   = "kumquatgw/intents"
+	maxIndexAttempts = 20
 )
 
 type (
@@ -30,9 +30,9 @@
 		Objects []kqresource.Digest    `cbor:"5,keyasint"`
 	}
 
-	// ledger indexes the intents by request ID, with the time of the request,
-	// because the platform cannot list keys.
-	ledger struct {
+	// intentIndex holds the time of each request by its ID, because the platform
+	// cannot list the keys of the intents.
+	intentIndex struct {
 		Intents map[string]time.Time `cbor:"1,keyasint"`
 	}
 )
@@ -80,7 +80,7 @@
 // canReplace reports whether a swap that replaces version v may be in flight.
 func (i intent) canReplace(v kqname.ConfigVersion) bool { return slices.Contains(i.Bases, v) }
 
-// registerIntent writes an intent and adds it to the ledger. Both must precede
+// registerIntent writes an intent and adds it to the index. Both must precede
 // the first object: an unreferenced object could never be found and deleted.
 func (c *Committer) registerIntent(ctx context.Context, i intent) error {
 	data, err := kqresource.Encode(i)
@@ -100,34 +100,34 @@
 	if _, err := c.store.Swap(ctx, intentPrefix+i.ID, revision, data, kqstore.NoLease); err != nil {
 		return fmt.Errorf("write intent: %w", err)
 	}
-	return c.addToLedger(ctx, i)
+	return c.addToIndex(ctx, i)
 }
 
-// addToLedger adds the intent to the ledger. It retries on conflicts, since
-// other operators may update the ledger concurrently.
-func (c *Committer) addToLedger(ctx context.Context, i intent) error {
+// addToIndex adds the intent to the index. It retries on conflicts, since
+// other operators may update the index concurrently.
+func (c *Committer) addToIndex(ctx context.Context, i intent) error {
 	var err error
-	for n := range maxLedgerAttempts {
+	for n := range maxIndexAttempts {
 		c.waitBeforeRetry(ctx, min(n, 4))
-		var l ledger
+		var l intentIndex
 		var revision kqstore.Revision
-		l, revision, err = c.readLedger(ctx)
+		l, revision, err = c.readIntentIndex(ctx)
 		if err != nil {
 			return err
 		}
 		l.Intents[i.ID] = i.At
-		if err = c.writeLedger(ctx, l, revision); !errors.Is(err, kqstore.ErrConflict) {
+		if err = c.writeIntentIndex(ctx, l, revision); !errors.Is(err, kqstore.ErrConflict) {
 			return err
 		}
 	}
 	return err
 }
 
-func (c *Committer) readLedger(ctx context.Context) (ledger, kqstore.Revision, error) {
-	l := ledger{}
-	revision, err := c.readValue(ctx, ledgerKey, &l)
+func (c *Committer) readIntentIndex(ctx context.Context) (intentIndex, kqstore.Revision, error) {
+	l := intentIndex{}
+	revision, err := c.readValue(ctx, intentIndexKey, &l)
 	if err != nil && !errors.Is(err, kqstore.ErrNotFound) {
-		return ledger{}, 0, fmt.Errorf("read ledger: %w", err)
+		return intentIndex{}, 0, fmt.Errorf("read intent index: %w", err)
 	}
 	if l.Intents == nil {
 		l.Intents = make(map[string]time.Time)
@@ -135,13 +135,13 @@
 	return l, revision, nil
 }
 
-func (c *Committer) writeLedger(ctx context.Context, l ledger, revision kqstore.Revision) error {
+func (c *Committer) writeIntentIndex(ctx context.Context, l intentIndex, revision kqstore.Revision) error {
 	data, err := kqresource.Encode(l)
 	if err != nil {
-		return fmt.Errorf("write ledger: %w", err)
+		return fmt.Errorf("write intent index: %w", err)
 	}
-	if _, err := c.store.Swap(ctx, ledgerKey, revision, data, kqstore.NoLease); err != nil {
-		return fmt.Errorf("write ledger: %w", err)
+	if _, err := c.store.Swap(ctx, intentIndexKey, revision, data, kqstore.NoLease); err != nil {
+		return fmt.Errorf("write intent index: %w", err)
 	}
 	return nil
 }
--- a/internal/config/kqcommit/race_test.go
+++ b/internal/config/kqcommit/race_test.go
@@ -67,7 +67,7 @@
 }
 
 // Two operators commit on top of one version, with their store calls
-// interleaved at random and some answers lost, while a collector runs whose
+// interleaved at random and some responses lost, while a collector runs whose
 // cutoff treats even the commits in flight as abandoned. Each outcome must be
 // correct, each change committed at most once, and the current document and the
 // history readable.
@@ -97,7 +97,7 @@
 		}
 		go func() {
 			defer close(ended[2])
-			// Errors are expected: a commit may interfere, or an answer be lost.
+			// Errors are expected: a commit may interfere, or a response be lost.
 			for range 2 {
 				_, _ = committer(stores[2]).Collect(ctx, stores[2], start.Add(time.Hour*24))
 			}
--- a/internal/config/kqcommit/settle.go
+++ b/internal/config/kqcommit/settle.go
@@ -11,7 +11,7 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// swapRoot replaces the root and resolves lost answers. An unchanged root does
+// swapRoot replaces the root and resolves lost responses. An unchanged root does
 // not prove that the swap failed, since it may still be in flight. The same swap
 // is therefore retried: whichever of the two is applied first makes the other
 // fail on its revision, so the commit takes effect at most once.
@@ -20,17 +20,17 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	answerLost := false
+	responseLost := false
 	for n := range maxSwapAttempts {
 		c.waitBeforeRetry(ctx, n)
 		_, err := c.store.Swap(ctx, RootKey, a.revision, data, kqstore.NoLease)
 		if err == nil {
 			return a.committed(a.request.Base + 1), nil
 		}
-		if !answerLost && isRejected(err) {
+		if !responseLost && isRejected(err) {
 			return Outcome{}, fmt.Errorf("swap root: %w", err)
 		}
-		answerLost = answerLost || !errors.Is(err, kqstore.ErrConflict)
+		responseLost = responseLost || !errors.Is(err, kqstore.ErrConflict)
 		o, settled, err := c.resolveSwap(ctx, a)
 		if settled || err != nil {
 			return o, err
@@ -60,13 +60,13 @@
 	case revision > a.revision:
 		// The collector has rewritten the root. This attempt's objects may have
 		// been deleted, and its swap can no longer take effect.
-		return Outcome{}, false, errRootRenewed
+		return Outcome{}, false, errRootRewritten
 	default:
 		return Outcome{}, false, nil
 	}
 }
 
-// Settle returns the outcome of an earlier commit whose answer was lost. It
+// Settle returns the outcome of an earlier commit whose response was lost. It
 // returns ErrNotBegun for an ID that has not been used, and kqstore's errors if
 // the platform is unavailable; the call can then be retried.
 func (c *Committer) Settle(ctx context.Context, id string) (Outcome, error) {
@@ -105,11 +105,11 @@
 		}
 		root := current
 		if version < current.Version {
-			record, err := c.record(ctx, version)
+			historyRecord, err := c.historyRecord(ctx, version)
 			if err != nil {
 				return 0, fmt.Errorf("find request %s: %w", i.ID, err)
 			}
-			root = record.Root
+			root = historyRecord.Root
 		}
 		if root.RequestID == i.ID {
 			return version, nil
--- a/internal/config/kqdistribute/apply.go
+++ b/internal/config/kqdistribute/apply.go
@@ -46,7 +46,7 @@
 		case err == nil:
 			applied, backoff = r.root.Version, minBackoff
 		case applyCtx.Err() != nil:
-			// A newer root has superseded this one.
+			// A newer root has superseded this one, or ctx has ended.
 		case errors.Is(err, kqsnapshot.ErrInvalid):
 			// A retry cannot succeed; the next version may be valid.
 			d.onFailure(r.root.Version, err)
@@ -59,15 +59,15 @@
 	}
 }
 
-// beginApply cancels the previous apply and returns the newest root, with a context
-// that ends supersedeGrace after a newer root arrives.
+// beginApply releases the context of the previous apply and returns the newest root,
+// with a context that ends supersedeGrace after a newer root arrives.
 func (d *Distributor) beginApply(ctx context.Context) (context.Context, rootRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cancelApply()
 	applyCtx, cancel := context.WithCancel(ctx)
 	d.cancelApply = cancel
-	d.supersedeApply = sync.OnceFunc(func() { time.AfterFunc(supersedeGrace, cancel) })
+	d.startSupersedeGrace = sync.OnceFunc(func() { time.AfterFunc(supersedeGrace, cancel) })
 	return applyCtx, d.newest()
 }
 
--- a/internal/config/kqdistribute/distribute.go
+++ b/internal/config/kqdistribute/distribute.go
@@ -65,9 +65,9 @@
 		started          bool
 		pullWake         chan struct{}
 		applyWake        chan struct{}
-		// cancelApply cancels the apply in flight at once, and supersedeApply after
-		// supersedeGrace.
-		cancelApply, supersedeApply func()
+		// cancelApply cancels the apply in flight at once; startSupersedeGrace starts the
+		// time supersedeGrace, after which it is cancelled.
+		cancelApply, startSupersedeGrace func()
 	}
 
 	// rootRecord is a root with its digest and encoded bytes.
@@ -86,14 +86,15 @@
 )
 
 // New returns a Distributor that serves peers on server and calls them through
-// client. onFailure is called for each version that could not be applied.
+// client. onFailure is called for each version that could not be applied, encoded or
+// built from a delta.
 func New(server *kqpeer.Server, client *kqpeer.Client, table *kqmember.Table, overlay Overlay, budget Budget,
 	replica Replica, onFailure func(kqname.ConfigVersion, error),
 ) *Distributor {
 	d := &Distributor{
 		client: client, table: table, overlay: overlay, budget: budget, replica: replica, onFailure: onFailure,
 		hints: make(map[kqname.Address]hint), answeredPeers: make(map[kqname.Node]kqname.Domain),
-		pullWake: make(chan struct{}, 1), applyWake: make(chan struct{}, 1), cancelApply: func() {}, supersedeApply: func() {},
+		pullWake: make(chan struct{}, 1), applyWake: make(chan struct{}, 1), cancelApply: func() {}, startSupersedeGrace: func() {},
 	}
 	kqpeer.Handle(server, methodPush, d.handlePush)
 	kqpeer.Handle(server, methodRoot, d.handleRoot)
@@ -103,9 +104,9 @@
 // Run pulls and applies versions until ctx ends.
 func (d *Distributor) Run(ctx context.Context) {
 	defer d.group.Wait()
-	kept := kqkeeper.From(ctx)
-	d.group.Go(func() { kept.Keep(ctx, "pull", func() { d.pullLoop(ctx) }) })
-	kept.Keep(ctx, "apply", func() { d.applyLoop(ctx) })
+	keeper := kqkeeper.From(ctx)
+	d.group.Go(func() { keeper.Keep(ctx, "pull", func() { d.pullLoop(ctx) }) })
+	keeper.Keep(ctx, "apply", func() { d.applyLoop(ctx) })
 }
 
 // Newest returns the highest version whose root this node holds.
@@ -175,7 +176,7 @@
 			delete(d.hints, to)
 		}
 	}
-	d.supersedeApply()
+	d.startSupersedeGrace()
 	d.mu.Unlock()
 	wake(d.applyWake)
 	d.push(ctx, r, from)
--- a/internal/config/kqfetch/peers.go
+++ b/internal/config/kqfetch/peers.go
@@ -9,7 +9,7 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// peers returns the addresses to call, in this order: the readers of this node's
+// peers returns the control addresses to call, in this order: the readers of this node's
 // failure domain, some readers of other domains, and some peers of the same service,
 // which may hold the same hosts. Each group is in random order.
 func (f *Fetcher) peers(self kqmember.Member) []kqname.Address {
@@ -42,8 +42,8 @@
 	return list
 }
 
-// haveCommonService reports whether two nodes have upstreams of a common service, and
-// so are likely to need the same hosts.
+// haveCommonService reports whether two nodes are configured for the same service or have
+// upstreams of a common one, and so are likely to need the same hosts.
 func haveCommonService(a, b kqmember.Member) bool {
 	return a.Service != "" && a.Service == b.Service || slices.ContainsFunc(a.Upstreams, func(u kqmember.Upstream) bool {
 		return slices.ContainsFunc(b.Upstreams, func(v kqmember.Upstream) bool { return u.Service == v.Service })
--- a/internal/config/kqfetch/shared_read_test.go
+++ b/internal/config/kqfetch/shared_read_test.go
@@ -16,7 +16,7 @@
 )
 
 // countingPlatform returns all objects in one call and counts the calls. It also
-// serves as the Maker of the objects returned.
+// serves as the Maker, which has built the objects once they were returned.
 type countingPlatform struct {
 	objects kqresource.Objects
 	calls   atomic.Int64
@@ -59,6 +59,8 @@
 	client := kqpeer.NewClient("self", nil)
 	defer client.Close()
 	table := kqmember.NewTable(kqmember.Member{Node: "self", Domain: "d", Reader: true})
+	// silentPlatform serves as the unlimited send budget; the platform's rate of 1000 calls
+	// per second for 1 expected node delays no read.
 	f := kqfetch.New(kqpeer.NewServer(nil), client, table, platform, silentPlatform{}, 1000, 1)
 	f.TakeWhole(platform)
 	var group conc.WaitGroup
--- a/internal/config/kqfollower/follower.go
+++ b/internal/config/kqfollower/follower.go
@@ -25,9 +25,9 @@
 	// stopDelay is how long a follower continues after it is no longer chosen, so that
 	// a changing membership does not start and stop watches.
 	stopDelay = 2 * time.Second
-	// maxPeerWait bounds how long a starting node that knows no other member waits for
-	// its peers, which follow already; it finds them within about half that time. If it
-	// followed at once, each replaced server would read the whole document some 20 times
+	// maxPeerWait bounds how long a starting node waits until it knows another member. It
+	// learns of its peers, some of which follow already, within about half that time. If
+	// it followed at once, each replaced server would read the whole document some 20 times
 	// in its first seconds, and peers would request it from slow servers.
 	maxPeerWait = 400 * time.Millisecond
 )
@@ -70,7 +70,7 @@
 func IsChosen(self kqmember.Member, members []kqmember.Member) bool {
 	before := 0
 	for _, m := range members {
-		if m.Node != self.Node && m.Domain == self.Domain && m.State == kqmember.Alive && compareCandidates(m, self) < 0 {
+		if m.Node != self.Node && m.Domain == self.Domain && m.State == kqmember.Alive && compareFollowers(m, self) < 0 {
 			before++
 		}
 	}
@@ -121,19 +121,19 @@
 
 // start starts a run of the watcher.
 func (f *Follower) start(ctx context.Context, group *conc.WaitGroup) *run {
-	kept := kqkeeper.From(ctx)
+	keeper := kqkeeper.From(ctx)
 	runCtx, stop := context.WithCancel(ctx)
-	group.Go(func() { kept.Keep(runCtx, "hold", func() { f.onFollow(runCtx, true) }) })
-	group.Go(func() { kept.Keep(runCtx, "watch", func() { f.watcher.Run(runCtx) }) })
+	group.Go(func() { keeper.Keep(runCtx, "hold", func() { f.onFollow(runCtx, true) }) })
+	group.Go(func() { keeper.Keep(runCtx, "watch", func() { f.watcher.Run(runCtx) }) })
 	return &run{stop: stop}
 }
 
-// compareCandidates orders the faster link first, then the larger share of cores, then
-// the lower hash. A follower reads the whole document for each version: some 220 KB for
+// compareFollowers orders nodes by their suitability to follow: the faster link first, then
+// the larger share of cores, then the lower hash of the name. A follower reads the whole document for each version: some 220 KB for
 // 800 routes, which takes a fifth of a second on a link of 10 Mbit/s that also carries
 // callers' traffic. A follower that cannot keep up keeps its whole domain on old
 // versions.
-func compareCandidates(a, b kqmember.Member) int {
+func compareFollowers(a, b kqmember.Member) int {
 	return cmp.Or(
 		cmp.Compare(b.Link, a.Link),
 		cmp.Compare(b.Cores, a.Cores),
--- a/internal/config/kqorigin/origin.go
+++ b/internal/config/kqorigin/origin.go
@@ -85,9 +85,9 @@
 // Run follows the keys until ctx ends.
 func (o *Origin) Run(ctx context.Context) {
 	var group conc.WaitGroup
-	kept := kqkeeper.From(ctx)
-	group.Go(func() { kept.Keep(ctx, "watch", func() { o.watchLoop(ctx) }) })
-	group.Go(func() { kept.Keep(ctx, "poll", func() { o.pollLoop(ctx) }) })
+	keeper := kqkeeper.From(ctx)
+	group.Go(func() { keeper.Keep(ctx, "watch", func() { o.watchLoop(ctx) }) })
+	group.Go(func() { keeper.Keep(ctx, "poll", func() { o.pollLoop(ctx) }) })
 	group.Wait()
 }
 
@@ -262,7 +262,7 @@
 }
 
 // buildVersion builds the root and the objects of the current document and orders. It
-// returns false if they are invalid together.
+// returns false if they are invalid together or cannot be split into objects.
 func (o *Origin) buildVersion() bool {
 	d := o.document
 	known := make(map[kqname.Service]bool, len(d.Services))
--- a/internal/config/kqreader/reader.go
+++ b/internal/config/kqreader/reader.go
@@ -249,9 +249,9 @@
 	watchCtx, stopWatch := context.WithCancel(ctx)
 	r.stopWatch = stopWatch
 	r.servesPeers = true
-	kept := kqkeeper.From(ctx)
-	r.group.Go(func() { kept.Keep(ctx, "hold", func() { r.onReading(ctx, true) }) })
-	r.group.Go(func() { kept.Keep(watchCtx, "watch", func() { r.watcher.Run(watchCtx) }) })
+	keeper := kqkeeper.From(ctx)
+	r.group.Go(func() { keeper.Keep(ctx, "hold", func() { r.onReading(ctx, true) }) })
+	r.group.Go(func() { keeper.Keep(watchCtx, "watch", func() { r.watcher.Run(watchCtx) }) })
 	return true
 }
 
--- a/internal/config/kqreplica/hold.go
+++ b/internal/config/kqreplica/hold.go
@@ -10,7 +10,8 @@
 )
 
 // HoldAll sets whether the replica holds every object of the current version,
-// regardless of the node's own traffic; readers do so to serve other nodes.
+// regardless of the node's own traffic. A node that reads versions from the store
+// for other nodes does so to serve them.
 // Objects that are held only for other nodes are not decoded.
 func (r *Replica) HoldAll(on bool) {
 	r.mu.Lock()
@@ -18,7 +19,8 @@
 	r.holdAll = on
 }
 
-// Fill fetches the missing objects of the current version if HoldAll is on.
+// Fill fetches the objects of the current version that the replica lacks, if
+// HoldAll is on.
 func (r *Replica) Fill(ctx context.Context) error {
 	if root := r.Current().Root(); root.Version > 0 && r.holdsAll() {
 		return r.fetchAll(ctx, root)
@@ -62,7 +64,8 @@
 	if len(missing) == 0 {
 		return nil
 	}
-	// On an error, the objects that were fetched are still kept.
+	// On an error, the objects that were fetched are still kept. If they exceed the
+	// memory budget, only onMemoryLimit reports that, and no error is returned.
 	fetched, err := r.source.Fetch(ctx, missing)
 	if err != nil {
 		err = fmt.Errorf("fetch all objects of version %d: %w", root.Version, err)
@@ -78,7 +81,7 @@
 			continue
 		}
 		if size += len(data); size > r.memoryBudget {
-			r.onLimit()
+			r.onMemoryLimit()
 			return nil
 		}
 		r.objects[d] = data
--- a/internal/config/kqreplica/replica.go
+++ b/internal/config/kqreplica/replica.go
@@ -46,14 +46,14 @@
 	// Fetches hold no lock, so that a slow source cannot delay a newer version or
 	// another host.
 	Replica struct {
-		source       Source
-		current      atomic.Pointer[kqsnapshot.Snapshot]
-		interests    *kqinterest.Interests
-		onChange     []func(*kqsnapshot.Snapshot)
-		onRefused    func(reason string)
-		onLimit      func()
-		memoryBudget int
-		keeper       *kqkeeper.Keeper
+		source        Source
+		current       atomic.Pointer[kqsnapshot.Snapshot]
+		interests     *kqinterest.Interests
+		onChange      []func(*kqsnapshot.Snapshot)
+		onRefused     func(reason string)
+		onMemoryLimit func()
+		memoryBudget  int
+		keeper        *kqkeeper.Keeper
 		// wholeDocument makes each version fetch all its objects again.
 		wholeDocument bool
 
@@ -95,10 +95,10 @@
 // WithRefused calls f with the reason for each version that cannot be applied.
 func WithRefused(f func(reason string)) Option { return func(r *Replica) { r.onRefused = f } }
 
-// WithMemory limits the bytes of configuration that are held; onLimit is called
+// WithMemory limits the bytes of configuration that are held; onMemoryLimit is called
 // for each host dropped, and each fetch of all objects cut short, because of it.
-func WithMemory(bytes int, onLimit func()) Option {
-	return func(r *Replica) { r.memoryBudget, r.onLimit = bytes, onLimit }
+func WithMemory(bytes int, onMemoryLimit func()) Option {
+	return func(r *Replica) { r.memoryBudget, r.onMemoryLimit = bytes, onMemoryLimit }
 }
 
 // WithWholeDocument fetches every object again for each version, regardless of
@@ -108,14 +108,14 @@
 // New returns a Replica that holds the empty version 0.
 func New(source Source, options ...Option) *Replica {
 	r := &Replica{
-		source:       source,
-		interests:    kqinterest.New(),
-		objects:      make(kqresource.Objects),
-		services:     make(map[kqname.Service]bool),
-		hostFetches:  make(map[kqname.Host]*hostFetch),
-		onRefused:    func(string) {},
-		onLimit:      func() {},
-		memoryBudget: defaultMemoryBudget,
+		source:        source,
+		interests:     kqinterest.New(),
+		objects:       make(kqresource.Objects),
+		services:      make(map[kqname.Service]bool),
+		hostFetches:   make(map[kqname.Host]*hostFetch),
+		onRefused:     func(string) {},
+		onMemoryLimit: func() {},
+		memoryBudget:  defaultMemoryBudget,
 	}
 	for _, o := range options {
 		o(r)
--- a/internal/config/kqreplica/stage.go
+++ b/internal/config/kqreplica/stage.go
@@ -117,7 +117,7 @@
 		}
 		for _, dropped := range hosts[i:] {
 			r.interests.Drop(dropped)
-			r.onLimit()
+			r.onMemoryLimit()
 		}
 		return hosts[:i]
 	}
--- a/internal/config/kqsnapshot/index.go
+++ b/internal/config/kqsnapshot/index.go
@@ -12,15 +12,16 @@
 // possibly hundreds of routes, a call costs one map lookup per distinct prefix
 // length.
 type index struct {
-	// parts holds the decoded routes by the object that contains them; the next
-	// version reuses most of them.
+	// parts holds the decoded routes by the digest of the object that contains them:
+	// a host's routes may be split over several objects. The next version reuses
+	// most of them.
 	parts map[kqresource.Digest][]kqdocument.Route
 	// lengths are those of the prefixes, longest first.
 	lengths  []int
 	prefixes map[string][]kqdocument.Route
 }
 
-// newIndex returns the index of a host's parts.
+// newIndex returns the index of a host whose routes are in the given parts.
 func newIndex(parts map[kqresource.Digest][]kqdocument.Route) *index {
 	x := &index{parts: parts, prefixes: make(map[string][]kqdocument.Route)}
 	routes := slices.Concat(slices.Collect(maps.Values(parts))...)
--- a/internal/config/kqsnapshot/index_test.go
+++ b/internal/config/kqsnapshot/index_test.go
@@ -77,7 +77,7 @@
 	}
 	routes = append(routes, route("all", "/", "", nil))
 	s := build(b, routes)
-	for name, path := range map[string]string{"found": routes[1999].PathPrefix + "/x", "last": "/service-1/nothing/of/the/kind/here"} {
+	for name, path := range map[string]string{"longest prefix": routes[1999].PathPrefix + "/x", "catch-all": "/service-1/nothing/of/the/kind/here"} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/config/kqsnapshot/snapshot.go
+++ b/internal/config/kqsnapshot/snapshot.go
@@ -58,7 +58,7 @@
 }
 
 // Knows reports whether the configuration version has routes for the host, and
-// whether this snapshot holds them.
+// whether this snapshot, which is reduced to some hosts, holds them.
 func (s *Snapshot) Knows(host kqname.Host) (exists, held bool) {
 	_, exists = s.root.Hosts[host]
 	_, held = s.hosts[host]
