--- a/internal/call/kqentry/headers_test.go
+++ b/internal/call/kqentry/headers_test.go
@@ -109,6 +109,8 @@
 		o, err := s.send(http.MethodGet, "warm")
 		return err == nil && o.Reason != kqcall.NoUpstream
 	})
+	// The forged call header holds id, caller, route, service, version, class, flags, remaining
+	// time in microseconds and depth. It lacks the origin and the target that kqcall also writes.
 	response := exchange(t, s.front.Node.EntryAddress(), "POST /a HTTP/1.1\r\nHost: store\r\nContent-Length: 0\r\n"+
 		"kQ-cAlL: x;someone;store;store;v9;critical;i;r;99000000;0\r\nKq-Depth: 7\r\nkq-version: v9\r\nKq-Anything: 1\r\n\r\n")
 	if response.StatusCode != http.StatusOK || response.Header.Get(kqcall.HeaderResult) != string(kqcall.Answered) ||
--- a/internal/call/kqentry/stream_test.go
+++ b/internal/call/kqentry/stream_test.go
@@ -65,7 +65,7 @@
 	defer func() { _ = a.Body.Close() }()
 	got, err := io.ReadAll(a.Body)
 	if err != nil {
-		t.Errorf("read answer: %v", err)
+		t.Errorf("read response: %v", err)
 	}
 	return got, a.StatusCode
 }
