--- a/internal/call/kqentry/stream_test.go
+++ b/internal/call/kqentry/stream_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	s := newTestFleet(t, 0, 0, 0)
 	server := s.start(t, kqfleet.Spec{Node: "back", Domain: "one", Region: "one"})
-	startRawUpstream(t, server, "store", func(w http.ResponseWriter, r *http.Request) {
+	startHTTPUpstream(t, server, "store", func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
@@ -65,7 +65,7 @@
 	defer func() { _ = a.Body.Close() }()
 	got, err := io.ReadAll(a.Body)
 	if err != nil {
-		t.Errorf("read answer: %v", err)
+		t.Errorf("read response: %v", err)
 	}
 	return got, a.StatusCode
 }
