--- a/cmd/kumquatgw/fragile_test.go
+++ b/cmd/kumquatgw/fragile_test.go
@@ -53,19 +53,21 @@
 	}
 }
 
-func (panickingDialect) Accept(h *fasthttp.RequestHeader) kqcall.Told {
+func (panickingDialect) Accept(h *fasthttp.RequestHeader) kqcall.CallInfo {
 	panicAt(h, "accept")
-	return kqcall.Told{}
+	return kqcall.CallInfo{}
 }
 
-func (panickingDialect) Tell(c *kqcall.Call, _ time.Duration) { panicAt(&c.Request.Header, "tell") }
+func (panickingDialect) WriteUpstreamHeaders(c *kqcall.Call, _ time.Duration) {
+	panicAt(&c.Request.Header, "tell")
+}
 
-func (panickingDialect) Belongs(c *kqcall.Call) bool {
+func (panickingDialect) IsAnswer(c *kqcall.Call) bool {
 	panicAt(&c.Request.Header, "belongs")
 	return true
 }
 
-func (panickingDialect) Judge(c *kqcall.Call) kqcall.Verdict {
+func (panickingDialect) ReadVerdict(c *kqcall.Call) kqcall.Verdict {
 	panicAt(&c.Request.Header, "judge")
 	return kqcall.Verdict{}
 }
--- a/cmd/kumquatgw/main.go
+++ b/cmd/kumquatgw/main.go
@@ -6,7 +6,7 @@
 	"os"
 
 	"github.com/kumquatgw/kumquatgw/internal/run/kqcommand"
-	_ "github.com/kumquatgw/kumquatgw/internal/run/kqearly"
+	_ "github.com/kumquatgw/kumquatgw/internal/run/kqsighup"
 	"github.com/kumquatgw/kumquatgw/platform/kqplatform"
 )
 
--- a/cmd/kumquatgw/script_test.go
+++ b/cmd/kumquatgw/script_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/rogpeppe/go-internal/testscript"
 
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 )
 
 // TestScripts runs the scripts in testdata. Each has a platform of its own at $PLATFORM.
@@ -14,7 +14,7 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(e *testscript.Env) error {
-			server := httptest.NewServer(kqstandin.New().Handler())
+			server := httptest.NewServer(kqfakestore.New().Handler())
 			e.Defer(server.Close)
 			e.Setenv("PLATFORM", server.URL)
 			return nil
--- a/cmd/kumquatgw/soak_fault_test.go
+++ b/cmd/kumquatgw/soak_fault_test.go
@@ -32,7 +32,7 @@
 			t.Parallel()
 			for seed := 1; seed <= faultSeeds; seed++ {
 				arguments := append([]string{"--seed", fmt.Sprint(seed), "--for", "20s"}, c.arguments...)
-				r, err := soak(t, kqfault.Variable+"="+string(c.fault), arguments...)
+				r, err := soak(t, kqfault.EnvVariable+"="+string(c.fault), arguments...)
 				if err != nil && kinds(r)[c.want] > 0 {
 					t.Logf("seed %d found %v after %.1f s", seed, kinds(r), r.Seconds)
 					return
--- a/internal/admin/kqadmin/admin.go
+++ b/internal/admin/kqadmin/admin.go
@@ -26,10 +26,10 @@
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqconsole"
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqlinger"
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqproblem"
-	"github.com/kumquatgw/kumquatgw/internal/admin/kqtrail"
+	"github.com/kumquatgw/kumquatgw/internal/admin/kqrollouthistory"
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqview"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqcommit"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 )
 
 const (
@@ -52,7 +52,7 @@
 	// Node provides the state of the node that the admin server shows.
 	Node interface {
 		kqview.Node
-		Rollouts() []kqboard.Status
+		Rollouts() []kqtracker.Status
 	}
 
 	// Counter counts committed changes and refused requests.
@@ -71,13 +71,13 @@
 		Log       *logrus.Entry
 	}
 
-	// Admin is the admin server.
-	Admin struct {
+	// AdminServer is the admin server.
+	AdminServer struct {
 		app      *fiber.App
 		api      *kqapi.API
 		console  *kqconsole.Console
-		history  *kqtrail.History
-		rollouts func() []kqboard.Status
+		history  *kqrollouthistory.History
+		rollouts func() []kqtracker.Status
 		// shuttingDown is set when the shutdown is about to expire reads.
 		shuttingDown atomic.Bool
 
@@ -101,12 +101,12 @@
 func WithNow(now func() time.Time) Option { return func(o *options) { o.now = now } }
 
 // New returns the admin server of a node.
-func New(parts Parts, opts ...Option) (*Admin, error) {
+func New(parts Parts, opts ...Option) (*AdminServer, error) {
 	o := options{readTimeout: defaultReadTimeout, now: time.Now}
 	for _, set := range opts {
 		set(&o)
 	}
-	a := &Admin{history: kqtrail.New(), rollouts: parts.Node.Rollouts}
+	a := &AdminServer{history: kqrollouthistory.New(), rollouts: parts.Node.Rollouts}
 	a.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true, ErrorHandler: a.handleError,
 		// Fiber otherwise reuses its buffers, and strings kept from a request,
@@ -133,11 +133,11 @@
 }
 
 // Run samples the rollouts for the console until ctx ends.
-func (a *Admin) Run(ctx context.Context) { a.history.Run(ctx, a.rollouts) }
+func (a *AdminServer) Run(ctx context.Context) { a.history.Run(ctx, a.rollouts) }
 
 // Serve serves requests on the listener until Shutdown, with TLS unless config
 // is nil.
-func (a *Admin) Serve(l net.Listener, config *tls.Config) error {
+func (a *AdminServer) Serve(l net.Listener, config *tls.Config) error {
 	lingering := kqlinger.New(l, maxPerSource)
 	a.mu.Lock()
 	a.listener = lingering
@@ -155,7 +155,7 @@
 // Shutdown stops the server once its requests are answered, or when ctx ends.
 // Requests that are still incomplete at ctx's deadline are refused with an error
 // response; without it operators would not know whether their change was made.
-func (a *Admin) Shutdown(ctx context.Context) error {
+func (a *AdminServer) Shutdown(ctx context.Context) error {
 	err := a.app.ShutdownWithContext(ctx)
 	if errors.Is(err, context.DeadlineExceeded) {
 		a.refuseIncomplete()
@@ -168,7 +168,7 @@
 
 // refuseIncomplete expires the reads of incomplete requests and waits, up to
 // refusalTimeout, until their connections are closed.
-func (a *Admin) refuseIncomplete() {
+func (a *AdminServer) refuseIncomplete() {
 	a.shuttingDown.Store(true)
 	a.mu.Lock()
 	listener := a.listener
@@ -184,7 +184,7 @@
 	}
 }
 
-func (a *Admin) registerRoutes(parts Parts) {
+func (a *AdminServer) registerRoutes(parts Parts) {
 	a.app.Use(recover.New())
 	a.app.Use(setSecurityHeaders)
 	a.app.Get("/live", func(c *fiber.Ctx) error { return c.SendString("live\n") })
@@ -211,7 +211,7 @@
 
 // handleError responds to requests that have no route, that the HTTP library
 // rejected for their size or slowness, or whose handler returned an error.
-func (a *Admin) handleError(c *fiber.Ctx, err error) error {
+func (a *AdminServer) handleError(c *fiber.Ctx, err error) error {
 	code := codeOf(err)
 	if code == kqproblem.TooSlow && a.shuttingDown.Load() {
 		code = kqproblem.Leaving
--- a/internal/admin/kqadmin/harness_test.go
+++ b/internal/admin/kqadmin/harness_test.go
@@ -22,9 +22,9 @@
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqview"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqcommit"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/internal/security/kqoperator"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
@@ -35,7 +35,7 @@
 	// tokens by name.
 	server struct {
 		t        *testing.T
-		platform *kqstandin.Standin
+		platform *kqfakestore.Fake
 		url      string
 		address  string
 		tokens   map[string]string
@@ -50,7 +50,7 @@
 	}
 
 	// fakeNode is a ready node with fixed members, rollouts and reports.
-	fakeNode struct{ platform *kqstandin.Standin }
+	fakeNode struct{ platform *kqfakestore.Fake }
 )
 
 func (c *counter) AdminRefused(reason string) {
@@ -65,7 +65,7 @@
 	return c.refused[string(reason)]
 }
 
-func (c *counter) AdminDone(string) {}
+func (c *counter) AdminCommitted(string) {}
 
 func (n fakeNode) Ready() bool                   { return true }
 func (n fakeNode) Version() kqname.ConfigVersion { return 1 }
@@ -76,12 +76,12 @@
 	return kqview.Report{Node: node, Version: 1, Counts: []kqview.Count{{Name: "config_refused", Reason: "invalid", Value: 3}}}, nil
 }
 
-func (n fakeNode) Rollouts() []kqboard.Status {
-	return []kqboard.Status{{Rollout: "spring", Service: "store", State: kqboard.TakenBack, Why: "5 of 40 calls failed"}}
+func (n fakeNode) Rollouts() []kqtracker.Status {
+	return []kqtracker.Status{{Rollout: "spring", Service: "store", State: kqtracker.FinalRollback, Why: "5 of 40 calls failed"}}
 }
 
 func (n fakeNode) Members() []kqmember.Member {
-	return []kqmember.Member{{Node: "one", Domain: "a", Config: 1}, {Node: "two", Domain: "b", Config: 0}}
+	return []kqmember.Member{{Node: "one", Domain: "a", HeldVersion: 1}, {Node: "two", Domain: "b", HeldVersion: 0}}
 }
 
 // initialDocument returns the document that every test starts with as version 1.
@@ -101,7 +101,7 @@
 func newTestServer(t *testing.T, options ...kqadmin.Option) *server {
 	t.Helper()
 	s := &server{
-		t: t, platform: kqstandin.New(), tokens: make(map[string]string),
+		t: t, platform: kqfakestore.New(), tokens: make(map[string]string),
 		log: &bytes.Buffer{}, counter: &counter{refused: make(map[string]int)},
 	}
 	o, err := kqcommit.New(s.platform).Commit(t.Context(), kqcommit.Request{ID: "first", Author: "test", Reason: "test", At: time.Now(), Document: initialDocument()})
--- a/internal/admin/kqapi/api.go
+++ b/internal/admin/kqapi/api.go
@@ -15,7 +15,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqchange"
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqproblem"
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqview"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/internal/security/kqoperator"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
@@ -39,7 +39,7 @@
 		Auth      *kqauth.Auth
 		Counter   Counter
 		// Rollouts returns the status of the fleet's rollouts.
-		Rollouts func() []kqboard.Status
+		Rollouts func() []kqtracker.Status
 		Now      func() time.Time
 	}
 
--- a/internal/admin/kqapi/operations.go
+++ b/internal/admin/kqapi/operations.go
@@ -12,7 +12,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqproblem"
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqview"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqcommit"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -71,7 +71,7 @@
 	// RolloutStates is the response with the rollouts' status as known to this
 	// node.
 	RolloutStates struct {
-		Rollouts []kqboard.Status `json:"rollouts"`
+		Rollouts []kqtracker.Status `json:"rollouts"`
 	}
 
 	// operation describes and handles one method and path of the API. Path
@@ -173,9 +173,9 @@
 	if !kqname.Valid(name) {
 		return nil, kqproblem.New(kqproblem.Malformed, "the request id is not a plain name")
 	}
-	o, err := a.parts.Committer.Settle(q.UserContext(), name)
+	o, err := a.parts.Committer.ResolveOutcome(q.UserContext(), name)
 	switch {
-	case errors.Is(err, kqcommit.ErrNotBegun):
+	case errors.Is(err, kqcommit.ErrUnknownRequest):
 		return nil, kqproblem.New(kqproblem.NotFound, "nobody has begun a change with this request id")
 	case err != nil:
 		return nil, kqproblem.New(kqproblem.PlatformDown, err.Error())
--- a/internal/admin/kqauth/auth.go
+++ b/internal/admin/kqauth/auth.go
@@ -113,7 +113,7 @@
 		return noHash, kqoperator.Operator{}, p
 	}
 	if token == "" {
-		a.throttle.Failed(source, now)
+		a.throttle.RecordFailure(source, now)
 		return noHash, kqoperator.Operator{}, kqproblem.New(kqproblem.NoToken, `send "Authorization: Bearer TOKEN"`)
 	}
 	tokenHash, err := kqoperator.HashOf(token)
@@ -122,7 +122,7 @@
 		operator, err = a.operators.Find(tokenHash)
 	}
 	if err != nil {
-		a.throttle.Failed(source, now)
+		a.throttle.RecordFailure(source, now)
 		return noHash, operator, kqproblem.New(kqproblem.BadToken, "no operator has this token")
 	}
 	return tokenHash, operator, nil
--- a/internal/admin/kqchange/change.go
+++ b/internal/admin/kqchange/change.go
@@ -26,14 +26,14 @@
 	// Committer is the subset of kqcommit.Committer that changes need.
 	Committer interface {
 		Commit(ctx context.Context, q kqcommit.Request) (kqcommit.Outcome, error)
-		Settle(ctx context.Context, id string) (kqcommit.Outcome, error)
+		ResolveOutcome(ctx context.Context, id string) (kqcommit.Outcome, error)
 		Document(ctx context.Context) (kqdocument.Document, kqresource.Root, error)
 		DocumentAt(ctx context.Context, v kqname.ConfigVersion) (kqdocument.Document, error)
 	}
 
 	// Counter counts committed changes.
 	Counter interface {
-		AdminDone(way string)
+		AdminCommitted(way string)
 	}
 
 	// Edit is one modification of the document.
@@ -141,8 +141,8 @@
 // lost response if its edit yields the committed document; otherwise the ID was
 // reused.
 func (c *Changer) previousResult(ctx context.Context, q Request) (Result, *kqproblem.Problem, bool) {
-	outcome, err := c.committer.Settle(ctx, q.ID)
-	if errors.Is(err, kqcommit.ErrNotBegun) || err == nil && outcome.Status != kqcommit.Committed {
+	outcome, err := c.committer.ResolveOutcome(ctx, q.ID)
+	if errors.Is(err, kqcommit.ErrUnknownRequest) || err == nil && outcome.Status != kqcommit.Committed {
 		return Result{}, nil, false
 	}
 	if err != nil {
@@ -185,7 +185,7 @@
 	if problem != nil {
 		r.Refused = problem.Code
 	} else if result.Committed {
-		c.counter.AdminDone(q.Way)
+		c.counter.AdminCommitted(q.Way)
 	}
 	c.audit.Add(r)
 }
@@ -233,9 +233,9 @@
 	switch {
 	case errors.Is(err, ErrItemNotFound):
 		return kqproblem.New(kqproblem.NotFound, err.Error())
-	case errors.Is(err, ErrMalformedItem), errors.Is(err, kqcommit.ErrRequest):
+	case errors.Is(err, ErrMalformedItem), errors.Is(err, kqcommit.ErrInvalidRequest):
 		return kqproblem.New(kqproblem.Malformed, err.Error())
-	case errors.Is(err, kqcommit.ErrReused):
+	case errors.Is(err, kqcommit.ErrRequestIDReused):
 		return reusedProblem()
 	case errors.Is(err, kqcommit.ErrInvalid):
 		return kqproblem.New(kqproblem.Invalid, err.Error())
--- a/internal/admin/kqconsole/console.go
+++ b/internal/admin/kqconsole/console.go
@@ -19,7 +19,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqaudit"
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqauth"
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqproblem"
-	"github.com/kumquatgw/kumquatgw/internal/admin/kqtrail"
+	"github.com/kumquatgw/kumquatgw/internal/admin/kqrollouthistory"
 	"github.com/kumquatgw/kumquatgw/internal/security/kqoperator"
 )
 
@@ -45,7 +45,7 @@
 	// make the same changes, and the rollout history for the plots.
 	Parts struct {
 		kqapi.Parts
-		History *kqtrail.History
+		History *kqrollouthistory.History
 	}
 
 	// Console serves the console's pages.
--- a/internal/admin/kqconsole/plot.go
+++ b/internal/admin/kqconsole/plot.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/admin/kqtrail"
+	"github.com/kumquatgw/kumquatgw/internal/admin/kqrollouthistory"
 )
 
 const (
@@ -24,7 +24,7 @@
 
 // newPlot scales points to the drawing area: shares from 0 to 1, evidence from 0
 // to its maximum, which is at least 1.
-func newPlot(points []kqtrail.Point) plot {
+func newPlot(points []kqrollouthistory.Point) plot {
 	if len(points) < 2 {
 		return plot{Empty: true}
 	}
@@ -34,7 +34,7 @@
 		p.MostNats = max(p.MostNats, point.Nats)
 	}
 	span := max(last.At.Sub(points[0].At).Seconds(), 1)
-	line := func(value func(kqtrail.Point) float64) string {
+	line := func(value func(kqrollouthistory.Point) float64) string {
 		var b strings.Builder
 		for _, point := range points {
 			x := point.At.Sub(points[0].At).Seconds() / span * plotWidth
@@ -43,9 +43,9 @@
 		}
 		return b.String()
 	}
-	p.Share = line(func(point kqtrail.Point) float64 { return point.Share })
-	p.OldFailed = line(func(point kqtrail.Point) float64 { return point.OldFailed })
-	p.NewFailed = line(func(point kqtrail.Point) float64 { return point.NewFailed })
-	p.Nats = line(func(point kqtrail.Point) float64 { return point.Nats / p.MostNats })
+	p.Share = line(func(point kqrollouthistory.Point) float64 { return point.Share })
+	p.OldFailed = line(func(point kqrollouthistory.Point) float64 { return point.OldFailed })
+	p.NewFailed = line(func(point kqrollouthistory.Point) float64 { return point.NewFailed })
+	p.Nats = line(func(point kqrollouthistory.Point) float64 { return point.Nats / p.MostNats })
 	return p
 }
--- a/internal/admin/kqconsole/view.go
+++ b/internal/admin/kqconsole/view.go
@@ -8,7 +8,7 @@
 	"github.com/gofiber/fiber/v2"
 
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqproblem"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -18,7 +18,7 @@
 
 // rolloutView is a rollout's status with the plot of its history.
 type rolloutView struct {
-	kqboard.Status
+	kqtracker.Status
 	Plot plot
 }
 
@@ -36,7 +36,7 @@
 func (c *Console) rolloutViews() []rolloutView {
 	list := c.parts.Rollouts()
 	slices.Reverse(list)
-	slices.SortStableFunc(list, func(a, b kqboard.Status) int { return stateRank(a.State) - stateRank(b.State) })
+	slices.SortStableFunc(list, func(a, b kqtracker.Status) int { return stateRank(a.State) - stateRank(b.State) })
 	views := make([]rolloutView, 0, len(list))
 	for _, s := range list {
 		views = append(views, rolloutView{Status: s, Plot: newPlot(c.parts.History.Points(s.Rollout))})
@@ -45,11 +45,11 @@
 }
 
 // stateRank returns the sort rank of a state.
-func stateRank(s kqboard.State) int {
+func stateRank(s kqtracker.State) int {
 	switch s {
-	case kqboard.Running:
+	case kqtracker.Running:
 		return 0
-	case kqboard.Pending:
+	case kqtracker.Pending:
 		return 1
 	default:
 		return 2
--- a/internal/admin/kqtrail/history.go
+++ b/internal/admin/kqrollouthistory/history.go
@@ -1,4 +1,4 @@
-package kqtrail
+package kqrollouthistory
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -53,7 +53,7 @@
 func New() *History { return &History{rollouts: make(map[kqname.Rollout]*series)} }
 
 // Run samples the rollouts that statuses returns every second until ctx ends.
-func (h *History) Run(ctx context.Context, statuses func() []kqboard.Status) {
+func (h *History) Run(ctx context.Context, statuses func() []kqtracker.Status) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
@@ -68,16 +68,16 @@
 
 // Record adds a sample of each started rollout whose interval has passed. An
 // ended rollout is sampled only when its share has changed.
-func (h *History) Record(now time.Time, list []kqboard.Status) {
+func (h *History) Record(now time.Time, list []kqtracker.Status) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range list {
-		if s.State == kqboard.Pending {
+		if s.State == kqtracker.Pending {
 			continue
 		}
 		current := h.series(s, now)
 		current.lastSeen = now
-		ended := s.State != kqboard.Running
+		ended := s.State != kqtracker.Running
 		if n := len(current.points); n > 0 && (now.Sub(current.points[n-1].At) < current.interval || ended && current.points[n-1].Share == s.Share) {
 			continue
 		}
@@ -101,7 +101,7 @@
 
 // series returns a rollout's series. It starts a new one if the rollout is
 // unknown or its name was reused by a plan that started after the last point.
-func (h *History) series(s kqboard.Status, now time.Time) *series {
+func (h *History) series(s kqtracker.Status, now time.Time) *series {
 	current, ok := h.rollouts[s.Rollout]
 	if ok && (len(current.points) == 0 || !s.Start.After(current.points[len(current.points)-1].At)) {
 		return current
--- a/internal/admin/kqtrail/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package kqtrail samples the status of rollouts over time for the console's
-// plots. No decision depends on it.
-package kqtrail
--- a/internal/admin/kqview/view.go
+++ b/internal/admin/kqview/view.go
@@ -30,7 +30,7 @@
 	// Committer is the subset of kqcommit.Committer that views read.
 	Committer interface {
 		Root(ctx context.Context) (kqresource.Root, kqstore.Revision, error)
-		History(ctx context.Context, limit int) ([]kqcommit.Past, error)
+		History(ctx context.Context, limit int) ([]kqcommit.HistoryRecord, error)
 	}
 
 	// Upstream is one upstream that is local to a node.
@@ -40,7 +40,7 @@
 		Slots    int                    `json:"slots"`
 		Draining bool                   `json:"draining"`
 		Started  time.Time              `json:"started"`
-		Warm     time.Time              `json:"warm,omitzero"`
+		WarmFrom time.Time              `json:"warm,omitzero"`
 	}
 
 	// Member is one node of the fleet.
@@ -113,12 +113,12 @@
 	f := Fleet{Version: v.node.Version(), Ready: v.node.Ready(), Members: []Member{}}
 	members := v.node.Members()
 	for _, m := range members {
-		f.Version = max(f.Version, m.Config)
+		f.Version = max(f.Version, m.HeldVersion)
 	}
 	for _, m := range members {
 		member := Member{
 			Node: m.Node, Domain: m.Domain, Region: m.Region, State: m.State.String(), Control: m.Control,
-			Version: m.Config, Behind: f.Version - m.Config, Upstreams: []Upstream{},
+			Version: m.HeldVersion, Behind: f.Version - m.HeldVersion, Upstreams: []Upstream{},
 		}
 		for _, u := range m.Upstreams {
 			member.Upstreams = append(member.Upstreams, Upstream(u))
@@ -144,7 +144,7 @@
 			continue
 		}
 		c.Nodes++
-		if m.Config >= root.Version {
+		if m.HeldVersion >= root.Version {
 			c.Have++
 			continue
 		}
@@ -162,7 +162,7 @@
 	}
 	past, err := v.committer.History(ctx, limit)
 	// Return the versions that were read even if older history is broken or gone.
-	if err != nil && (len(past) == 0 || !errors.Is(err, kqcommit.ErrChain) && !errors.Is(err, kqstore.ErrNotFound)) {
+	if err != nil && (len(past) == 0 || !errors.Is(err, kqcommit.ErrHistoryMismatch) && !errors.Is(err, kqstore.ErrNotFound)) {
 		return nil, fmt.Errorf("read history: %w", err)
 	}
 	list := make([]Version, 0, len(past))
--- a/internal/base/kqshortage/shortage.go
+++ b/internal/base/kqexhaustion/shortage.go
@@ -1,9 +1,9 @@
-// Package kqshortage detects connection failures that are caused by resource
+// Package kqexhaustion detects connection failures that are caused by resource
 // exhaustion on the local server.
 //
 // Both accepting and connecting can fail so. The failure says nothing about the
 // peer, and ends as other connections are closed.
-package kqshortage
+package kqexhaustion
 
 import (
 	"errors"
--- a/internal/base/kqpause/pause.go
+++ b/internal/base/kqsleep/pause.go
@@ -1,5 +1,5 @@
-// Package kqpause sleeps for a duration or until a context ends.
-package kqpause
+// Package kqsleep sleeps for a duration or until a context ends.
+package kqsleep
 
 import (
 	"context"
--- a/internal/base/kqkeeper/keeper.go
+++ b/internal/base/kqsupervisor/keeper.go
@@ -1,4 +1,4 @@
-package kqkeeper
+package kqsupervisor
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqpause"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsleep"
 )
 
 const (
@@ -21,10 +21,10 @@
 )
 
 type (
-	// Keeper runs work, recovers its panics and reports them. It is safe for
+	// Supervisor runs work, recovers its panics and reports them. It is safe for
 	// concurrent use. A nil Keeper does not recover panics, as in tests of a single
 	// part.
-	Keeper struct {
+	Supervisor struct {
 		onPanic func(Panic)
 
 		mu        sync.Mutex
@@ -46,23 +46,23 @@
 )
 
 // New returns a keeper that calls onPanic with each panic; onPanic must not panic.
-func New(onPanic func(Panic)) *Keeper {
-	return &Keeper{onPanic: onPanic, lastStack: make(map[string]time.Time)}
+func New(onPanic func(Panic)) *Supervisor {
+	return &Supervisor{onPanic: onPanic, lastStack: make(map[string]time.Time)}
 }
 
 // With returns a context that carries the keeper.
-func (k *Keeper) With(ctx context.Context) context.Context {
+func (k *Supervisor) With(ctx context.Context) context.Context {
 	return context.WithValue(ctx, contextKey{}, k)
 }
 
 // From returns the keeper that a context carries, or nil.
-func From(ctx context.Context) *Keeper {
-	k, _ := ctx.Value(contextKey{}).(*Keeper)
+func From(ctx context.Context) *Supervisor {
+	k, _ := ctx.Value(contextKey{}).(*Supervisor)
 	return k
 }
 
-// Try runs the work once and reports whether it returned without a panic.
-func (k *Keeper) Try(part string, work func()) (completed bool) {
+// RunRecovered runs the work once and reports whether it returned without a panic.
+func (k *Supervisor) RunRecovered(part string, work func()) (completed bool) {
 	if k == nil {
 		work()
 		return true
@@ -79,25 +79,25 @@
 	return true
 }
 
-// Keep runs the work until it returns. If it panics, Keep restarts it after a pause
+// RunWithRestart runs the work until it returns. If it panics, Keep restarts it after a pause
 // that doubles up to maxBackoff, unless ctx has ended. A run that lasted longer than
 // maxBackoff resets the pause.
-func (k *Keeper) Keep(ctx context.Context, part string, work func()) {
+func (k *Supervisor) RunWithRestart(ctx context.Context, part string, work func()) {
 	pause := minBackoff
 	for {
 		started := time.Now()
-		if k.Try(part, work) || ctx.Err() != nil {
+		if k.RunRecovered(part, work) || ctx.Err() != nil {
 			return
 		}
 		if time.Since(started) > maxBackoff {
 			pause = minBackoff
 		}
-		kqpause.For(ctx, pause)
+		kqsleep.For(ctx, pause)
 		pause = min(2*pause, maxBackoff)
 	}
 }
 
-func (k *Keeper) report(part string, value any) {
+func (k *Supervisor) report(part string, value any) {
 	p := Panic{Part: part, Value: fmt.Sprint(value)}
 	now := time.Now()
 	k.mu.Lock()
--- a/internal/base/kqkeeper/keeper_test.go
+++ b/internal/base/kqsupervisor/keeper_test.go
@@ -1,4 +1,4 @@
-package kqkeeper_test
+package kqsupervisor_test
 
 import (
 	"context"
@@ -7,21 +7,21 @@
 	"testing"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
 )
 
 // Guards against background work that stops silently after a panic. Each panic must be
 // reported, the first with its stack trace, and the work restarted until it returns.
 func TestPanickedWorkIsRestarted(t *testing.T) {
 	var mu sync.Mutex
-	var reported []kqkeeper.Panic
-	k := kqkeeper.New(func(p kqkeeper.Panic) {
+	var reported []kqsupervisor.Panic
+	k := kqsupervisor.New(func(p kqsupervisor.Panic) {
 		mu.Lock()
 		defer mu.Unlock()
 		reported = append(reported, p)
 	})
 	runs := 0
-	kqkeeper.From(k.With(t.Context())).Keep(t.Context(), "watch", func() {
+	kqsupervisor.From(k.With(t.Context())).RunWithRestart(t.Context(), "watch", func() {
 		if runs++; runs <= 2 {
 			panic("fault")
 		}
@@ -42,7 +42,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	started := time.Now()
-	kqkeeper.New(func(kqkeeper.Panic) {}).Keep(ctx, "watch", func() { panic("fault") })
+	kqsupervisor.New(func(kqsupervisor.Panic) {}).RunWithRestart(ctx, "watch", func() { panic("fault") })
 	if took := time.Since(started); took > time.Second {
 		t.Errorf("Keep returned after %v, want soon after the end of its context at 50 ms", took)
 	}
@@ -55,5 +55,5 @@
 			t.Error("a nil keeper recovered the panic")
 		}
 	}()
-	kqkeeper.From(t.Context()).Try("watch", func() { panic("fault") })
+	kqsupervisor.From(t.Context()).RunRecovered("watch", func() { panic("fault") })
 }
--- a/internal/call/kqacceptor/acceptor.go
+++ b/internal/call/kqacceptor/acceptor.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqshortage"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqexhaustion"
 )
 
 const (
@@ -50,5 +50,5 @@
 // isTemporary reports whether Accept may succeed later. After any other error it never
 // will, and the node should leave the fleet.
 func isTemporary(err error) bool {
-	return kqshortage.Is(err) || errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR)
+	return kqexhaustion.Is(err) || errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR)
 }
--- a/internal/call/kqbody/bound.go
+++ b/internal/call/kqbody/bound.go
@@ -30,10 +30,10 @@
 )
 
 type (
-	// Bound divides memory, here called room, among request bodies. Small and large bodies
+	// Limiter divides memory, here called room, among request bodies. Small and large bodies
 	// have separate room, so that small calls need not wait for large ones, and many small
 	// bodies cannot take more than a few large ones may. It is safe for concurrent use.
-	Bound struct {
+	Limiter struct {
 		capacity [classes]int
 		// total limits bodies and connections together, 0 for no limit, and open returns
 		// the number of open connections.
@@ -48,7 +48,7 @@
 	}
 
 	// Option configures a Bound.
-	Option func(*Bound)
+	Option func(*Limiter)
 
 	// class is the kind of room that a body takes.
 	class int
@@ -66,13 +66,13 @@
 
 // WithConnections limits bodies and open connections together to total bytes.
 func WithConnections(total int, open func() int) Option {
-	return func(b *Bound) { b.total, b.open = total, open }
+	return func(b *Limiter) { b.total, b.open = total, open }
 }
 
 // New returns a bound of capacity bytes for large bodies and, in addition, half as many for
 // small ones.
-func New(capacity int, options ...Option) *Bound {
-	b := &Bound{
+func New(capacity int, options ...Option) *Limiter {
+	b := &Limiter{
 		capacity: [classes]int{smallBody: capacity / smallDivisor, largeBody: capacity}, open: func() int { return 0 },
 		reservations: make(map[any]reservation), freed: make(chan struct{}),
 	}
@@ -82,10 +82,10 @@
 	return b
 }
 
-// Take reserves room for a request's body and waits at most wait for it. A body larger than
+// Reserve reserves room for a request's body and waits at most wait for it. A body larger than
 // the bound is accepted while no other large one is held, since it would otherwise never
 // be. reading is how long the request may take to be read.
-func (b *Bound) Take(h *fasthttp.RequestHeader, wait, reading time.Duration) bool {
+func (b *Limiter) Reserve(h *fasthttp.RequestHeader, wait, reading time.Duration) bool {
 	size := bodyMemory(h.ContentLength())
 	return size == 0 || b.wait(h, size, reading, wait)
 }
@@ -94,13 +94,13 @@
 // has reached, and waits at most wait for room. The length of such a body is known only as
 // it arrives; without this limit, callers that state no length could fill the process's
 // memory, and the kernel would kill it with all its calls.
-func (b *Bound) Grow(connection any, size int, wait time.Duration) bool {
+func (b *Limiter) Grow(connection any, size int, wait time.Duration) bool {
 	size = growingBodyMemory(size)
 	return size == 0 || b.hasReserved(connection, size) || b.wait(connection, size, 0, wait)
 }
 
 // Release releases the room that a connection's request has reserved with Grow, if any.
-func (b *Bound) Release(connection any) {
+func (b *Limiter) Release(connection any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.release(connection)
@@ -108,7 +108,7 @@
 
 // wait reserves room, retrying until there is enough or the time is over. With a reading
 // time of 0 the reservation does not expire.
-func (b *Bound) wait(holder any, size int, reading, wait time.Duration) bool {
+func (b *Limiter) wait(holder any, size int, reading, wait time.Duration) bool {
 	taken, freed := b.tryReserve(holder, size, reading)
 	if taken || wait <= 0 {
 		return taken
@@ -126,14 +126,14 @@
 	return true
 }
 
-func (b *Bound) hasReserved(holder any, size int) bool {
+func (b *Limiter) hasReserved(holder any, size int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.reservations[holder].size >= size
 }
 
-// Serve marks a request as read: its reservation no longer expires and is held until Give.
-func (b *Bound) Serve(h *fasthttp.RequestHeader) {
+// MarkRead marks a request as read: its reservation no longer expires and is held until Give.
+func (b *Limiter) MarkRead(h *fasthttp.RequestHeader) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s, ok := b.reservations[h]; ok {
@@ -141,14 +141,14 @@
 	}
 }
 
-// Give releases a request's room, if it has any.
-func (b *Bound) Give(h *fasthttp.RequestHeader) {
+// ReleaseRequest releases a request's room, if it has any.
+func (b *Limiter) ReleaseRequest(h *fasthttp.RequestHeader) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.release(h)
 }
 
-func (b *Bound) tryReserve(holder any, size int, reading time.Duration) (bool, <-chan struct{}) {
+func (b *Limiter) tryReserve(holder any, size int, reading time.Duration) (bool, <-chan struct{}) {
 	now := time.Now()
 	open := b.open()
 	b.mu.Lock()
@@ -173,7 +173,7 @@
 
 // fits reports whether there is room for a body of that size in place of the holder's
 // current reservation.
-func (b *Bound) fits(holder any, size, open int) bool {
+func (b *Limiter) fits(holder any, size, open int) bool {
 	used := b.used
 	if before := b.reservations[holder]; before.size > 0 {
 		used[before.class()] -= before.size
@@ -202,7 +202,7 @@
 // releaseExpired releases the room of requests that should have been read by now. fasthttp
 // reports most, but not all, requests that it abandons while reading; the room of the
 // others would never be released.
-func (b *Bound) releaseExpired(now time.Time) {
+func (b *Limiter) releaseExpired(now time.Time) {
 	for holder, s := range b.reservations {
 		if !s.readDeadline.IsZero() && now.After(s.readDeadline) {
 			b.release(holder)
@@ -210,7 +210,7 @@
 	}
 }
 
-func (b *Bound) release(holder any) {
+func (b *Limiter) release(holder any) {
 	s, ok := b.reservations[holder]
 	if !ok {
 		return
--- a/internal/call/kqbody/bound_test.go
+++ b/internal/call/kqbody/bound_test.go
@@ -26,18 +26,18 @@
 func TestRoomIsBoundedAndReleased(t *testing.T) {
 	b := kqbody.New(capacity)
 	first, second := header(40<<20), header(32<<20)
-	if !b.Take(first, 0, reading) {
+	if !b.Reserve(first, 0, reading) {
 		t.Fatal("no room for the first body")
 	}
-	b.Serve(first)
-	if b.Take(second, 10*time.Millisecond, reading) {
+	b.MarkRead(first)
+	if b.Reserve(second, 10*time.Millisecond, reading) {
 		t.Error("both bodies have room in a bound of 64 MB")
 	}
-	if !b.Take(header(60<<10), 0, reading) {
+	if !b.Reserve(header(60<<10), 0, reading) {
 		t.Error("no room for a small body")
 	}
-	time.AfterFunc(20*time.Millisecond, func() { b.Give(first) })
-	if !b.Take(second, 10*time.Second, reading) {
+	time.AfterFunc(20*time.Millisecond, func() { b.ReleaseRequest(first) })
+	if !b.Reserve(second, 10*time.Second, reading) {
 		t.Error("no room for the second body after the first was released")
 	}
 }
@@ -46,10 +46,10 @@
 // must be accepted alone, or it would always be refused.
 func TestBodyOverTheBoundIsAcceptedAlone(t *testing.T) {
 	b := kqbody.New(1 << 20)
-	if !b.Take(header(32<<20), 0, reading) {
+	if !b.Reserve(header(32<<20), 0, reading) {
 		t.Error("no room for a body over the bound while no other is held")
 	}
-	if b.Take(header(1<<20), 0, reading) {
+	if b.Reserve(header(1<<20), 0, reading) {
 		t.Error("room for another large body while one over the bound is held")
 	}
 }
@@ -58,11 +58,11 @@
 // must be released all the same.
 func TestRoomOfAbandonedRequestExpires(t *testing.T) {
 	b := kqbody.New(capacity)
-	if !b.Take(header(64<<20), 0, time.Millisecond) {
+	if !b.Reserve(header(64<<20), 0, time.Millisecond) {
 		t.Fatal("no room for the first body")
 	}
 	time.Sleep(5 * time.Millisecond)
-	if !b.Take(header(64<<20), 0, reading) {
+	if !b.Reserve(header(64<<20), 0, reading) {
 		t.Error("the room of an abandoned request is still reserved")
 	}
 }
@@ -92,17 +92,17 @@
 	b := kqbody.New(8 << 20)
 	taken := 0
 	for range 1000 {
-		if b.Take(header(60<<10), 0, reading) {
+		if b.Reserve(header(60<<10), 0, reading) {
 			taken++
 		}
 	}
 	if taken != 64 {
 		t.Errorf("%d bodies of 60 KB have room in 4 MB, want 64", taken)
 	}
-	if !b.Take(header(4<<20), 0, reading) {
+	if !b.Reserve(header(4<<20), 0, reading) {
 		t.Error("no room for a large body beside small ones")
 	}
-	if !b.Take(header(1000), 0, reading) {
+	if !b.Reserve(header(1000), 0, reading) {
 		t.Error("no room for a body of 1 KB")
 	}
 }
@@ -111,16 +111,16 @@
 func TestConnectionsReduceRoomForBodies(t *testing.T) {
 	open := 0
 	b := kqbody.New(8<<20, kqbody.WithConnections(10<<20, func() int { return open }))
-	if !b.Take(header(8<<20), 0, reading) {
+	if !b.Reserve(header(8<<20), 0, reading) {
 		t.Fatal("no room for a body while no connection is open")
 	}
 	open = 320
-	if b.Take(header(60<<10), 0, reading) != true {
+	if b.Reserve(header(60<<10), 0, reading) != true {
 		t.Error("no room for any small body beside many connections")
 	}
-	for b.Take(header(60<<10), 0, reading) {
+	for b.Reserve(header(60<<10), 0, reading) {
 	}
-	if b.Take(header(100<<10), 0, reading) {
+	if b.Reserve(header(100<<10), 0, reading) {
 		t.Error("room for a large body beside another, small ones and 10 MB of connections")
 	}
 }
--- a/internal/call/kqcall/call.go
+++ b/internal/call/kqcall/call.go
@@ -30,8 +30,8 @@
 	// Overload means that the entry shed the call because the service's gates refused
 	// too many calls before.
 	Overload Reason = "overload"
-	// Late means that the call's deadline passed, or would have passed, before it ran.
-	Late Reason = "late"
+	// NotStartedInTime means that the call's deadline passed, or would have passed, before it ran.
+	NotStartedInTime Reason = "late"
 	// RolledBack means that the upstream's version was rolled back.
 	RolledBack Reason = "rolled_back"
 	// Draining means that the upstream takes no new work, or that a node stopped before
@@ -89,15 +89,15 @@
 		Running, Waiting, Slots int
 		// Work is how long the upstream's short calls took lately.
 		Work time.Duration
-		// Failing is the share of the upstream's last calls that failed, from 0 to 1, as
+		// FailureRate is the share of the upstream's last calls that failed, from 0 to 1, as
 		// its gate saw it. It is 0 if the failures may be chance.
-		Failing float64
+		FailureRate float64
 		// Route is the route that Expected and Wait apply to. It is not sent, since the
 		// node that made the call knows it.
 		Route kqname.Route
-		// Expected is how long the upstream is expected to take for a call of the route,
+		// ExpectedWork is how long the upstream is expected to take for a call of the route,
 		// and Wait is how long such a call would wait for a slot. Each is 0 if unknown.
-		Expected, Wait time.Duration
+		ExpectedWork, Wait time.Duration
 	}
 
 	// Call is one request on its way from caller to upstream. The server that handles
@@ -141,9 +141,9 @@
 		// Cancel ends the call when its caller disconnects; nil if the call cannot be
 		// cancelled.
 		Cancel *Cancel
-		// Look checks the caller's connection now and cancels the call if it was closed;
+		// CheckCaller checks the caller's connection now and cancels the call if it was closed;
 		// nil if the connection cannot be checked.
-		Look func()
+		CheckCaller func()
 		// Finish is called once a streamed response has been passed on or cut off; nil
 		// if nothing needs to run then.
 		Finish   func()
@@ -155,7 +155,7 @@
 // Reasons returns every reason, for counters that need a bounded set of labels.
 func Reasons() []Reason {
 	return []Reason{
-		NoReason, NoRoute, NoConfig, NoUpstream, QueueFull, Overload, Late, RolledBack, Draining, Shed, ConnectFailed,
+		NoReason, NoRoute, NoConfig, NoUpstream, QueueFull, Overload, NotStartedInTime, RolledBack, Draining, Shed, ConnectFailed,
 		TooLarge, Malformed, TooSlow, Timeout, Cut, Cancelled, Crossed, Moved, NoMemory, Panicked,
 	}
 }
@@ -166,8 +166,8 @@
 // Refuse returns the outcome of a call that did not run.
 func Refuse(reason Reason) Outcome { return Outcome{Result: NotRun, Reason: reason} }
 
-// Lose returns the outcome of a call that may have run.
-func Lose(reason Reason) Outcome { return Outcome{Result: Unknown, Reason: reason} }
+// UnknownOutcome returns the outcome of a call that may have run.
+func UnknownOutcome(reason Reason) Outcome { return Outcome{Result: Unknown, Reason: reason} }
 
 // Status returns the HTTP status of an outcome other than Answered: 404 for no route,
 // 413 for a body that is too large, 400 for a malformed call, 408 for one that arrived
--- a/internal/call/kqcall/cancel.go
+++ b/internal/call/kqcall/cancel.go
@@ -15,8 +15,8 @@
 	closer io.Closer
 }
 
-// Now cancels the call with that reason. Later cancellations keep the first reason.
-func (c *Cancel) Now(why Reason) {
+// Trigger cancels the call with that reason. Later cancellations keep the first reason.
+func (c *Cancel) Trigger(why Reason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.reason != NoReason {
@@ -45,9 +45,9 @@
 	return c.reason
 }
 
-// Wake returns a channel that is closed once the call is cancelled. For a nil Cancel the
+// Signal returns a channel that is closed once the call is cancelled. For a nil Cancel the
 // channel is nil and blocks forever.
-func (c *Cancel) Wake() <-chan struct{} {
+func (c *Cancel) Signal() <-chan struct{} {
 	if c == nil {
 		return nil
 	}
@@ -62,9 +62,9 @@
 	return c.wake
 }
 
-// Attach sets the connection that a cancellation closes; nil means none. It reports
+// SetConnection sets the connection that a cancellation closes; nil means none. It reports
 // false if the call was already cancelled.
-func (c *Cancel) Attach(connection io.Closer) bool {
+func (c *Cancel) SetConnection(connection io.Closer) bool {
 	if c == nil {
 		return true
 	}
--- a/internal/call/kqcall/dialect.go
+++ b/internal/call/kqcall/dialect.go
@@ -13,26 +13,26 @@
 	Dialect interface {
 		// Accept reads what a caller's headers say about its call, and removes the
 		// headers that callers must not set.
-		Accept(h *fasthttp.RequestHeader) Told
-		// Tell writes into the request what the upstream needs to know; left is the time
+		Accept(h *fasthttp.RequestHeader) CallInfo
+		// WriteUpstreamHeaders writes into the request what the upstream needs to know; left is the time
 		// until the deadline.
-		Tell(c *Call, left time.Duration)
-		// Belongs reports whether the response is the upstream's answer to this call.
-		Belongs(c *Call) bool
-		// Judge reads from the answer to the call whether the call ran.
-		Judge(c *Call) Verdict
+		WriteUpstreamHeaders(c *Call, left time.Duration)
+		// IsAnswer reports whether the response is the upstream's answer to this call.
+		IsAnswer(c *Call) bool
+		// ReadVerdict reads from the answer to the call whether the call ran.
+		ReadVerdict(c *Call) Verdict
 		// RetryAfter formats how long a refused caller should wait before it retries.
 		RetryAfter(d time.Duration) string
 	}
 
-	// Told is what a caller says about its own call; zero values are unspecified.
-	Told struct {
+	// CallInfo is what a caller says about its own call; zero values are unspecified.
+	CallInfo struct {
 		ID ID
-		// Left is how long the caller will wait.
-		Left time.Duration
-		// Above is the id of the running call that this one is nested in, according to
+		// TimeLeft is how long the caller will wait.
+		TimeLeft time.Duration
+		// ParentID is the id of the running call that this one is nested in, according to
 		// the caller, a local upstream.
-		Above ID
+		ParentID ID
 	}
 
 	// Verdict is what an upstream's answer says about whether the call ran.
--- a/internal/call/kqcall/header.go
+++ b/internal/call/kqcall/header.go
@@ -151,12 +151,12 @@
 	return depth, time.Duration(ms) * time.Millisecond
 }
 
-// Tell replaces the fields meant for the gate by the headers that the upstream gets.
-func (c *Call) Tell(now time.Time) {
+// WriteUpstreamHeaders replaces the fields meant for the gate by the headers that the upstream gets.
+func (c *Call) WriteUpstreamHeaders(now time.Time) {
 	h := &c.Request.Header
 	h.Del(headerCall)
 	if c.Dialect != nil {
-		c.Dialect.Tell(c, max(c.Deadline.Sub(now), time.Millisecond))
+		c.Dialect.WriteUpstreamHeaders(c, max(c.Deadline.Sub(now), time.Millisecond))
 		return
 	}
 	h.Set(HeaderID, string(c.ID))
@@ -222,8 +222,8 @@
 		b = append(strconv.AppendInt(b, n, 10), separator)
 	}
 	b = append(strconv.AppendInt(b, l.Work.Microseconds(), 10), separator)
-	b = append(strconv.AppendInt(b, int64(l.Failing*perMille), 10), separator)
-	b = append(strconv.AppendInt(b, l.Expected.Microseconds(), 10), separator)
+	b = append(strconv.AppendInt(b, int64(l.FailureRate*perMille), 10), separator)
+	b = append(strconv.AppendInt(b, l.ExpectedWork.Microseconds(), 10), separator)
 	h.SetBytesV(headerLoad, strconv.AppendInt(b, l.Wait.Microseconds(), 10))
 }
 
@@ -245,8 +245,8 @@
 	}
 	return Load{
 		Running: numbers[0], Waiting: numbers[1], Slots: numbers[2],
-		Work: time.Duration(numbers[3]) * time.Microsecond, Failing: float64(numbers[4]) / perMille,
-		Expected: time.Duration(numbers[5]) * time.Microsecond, Wait: time.Duration(numbers[6]) * time.Microsecond,
+		Work: time.Duration(numbers[3]) * time.Microsecond, FailureRate: float64(numbers[4]) / perMille,
+		ExpectedWork: time.Duration(numbers[5]) * time.Microsecond, Wait: time.Duration(numbers[6]) * time.Microsecond,
 	}, true
 }
 
--- a/internal/call/kqconnection/chunked_body_counter_test.go
+++ b/internal/call/kqconnection/chunked_body_counter_test.go
@@ -16,7 +16,7 @@
 func TestReservedMemoryCountsChunkDataOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limiter := &recordingLimiter{}
-		server, caller, done := openConnection(t, kqconnection.WithRoom(limiter, 0))
+		server, caller, done := openConnection(t, kqconnection.WithBodyLimiter(limiter, 0))
 		defer done()
 		chunks := rapid.SliceOfN(rapid.IntRange(1, 300), 1, 40).Draw(t, "chunks")
 		extension := rapid.SampledFrom([]string{"", ";a=b", " "}).Draw(t, "extension")
--- a/internal/call/kqconnection/listener.go
+++ b/internal/call/kqconnection/listener.go
@@ -11,11 +11,11 @@
 
 	"github.com/sourcegraph/conc"
 
-	"github.com/kumquatgw/kumquatgw/internal/call/kqhangup"
+	"github.com/kumquatgw/kumquatgw/internal/call/kqdisconnect"
 )
 
-// ErrNoRoom is returned when no memory is left for more of a body of unknown length.
-var ErrNoRoom = errors.New("no memory left for the request body")
+// ErrBodyMemoryExhausted is returned when no memory is left for more of a body of unknown length.
+var ErrBodyMemoryExhausted = errors.New("no memory left for the request body")
 
 type (
 	// BodyLimiter limits the memory that bodies of unknown length take. A connection
@@ -77,9 +77,9 @@
 	}
 )
 
-// WithRoom makes bodies of unknown length reserve memory from r as they arrive. A read waits
+// WithBodyLimiter makes bodies of unknown length reserve memory from r as they arrive. A read waits
 // for memory for at most wait, 0 for not at all, and then fails with ErrNoRoom.
-func WithRoom(r BodyLimiter, wait time.Duration) Option {
+func WithBodyLimiter(r BodyLimiter, wait time.Duration) Option {
 	return func(l *Listener) { l.limiter, l.limiterWait = r, wait }
 }
 
@@ -107,22 +107,22 @@
 	return c, nil
 }
 
-// Open returns the number of open connections. fasthttp's own count is one too low once its
+// OpenCount returns the number of open connections. fasthttp's own count is one too low once its
 // listener is closed.
-func (l *Listener) Open() int {
+func (l *Listener) OpenCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.open)
 }
 
-// CloseSilent closes the connections on which nothing has arrived yet. fasthttp counts them
+// CloseUnused closes the connections on which nothing has arrived yet. fasthttp counts them
 // as active and waits for them at a shutdown. A connection whose call has arrived but has
 // not been read stays open.
-func (l *Listener) CloseSilent() {
+func (l *Listener) CloseUnused() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.unused {
-		if _, readable := kqhangup.NewProbe(c.TCPConn).Peek(); readable {
+		if _, readable := kqdisconnect.NewProbe(c.TCPConn).Peek(); readable {
 			continue
 		}
 		_ = c.TCPConn.Close()
@@ -156,7 +156,7 @@
 func (c *connection) Read(b []byte) (int, error) {
 	n, err := c.read(b)
 	if n > 0 && c.framer.unknownLength && !c.reserveMemory() {
-		n, err = 0, ErrNoRoom
+		n, err = 0, ErrBodyMemoryExhausted
 	}
 	c.lastReadErr = err
 	return n, err
@@ -261,7 +261,7 @@
 	if pending {
 		return true
 	}
-	_, readable := kqhangup.NewProbe(c.TCPConn).Peek()
+	_, readable := kqdisconnect.NewProbe(c.TCPConn).Peek()
 	return readable
 }
 
--- a/internal/call/kqconnection/listener_test.go
+++ b/internal/call/kqconnection/listener_test.go
@@ -152,7 +152,7 @@
 			}
 			fmt.Fprint(caller, " /")
 		}
-		l.CloseSilent()
+		l.CloseUnused()
 		if _, err := server.Read(b); (err == nil) != sends {
 			t.Errorf("connection that sends=%v: read returned error %v", sends, err)
 		}
--- a/internal/call/kqconnection/shutdown.go
+++ b/internal/call/kqconnection/shutdown.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// EndReading interrupts the reading of all connections, so that the server responds to
+// InterruptReads interrupts the reading of all connections, so that the server responds to
 // callers whose request it has begun to read. Without it, a caller that is still sending
 // when its node's drain time ends would get no response.
-func (l *Listener) EndReading(now time.Time) {
+func (l *Listener) InterruptReads(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.open {
@@ -14,10 +14,10 @@
 	}
 }
 
-// InOrder stops starting requests before earlier ones have been answered. A server that shuts down closes each
+// DisablePipelining stops starting requests before earlier ones have been answered. A server that shuts down closes each
 // connection with the next response, so requests served behind it would get none.
-func (l *Listener) InOrder() { l.pipeliningDisabled.Store(true) }
+func (l *Listener) DisablePipelining() { l.pipeliningDisabled.Store(true) }
 
-// Early returns the number of requests that have been started before earlier ones were
+// PipelinedCount returns the number of requests that have been started before earlier ones were
 // answered, and have not become the current request since.
-func (l *Listener) Early() int { return int(l.pipelined.Load()) }
+func (l *Listener) PipelinedCount() int { return int(l.pipelined.Load()) }
--- a/internal/call/kqconnection/split_head_test.go
+++ b/internal/call/kqconnection/split_head_test.go
@@ -17,7 +17,7 @@
 func TestMemoryIsReservedIfTheHeadIsSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limiter := &recordingLimiter{}
-		server, caller, done := openConnection(t, kqconnection.WithRoom(limiter, 0))
+		server, caller, done := openConnection(t, kqconnection.WithBodyLimiter(limiter, 0))
 		defer done()
 		go func() {
 			_, _ = io.WriteString(caller, "PUT / HTTP/1.1\r\ntransfer-encoding: chunked\r\nhost: a\r\n\r\n5\r\nabcde\r\n0\r\n\r\n")
--- a/internal/call/kqconnection/unread_test.go
+++ b/internal/call/kqconnection/unread_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	time.Sleep(50 * time.Millisecond)
-	l.CloseSilent()
+	l.CloseUnused()
 	b := make([]byte, 4096)
 	if n, err := server.Read(b); string(b[:n]) != call || err != nil {
 		t.Errorf("read %q, %v, want the call", b[:n], err)
--- a/internal/call/kqhangup/doc.go
+++ b/internal/call/kqdisconnect/doc.go
@@ -1,4 +1,4 @@
-// Package kqhangup detects callers that disconnect while their call waits or runs, and
+// Package kqdisconnect detects callers that disconnect while their call waits or runs, and
 // cancels the call.
 //
 // fasthttp does not read from a connection while it serves a call, so it would not notice a
@@ -6,4 +6,4 @@
 // overload most of the work would be for callers that have given up. Probing each
 // connection every 25 ms costs one system call per probe for calls that have lasted that
 // long, and none for shorter ones.
-package kqhangup
+package kqdisconnect
--- a/internal/call/kqhangup/hangup.go
+++ b/internal/call/kqdisconnect/hangup.go
@@ -1,4 +1,4 @@
-package kqhangup
+package kqdisconnect
 
 import (
 	"context"
@@ -15,14 +15,14 @@
 )
 
 type (
-	// Watch holds the calls in flight and probes their callers' connections. It is safe for
+	// Watcher holds the calls in flight and probes their callers' connections. It is safe for
 	// concurrent use.
-	Watch struct {
+	Watcher struct {
 		shards [shards]shard
 	}
 
-	// Line is the connection of one call to its caller.
-	Line struct {
+	// WatchedCall is the connection of one call to its caller.
+	WatchedCall struct {
 		caller net.Conn
 		probe  *Probe
 		call   *kqcall.Cancel
@@ -33,17 +33,17 @@
 
 	shard struct {
 		mu    sync.Mutex
-		lines []*Line
+		lines []*WatchedCall
 	}
 )
 
 // New returns a Watch without calls.
-func New() *Watch { return &Watch{} }
+func New() *Watcher { return &Watcher{} }
 
-// Begin watches a caller's connection until End. The caller of Begin allocates the line.
-func (w *Watch) Begin(l *Line, number uint64, caller net.Conn, call *kqcall.Cancel, now time.Time) {
+// Track watches a caller's connection until End. The caller of Begin allocates the line.
+func (w *Watcher) Track(l *WatchedCall, number uint64, caller net.Conn, call *kqcall.Cancel, now time.Time) {
 	s := &w.shards[number%shards]
-	*l = Line{caller: caller, call: call, since: now, shard: s}
+	*l = WatchedCall{caller: caller, call: call, since: now, shard: s}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l.index = len(s.lines)
@@ -51,7 +51,7 @@
 }
 
 // Count returns how many calls are watched: those in flight at the entry and at the gate.
-func (w *Watch) Count() int {
+func (w *Watcher) Count() int {
 	count := 0
 	for i := range w.shards {
 		w.shards[i].mu.Lock()
@@ -61,8 +61,8 @@
 	return count
 }
 
-// End stops watching the line's connection.
-func (w *Watch) End(l *Line) {
+// Untrack stops watching the line's connection.
+func (w *Watcher) Untrack(l *WatchedCall) {
 	s := l.shard
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,8 +73,8 @@
 	s.lines = s.lines[:last]
 }
 
-// Cancel cancels all calls in flight with the given reason.
-func (w *Watch) Cancel(why kqcall.Reason) {
+// CancelAll cancels all calls in flight with the given reason.
+func (w *Watcher) CancelAll(why kqcall.Reason) {
 	for i := range w.shards {
 		w.shards[i].cancel(why)
 	}
@@ -84,12 +84,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.lines {
-		l.call.Now(why)
+		l.call.Trigger(why)
 	}
 }
 
 // Run probes the connections periodically until ctx ends.
-func (w *Watch) Run(ctx context.Context) {
+func (w *Watcher) Run(ctx context.Context) {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
@@ -104,9 +104,9 @@
 	}
 }
 
-// Look probes the line's connection now. Without it, a call whose caller disconnected since
+// CheckCaller probes the line's connection now. Without it, a call whose caller disconnected since
 // the last periodic probe could still leave the queue and run.
-func (l *Line) Look() {
+func (l *WatchedCall) CheckCaller() {
 	l.shard.mu.Lock()
 	defer l.shard.mu.Unlock()
 	l.check()
@@ -126,11 +126,11 @@
 	}
 }
 
-func (l *Line) check() {
+func (l *WatchedCall) check() {
 	if l.probe == nil {
 		l.probe = NewProbe(l.caller)
 	}
 	if closed, _ := l.probe.Peek(); closed {
-		l.call.Now(kqcall.Cancelled)
+		l.call.Trigger(kqcall.Cancelled)
 	}
 }
--- a/internal/call/kqhangup/probe.go
+++ b/internal/call/kqdisconnect/probe.go
@@ -1,4 +1,4 @@
-package kqhangup
+package kqdisconnect
 
 import (
 	"errors"
--- a/internal/call/kqhangup/user_timeout_linux.go
+++ b/internal/call/kqdisconnect/user_timeout_linux.go
@@ -1,4 +1,4 @@
-package kqhangup
+package kqdisconnect
 
 import (
 	"net"
@@ -8,12 +8,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bound sets TCP_USER_TIMEOUT, which closes a connection whose peer leaves data
+// SetUserTimeout sets TCP_USER_TIMEOUT, which closes a connection whose peer leaves data
 // unacknowledged for that long. Otherwise each exchange would wait until its deadline for a
 // peer that has lost power or is unreachable. The option also overrides the keep-alive
 // timeout. If the kernel does not support it, keep-alive and deadlines still bound the
 // wait.
-func Bound(c net.Conn, silence time.Duration) {
+func SetUserTimeout(c net.Conn, silence time.Duration) {
 	socket, ok := unwrap(c).(syscall.Conn)
 	if !ok {
 		return
--- a/internal/call/kqentry/at_most_once_test.go
+++ b/internal/call/kqentry/at_most_once_test.go
@@ -85,7 +85,7 @@
 	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI("http://store/orders")
 	request.Header.SetMethod(method)
-	request.Header.Set(kqupstream.HeaderWork, work)
+	request.Header.Set(kqupstream.HeaderWorkID, work)
 	if err := s.client.DoTimeout(request, response, testTimeout); err != nil {
 		return kqcall.Outcome{}, err
 	}
@@ -93,8 +93,8 @@
 		Result: kqcall.Result(response.Header.Peek(kqcall.HeaderResult)),
 		Reason: kqcall.Reason(response.Header.Peek(kqcall.HeaderReason)),
 	}
-	if o.Result == kqcall.Answered && string(response.Header.Peek(kqupstream.HeaderWork)) != work {
-		return o, fmt.Errorf("order %s got the answer of %s: %w", work, response.Header.Peek(kqupstream.HeaderWork), kqcall.ErrMalformed)
+	if o.Result == kqcall.Answered && string(response.Header.Peek(kqupstream.HeaderWorkID)) != work {
+		return o, fmt.Errorf("order %s got the answer of %s: %w", work, response.Header.Peek(kqupstream.HeaderWorkID), kqcall.ErrMalformed)
 	}
 	return o, nil
 }
--- a/internal/call/kqentry/entry.go
+++ b/internal/call/kqentry/entry.go
@@ -9,16 +9,16 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
-	"github.com/kumquatgw/kumquatgw/internal/call/kqhangup"
+	"github.com/kumquatgw/kumquatgw/internal/call/kqdisconnect"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqnesting"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqsend"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqsnapshot"
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqallowance"
+	"github.com/kumquatgw/kumquatgw/internal/decide/kqcallerretry"
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqpick"
-	"github.com/kumquatgw/kumquatgw/internal/decide/kqreturn"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -43,7 +43,7 @@
 type (
 	// Configuration provides the snapshot that holds a host's routes.
 	Configuration interface {
-		Want(ctx context.Context, host kqname.Host, now time.Time) (*kqsnapshot.Snapshot, error)
+		EnsureHost(ctx context.Context, host kqname.Host, now time.Time) (*kqsnapshot.Snapshot, error)
 	}
 
 	// Directory lists the upstreams of a service that take new work.
@@ -76,12 +76,12 @@
 		local     Local
 		splitter  Splitter
 		counter   Counter
-		hangup    *kqhangup.Watch
+		hangup    *kqdisconnect.Watcher
 		onForged  func()
 		baseline  bool
 		dialect   kqcall.Dialect
 		recorder  Recorder
-		keeper    *kqkeeper.Keeper
+		keeper    *kqsupervisor.Supervisor
 		// bound is the operators' limit on retries over all nodes, and nodeCount returns
 		// the number of nodes. If nodeCount is nil, only this node's own retry budget
 		// applies.
@@ -117,7 +117,7 @@
 	callState struct {
 		call   kqcall.Call
 		cancel kqcall.Cancel
-		line   kqhangup.Line
+		line   kqdisconnect.WatchedCall
 		// version and sendAttempts are for the record.
 		version      kqname.ConfigVersion
 		sendAttempts []Try
@@ -127,7 +127,7 @@
 		// stops waiting, zero if it did not say. callKey identifies the caller and its
 		// request.
 		firstTry, callerDeadline time.Time
-		callKey                  kqreturn.Key
+		callKey                  kqcallerretry.Key
 	}
 
 	// defaultSplitter sends every call to the service's configured version.
@@ -157,7 +157,7 @@
 func WithDomain(d kqname.Domain) Option { return func(e *Entry) { e.domain = d } }
 
 // WithHangup sets the watch that detects callers' disconnects.
-func WithHangup(w *kqhangup.Watch) Option { return func(e *Entry) { e.hangup = w } }
+func WithHangup(w *kqdisconnect.Watcher) Option { return func(e *Entry) { e.hangup = w } }
 
 // WithForged sets a function that runs for each call from outside that carried headers
 // reserved for this project.
@@ -173,7 +173,7 @@
 
 // WithKeeper sets the keeper that recovers panics, so that a panic ends only its own
 // call.
-func WithKeeper(k *kqkeeper.Keeper) Option { return func(e *Entry) { e.keeper = k } }
+func WithKeeper(k *kqsupervisor.Supervisor) Option { return func(e *Entry) { e.keeper = k } }
 
 // WithOrigin sets the service whose upstream runs on this entry's server.
 func WithOrigin(s kqname.Service) Option { return func(e *Entry) { e.origin = s } }
@@ -195,7 +195,7 @@
 func New(self kqname.Node, config Configuration, directory Directory, local Local, options ...Option) *Entry {
 	e := &Entry{
 		self: self, config: config, directory: directory, local: local,
-		splitter: defaultSplitter{}, counter: noopCounter{}, recorder: noopRecorder{}, hangup: kqhangup.New(), onForged: func() {}, started: time.Now(), now: time.Now,
+		splitter: defaultSplitter{}, counter: noopCounter{}, recorder: noopRecorder{}, hangup: kqdisconnect.New(), onForged: func() {}, started: time.Now(), now: time.Now,
 		// The random prefix keeps ids unique across nodes and across restarts of a node.
 		idPrefix:         strconv.FormatUint(rand.Uint64(), 36) + "-",
 		returningCallers: newReturningCallers(), nesting: kqnesting.New(),
--- a/internal/call/kqentry/fault_injection.go
+++ b/internal/call/kqentry/fault_injection.go
@@ -6,4 +6,4 @@
 
 // retriesNonIdempotent makes the entry retry calls that may have run even if they are
 // not idempotent.
-var retriesNonIdempotent = kqfault.Planted(kqfault.Repeat)
+var retriesNonIdempotent = kqfault.Enabled(kqfault.Repeat)
--- a/internal/call/kqentry/headers_test.go
+++ b/internal/call/kqentry/headers_test.go
@@ -45,7 +45,7 @@
 		header.Set("Path", r.URL.Path)
 		u.seen = append(u.seen, header)
 		u.mu.Unlock()
-		w.Header().Set(kqupstream.HeaderWork, r.Header.Get(kqupstream.HeaderWork))
+		w.Header().Set(kqupstream.HeaderWorkID, r.Header.Get(kqupstream.HeaderWorkID))
 		handler(w, r)
 	})}
 	go func() { _ = server.Serve(l) }()
--- a/internal/call/kqentry/match.go
+++ b/internal/call/kqentry/match.go
@@ -51,7 +51,7 @@
 func (e *Entry) snapshotFor(host kqname.Host, now time.Time) (*kqsnapshot.Snapshot, error) {
 	ctx := &lazyDeadline{Context: context.Background(), deadline: now.Add(configTimeout)}
 	defer ctx.stop()
-	return e.config.Want(ctx, host, now)
+	return e.config.EnsureHost(ctx, host, now)
 }
 
 // Done implements context.Context.
--- a/internal/call/kqentry/record.go
+++ b/internal/call/kqentry/record.go
@@ -30,19 +30,19 @@
 	Try struct {
 		To      kqname.Node
 		Version kqname.UpstreamVersion
-		// Sent is the number of calls from this entry in flight to the upstream.
-		Sent int
+		// InFlight is the number of calls from this entry in flight to the upstream.
+		InFlight int
 		// Load is the load that the upstream's gate last reported, LoadAge ago.
 		Load    kqcall.Load
 		LoadAge time.Duration
-		// Left is the time from the attempt to the deadline, Took the time to its
+		// TimeLeft is the time from the attempt to the deadline, Took the time to its
 		// outcome.
-		Left, Took time.Duration
-		Outcome    kqcall.Outcome
+		TimeLeft, Took time.Duration
+		Outcome        kqcall.Outcome
 		// Status is the upstream's HTTP status, 0 if it sent none.
 		Status int
-		// Again reports whether the call was sent to another upstream after this one.
-		Again bool
+		// Resent reports whether the call was sent to another upstream after this one.
+		Resent bool
 		// Ejected reports whether the upstream is ejected after this attempt.
 		Ejected bool
 	}
@@ -59,6 +59,6 @@
 
 // newTry returns an attempt with the state by which its upstream was picked.
 func newTry(p *kqpick.Peer, c *kqcall.Call, now time.Time) Try {
-	load, age := p.Known(now)
-	return Try{To: p.Node, Version: p.Version, Sent: p.Sent(), Load: load, LoadAge: age, Left: c.Deadline.Sub(now)}
+	load, age := p.LastReport(now)
+	return Try{To: p.Node, Version: p.Version, InFlight: p.InFlight(), Load: load, LoadAge: age, TimeLeft: c.Deadline.Sub(now)}
 }
--- a/internal/call/kqentry/refusal_test.go
+++ b/internal/call/kqentry/refusal_test.go
@@ -46,7 +46,7 @@
 	noLocal struct{}
 )
 
-func (f fixedConfig) Want(context.Context, kqname.Host, time.Time) (*kqsnapshot.Snapshot, error) {
+func (f fixedConfig) EnsureHost(context.Context, kqname.Host, time.Time) (*kqsnapshot.Snapshot, error) {
 	return f.snapshot, nil
 }
 
@@ -109,7 +109,7 @@
 	var all fakeDirectory
 	for i, g := range gates {
 		all = append(all, kqmember.Candidate{
-			Upstream: kqmember.Upstream{Service: "store", Version: "v1", Slots: 6, Warm: time.Unix(1, 0)},
+			Upstream: kqmember.Upstream{Service: "store", Version: "v1", Slots: 6, WarmFrom: time.Unix(1, 0)},
 			Node:     kqname.Node(fmt.Sprint("gate-", i)), Gate: kqname.Address(g.Listener.Addr().String()),
 		})
 	}
--- a/internal/call/kqentry/returning_callers.go
+++ b/internal/call/kqentry/returning_callers.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
-	"github.com/kumquatgw/kumquatgw/internal/decide/kqreturn"
+	"github.com/kumquatgw/kumquatgw/internal/decide/kqcallerretry"
 )
 
 // retryAfterParts divides a caller's remaining time into its Retry-After: a third of it
@@ -23,7 +23,7 @@
 
 	returningShard struct {
 		mu               sync.Mutex
-		returningCallers *kqreturn.Returns
+		returningCallers *kqcallerretry.RetryTracker
 	}
 )
 
@@ -31,7 +31,7 @@
 func newReturningCallers() returningCallers {
 	var r returningCallers
 	for i := range r.shards {
-		r.shards[i] = &returningShard{returningCallers: kqreturn.New()}
+		r.shards[i] = &returningShard{returningCallers: kqcallerretry.New()}
 	}
 	return r
 }
@@ -47,7 +47,7 @@
 	s := r.shards[f.callKey%shardCount]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f.firstTry = s.returningCallers.First(f.callKey, now)
+	f.firstTry = s.returningCallers.FirstAttempt(f.callKey, now)
 }
 
 // ended remembers a call without a good answer until its caller's deadline, so that a
@@ -61,7 +61,7 @@
 	s := r.shards[f.callKey%shardCount]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.returningCallers.Unserved(f.callKey, f.firstTry, f.callerDeadline)
+	s.returningCallers.RecordFailure(f.callKey, f.firstTry, f.callerDeadline)
 }
 
 // extendRetryAfter lengthens a Retry-After with which the caller would miss its target
@@ -77,7 +77,7 @@
 
 // callKey identifies the caller and its request by a hash. It must run while the
 // request's header is still as the caller sent it.
-func callKey(c *kqcall.Call) kqreturn.Key {
+func callKey(c *kqcall.Call) kqcallerretry.Key {
 	var d xxhash.Digest
 	d.Reset()
 	h := &c.Request.Header
@@ -85,5 +85,5 @@
 		_, _ = d.Write(part)
 		_, _ = d.Write([]byte{0})
 	}
-	return kqreturn.Key(d.Sum64())
+	return kqcallerretry.Key(d.Sum64())
 }
--- a/internal/call/kqentry/returning_callers_test.go
+++ b/internal/call/kqentry/returning_callers_test.go
@@ -28,12 +28,12 @@
 
 const callerTimeout = 3 * time.Second
 
-func (timeoutDialect) Accept(h *fasthttp.RequestHeader) kqcall.Told {
-	return kqcall.Told{ID: kqcall.ID(h.Peek("Id")), Left: callerTimeout, Above: kqcall.ID(h.Peek("Above"))}
+func (timeoutDialect) Accept(h *fasthttp.RequestHeader) kqcall.CallInfo {
+	return kqcall.CallInfo{ID: kqcall.ID(h.Peek("Id")), TimeLeft: callerTimeout, ParentID: kqcall.ID(h.Peek("Above"))}
 }
-func (timeoutDialect) Tell(*kqcall.Call, time.Duration)  {}
-func (timeoutDialect) Belongs(*kqcall.Call) bool         { return true }
-func (timeoutDialect) Judge(*kqcall.Call) kqcall.Verdict { return kqcall.Verdict{} }
+func (timeoutDialect) WriteUpstreamHeaders(*kqcall.Call, time.Duration) {}
+func (timeoutDialect) IsAnswer(*kqcall.Call) bool                       { return true }
+func (timeoutDialect) ReadVerdict(*kqcall.Call) kqcall.Verdict          { return kqcall.Verdict{} }
 func (timeoutDialect) RetryAfter(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	all := fakeDirectory{{
-		Upstream: kqmember.Upstream{Service: "store", Version: "v1", Slots: 6, Warm: time.Unix(1, 0)},
+		Upstream: kqmember.Upstream{Service: "store", Version: "v1", Slots: 6, WarmFrom: time.Unix(1, 0)},
 		Node:     "gate", Gate: kqname.Address(g.Listener.Addr().String()),
 	}}
 	e := kqentry.New("self", fixedConfig{snapshot}, all, noLocal{}, kqentry.WithDialect(timeoutDialect{}), kqentry.WithNesting(nesting))
--- a/internal/call/kqentry/serve.go
+++ b/internal/call/kqentry/serve.go
@@ -19,7 +19,7 @@
 	if kqcall.StripRequest(&ctx.Request.Header) > 0 {
 		e.onForged()
 	}
-	var info kqcall.Told
+	var info kqcall.CallInfo
 	if e.dialect != nil {
 		info = e.dialect.Accept(&ctx.Request.Header)
 	}
@@ -31,32 +31,32 @@
 // upstream works on.
 func (e *Entry) ServeLocal(ctx *fasthttp.RequestCtx, caller kqname.Caller) {
 	depth, left := kqcall.ReadPropagated(&ctx.Request.Header)
-	e.serve(ctx, caller, depth+1, kqcall.Told{Left: left})
+	e.serve(ctx, caller, depth+1, kqcall.CallInfo{TimeLeft: left})
 }
 
-// Leave starts draining the entry before the node stops: each response asks its caller
+// Drain starts draining the entry before the node stops: each response asks its caller
 // to close the connection.
-func (e *Entry) Leave() { e.draining.Store(true) }
+func (e *Entry) Drain() { e.draining.Store(true) }
 
-// Quiet returns the time since the last call arrived, or since the entry was created if
+// SinceLastCall returns the time since the last call arrived, or since the entry was created if
 // none has.
-func (e *Entry) Quiet(now time.Time) time.Duration {
+func (e *Entry) SinceLastCall(now time.Time) time.Duration {
 	return now.Sub(e.started) - time.Duration(e.lastArrival.Load())
 }
 
 // Calls returns the number of calls in flight.
 func (e *Entry) Calls() int { return int(e.calls.Load()) }
 
-// Refuse makes the entry refuse all new calls, because the process will end before their
+// RefuseAll makes the entry refuse all new calls, because the process will end before their
 // answers could be complete.
-func (e *Entry) Refuse() { e.refusing.Store(true) }
+func (e *Entry) RefuseAll() { e.refusing.Store(true) }
 
 // Close closes the idle connections to other nodes' gates.
 func (e *Entry) Close() { e.gateClients.close() }
 
-// LetGo closes the idle connections to the gate of a node that is stopping, since that
+// CloseIdleTo closes the idle connections to the gate of a node that is stopping, since that
 // node waits until they are closed.
-func (e *Entry) LetGo(gate kqname.Address) {
+func (e *Entry) CloseIdleTo(gate kqname.Address) {
 	if found, ok := e.gateClients.find(gate); ok {
 		found.Close()
 	}
@@ -67,7 +67,7 @@
 func (e *Entry) Sweep(now time.Time) { e.gateClients.sweep(now) }
 
 // serve handles one call from its arrival to its record.
-func (e *Entry) serve(ctx *fasthttp.RequestCtx, caller kqname.Caller, depth int, info kqcall.Told) {
+func (e *Entry) serve(ctx *fasthttp.RequestCtx, caller kqname.Caller, depth int, info kqcall.CallInfo) {
 	e.calls.Add(1)
 	defer e.calls.Add(-1)
 	now := e.now()
@@ -81,33 +81,33 @@
 		Cancel: &f.cancel, Request: &ctx.Request, Response: &ctx.Response,
 	}
 	c := &f.call
-	c.Look = f.line.Look
+	c.CheckCaller = f.line.CheckCaller
 	if c.ID == "" {
 		c.ID = e.newID(sequence)
 	}
-	if info.Left > 0 {
-		c.Deadline = now.Add(info.Left)
+	if info.TimeLeft > 0 {
+		c.Deadline = now.Add(info.TimeLeft)
 	}
-	if parent, ok := e.nesting.Find(info.Above); ok && info.Above != "" {
+	if parent, ok := e.nesting.Find(info.ParentID); ok && info.ParentID != "" {
 		c.Caller, c.Depth, c.Repeat = parent.Caller, parent.Depth+1, parent.Repeat
 	}
 	e.returningCallers.started(f, now)
-	e.hangup.Begin(&f.line, sequence, ctx.Conn(), &f.cancel, now)
+	e.hangup.Track(&f.line, sequence, ctx.Conn(), &f.cancel, now)
 	var o kqcall.Outcome
-	if !e.keeper.Try(component, func() { o = e.handle(f, now) }) {
+	if !e.keeper.RunRecovered(component, func() { o = e.handle(f, now) }) {
 		o = f.panicOutcome()
 	}
-	e.hangup.End(&f.line)
+	e.hangup.Untrack(&f.line)
 	if o.Result == kqcall.NotRun {
 		f.extendRetryAfter(&o, e.now())
 	}
 	e.counter.Ended(o)
 	e.returningCallers.ended(f, o)
 	if c.Depth > 0 && isOverload(o) {
-		e.nesting.MarkStarved(info.Above)
+		e.nesting.MarkStarved(info.ParentID)
 	}
 	c.Answer(o)
-	e.keeper.Try("record", func() {
+	e.keeper.RunRecovered("record", func() {
 		e.recorder.Ended(Record{Call: c, Outcome: o, Status: ctx.Response.StatusCode(), Version: f.version, Tries: f.sendAttempts}, e.now())
 	})
 	// Callers of a dialect retry a refused call on a new connection. The old one would
@@ -144,11 +144,11 @@
 		c.Target = c.Target.Add(f.firstTry.Sub(now))
 	}
 	if !now.Before(c.Deadline) {
-		return kqcall.Refuse(kqcall.Late)
+		return kqcall.Refuse(kqcall.NotStartedInTime)
 	}
 	target := e.splitter.Split(found, c)
 	target.Route = c.Route
-	target.Ample = kqpick.Ample(time.Duration(route.TargetMS)*time.Millisecond, c.Depth > 0)
+	target.ComfortableLatency = kqpick.ComfortableLatency(time.Duration(route.TargetMS)*time.Millisecond, c.Depth > 0)
 	s := e.service(c.Service)
 	if !s.admit(c, e.baseline, now) {
 		o := kqcall.Refuse(kqcall.Overload)
@@ -184,8 +184,8 @@
 		var load kqcall.Load
 		var hasLoad bool
 		f.sent, c.Repeat = true, repeat || sends > 0
-		if !e.keeper.Try(component, func() { last, load, hasLoad = e.send(c, gate) }) {
-			last = kqcall.Lose(kqcall.Panicked)
+		if !e.keeper.RunRecovered(component, func() { last, load, hasLoad = e.send(c, gate) }) {
+			last = kqcall.UnknownOutcome(kqcall.Panicked)
 		}
 		f.sent = mayHaveRun > 0 || last.Result != kqcall.NotRun
 		sent := now
@@ -202,9 +202,9 @@
 			mayHaveRun++
 		}
 		canRetry := sends < limit && len(tried) < maxGates && now.Before(c.Deadline) && !c.Cancel.Done()
-		try.Again = canRetry && (s.spendRetry(c, last) || s.hasSpareGate(last, target, tried, now) || e.baselineRetries(c, last))
+		try.Resent = canRetry && (s.spendRetry(c, last) || s.hasSpareGate(last, target, tried, now) || e.baselineRetries(c, last))
 		f.sendAttempts = append(f.sendAttempts, try)
-		if !try.Again {
+		if !try.Resent {
 			return combined(last, mayHaveRun)
 		}
 		e.counter.Retried(last.Reason)
@@ -215,7 +215,7 @@
 // isOverload reports whether a call was not served for lack of capacity.
 func isOverload(o kqcall.Outcome) bool {
 	switch o.Reason {
-	case kqcall.QueueFull, kqcall.Overload, kqcall.Shed, kqcall.Late:
+	case kqcall.QueueFull, kqcall.Overload, kqcall.Shed, kqcall.NotStartedInTime:
 		return true
 	default:
 		return false
@@ -225,7 +225,7 @@
 // panicOutcome returns the outcome of a call whose handling panicked.
 func (f *callState) panicOutcome() kqcall.Outcome {
 	if f.sent {
-		return kqcall.Lose(kqcall.Panicked)
+		return kqcall.UnknownOutcome(kqcall.Panicked)
 	}
 	o := kqcall.Refuse(kqcall.Panicked)
 	o.RetryAfter = defaultRetryAfter
@@ -246,7 +246,7 @@
 	if last.Result != kqcall.NotRun || mayHaveRun == 0 {
 		return last
 	}
-	return kqcall.Lose(last.Reason)
+	return kqcall.UnknownOutcome(last.Reason)
 }
 
 // reachedUpstream reports whether a call with that outcome was sent to an upstream, and
@@ -258,7 +258,7 @@
 // baselineRetries reports whether the baseline for measurements retries the call:
 // whenever it did not run, unless its deadline has passed.
 func (e *Entry) baselineRetries(_ *kqcall.Call, o kqcall.Outcome) bool {
-	return e.baseline && o.Result == kqcall.NotRun && o.Reason != kqcall.Late
+	return e.baseline && o.Result == kqcall.NotRun && o.Reason != kqcall.NotStartedInTime
 }
 
 // send sends the call to a gate and returns the outcome and the gate's load, and whether
--- a/internal/call/kqentry/service.go
+++ b/internal/call/kqentry/service.go
@@ -75,7 +75,7 @@
 	if found, ok = s.services[name]; !ok {
 		found = &service{
 			random:  rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-			pool:    kqpick.New(e.domain, kqpick.WithPlain(e.baseline)),
+			pool:    kqpick.New(e.domain, kqpick.WithUniform(e.baseline)),
 			shedder: kqshed.New(),
 		}
 		if e.nodeCount != nil {
@@ -92,20 +92,20 @@
 	defer s.mu.Unlock()
 	if s.allowance != nil {
 		if c.Repeat {
-			s.allowance.Repeated(s.nodeCount())
+			s.allowance.RecordRepeat(s.nodeCount())
 		} else {
 			s.allowance.Earn(s.nodeCount())
 		}
 	} else {
 		s.budgetFor(c.Depth).Earn()
 	}
-	return baseline || !s.shedder.Refuse(c.Class, s.missesTarget(c, now), now, s.random)
+	return baseline || !s.shedder.ShouldShed(c.Class, s.missesTarget(c, now), now, s.random)
 }
 
 // missesTarget reports whether the call cannot make its target any more, even in the
 // least time that an upstream's gate reported for calls of the route.
 func (s *service) missesTarget(c *kqcall.Call, now time.Time) bool {
-	return c.Depth == 0 && !c.Target.IsZero() && now.Add(s.pool.Work(c.Route)).After(c.Target)
+	return c.Depth == 0 && !c.Target.IsZero() && now.Add(s.pool.LeastWork(c.Route)).After(c.Target)
 }
 
 // pick returns the upstream for the next attempt, nil if there is none that was not
@@ -192,7 +192,7 @@
 func (s *service) recordRefusal(c *kqcall.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.shedder.Refused(c.Class)
+	s.shedder.RecordRefusal(c.Class)
 }
 
 // hasSpareGate reports whether a call refused by a full gate may go to another gate
@@ -205,7 +205,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pool.Spare(target, tried, now)
+	return s.pool.HasFreeSlot(target, tried, now)
 }
 
 // budgetFor returns the retry budget of calls at that depth.
@@ -234,7 +234,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if found, ok = c.byAddress[to]; !ok {
-		found = &gateClient{Client: kqsend.New(to, kqsend.WithDialer(c.dial), kqsend.WithEcho(), kqsend.WithSilenceTimeout()), used: time.Now()}
+		found = &gateClient{Client: kqsend.New(to, kqsend.WithDialer(c.dial), kqsend.WithRequiredCallID(), kqsend.WithSilenceTimeout()), used: time.Now()}
 		c.byAddress[to] = found
 	}
 	return found.Client
--- a/internal/call/kqgate/cancel_queued_test.go
+++ b/internal/call/kqgate/cancel_queued_test.go
@@ -41,7 +41,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	queued := newCall("/")
-	queued.Look = func() { queued.Cancel.Now(kqcall.Cancelled) }
+	queued.CheckCaller = func() { queued.Cancel.Trigger(kqcall.Cancelled) }
 	var o kqcall.Outcome
 	group.Go(func() { o, _ = g.Do(queued) })
 	time.Sleep(50 * time.Millisecond)
--- a/internal/call/kqgate/gate.go
+++ b/internal/call/kqgate/gate.go
@@ -7,9 +7,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
-	"github.com/kumquatgw/kumquatgw/internal/call/kqhangup"
+	"github.com/kumquatgw/kumquatgw/internal/call/kqdisconnect"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqlocal"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqnesting"
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqfifo"
@@ -39,7 +39,7 @@
 
 	// Counter counts the outcomes of calls at the gate.
 	Counter interface {
-		Gated(o kqcall.Outcome)
+		GateCallEnded(o kqcall.Outcome)
 	}
 
 	// Observer receives the result of each call that reached the upstream.
@@ -74,11 +74,11 @@
 		guard    Guard
 		counter  Counter
 		queue    func(slots int, address kqname.Address) queue
-		hangup   *kqhangup.Watch
+		hangup   *kqdisconnect.Watcher
 		now      func() time.Time
 		dialect  kqcall.Dialect
 		recorder Recorder
-		keeper   *kqkeeper.Keeper
+		keeper   *kqsupervisor.Supervisor
 		nesting  *kqnesting.Calls
 		sequence atomic.Uint64
 		draining atomic.Bool
@@ -101,7 +101,7 @@
 
 	// Recorder receives a record of each call once it has left the gate.
 	Recorder interface {
-		Gated(r Record, now time.Time)
+		GateCallEnded(r Record, now time.Time)
 	}
 
 	// Record describes one call as the gate saw it.
@@ -120,8 +120,8 @@
 	noop struct{}
 )
 
-// Gated implements Recorder.
-func (noopRecorder) Gated(Record, time.Time) {}
+// GateCallEnded implements Recorder.
+func (noopRecorder) GateCallEnded(Record, time.Time) {}
 
 // WithRecorder sets the recorder that gets a record of each call.
 func WithRecorder(r Recorder) Option { return func(g *Gate) { g.recorder = r } }
@@ -135,8 +135,8 @@
 // Observe implements Observer.
 func (noop) Observe(Observation) {}
 
-// Gated implements Counter.
-func (noop) Gated(kqcall.Outcome) {}
+// GateCallEnded implements Counter.
+func (noop) GateCallEnded(kqcall.Outcome) {}
 
 // WithCounter sets the counter of outcomes.
 func WithCounter(c Counter) Option { return func(g *Gate) { g.counter = c } }
@@ -158,7 +158,7 @@
 
 // WithKeeper sets the keeper that recovers panics, so that a panic ends only its own
 // call.
-func WithKeeper(k *kqkeeper.Keeper) Option { return func(g *Gate) { g.keeper = k } }
+func WithKeeper(k *kqsupervisor.Supervisor) Option { return func(g *Gate) { g.keeper = k } }
 
 // WithNesting records running calls in c, so that calls made on their behalf are
 // recognized.
@@ -169,7 +169,7 @@
 func WithExactSlots() Option {
 	return func(g *Gate) {
 		g.queue = func(slots int, address kqname.Address) queue {
-			return kqslots.New(slots, saltOf(address), kqslots.WithExact())
+			return kqslots.New(slots, saltOf(address), kqslots.WithFixedLimit())
 		}
 	}
 }
@@ -180,12 +180,12 @@
 }
 
 // WithHangup sets the watch that detects callers' disconnects.
-func WithHangup(w *kqhangup.Watch) Option { return func(g *Gate) { g.hangup = w } }
+func WithHangup(w *kqdisconnect.Watcher) Option { return func(g *Gate) { g.hangup = w } }
 
 // New returns a gate to the upstreams that local finds.
 func New(local Finder, options ...Option) *Gate {
 	g := &Gate{
-		local: local, withdraw: noop{}, observer: noop{}, guard: noop{}, counter: noop{}, recorder: noopRecorder{}, now: time.Now, hangup: kqhangup.New(),
+		local: local, withdraw: noop{}, observer: noop{}, guard: noop{}, counter: noop{}, recorder: noopRecorder{}, now: time.Now, hangup: kqdisconnect.New(),
 		upstreams: make(map[upstreamKey]*upstream), nesting: kqnesting.New(),
 		queue: func(slots int, address kqname.Address) queue {
 			return kqslots.New(slots, saltOf(address))
@@ -207,12 +207,12 @@
 		return
 	}
 	var cancel kqcall.Cancel
-	var line kqhangup.Line
-	c.Cancel, c.Dialect, c.Look = &cancel, g.dialect, line.Look
-	g.hangup.Begin(&line, g.sequence.Add(1), ctx.Conn(), &cancel, now)
+	var line kqdisconnect.WatchedCall
+	c.Cancel, c.Dialect, c.CheckCaller = &cancel, g.dialect, line.CheckCaller
+	g.hangup.Track(&line, g.sequence.Add(1), ctx.Conn(), &cancel, now)
 	o, load := g.handle(c, now)
-	g.hangup.End(&line)
-	g.counter.Gated(o)
+	g.hangup.Untrack(&line)
+	g.counter.GateCallEnded(o)
 	c.Answer(o)
 	c.WriteStarved()
 	load.Write(&ctx.Response.Header)
@@ -227,13 +227,13 @@
 // and returns the upstream's load.
 func (g *Gate) Do(c *kqcall.Call) (kqcall.Outcome, kqcall.Load) {
 	o, load := g.handle(c, g.now())
-	g.counter.Gated(o)
+	g.counter.GateCallEnded(o)
 	return o, load
 }
 
-// Leave starts draining the gate before the node stops: new and waiting calls are
+// Drain starts draining the gate before the node stops: new and waiting calls are
 // refused, running calls finish.
-func (g *Gate) Leave() {
+func (g *Gate) Drain() {
 	g.draining.Store(true)
 	g.Sweep(g.now())
 }
@@ -255,9 +255,9 @@
 	}
 }
 
-// Working reports whether calls run or wait at an upstream of the service whose version
+// HasCalls reports whether calls run or wait at an upstream of the service whose version
 // satisfies fits.
-func (g *Gate) Working(service kqname.Service, fits func(kqname.UpstreamVersion) bool) bool {
+func (g *Gate) HasCalls(service kqname.Service, fits func(kqname.UpstreamVersion) bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for key, u := range g.upstreams {
@@ -271,13 +271,13 @@
 // handle forwards the call and records it.
 func (g *Gate) handle(c *kqcall.Call, now time.Time) (kqcall.Outcome, kqcall.Load) {
 	r := Record{Call: c}
-	if !g.keeper.Try(component, func() { r.Outcome, r.Load = g.forward(c, &r, now) }) {
+	if !g.keeper.RunRecovered(component, func() { r.Outcome, r.Load = g.forward(c, &r, now) }) {
 		// A response that the panic left incomplete must not reach the caller.
 		c.Response.Reset()
-		r.Outcome = kqcall.Lose(kqcall.Panicked)
+		r.Outcome = kqcall.UnknownOutcome(kqcall.Panicked)
 	}
 	r.Status = upstreamStatus(c, r.Outcome)
-	g.keeper.Try("record", func() { g.recorder.Gated(r, g.now()) })
+	g.keeper.RunRecovered("record", func() { g.recorder.GateCallEnded(r, g.now()) })
 	return r.Outcome, r.Load
 }
 
@@ -315,7 +315,7 @@
 		// A slot that a panic kept would be lost; after a few panics the upstream took
 		// no calls.
 		if !released {
-			u.releaseSlot(t, kqcall.Lose(kqcall.Panicked), true, 0, began)
+			u.releaseSlot(t, kqcall.UnknownOutcome(kqcall.Panicked), true, 0, began)
 		}
 	}()
 	c.Instance = a.Instance
@@ -353,8 +353,8 @@
 
 // cancelReason returns why a call that has waited must not run any more, or NoReason.
 func cancelReason(c *kqcall.Call, waited time.Duration) kqcall.Reason {
-	if waited >= callerCheckAfter && c.Look != nil {
-		c.Look()
+	if waited >= callerCheckAfter && c.CheckCaller != nil {
+		c.CheckCaller()
 	}
 	return c.Cancel.Reason()
 }
@@ -385,14 +385,14 @@
 // sendToUpstream sends the call and turns a response that says the call did not run into
 // a refusal.
 func sendToUpstream(u *upstream, c *kqcall.Call, now time.Time) kqcall.Outcome {
-	c.Tell(now)
+	c.WriteUpstreamHeaders(now)
 	o := u.client.Do(c)
 	if o.Result != kqcall.Answered {
 		return o
 	}
 	kqcall.StripResponse(&c.Response.Header)
 	if c.Dialect != nil {
-		if v := c.Dialect.Judge(c); v.NotRun != kqcall.NoReason {
+		if v := c.Dialect.ReadVerdict(c); v.NotRun != kqcall.NoReason {
 			c.Response.Reset()
 			return kqcall.Refuse(v.NotRun)
 		}
--- a/internal/call/kqgate/upstream.go
+++ b/internal/call/kqgate/upstream.go
@@ -10,7 +10,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqlocal"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqsend"
-	"github.com/kumquatgw/kumquatgw/internal/decide/kqfailing"
+	"github.com/kumquatgw/kumquatgw/internal/decide/kqfailrate"
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqslots"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -39,7 +39,7 @@
 		Close() []*kqslots.Ticket
 		Reopen()
 		Load() kqcall.Load
-		Tell(t *kqslots.Ticket, now time.Time) kqcall.Load
+		LoadFor(t *kqslots.Ticket, now time.Time) kqcall.Load
 	}
 
 	// upstream holds the queue and the connections of one local upstream.
@@ -49,7 +49,7 @@
 		mu    sync.Mutex
 		queue queue
 		// failing is the failure rate of the calls from all entries.
-		failing kqfailing.Failing
+		failing kqfailrate.FailureRate
 		slots   int
 		closed  bool
 		// failedSince is when connecting began to fail, nil if the last call got a
@@ -64,9 +64,9 @@
 )
 
 func newUpstream(a kqlocal.Announcement, q queue, d kqcall.Dialect) *upstream {
-	options := []kqsend.Option{kqsend.WithMost(max(maxConnections, a.Slots)), kqsend.WithIdle(upstreamIdleTimeout)}
+	options := []kqsend.Option{kqsend.WithMaxConnections(max(maxConnections, a.Slots)), kqsend.WithIdleTimeout(upstreamIdleTimeout)}
 	if d != nil {
-		options = append(options, kqsend.WithMatch(d.Belongs))
+		options = append(options, kqsend.WithResponseMatcher(d.IsAnswer))
 	}
 	return &upstream{
 		slots: a.Slots, queue: q,
@@ -124,7 +124,7 @@
 func (u *upstream) admit(t *kqslots.Ticket, c *kqcall.Call, now time.Time) kqcall.Outcome {
 	u.mu.Lock()
 	u.queue.Enter(t, now)
-	verdict, giveUp := t.Verdict, t.GiveUp
+	verdict, giveUp := t.Verdict, t.ExpireAt
 	u.mu.Unlock()
 	switch verdict {
 	case kqslots.Run:
@@ -144,7 +144,7 @@
 	case <-t.Ready:
 		return admission(t)
 	case <-timer.C:
-	case <-c.Cancel.Wake():
+	case <-c.Cancel.Signal():
 		cancelled = true
 	}
 	u.mu.Lock()
@@ -173,7 +173,7 @@
 	defer u.mu.Unlock()
 	wake(u.queue.Leave(t, took, now))
 	if o.Reason != kqcall.Cancelled {
-		u.failing.Note(failed, now)
+		u.failing.Record(failed, now)
 	}
 	l := u.loadLocked(t, now)
 	u.recycle(t)
@@ -182,8 +182,8 @@
 
 // loadLocked returns the queue's load plus the failure rate. The caller holds u.mu.
 func (u *upstream) loadLocked(t *kqslots.Ticket, now time.Time) kqcall.Load {
-	l := u.queue.Tell(t, now)
-	l.Failing = u.failing.Share(now)
+	l := u.queue.LoadFor(t, now)
+	l.FailureRate = u.failing.Rate(now)
 	return l
 }
 
--- a/internal/call/kqlocal/fault_injection.go
+++ b/internal/call/kqlocal/fault_injection.go
@@ -5,4 +5,4 @@
 import "github.com/kumquatgw/kumquatgw/internal/lab/kqfault"
 
 // ignoresDraining makes the node keep using an upstream that drains.
-var ignoresDraining = kqfault.Planted(kqfault.Goodbye)
+var ignoresDraining = kqfault.Enabled(kqfault.Goodbye)
--- a/internal/call/kqlocal/goodbye_test.go
+++ b/internal/call/kqlocal/goodbye_test.go
@@ -17,8 +17,8 @@
 	var published []kqmember.Upstream
 	u := kqlocal.New(time.Minute, func(list []kqmember.Upstream) { published = list })
 	for _, a := range []kqlocal.Announcement{
-		{Service: "store", Version: "v1", Address: "127.0.0.1:1", Slots: 4, Instance: "one", Born: 10, Sequence: 7},
-		{Instance: "one", Born: 20, Gone: true},
+		{Service: "store", Version: "v1", Address: "127.0.0.1:1", Slots: 4, Instance: "one", StartedMS: 10, Sequence: 7},
+		{Instance: "one", StartedMS: 20, Gone: true},
 	} {
 		if err := u.Announce(a, now); err != nil {
 			t.Fatal(err)
@@ -35,8 +35,8 @@
 	now := time.Unix(1000, 0)
 	var published []kqmember.Upstream
 	u := kqlocal.New(time.Minute, func(list []kqmember.Upstream) { published = list })
-	next := kqlocal.Announcement{Service: "store", Version: "v1", Address: "127.0.0.1:1", Slots: 4, Instance: "one", Born: 20, Sequence: 1}
-	for _, a := range []kqlocal.Announcement{next, {Instance: "one", Born: 10, Gone: true}, next} {
+	next := kqlocal.Announcement{Service: "store", Version: "v1", Address: "127.0.0.1:1", Slots: 4, Instance: "one", StartedMS: 20, Sequence: 1}
+	for _, a := range []kqlocal.Announcement{next, {Instance: "one", StartedMS: 10, Gone: true}, next} {
 		if err := u.Announce(a, now); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/call/kqlocal/upstreams.go
+++ b/internal/call/kqlocal/upstreams.go
@@ -47,11 +47,11 @@
 		Draining bool                   `json:"draining,omitempty"`
 		// Instance distinguishes this upstream from others that have had its address.
 		Instance kqname.Instance `json:"instance,omitempty"`
-		// Born is when the upstream started, in milliseconds of its own clock, and
+		// StartedMS is when the upstream started, in milliseconds of its own clock, and
 		// Sequence numbers its announcements since then, so that late ones are
 		// recognized. If both are 0, announcements apply in the order of their arrival.
-		Born     int64  `json:"born,omitempty"`
-		Sequence uint64 `json:"sequence,omitempty"`
+		StartedMS int64  `json:"born,omitempty"`
+		Sequence  uint64 `json:"sequence,omitempty"`
 		// Cold is for how much longer the upstream is slow after its start.
 		Cold time.Duration `json:"cold,omitempty"`
 		// Gone means that the upstream takes no more work at all. Only Instance and, if
@@ -124,11 +124,11 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	old, ok := u.byAddress[a.Address]
-	if e, left := u.goodbyes[a.Instance]; left && a.Born <= e.startMS || ok && a.isOlderThan(old.Announcement) {
+	if e, left := u.goodbyes[a.Instance]; left && a.StartedMS <= e.startMS || ok && a.isOlderThan(old.Announcement) {
 		return nil
 	}
 	next := registration{Announcement: a, firstSeen: now, lastRenewed: now, coldFor: a.Cold}
-	if ok && old.Service == a.Service && old.Version == a.Version && old.Instance == a.Instance && old.Born == a.Born {
+	if ok && old.Service == a.Service && old.Version == a.Version && old.Instance == a.Instance && old.StartedMS == a.StartedMS {
 		next.firstSeen, next.coldFor, next.withdrawal = old.firstSeen, old.coldFor, old.withdrawal
 		next.withdrawn = old.withdrawn && now.Sub(old.withdrawnAt) < old.minDuration
 	}
@@ -162,12 +162,12 @@
 func (u *Upstreams) recordGoodbye(a Announcement, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	startMS, removed := a.Born, false
+	startMS, removed := a.StartedMS, false
 	for address, e := range u.byAddress {
-		if e.Instance != a.Instance || a.Born != 0 && a.Born < e.Born {
+		if e.Instance != a.Instance || a.StartedMS != 0 && a.StartedMS < e.StartedMS {
 			continue
 		}
-		startMS, removed = max(startMS, e.Born), true
+		startMS, removed = max(startMS, e.StartedMS), true
 		delete(u.byAddress, address)
 	}
 	if removed {
@@ -176,19 +176,19 @@
 	u.goodbyes[a.Instance] = goodbye{startMS: max(startMS, u.goodbyes[a.Instance].startMS), receivedAt: now}
 }
 
-// Left applies a goodbye that an earlier process of this node received.
-func (u *Upstreams) Left(instance kqname.Instance, startMS int64, now time.Time) {
-	u.recordGoodbye(Announcement{Instance: instance, Born: startMS}, now)
+// ApplyGoodbye applies a goodbye that an earlier process of this node received.
+func (u *Upstreams) ApplyGoodbye(instance kqname.Instance, startMS int64, now time.Time) {
+	u.recordGoodbye(Announcement{Instance: instance, StartedMS: startMS}, now)
 }
 
-// Born returns when the upstream of that instance started, by its own clock in
+// StartedMS returns when the upstream of that instance started, by its own clock in
 // milliseconds, or 0 if it is unknown.
-func (u *Upstreams) Born(instance kqname.Instance) int64 {
+func (u *Upstreams) StartedMS(instance kqname.Instance) int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, e := range u.byAddress {
 		if e.Instance == instance {
-			return e.Born
+			return e.StartedMS
 		}
 	}
 	return 0
@@ -197,8 +197,8 @@
 // isOlderThan reports whether the announcement was made before the held one of the same
 // address.
 func (a Announcement) isOlderThan(held Announcement) bool {
-	if a.Born != held.Born {
-		return a.Born < held.Born
+	if a.StartedMS != held.StartedMS {
+		return a.StartedMS < held.StartedMS
 	}
 	return a.Sequence != 0 && a.Instance == held.Instance && a.Sequence < held.Sequence
 }
@@ -276,7 +276,7 @@
 		}
 		next := kqmember.Upstream{Service: e.Service, Version: e.Version, Slots: e.Slots, Draining: e.Draining, Started: e.firstSeen}
 		if e.Instance != "" {
-			next.Warm = e.firstSeen.Add(e.coldFor)
+			next.WarmFrom = e.firstSeen.Add(e.coldFor)
 		}
 		list = append(list, next)
 	}
--- a/internal/call/kqlocal/upstreams_test.go
+++ b/internal/call/kqlocal/upstreams_test.go
@@ -21,19 +21,19 @@
 			t.Fatal(err)
 		}
 	}
-	announce(kqlocal.Announcement{Born: 10, Sequence: 5})
+	announce(kqlocal.Announcement{StartedMS: 10, Sequence: 5})
 	if err := u.Announce(kqlocal.Announcement{Instance: "one", Gone: true}, now); err != nil {
 		t.Fatal(err)
 	}
-	announce(kqlocal.Announcement{Born: 10, Sequence: 6})
+	announce(kqlocal.Announcement{StartedMS: 10, Sequence: 6})
 	if len(published) != 0 {
 		t.Error("a late announcement of the former start was applied")
 	}
-	announce(kqlocal.Announcement{Born: 20, Sequence: 1})
+	announce(kqlocal.Announcement{StartedMS: 20, Sequence: 1})
 	if len(published) != 1 {
 		t.Error("the announcement of the new start was ignored")
 	}
-	announce(kqlocal.Announcement{Born: 10, Sequence: 9, Draining: true})
+	announce(kqlocal.Announcement{StartedMS: 10, Sequence: 9, Draining: true})
 	if len(published) != 1 || published[0].Draining {
 		t.Error("an announcement of the former start changed the new one")
 	}
@@ -46,7 +46,7 @@
 	var published []kqmember.Upstream
 	u := kqlocal.New(time.Minute, func(list []kqmember.Upstream) { published = list })
 	for _, a := range []kqlocal.Announcement{{Sequence: 1}, {Sequence: 3, Draining: true}, {Sequence: 2}} {
-		a.Service, a.Version, a.Address, a.Slots, a.Instance, a.Born = "store", "v1", "127.0.0.1:1", 4, "one", 10
+		a.Service, a.Version, a.Address, a.Slots, a.Instance, a.StartedMS = "store", "v1", "127.0.0.1:1", 4, "one", 10
 		if err := u.Announce(a, now); err != nil {
 			t.Fatal(err)
 		}
@@ -63,7 +63,7 @@
 	now := time.Unix(1000, 0)
 	var published []kqmember.Upstream
 	u := kqlocal.New(time.Minute, func(list []kqmember.Upstream) { published = list })
-	a := kqlocal.Announcement{Service: "store", Version: "v1", Address: "127.0.0.1:1", Slots: 4, Instance: "one", Born: 10}
+	a := kqlocal.Announcement{Service: "store", Version: "v1", Address: "127.0.0.1:1", Slots: 4, Instance: "one", StartedMS: 10}
 	announce := func() {
 		t.Helper()
 		a.Sequence++
@@ -87,7 +87,7 @@
 		}
 	}
 	u.Withdraw(a.Address, now)
-	a.Born, a.Sequence = 20, 0
+	a.StartedMS, a.Sequence = 20, 0
 	if announce(); len(published) != 1 {
 		t.Error("the upstream's next start is not published")
 	}
--- a/internal/call/kqsend/client.go
+++ b/internal/call/kqsend/client.go
@@ -8,17 +8,17 @@
 	"sync"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqshortage"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqexhaustion"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
-	"github.com/kumquatgw/kumquatgw/internal/call/kqhangup"
+	"github.com/kumquatgw/kumquatgw/internal/call/kqdisconnect"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
 const (
-	// IdleFor is how long an idle connection is kept. Servers keep theirs for longer, so
+	// DefaultIdleTimeout is how long an idle connection is kept. Servers keep theirs for longer, so
 	// that the client closes first: a connection that the server closes may already carry a
 	// new request.
-	IdleFor = 2 * time.Second
+	DefaultIdleTimeout = 2 * time.Second
 
 	defaultMaxConnections = 512
 	dialTimeout           = time.Second
@@ -69,7 +69,7 @@
 		net.Conn
 		reader  *bufio.Reader
 		writer  *bufio.Writer
-		probe   *kqhangup.Probe
+		probe   *kqdisconnect.Probe
 		written int
 		// maxIdle is how long the connection may stay idle: by the peer's last
 		// Keep-Alive header, at most the client's own timeout.
@@ -90,11 +90,11 @@
 	}
 }
 
-// WithMost limits the number of open connections.
-func WithMost(n int) Option { return func(s *Client) { s.maxOpen = n } }
+// WithMaxConnections limits the number of open connections.
+func WithMaxConnections(n int) Option { return func(s *Client) { s.maxOpen = n } }
 
-// WithEcho rejects responses without the call's id. Nodes always send it.
-func WithEcho() Option { return func(c *Client) { c.requiresCallID = true } }
+// WithRequiredCallID rejects responses without the call's id. Nodes always send it.
+func WithRequiredCallID() Option { return func(c *Client) { c.requiresCallID = true } }
 
 // WithSilenceTimeout gives up a peer that is silent for shortSilenceTimeout, as is right
 // between nodes of one fleet, but lets calls that are not idempotent wait until their
@@ -103,16 +103,16 @@
 // could not tell whether it ran.
 func WithSilenceTimeout() Option { return func(c *Client) { c.variesSilenceTimeout = true } }
 
-// WithMatch sets the function that reports whether a response belongs to the call that was
+// WithResponseMatcher sets the function that reports whether a response belongs to the call that was
 // sent, for peers that do not use this mesh's headers.
-func WithMatch(f func(*kqcall.Call) bool) Option { return func(c *Client) { c.matches = f } }
+func WithResponseMatcher(f func(*kqcall.Call) bool) Option { return func(c *Client) { c.matches = f } }
 
-// WithIdle sets how long an idle connection is kept, in place of IdleFor.
-func WithIdle(d time.Duration) Option { return func(c *Client) { c.idleTimeout = d } }
+// WithIdleTimeout sets how long an idle connection is kept, in place of IdleFor.
+func WithIdleTimeout(d time.Duration) Option { return func(c *Client) { c.idleTimeout = d } }
 
 // New returns a client that sends to the target.
 func New(target kqname.Address, options ...Option) *Client {
-	c := &Client{target: target, maxOpen: defaultMaxConnections, dialer: dialPlain, idleTimeout: IdleFor}
+	c := &Client{target: target, maxOpen: defaultMaxConnections, dialer: dialPlain, idleTimeout: DefaultIdleTimeout}
 	for _, o := range options {
 		o(c)
 	}
@@ -191,9 +191,9 @@
 	}
 	n := &connection{Conn: dialed, maxIdle: c.idleTimeout}
 	if c.variesSilenceTimeout {
-		kqhangup.Bound(dialed, shortSilenceTimeout)
+		kqdisconnect.SetUserTimeout(dialed, shortSilenceTimeout)
 	}
-	n.probe = kqhangup.NewProbe(dialed)
+	n.probe = kqdisconnect.NewProbe(dialed)
 	n.reader = bufio.NewReaderSize(n.Conn, bufferSize)
 	n.writer = bufio.NewWriterSize(n, bufferSize)
 	return n, nil
@@ -207,7 +207,7 @@
 	retryUntil := earlier(call.Deadline, time.Now().Add(descriptorWait))
 	for {
 		dialed, err := c.dialer(string(c.target))
-		if err == nil || !kqshortage.Is(err) || call.Cancel.Done() || !time.Now().Before(retryUntil) {
+		if err == nil || !kqexhaustion.Is(err) || call.Cancel.Done() || !time.Now().Before(retryUntil) {
 			return dialed, err
 		}
 		time.Sleep(descriptorRetryInterval)
@@ -235,7 +235,7 @@
 	if long {
 		bound = longSilenceTimeout
 	}
-	kqhangup.Bound(n.Conn, bound)
+	kqdisconnect.SetUserTimeout(n.Conn, bound)
 }
 
 func (c *Client) release(n *connection) {
--- a/internal/call/kqsend/client_test.go
+++ b/internal/call/kqsend/client_test.go
@@ -103,7 +103,7 @@
 		_, _ = readRequestPath(r)
 		_ = c.Close()
 	})
-	if o := p.client().Do(call("/order", callTimeout)); o != kqcall.Lose(kqcall.Cut) {
+	if o := p.client().Do(call("/order", callTimeout)); o != kqcall.UnknownOutcome(kqcall.Cut) {
 		t.Errorf("outcome is %v, want unknown: cut", o)
 	}
 	if n := p.opened.Load(); n != 1 {
@@ -138,7 +138,7 @@
 		}
 	})
 	client := p.client()
-	if o := client.Do(call("/slow", 50*time.Millisecond)); o != kqcall.Lose(kqcall.Timeout) {
+	if o := client.Do(call("/slow", 50*time.Millisecond)); o != kqcall.UnknownOutcome(kqcall.Timeout) {
 		t.Errorf("slow call: %v, want unknown: timeout", o)
 	}
 	close(late)
@@ -181,7 +181,7 @@
 	})
 	client := p.client()
 	for n := range int32(2) {
-		if o := client.Do(call("/one", callTimeout)); o != kqcall.Lose(kqcall.Crossed) {
+		if o := client.Do(call("/one", callTimeout)); o != kqcall.UnknownOutcome(kqcall.Crossed) {
 			t.Errorf("outcome is %v, want unknown: crossed", o)
 		}
 		if got := p.opened.Load(); got != n+1 {
@@ -203,9 +203,9 @@
 	c := call("/long", callTimeout)
 	go func() {
 		<-began
-		c.Cancel.Now(kqcall.Cancelled)
+		c.Cancel.Trigger(kqcall.Cancelled)
 	}()
-	if o := p.client().Do(c); o != kqcall.Lose(kqcall.Cancelled) {
+	if o := p.client().Do(c); o != kqcall.UnknownOutcome(kqcall.Cancelled) {
 		t.Errorf("outcome is %v, want unknown: cancelled", o)
 	}
 	select {
--- a/internal/call/kqsend/descriptor_test.go
+++ b/internal/call/kqsend/descriptor_test.go
@@ -50,7 +50,7 @@
 		want       kqcall.Reason
 	}{
 		"deadline after the descriptor wait":       {callTimeout, time.Second, kqcall.ConnectFailed},
-		"deadline before the descriptor wait ends": {50 * time.Millisecond, 300 * time.Millisecond, kqcall.Late},
+		"deadline before the descriptor wait ends": {50 * time.Millisecond, 300 * time.Millisecond, kqcall.NotStartedInTime},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := kqsend.New("127.0.0.1:1", kqsend.WithDialer(dialerWithoutDescriptors(1<<30)))
--- a/internal/call/kqsend/exchange.go
+++ b/internal/call/kqsend/exchange.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return connectFailureOutcome(err, call.Deadline)
 	}
-	if !call.Cancel.Attach(n) {
+	if !call.Cancel.SetConnection(n) {
 		c.release(n)
 		return kqcall.Refuse(call.Cancel.Reason())
 	}
@@ -37,7 +37,7 @@
 		// After a panic during the exchange the connection must neither be reused nor
 		// remain counted as open.
 		if !completed {
-			call.Cancel.Attach(nil)
+			call.Cancel.SetConnection(nil)
 			c.drop(n)
 		}
 	}()
@@ -49,15 +49,15 @@
 // complete returns the exchange's outcome and keeps or closes its connection.
 func (c *Client) complete(n *connection, call *kqcall.Call, err error) kqcall.Outcome {
 	if err != nil {
-		call.Cancel.Attach(nil)
+		call.Cancel.SetConnection(nil)
 		c.drop(n)
 		return n.failureOutcome(call, err)
 	}
 	if c.isMismatched(call) {
-		call.Cancel.Attach(nil)
+		call.Cancel.SetConnection(nil)
 		call.Response.Reset()
 		c.drop(n)
-		return kqcall.Lose(kqcall.Crossed)
+		return kqcall.UnknownOutcome(kqcall.Crossed)
 	}
 	peerCloses := call.Response.ConnectionClose()
 	call.Response.Header.ResetConnectionClose()
@@ -72,7 +72,7 @@
 
 // finish returns the connection of a completed exchange to the pool, or closes it.
 func (c *Client) finish(n *connection, call *kqcall.Call, peerCloses, cut bool) {
-	call.Cancel.Attach(nil)
+	call.Cancel.SetConnection(nil)
 	switch {
 	case peerCloses:
 		// The peer is shutting down and would close its other connections, possibly while a
@@ -176,11 +176,11 @@
 	case n.written == 0:
 		return connectFailureOutcome(err, call.Deadline)
 	case cancelled != kqcall.NoReason:
-		return kqcall.Lose(cancelled)
+		return kqcall.UnknownOutcome(cancelled)
 	case isTimeout(err):
-		return kqcall.Lose(kqcall.Timeout)
+		return kqcall.UnknownOutcome(kqcall.Timeout)
 	default:
-		return kqcall.Lose(kqcall.Cut)
+		return kqcall.UnknownOutcome(kqcall.Cut)
 	}
 }
 
@@ -191,7 +191,7 @@
 		o.RetryAfter = connectionLimitRetryAfter
 		return o
 	case !time.Now().Before(deadline):
-		return kqcall.Refuse(kqcall.Late)
+		return kqcall.Refuse(kqcall.NotStartedInTime)
 	default:
 		return kqcall.Refuse(kqcall.ConnectFailed)
 	}
--- a/internal/call/kqsend/exchange_test.go
+++ b/internal/call/kqsend/exchange_test.go
@@ -46,7 +46,7 @@
 	for range 20 {
 		call := call("/", callTimeout)
 		call.Request.SetBody(bytes.Repeat([]byte{'b'}, 16<<20))
-		if o := p.client().Do(call); o != kqcall.Lose(kqcall.Cut) {
+		if o := p.client().Do(call); o != kqcall.UnknownOutcome(kqcall.Cut) {
 			t.Fatalf("got %+v, want unknown: cut", o)
 		}
 	}
@@ -94,10 +94,10 @@
 	call := call("/", callTimeout)
 	go func() {
 		<-began
-		call.Cancel.Now(kqcall.Draining)
-		call.Cancel.Now(kqcall.Cancelled)
+		call.Cancel.Trigger(kqcall.Draining)
+		call.Cancel.Trigger(kqcall.Cancelled)
 	}()
-	if o := p.client().Do(call); o != kqcall.Lose(kqcall.Draining) {
+	if o := p.client().Do(call); o != kqcall.UnknownOutcome(kqcall.Draining) {
 		t.Errorf("got %+v, want unknown: draining", o)
 	}
 	if o := p.client().Do(call); o != kqcall.Refuse(kqcall.Draining) {
--- a/internal/config/kqcommit/collect.go
+++ b/internal/config/kqcommit/collect.go
@@ -41,13 +41,13 @@
 		intentIndexRevision kqstore.Revision
 		live                map[kqresource.Digest]bool
 		candidates          map[kqresource.Digest]kqstore.Revision
-		expiredRoots        []Past
+		expiredRoots        []HistoryRecord
 		expiredIntents      []string
 		stats               CollectStats
 	}
 )
 
-// Collect is the garbage collection. It deletes objects that are referenced
+// CollectGarbage is the garbage collection. It deletes objects that are referenced
 // neither by the current root, nor by a root replaced after cutoff, nor by an
 // intent written after cutoff. It returns kqstore.ErrConflict if a commit
 // interfered, with nothing deleted unless that was after the deletions had begun;
@@ -62,7 +62,7 @@
 // are the objects deleted, conditional on their revisions. A commit that adds its
 // intent later writes each object again: before the deletion, its new revision
 // makes the deletion fail; after it, the object is recreated.
-func (c *Committer) Collect(ctx context.Context, deleter Deleter, cutoff time.Time) (CollectStats, error) {
+func (c *Committer) CollectGarbage(ctx context.Context, deleter Deleter, cutoff time.Time) (CollectStats, error) {
 	run := &collection{
 		committer: c, deleter: deleter, cutoff: cutoff,
 		live: make(map[kqresource.Digest]bool), candidates: make(map[kqresource.Digest]kqstore.Revision),
--- a/internal/config/kqcommit/collect_test.go
+++ b/internal/config/kqcommit/collect_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/config/kqcommit"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
@@ -18,10 +18,10 @@
 // versions, while the current document stays readable and the history keeps its
 // authors and reasons.
 func TestCollectDeletesOrphansAndKeepsLiveObjects(t *testing.T) {
-	platform := kqstandin.New()
+	platform := kqfakestore.New()
 	mustCommit(t, platform, request("first", 0, document("store")))
 	raced := false
-	store := &hookedStore{Standin: platform, before: func(write int) {
+	store := &hookedStore{Fake: platform, before: func(write int) {
 		if write == 3 && !raced {
 			raced = true
 			mustCommit(t, platform, request("second", 1, document("store", "yard")))
@@ -45,11 +45,11 @@
 		return n
 	}
 	before := count()
-	got, err := committer(platform).Collect(t.Context(), platform, start)
+	got, err := committer(platform).CollectGarbage(t.Context(), platform, start)
 	if err != nil || got.Objects != 0 || count() != before {
 		t.Errorf("collected recent objects: %+v, %v", got, err)
 	}
-	got, err = committer(platform).Collect(t.Context(), platform, start.Add(90*time.Minute))
+	got, err = committer(platform).CollectGarbage(t.Context(), platform, start.Add(90*time.Minute))
 	if err != nil || got.Objects == 0 || got.Roots != 1 || count() >= before {
 		t.Errorf("collection of old objects: %+v, %v, %d left of %d", got, err, count(), before)
 	}
@@ -63,19 +63,19 @@
 	if err != nil || len(history) != 3 || history[2].Root.Reason != "because first" {
 		t.Errorf("history %+v, %v", history, err)
 	}
-	if o, err := committer(platform).Settle(t.Context(), "first"); err != nil || o.Status != kqcommit.Committed {
+	if o, err := committer(platform).ResolveOutcome(t.Context(), "first"); err != nil || o.Status != kqcommit.Committed {
 		t.Errorf("settle after collection: %+v, %v", o, err)
 	}
 }
 
 // staleIntentStore returns stale reads of intents, from before they were written.
-type staleIntentStore struct{ *kqstandin.Standin }
+type staleIntentStore struct{ *kqfakestore.Fake }
 
 func (f staleIntentStore) Get(ctx context.Context, key string) (kqstore.Entry, error) {
 	if strings.HasPrefix(key, "kumquatgw/intent/") {
 		return kqstore.Entry{}, kqstore.ErrNotFound
 	}
-	return f.Standin.Get(ctx, key)
+	return f.Fake.Get(ctx, key)
 }
 
 // A commit has written its objects and is about to swap the root when a
@@ -83,14 +83,14 @@
 // commit must detect the rewritten root and write them again; otherwise the new
 // version would take effect without its objects.
 func TestCommitRewritesObjectsAfterStaleCollection(t *testing.T) {
-	platform := kqstandin.New()
+	platform := kqfakestore.New()
 	old := request("old", 0, document("attic"))
 	mustCommit(t, platform, old)
 	mustCommit(t, platform, request("next", 1, document("store")))
 	var collected kqcommit.CollectStats
-	store := &hookedStore{Standin: platform, before: func(write int) {
+	store := &hookedStore{Fake: platform, before: func(write int) {
 		if write == 6 {
-			collected, _ = committer(staleIntentStore{platform}).Collect(t.Context(), platform, start.Add(90*time.Minute))
+			collected, _ = committer(staleIntentStore{platform}).CollectGarbage(t.Context(), platform, start.Add(90*time.Minute))
 		}
 	}}
 	o, err := committer(store).Commit(t.Context(), request("again", 2, document("attic")))
--- a/internal/config/kqcommit/commit.go
+++ b/internal/config/kqcommit/commit.go
@@ -42,12 +42,12 @@
 
 	// ErrInvalid means that the document failed validation; see Outcome.Problems.
 	ErrInvalid = namespace.NewType("invalid").New("document is invalid")
-	// ErrRequest means that a request's ID, author or reason is not allowed.
-	ErrRequest = namespace.NewType("request").New("request is invalid")
-	// ErrReused means that a request ID was used before with another document.
-	ErrReused = namespace.NewType("reused").New("request id was used with another document")
-	// ErrNotBegun means that no commit has been started with a request ID.
-	ErrNotBegun = namespace.NewType("not_begun").New("no commit was begun under this request id")
+	// ErrInvalidRequest means that a request's ID, author or reason is not allowed.
+	ErrInvalidRequest = namespace.NewType("request").New("request is invalid")
+	// ErrRequestIDReused means that a request ID was used before with another document.
+	ErrRequestIDReused = namespace.NewType("reused").New("request id was used with another document")
+	// ErrUnknownRequest means that no commit has been started with a request ID.
+	ErrUnknownRequest = namespace.NewType("not_begun").New("no commit was begun under this request id")
 
 	errRootRewritten = errors.New("root was rewritten during the commit")
 )
@@ -151,9 +151,9 @@
 func (q Request) check() error {
 	switch {
 	case !kqname.Valid(q.ID):
-		return fmt.Errorf("id %q is not a plain name: %w", q.ID, ErrRequest)
+		return fmt.Errorf("id %q is not a plain name: %w", q.ID, ErrInvalidRequest)
 	case len(q.Author) > maxTextBytes || len(q.Reason) > maxTextBytes:
-		return fmt.Errorf("author or reason is longer than %d bytes: %w", maxTextBytes, ErrRequest)
+		return fmt.Errorf("author or reason is longer than %d bytes: %w", maxTextBytes, ErrInvalidRequest)
 	default:
 		return nil
 	}
--- a/internal/config/kqcommit/commit_test.go
+++ b/internal/config/kqcommit/commit_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/kumquatgw/kumquatgw/internal/config/kqcommit"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
@@ -19,7 +19,7 @@
 // hookedStore calls before and after around each write with its number, so that
 // a test can inject a fault at exactly that write.
 type hookedStore struct {
-	*kqstandin.Standin
+	*kqfakestore.Fake
 	writes int
 	before func(write int)
 	after  func(write int)
@@ -27,12 +27,12 @@
 
 func (h *hookedStore) Put(ctx context.Context, key string, value []byte, l kqstore.Lease) (kqstore.Revision, error) {
 	defer h.runHooks()()
-	return h.Standin.Put(ctx, key, value, l)
+	return h.Fake.Put(ctx, key, value, l)
 }
 
 func (h *hookedStore) Swap(ctx context.Context, key string, e kqstore.Revision, value []byte, l kqstore.Lease) (kqstore.Revision, error) {
 	defer h.runHooks()()
-	return h.Standin.Swap(ctx, key, e, value, l)
+	return h.Fake.Swap(ctx, key, e, value, l)
 }
 
 // runHooks calls before with the number of the next write and returns a function that calls
@@ -78,11 +78,11 @@
 // and the history must hold it once, not twice.
 func TestAnswerLostAtEachWrite(t *testing.T) {
 	for n := 1; ; n++ {
-		platform := kqstandin.New()
+		platform := kqfakestore.New()
 		mustCommit(t, platform, request("first", 0, document("store")))
-		store := &hookedStore{Standin: platform, before: func(write int) {
+		store := &hookedStore{Fake: platform, before: func(write int) {
 			if write == n {
-				platform.SetFaults(kqstandin.Faults{LoseAnswers: 1})
+				platform.SetFaults(kqfakestore.Faults{LoseResponses: 1})
 			}
 		}}
 		q := request("second", 1, document("store", "yard"))
@@ -110,18 +110,18 @@
 // outcome is unknown. After two later commits by others, Settle and a repeated
 // commit must still report the change as committed, with its own version.
 func TestUnknownOutcomeIsSettledAfterLaterCommits(t *testing.T) {
-	platform := kqstandin.New()
+	platform := kqfakestore.New()
 	mustCommit(t, platform, request("first", 0, document("store")))
 	down := false
-	store := &hookedStore{Standin: platform, before: func(int) {
+	store := &hookedStore{Fake: platform, before: func(int) {
 		if down {
-			platform.SetFaults(kqstandin.Faults{Down: true})
+			platform.SetFaults(kqfakestore.Faults{Down: true})
 		}
 	}}
 	store.after = func(int) {
 		root, _, err := committer(platform).Root(t.Context())
 		if down = down || err == nil && root.Version == 2; down {
-			platform.SetFaults(kqstandin.Faults{Down: true})
+			platform.SetFaults(kqfakestore.Faults{Down: true})
 		}
 	}
 	lostResponses := lostResponseStore{store}
@@ -130,18 +130,18 @@
 	if err != nil || o.Status != kqcommit.Unknown || o.RequestID != "mine" {
 		t.Fatalf("got %+v, %v, want unknown", o, err)
 	}
-	platform.SetFaults(kqstandin.Faults{})
+	platform.SetFaults(kqfakestore.Faults{})
 	mustCommit(t, platform, request("other-1", 2, document("store")))
 	mustCommit(t, platform, request("other-2", 3, document("yard")))
 	for name, ask := range map[string]func() (kqcommit.Outcome, error){
-		"settle": func() (kqcommit.Outcome, error) { return committer(platform).Settle(t.Context(), "mine") },
+		"settle": func() (kqcommit.Outcome, error) { return committer(platform).ResolveOutcome(t.Context(), "mine") },
 		"commit": func() (kqcommit.Outcome, error) { return committer(platform).Commit(t.Context(), q) },
 	} {
 		if o, err := ask(); err != nil || o.Status != kqcommit.Committed || o.Version != 2 {
 			t.Errorf("%s: %+v, %v, want committed as 2", name, o, err)
 		}
 	}
-	if _, err := committer(platform).Settle(t.Context(), "nobody"); !errors.Is(err, kqcommit.ErrNotBegun) {
+	if _, err := committer(platform).ResolveOutcome(t.Context(), "nobody"); !errors.Is(err, kqcommit.ErrUnknownRequest) {
 		t.Errorf("settle of an unused ID: %v, want ErrNotBegun", err)
 	}
 }
@@ -160,10 +160,10 @@
 // A script uses one ID for two different documents. The second must be refused;
 // treating it as a retry would silently drop an operator's change.
 func TestRequestIDReusedWithAnotherDocumentIsRefused(t *testing.T) {
-	platform := kqstandin.New()
+	platform := kqfakestore.New()
 	mustCommit(t, platform, request("first", 0, document("store")))
 	for _, base := range []kqname.ConfigVersion{0, 1} {
-		if _, err := committer(platform).Commit(t.Context(), request("first", base, document("yard"))); !errors.Is(err, kqcommit.ErrReused) {
+		if _, err := committer(platform).Commit(t.Context(), request("first", base, document("yard"))); !errors.Is(err, kqcommit.ErrRequestIDReused) {
 			t.Errorf("base %d: %v, want ErrReused", base, err)
 		}
 	}
@@ -172,7 +172,7 @@
 // Two operators edit the same version. The second must get a conflict with the
 // changes that the first has committed.
 func TestConflictReturnsTheDifference(t *testing.T) {
-	platform := kqstandin.New()
+	platform := kqfakestore.New()
 	mustCommit(t, platform, request("first", 0, document("store")))
 	mustCommit(t, platform, request("second", 1, document("store", "yard")))
 	o, err := committer(platform).Commit(t.Context(), request("late", 1, document("office")))
@@ -191,7 +191,7 @@
 // The platform returns stale reads, from before the last write, after the response
 // to a write was lost. The outcome may be unknown but must never be wrong.
 func TestOutcomeIsCorrectDespiteStaleReads(t *testing.T) {
-	platform := kqstandin.New()
+	platform := kqfakestore.New()
 	mustCommit(t, platform, request("first", 0, document("store")))
 	mustCommit(t, platform, request("second", 1, document("store", "yard")))
 	for n := 1; n < 12; n++ {
@@ -200,14 +200,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		store := &hookedStore{Standin: platform, before: func(write int) {
+		store := &hookedStore{Fake: platform, before: func(write int) {
 			if write == n {
-				platform.SetFaults(kqstandin.Faults{StaleReads: true, LoseAnswers: 1})
+				platform.SetFaults(kqfakestore.Faults{StaleReads: true, LoseResponses: 1})
 			}
 		}}
 		q := request(id, root.Version, document("store", id))
 		o, err := committer(store).Commit(t.Context(), q)
-		platform.SetFaults(kqstandin.Faults{})
+		platform.SetFaults(kqfakestore.Faults{})
 		now, _, rootErr := committer(platform).Root(t.Context())
 		if rootErr != nil {
 			t.Fatal(rootErr)
@@ -222,8 +222,8 @@
 // The platform is down and refuses every call. Commit must return
 // ErrUnavailable.
 func TestPlatformDown(t *testing.T) {
-	platform := kqstandin.New()
-	platform.SetFaults(kqstandin.Faults{Down: true})
+	platform := kqfakestore.New()
+	platform.SetFaults(kqfakestore.Faults{Down: true})
 	if _, err := committer(platform).Commit(t.Context(), request("first", 0, document("store"))); !errors.Is(err, kqstore.ErrUnavailable) {
 		t.Errorf("got %v, want ErrUnavailable", err)
 	}
--- a/internal/config/kqcommit/history.go
+++ b/internal/config/kqcommit/history.go
@@ -14,16 +14,16 @@
 const historyPrefix = "kumquatgw/history/"
 
 var (
-	// ErrChain means that a history record does not match its version or digest,
+	// ErrHistoryMismatch means that a history record does not match its version or digest,
 	// or the parent digest in its successor.
-	ErrChain = namespace.NewType("chain").New("history record does not match its digest or version")
+	ErrHistoryMismatch = namespace.NewType("chain").New("history record does not match its digest or version")
 	// ErrCollected means that the objects of a past version have been deleted.
 	ErrCollected = namespace.NewType("collected").New("objects of the version have been deleted by collection")
 )
 
-// Past is the history record of a root. History also returns one for the
+// HistoryRecord is the history record of a root. History also returns one for the
 // current root.
-type Past struct {
+type HistoryRecord struct {
 	Root kqresource.Root `cbor:"1,keyasint"`
 	// Digest is that of the complete root, also when Root has been trimmed.
 	Digest kqresource.Digest `cbor:"2,keyasint"`
@@ -83,7 +83,7 @@
 // History returns up to limit versions, from the current one backwards. If a
 // record does not match the parent digest in its successor, it returns ErrChain
 // and the newer records.
-func (c *Committer) History(ctx context.Context, limit int) ([]Past, error) {
+func (c *Committer) History(ctx context.Context, limit int) ([]HistoryRecord, error) {
 	root, _, err := c.Root(ctx)
 	if err != nil || root.Version == 0 {
 		return nil, err
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	list := []Past{first}
+	list := []HistoryRecord{first}
 	for len(list) < limit {
 		last := list[len(list)-1].Root
 		if last.Version <= 1 {
@@ -103,7 +103,7 @@
 			return list, err
 		}
 		if p.Digest != last.Parent {
-			return list, fmt.Errorf("version %d: %w", p.Root.Version, ErrChain)
+			return list, fmt.Errorf("version %d: %w", p.Root.Version, ErrHistoryMismatch)
 		}
 		list = append(list, p)
 	}
@@ -139,17 +139,17 @@
 }
 
 // historyRecord reads the history record of a version and verifies it.
-func (c *Committer) historyRecord(ctx context.Context, v kqname.ConfigVersion) (Past, error) {
-	var p Past
+func (c *Committer) historyRecord(ctx context.Context, v kqname.ConfigVersion) (HistoryRecord, error) {
+	var p HistoryRecord
 	if _, err := c.readValue(ctx, HistoryKey(v), &p); err != nil {
-		return Past{}, fmt.Errorf("read version %d: %w", v, err)
+		return HistoryRecord{}, fmt.Errorf("read version %d: %w", v, err)
 	}
 	whole, err := newHistoryRecord(p.Root)
 	if err != nil {
-		return Past{}, fmt.Errorf("read version %d: %w", v, err)
+		return HistoryRecord{}, fmt.Errorf("read version %d: %w", v, err)
 	}
 	if p.Root.Version != v || !p.Trimmed && whole.Digest != p.Digest {
-		return Past{}, fmt.Errorf("read version %d: %w", v, ErrChain)
+		return HistoryRecord{}, fmt.Errorf("read version %d: %w", v, ErrHistoryMismatch)
 	}
 	return p, nil
 }
@@ -171,12 +171,12 @@
 	return nil
 }
 
-func newHistoryRecord(root kqresource.Root) (Past, error) {
+func newHistoryRecord(root kqresource.Root) (HistoryRecord, error) {
 	data, err := kqresource.Encode(root)
 	if err != nil {
-		return Past{}, err
+		return HistoryRecord{}, err
 	}
-	return Past{Root: root, Digest: kqresource.DigestOf(data)}, nil
+	return HistoryRecord{Root: root, Digest: kqresource.DigestOf(data)}, nil
 }
 
 func (c *Committer) readValue(ctx context.Context, key string, value any) (kqstore.Revision, error) {
--- a/internal/config/kqcommit/intent.go
+++ b/internal/config/kqcommit/intent.go
@@ -48,7 +48,7 @@
 		return intent{}, 0, err
 	}
 	if known.Content != content {
-		return intent{}, 0, ErrReused
+		return intent{}, 0, ErrRequestIDReused
 	}
 	current, _, err := c.Root(ctx)
 	if err != nil {
@@ -95,7 +95,7 @@
 		return fmt.Errorf("register intent: %w", err)
 	}
 	if known.Content != i.Content {
-		return ErrReused
+		return ErrRequestIDReused
 	}
 	if _, err := c.store.Swap(ctx, intentPrefix+i.ID, revision, data, kqstore.NoLease); err != nil {
 		return fmt.Errorf("write intent: %w", err)
--- a/internal/config/kqcommit/race_test.go
+++ b/internal/config/kqcommit/race_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/kumquatgw/kumquatgw/internal/config/kqcommit"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -30,7 +30,7 @@
 // turnStore lets one participant make a single store call per turn, so that the
 // test controls how the calls interleave.
 type turnStore struct {
-	*kqstandin.Standin
+	*kqfakestore.Fake
 	turn, done chan struct{}
 	lose       *bool
 }
@@ -38,32 +38,32 @@
 func (p *turnStore) awaitTurn() func() {
 	<-p.turn
 	if *p.lose {
-		p.SetFaults(kqstandin.Faults{LoseAnswers: 1})
+		p.SetFaults(kqfakestore.Faults{LoseResponses: 1})
 	}
 	return func() {
-		p.SetFaults(kqstandin.Faults{})
+		p.SetFaults(kqfakestore.Faults{})
 		p.done <- struct{}{}
 	}
 }
 
 func (p *turnStore) Get(ctx context.Context, key string) (kqstore.Entry, error) {
 	defer p.awaitTurn()()
-	return p.Standin.Get(ctx, key)
+	return p.Fake.Get(ctx, key)
 }
 
 func (p *turnStore) Put(ctx context.Context, key string, v []byte, l kqstore.Lease) (kqstore.Revision, error) {
 	defer p.awaitTurn()()
-	return p.Standin.Put(ctx, key, v, l)
+	return p.Fake.Put(ctx, key, v, l)
 }
 
 func (p *turnStore) Swap(ctx context.Context, key string, e kqstore.Revision, v []byte, l kqstore.Lease) (kqstore.Revision, error) {
 	defer p.awaitTurn()()
-	return p.Standin.Swap(ctx, key, e, v, l)
+	return p.Fake.Swap(ctx, key, e, v, l)
 }
 
 func (p *turnStore) Delete(ctx context.Context, key string, e kqstore.Revision) error {
 	defer p.awaitTurn()()
-	return p.Standin.Delete(ctx, key, e)
+	return p.Fake.Delete(ctx, key, e)
 }
 
 // Two operators commit on top of one version, with their store calls
@@ -73,7 +73,7 @@
 // history readable.
 func TestRacingOperatorsAndCollector(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		platform := kqstandin.New()
+		platform := kqfakestore.New()
 		ctx := context.Background()
 		seed := committer(platform)
 		for v, d := range [][]string{{"store", "attic"}, {"store"}} {
@@ -85,7 +85,7 @@
 		outcomes := make([]kqcommit.Outcome, 2)
 		errs := make([]error, 2)
 		store := func() *turnStore {
-			return &turnStore{Standin: platform, turn: make(chan struct{}), done: make(chan struct{}), lose: &lose}
+			return &turnStore{Fake: platform, turn: make(chan struct{}), done: make(chan struct{}), lose: &lose}
 		}
 		stores := []*turnStore{store(), store(), store()}
 		ended := []chan struct{}{make(chan struct{}), make(chan struct{}), make(chan struct{})}
@@ -99,7 +99,7 @@
 			defer close(ended[2])
 			// Errors are expected: a commit may interfere, or a response be lost.
 			for range 2 {
-				_, _ = committer(stores[2]).Collect(ctx, stores[2], start.Add(time.Hour*24))
+				_, _ = committer(stores[2]).CollectGarbage(ctx, stores[2], start.Add(time.Hour*24))
 			}
 		}()
 		running := []int{0, 1, 2}
@@ -118,7 +118,7 @@
 }
 
 // check checks the current document, the history and each outcome against it.
-func check(t *rapid.T, platform *kqstandin.Standin, outcomes []kqcommit.Outcome, errs []error) {
+func check(t *rapid.T, platform *kqfakestore.Fake, outcomes []kqcommit.Outcome, errs []error) {
 	ctx := context.Background()
 	if _, root, err := committer(platform).Document(ctx); err != nil {
 		t.Fatalf("current version %d cannot be read: %v", root.Version, err)
--- a/internal/config/kqcommit/settle.go
+++ b/internal/config/kqcommit/settle.go
@@ -66,13 +66,13 @@
 	}
 }
 
-// Settle returns the outcome of an earlier commit whose response was lost. It
+// ResolveOutcome returns the outcome of an earlier commit whose response was lost. It
 // returns ErrNotBegun for an ID that has not been used, and kqstore's errors if
 // the platform is unavailable; the call can then be retried.
-func (c *Committer) Settle(ctx context.Context, id string) (Outcome, error) {
+func (c *Committer) ResolveOutcome(ctx context.Context, id string) (Outcome, error) {
 	known, _, err := c.readIntent(ctx, id)
 	if errors.Is(err, kqstore.ErrNotFound) {
-		return Outcome{RequestID: id}, fmt.Errorf("settle %s: %w", id, ErrNotBegun)
+		return Outcome{RequestID: id}, fmt.Errorf("settle %s: %w", id, ErrUnknownRequest)
 	}
 	if err != nil {
 		return Outcome{RequestID: id}, fmt.Errorf("settle %s: %w", id, err)
--- a/internal/config/kqdelta/delta.go
+++ b/internal/config/kqdelta/delta.go
@@ -48,7 +48,7 @@
 		return kqresource.Root{}, nil, fmt.Errorf("apply delta to version %d: %w", next.Version, err)
 	}
 	if kqresource.DigestOf(data) != d.Result {
-		return kqresource.Root{}, nil, fmt.Errorf("apply delta to version %d: %w", next.Version, kqresource.ErrDigest)
+		return kqresource.Root{}, nil, fmt.Errorf("apply delta to version %d: %w", next.Version, kqresource.ErrDigestMismatch)
 	}
 	return next, data, nil
 }
--- a/internal/config/kqdistribute/apply.go
+++ b/internal/config/kqdistribute/apply.go
@@ -41,7 +41,7 @@
 			d.waitForApply(ctx, 0)
 			continue
 		}
-		err := d.replica.Offer(applyCtx, r.root)
+		err := d.replica.ApplyRoot(applyCtx, r.root)
 		switch {
 		case err == nil:
 			applied, backoff = r.root.Version, minBackoff
--- a/internal/config/kqdistribute/apply_test.go
+++ b/internal/config/kqdistribute/apply_test.go
@@ -11,7 +11,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/config/kqdistribute"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -26,7 +26,7 @@
 	loneNode struct{}
 )
 
-func (s *slowReplica) Offer(ctx context.Context, _ kqresource.Root) error {
+func (s *slowReplica) ApplyRoot(ctx context.Context, _ kqresource.Root) error {
 	select {
 	case <-time.After(s.fetch):
 		s.applied.Add(1)
@@ -38,7 +38,7 @@
 
 func (loneNode) Neighbours() []kqmember.Member { return nil }
 
-func (loneNode) Allow(time.Time) time.Duration { return 0 }
+func (loneNode) Delay(time.Time) time.Duration { return 0 }
 
 // Versions follow each other faster than a node with a slow link can fetch the objects
 // of one. If each version cancelled the previous fetch, the node would stay on the
@@ -47,7 +47,7 @@
 	replica := &slowReplica{fetch: 60 * time.Millisecond}
 	table := kqmember.NewTable(kqmember.Member{Node: "a", Domain: "d"})
 	onFailure := func(v kqname.ConfigVersion, err error) { t.Errorf("version %d failed: %v", v, err) }
-	d := kqdistribute.New(kqpeer.NewServer(nil), kqpeer.NewClient("a", nil), table, loneNode{}, loneNode{}, replica, onFailure)
+	d := kqdistribute.New(kqrpc.NewServer(nil), kqrpc.NewClient("a", nil), table, loneNode{}, loneNode{}, replica, onFailure)
 	ctx, cancel := context.WithCancel(t.Context())
 	var group conc.WaitGroup
 	defer group.Wait()
@@ -55,7 +55,7 @@
 	group.Go(func() { d.Run(ctx) })
 	const versions = 100
 	for v := range versions {
-		d.Take(ctx, kqresource.Root{Version: kqname.ConfigVersion(v + 1)})
+		d.AcceptRoot(ctx, kqresource.Root{Version: kqname.ConfigVersion(v + 1)})
 		time.Sleep(10 * time.Millisecond)
 	}
 	if n := replica.applied.Load(); n < 5 {
--- a/internal/config/kqdistribute/distribute.go
+++ b/internal/config/kqdistribute/distribute.go
@@ -8,11 +8,11 @@
 
 	"github.com/sourcegraph/conc"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqstart"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -32,7 +32,7 @@
 type (
 	// Replica applies versions.
 	Replica interface {
-		Offer(ctx context.Context, root kqresource.Root) error
+		ApplyRoot(ctx context.Context, root kqresource.Root) error
 	}
 
 	// Overlay returns the peers to push to.
@@ -43,13 +43,13 @@
 	// Budget limits bulk transfers. Allow returns how long one must wait, 0 if it
 	// may be sent now.
 	Budget interface {
-		Allow(now time.Time) time.Duration
+		Delay(now time.Time) time.Duration
 	}
 
 	// Distributor holds the newest roots and distributes them. It is safe for
 	// concurrent use.
 	Distributor struct {
-		client    *kqpeer.Client
+		client    *kqrpc.Client
 		table     *kqmember.Table
 		overlay   Overlay
 		budget    Budget
@@ -88,7 +88,7 @@
 // New returns a Distributor that serves peers on server and calls them through
 // client. onFailure is called for each version that could not be applied, encoded or
 // built from a delta.
-func New(server *kqpeer.Server, client *kqpeer.Client, table *kqmember.Table, overlay Overlay, budget Budget,
+func New(server *kqrpc.Server, client *kqrpc.Client, table *kqmember.Table, overlay Overlay, budget Budget,
 	replica Replica, onFailure func(kqname.ConfigVersion, error),
 ) *Distributor {
 	d := &Distributor{
@@ -96,17 +96,17 @@
 		hints: make(map[kqname.Address]hint), answeredPeers: make(map[kqname.Node]kqname.Domain),
 		pullWake: make(chan struct{}, 1), applyWake: make(chan struct{}, 1), cancelApply: func() {}, startSupersedeGrace: func() {},
 	}
-	kqpeer.Handle(server, methodPush, d.handlePush)
-	kqpeer.Handle(server, methodRoot, d.handleRoot)
+	kqrpc.Handle(server, methodPush, d.handlePush)
+	kqrpc.Handle(server, methodRoot, d.handleRoot)
 	return d
 }
 
 // Run pulls and applies versions until ctx ends.
 func (d *Distributor) Run(ctx context.Context) {
 	defer d.group.Wait()
-	keeper := kqkeeper.From(ctx)
-	d.group.Go(func() { keeper.Keep(ctx, "pull", func() { d.pullLoop(ctx) }) })
-	keeper.Keep(ctx, "apply", func() { d.applyLoop(ctx) })
+	keeper := kqsupervisor.From(ctx)
+	d.group.Go(func() { keeper.RunWithRestart(ctx, "pull", func() { d.pullLoop(ctx) }) })
+	keeper.RunWithRestart(ctx, "apply", func() { d.applyLoop(ctx) })
 }
 
 // Newest returns the highest version whose root this node holds.
@@ -116,9 +116,9 @@
 	return d.newest().root.Version
 }
 
-// Heard records that a peer reports to hold a version, and triggers a pull if the
+// VersionSeen records that a peer reports to hold a version, and triggers a pull if the
 // version is newer than this node's.
-func (d *Distributor) Heard(v kqname.ConfigVersion, from kqname.Address) {
+func (d *Distributor) VersionSeen(v kqname.ConfigVersion, from kqname.Address) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if v <= d.newest().root.Version || from == "" {
@@ -130,9 +130,9 @@
 	wake(d.pullWake)
 }
 
-// Answered records that a peer has answered; a starting node needs such answers
+// PeerAnswered records that a peer has answered; a starting node needs such answers
 // before it applies its first version.
-func (d *Distributor) Answered(n kqname.Node, _ kqname.ConfigVersion) {
+func (d *Distributor) PeerAnswered(n kqname.Node, _ kqname.ConfigVersion) {
 	m, ok := d.table.Find(n)
 	if !ok {
 		return
@@ -145,8 +145,8 @@
 	}
 }
 
-// Take adds a root that was read from the platform.
-func (d *Distributor) Take(ctx context.Context, root kqresource.Root) {
+// AcceptRoot adds a root that was read from the platform.
+func (d *Distributor) AcceptRoot(ctx context.Context, root kqresource.Root) {
 	data, err := kqresource.Encode(root)
 	if err != nil {
 		d.onFailure(root.Version, fmt.Errorf("encode root from the platform: %w", err))
--- a/internal/config/kqdistribute/exchange.go
+++ b/internal/config/kqdistribute/exchange.go
@@ -8,7 +8,7 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/config/kqdelta"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -50,21 +50,21 @@
 	}
 	message := push{Version: r.root.Version, Digest: r.digest}
 	for _, m := range d.overlay.Neighbours() {
-		if m.Control == from || m.Config >= r.root.Version {
+		if m.Control == from || m.HeldVersion >= r.root.Version {
 			continue
 		}
 		d.group.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 			defer cancel()
 			// On failure, the peer learns of the version from a heartbeat.
-			_, _ = kqpeer.Call[push, empty](ctx, d.client, m.Control, methodPush, message)
+			_, _ = kqrpc.Call[push, empty](ctx, d.client, m.Control, methodPush, message)
 		})
 	}
 }
 
 func (d *Distributor) handlePush(_ context.Context, from kqname.Node, q push) (empty, error) {
 	if m, ok := d.table.Find(from); ok {
-		d.Heard(q.Version, m.Control)
+		d.VersionSeen(q.Version, m.Control)
 	}
 	return empty{}, nil
 }
@@ -83,7 +83,7 @@
 			return rootAnswer{Version: next.root.Version, Delta: &delta}, nil
 		}
 	}
-	if wait := d.budget.Allow(time.Now()); wait > 0 {
+	if wait := d.budget.Delay(time.Now()); wait > 0 {
 		return rootAnswer{RetryAfterMS: wait.Milliseconds() + 1}, nil
 	}
 	return rootAnswer{Version: next.root.Version, Whole: next.data}, nil
@@ -137,7 +137,7 @@
 	d.mu.Unlock()
 	callCtx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	a, err := kqpeer.Call[rootRequest, rootAnswer](callCtx, d.client, from, methodRoot, rootRequest{Held: old.digest})
+	a, err := kqrpc.Call[rootRequest, rootAnswer](callCtx, d.client, from, methodRoot, rootRequest{Held: old.digest})
 	var r rootRecord
 	if err == nil {
 		r, err = a.rootRecord(old)
@@ -145,7 +145,7 @@
 	if a.Delta != nil && err != nil {
 		// The delta does not produce the stated root, so the whole root is pulled.
 		d.onFailure(a.Version, err)
-		if a, err = kqpeer.Call[rootRequest, rootAnswer](callCtx, d.client, from, methodRoot, rootRequest{}); err == nil {
+		if a, err = kqrpc.Call[rootRequest, rootAnswer](callCtx, d.client, from, methodRoot, rootRequest{}); err == nil {
 			r, err = a.rootRecord(rootRecord{})
 		}
 	}
--- a/internal/config/kqfetch/fetch.go
+++ b/internal/config/kqfetch/fetch.go
@@ -12,10 +12,10 @@
 	"github.com/sourcegraph/conc"
 	"golang.org/x/time/rate"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqpause"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsleep"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -73,16 +73,16 @@
 		Hosts() []kqname.Host
 	}
 
-	// Maker returns objects that this node has built from what it read from the
+	// ObjectBuilder returns objects that this node has built from what it read from the
 	// platform. It makes no network calls.
-	Maker interface {
-		Made(wanted []kqresource.Digest) kqresource.Objects
+	ObjectBuilder interface {
+		BuiltObjects(wanted []kqresource.Digest) kqresource.Objects
 	}
 
 	// Budget limits bulk transfers. Allow returns how long one must wait, 0 if it
 	// may be sent now.
 	Budget interface {
-		Allow(now time.Time) time.Duration
+		Delay(now time.Time) time.Duration
 	}
 
 	// Fetcher fetches objects. It is safe for concurrent use.
@@ -92,7 +92,7 @@
 	// of members, so that neither many new nodes at once nor a growing fleet can
 	// exceed it.
 	Fetcher struct {
-		client        *kqpeer.Client
+		client        *kqrpc.Client
 		table         *kqmember.Table
 		platform      Platform
 		budget        Budget
@@ -100,7 +100,7 @@
 		expectedNodes int
 		limiter       *rate.Limiter
 		// builder is set if the platform returns all objects of a version in one call.
-		builder Maker
+		builder ObjectBuilder
 
 		mu    sync.Mutex
 		local LocalConfig
@@ -134,27 +134,27 @@
 // New returns a Fetcher that serves peers on server. The whole fleet, assumed to
 // have at least the expected number of nodes, reads from the platform at most
 // perSecond times a second.
-func New(server *kqpeer.Server, client *kqpeer.Client, table *kqmember.Table, platform Platform, budget Budget, perSecond, expectedNodes int) *Fetcher {
+func New(server *kqrpc.Server, client *kqrpc.Client, table *kqmember.Table, platform Platform, budget Budget, perSecond, expectedNodes int) *Fetcher {
 	f := &Fetcher{
 		client: client, table: table, platform: platform, budget: budget,
 		fleetRate: float64(perSecond), expectedNodes: expectedNodes,
 		limiter: rate.NewLimiter(1, burst), reads: make(map[kqresource.Digest]*sharedRead),
 		recent: make(map[kqresource.Digest][]byte),
 	}
-	kqpeer.Handle(server, methodObjects, f.answer)
-	kqpeer.Handle(server, methodHosts, f.answerHosts)
+	kqrpc.Handle(server, methodObjects, f.answer)
+	kqrpc.Handle(server, methodHosts, f.answerHosts)
 	return f
 }
 
-// TakeWhole declares that the platform returns all objects of a version in one call, so
+// UseBuilder declares that the platform returns all objects of a version in one call, so
 // that objects which no peer has are not read one by one. Objects that m returns are
 // neither fetched nor counted against the platform's rate: a node that reads
 // versions for others would otherwise spend its rate on objects which it has, and
 // stay on an old version for seconds while it serves newer ones.
-func (f *Fetcher) TakeWhole(m Maker) { f.builder = m }
+func (f *Fetcher) UseBuilder(m ObjectBuilder) { f.builder = m }
 
-// Serve sets the local configuration that is served to peers.
-func (f *Fetcher) Serve(h LocalConfig) { f.local = h }
+// ServeFrom sets the local configuration that is served to peers.
+func (f *Fetcher) ServeFrom(h LocalConfig) { f.local = h }
 
 // Fetch returns all wanted objects, or those found and an error.
 func (f *Fetcher) Fetch(ctx context.Context, wanted []kqresource.Digest) (kqresource.Objects, error) {
@@ -174,7 +174,7 @@
 		if wait == 0 || pass == maxPeerPasses-1 {
 			break
 		}
-		kqpause.For(ctx, rand.N(wait)+time.Millisecond)
+		kqsleep.For(ctx, rand.N(wait)+time.Millisecond)
 	}
 	return found, f.fetchFromPlatform(ctx, missing(wanted, found), found)
 }
@@ -219,7 +219,7 @@
 // answer returns the requested objects that this node holds; a reader also fetches
 // missing ones from the platform.
 func (f *Fetcher) answer(ctx context.Context, _ kqname.Node, q request) (answer, error) {
-	if wait := f.budget.Allow(time.Now()); wait > 0 {
+	if wait := f.budget.Delay(time.Now()); wait > 0 {
 		return answer{RetryAfterMS: wait.Milliseconds() + 1}, nil
 	}
 	var a answer
--- a/internal/config/kqfetch/hedge.go
+++ b/internal/config/kqfetch/hedge.go
@@ -8,7 +8,7 @@
 	"github.com/sourcegraph/conc"
 
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -71,7 +71,7 @@
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	for len(wanted) > 0 {
-		a, err := kqpeer.Call[request, answer](ctx, f.client, to, methodObjects, request{Digests: wanted})
+		a, err := kqrpc.Call[request, answer](ctx, f.client, to, methodObjects, request{Digests: wanted})
 		if err != nil {
 			return 0
 		}
--- a/internal/config/kqfetch/hedge_test.go
+++ b/internal/config/kqfetch/hedge_test.go
@@ -13,7 +13,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/config/kqfetch"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -43,7 +43,7 @@
 	return nil, ctx.Err()
 }
 
-func (silentPlatform) Allow(time.Time) time.Duration { return 0 }
+func (silentPlatform) Delay(time.Time) time.Duration { return 0 }
 
 // listen runs serve on a new listener until the test ends, and returns its address.
 func listen(t *testing.T, serve func(ctx context.Context, l net.Listener)) kqname.Address {
@@ -87,19 +87,19 @@
 		}
 	}
 	holder := listen(t, func(ctx context.Context, l net.Listener) {
-		server, client := kqpeer.NewServer(nil), kqpeer.NewClient("holder", nil)
+		server, client := kqrpc.NewServer(nil), kqrpc.NewClient("holder", nil)
 		defer client.Close()
 		table := kqmember.NewTable(kqmember.Member{Node: "holder", Domain: "d", Service: "s"})
-		kqfetch.New(server, client, table, silentPlatform{}, silentPlatform{}, 1000, 1).Serve(objects)
+		kqfetch.New(server, client, table, silentPlatform{}, silentPlatform{}, 1000, 1).ServeFrom(objects)
 		_ = server.Serve(ctx, l)
 	})
-	client := kqpeer.NewClient("self", nil)
+	client := kqrpc.NewClient("self", nil)
 	defer client.Close()
 	table := kqmember.NewTable(kqmember.Member{Node: "self", Domain: "d", Service: "s"})
 	table.Merge(kqmember.Member{Node: "r1", Domain: "d", Reader: true, Control: listen(t, silent), Incarnation: 1})
 	table.Merge(kqmember.Member{Node: "r2", Domain: "d", Reader: true, Control: listen(t, silent), Incarnation: 1})
 	table.Merge(kqmember.Member{Node: "holder", Domain: "d", Service: "s", Control: holder, Incarnation: 1})
-	f := kqfetch.New(kqpeer.NewServer(nil), client, table, silentPlatform{}, silentPlatform{}, 1000, 1)
+	f := kqfetch.New(kqrpc.NewServer(nil), client, table, silentPlatform{}, silentPlatform{}, 1000, 1)
 	found, err := f.Fetch(t.Context(), []kqresource.Digest{objects.digest})
 	if err != nil || string(found[objects.digest]) != string(data) {
 		t.Errorf("got %d objects, %v", len(found), err)
--- a/internal/config/kqfetch/hosts.go
+++ b/internal/config/kqfetch/hosts.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -40,7 +40,7 @@
 	seen := make(map[kqname.Host]bool)
 	for _, to := range peers[:min(maxHostPeers, len(peers))] {
 		callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
-		a, err := kqpeer.Call[hostsRequest, hostsAnswer](callCtx, f.client, to, methodHosts, hostsRequest{})
+		a, err := kqrpc.Call[hostsRequest, hostsAnswer](callCtx, f.client, to, methodHosts, hostsRequest{})
 		cancel()
 		if err != nil {
 			continue
--- a/internal/config/kqfetch/shared_read_test.go
+++ b/internal/config/kqfetch/shared_read_test.go
@@ -12,7 +12,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/config/kqfetch"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 )
 
 // countingPlatform returns all objects in one call and counts the calls. It also
@@ -34,7 +34,7 @@
 	return r.objects, nil
 }
 
-func (r *countingPlatform) Made(wanted []kqresource.Digest) kqresource.Objects {
+func (r *countingPlatform) BuiltObjects(wanted []kqresource.Digest) kqresource.Objects {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	found := make(kqresource.Objects)
@@ -56,13 +56,13 @@
 		t.Fatal(err)
 	}
 	platform := &countingPlatform{objects: objects}
-	client := kqpeer.NewClient("self", nil)
+	client := kqrpc.NewClient("self", nil)
 	defer client.Close()
 	table := kqmember.NewTable(kqmember.Member{Node: "self", Domain: "d", Reader: true})
 	// silentPlatform serves as the unlimited send budget; the platform's rate of 1000 calls
 	// per second for 1 expected node delays no read.
-	f := kqfetch.New(kqpeer.NewServer(nil), client, table, platform, silentPlatform{}, 1000, 1)
-	f.TakeWhole(platform)
+	f := kqfetch.New(kqrpc.NewServer(nil), client, table, platform, silentPlatform{}, 1000, 1)
+	f.UseBuilder(platform)
 	var group conc.WaitGroup
 	for range 20 {
 		group.Go(func() {
--- a/internal/config/kqfetch/whole.go
+++ b/internal/config/kqfetch/whole.go
@@ -15,7 +15,7 @@
 	if f.builder == nil {
 		return make(kqresource.Objects, len(wanted))
 	}
-	return f.builder.Made(wanted)
+	return f.builder.BuiltObjects(wanted)
 }
 
 // fetchWholeVersion reads all objects from the platform in one call, shared with
--- a/internal/config/kqfollower/follower.go
+++ b/internal/config/kqfollower/follower.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/sourcegraph/conc"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
-	"github.com/kumquatgw/kumquatgw/internal/base/kqpause"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsleep"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -85,7 +85,7 @@
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for now := time.Now(); ; {
-		kqkeeper.From(ctx).Try("follow", func() { f.update(ctx, &group, now) })
+		kqsupervisor.From(ctx).RunRecovered("follow", func() { f.update(ctx, &group, now) })
 		select {
 		case <-ctx.Done():
 			return
@@ -115,16 +115,16 @@
 		if peers := len(f.members.Members()) - 1; peers > 0 {
 			return
 		}
-		kqpause.For(ctx, peerCheckInterval)
+		kqsleep.For(ctx, peerCheckInterval)
 	}
 }
 
 // start starts a run of the watcher.
 func (f *Follower) start(ctx context.Context, group *conc.WaitGroup) *run {
-	keeper := kqkeeper.From(ctx)
+	keeper := kqsupervisor.From(ctx)
 	runCtx, stop := context.WithCancel(ctx)
-	group.Go(func() { keeper.Keep(runCtx, "hold", func() { f.onFollow(runCtx, true) }) })
-	group.Go(func() { keeper.Keep(runCtx, "watch", func() { f.watcher.Run(runCtx) }) })
+	group.Go(func() { keeper.RunWithRestart(runCtx, "hold", func() { f.onFollow(runCtx, true) }) })
+	group.Go(func() { keeper.RunWithRestart(runCtx, "watch", func() { f.watcher.Run(runCtx) }) })
 	return &run{stop: stop}
 }
 
@@ -135,8 +135,8 @@
 // versions.
 func compareFollowers(a, b kqmember.Member) int {
 	return cmp.Or(
-		cmp.Compare(b.Link, a.Link),
-		cmp.Compare(b.Cores, a.Cores),
+		cmp.Compare(b.LinkMbits, a.LinkMbits),
+		cmp.Compare(b.CoreShare, a.CoreShare),
 		cmp.Compare(nameHash(a.Node), nameHash(b.Node)),
 	)
 }
--- a/internal/config/kqfollower/follower_test.go
+++ b/internal/config/kqfollower/follower_test.go
@@ -18,15 +18,15 @@
 func TestNodesWithFastLinksFollowFirst(t *testing.T) {
 	var members []kqmember.Member
 	for i := range 20 {
-		m := kqmember.Member{Node: kqname.Node(fmt.Sprint("n", i)), Domain: "d", Link: 10, Cores: 0.16}
+		m := kqmember.Member{Node: kqname.Node(fmt.Sprint("n", i)), Domain: "d", LinkMbits: 10, CoreShare: 0.16}
 		if i%10 == 7 {
-			m.Link, m.Cores = 200, 0.8
+			m.LinkMbits, m.CoreShare = 200, 0.8
 		}
 		members = append(members, m)
 	}
 	for i, m := range members {
 		if kqfollower.IsChosen(m, members) != (i%10 == 7) {
-			t.Errorf("node %d with a link of %v Mbit/s: chosen is %v", i, m.Link, i%10 != 7)
+			t.Errorf("node %d with a link of %v Mbit/s: chosen is %v", i, m.LinkMbits, i%10 != 7)
 		}
 	}
 	members[7].State, members[17].State = kqmember.Dead, kqmember.Dead
@@ -111,8 +111,8 @@
 	ctx, done := context.WithCancel(t.Context())
 	defer done()
 	members := &lateMembers{
-		self:  kqmember.Member{Node: "new", Domain: "d", Link: 10},
-		peers: []kqmember.Member{{Node: "a", Domain: "d", Link: 200}, {Node: "b", Domain: "d", Link: 200}},
+		self:  kqmember.Member{Node: "new", Domain: "d", LinkMbits: 10},
+		peers: []kqmember.Member{{Node: "a", Domain: "d", LinkMbits: 200}, {Node: "b", Domain: "d", LinkMbits: 200}},
 		done:  done,
 	}
 	watcher := &countingWatcher{}
--- a/internal/config/kqorigin/origin.go
+++ b/internal/config/kqorigin/origin.go
@@ -12,8 +12,8 @@
 
 	"github.com/sourcegraph/conc"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
-	"github.com/kumquatgw/kumquatgw/internal/base/kqpause"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsleep"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
@@ -85,27 +85,27 @@
 // Run follows the keys until ctx ends.
 func (o *Origin) Run(ctx context.Context) {
 	var group conc.WaitGroup
-	keeper := kqkeeper.From(ctx)
-	group.Go(func() { keeper.Keep(ctx, "watch", func() { o.watchLoop(ctx) }) })
-	group.Go(func() { keeper.Keep(ctx, "poll", func() { o.pollLoop(ctx) }) })
+	keeper := kqsupervisor.From(ctx)
+	group.Go(func() { keeper.RunWithRestart(ctx, "watch", func() { o.watchLoop(ctx) }) })
+	group.Go(func() { keeper.RunWithRestart(ctx, "poll", func() { o.pollLoop(ctx) }) })
 	group.Wait()
 }
 
 // Fetch returns objects of recent versions. If it does not hold all of them, it lists
 // the keys again.
 func (o *Origin) Fetch(ctx context.Context, wanted []kqresource.Digest) (kqresource.Objects, error) {
-	if found := o.Made(wanted); len(found) == len(wanted) {
+	if found := o.BuiltObjects(wanted); len(found) == len(wanted) {
 		return found, nil
 	}
 	if err := o.refresh(ctx); err != nil {
 		return nil, fmt.Errorf("fetch %d objects: %w", len(wanted), err)
 	}
-	return o.Made(wanted), nil
+	return o.BuiltObjects(wanted), nil
 }
 
-// Made returns the wanted objects that belong to a recent version. It makes no calls
+// BuiltObjects returns the wanted objects that belong to a recent version. It makes no calls
 // to the store.
-func (o *Origin) Made(wanted []kqresource.Digest) kqresource.Objects {
+func (o *Origin) BuiltObjects(wanted []kqresource.Digest) kqresource.Objects {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	found := make(kqresource.Objects, len(wanted))
@@ -138,7 +138,7 @@
 			return
 		}
 		o.onFailure(err)
-		kqpause.For(ctx, rand.N(backoff)+time.Millisecond)
+		kqsleep.For(ctx, rand.N(backoff)+time.Millisecond)
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
@@ -163,7 +163,7 @@
 // pollLoop lists the keys at random intervals until ctx ends.
 func (o *Origin) pollLoop(ctx context.Context) {
 	for {
-		kqpause.For(ctx, pollInterval-pollJitter+rand.N(2*pollJitter))
+		kqsleep.For(ctx, pollInterval-pollJitter+rand.N(2*pollJitter))
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/config/kqorigin/origin_test.go
+++ b/internal/config/kqorigin/origin_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/config/kqorigin"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
@@ -34,7 +34,7 @@
 	// the keys that it refused.
 	testOrigin struct {
 		*kqorigin.Origin
-		store   *kqstandin.Standin
+		store   *kqfakestore.Fake
 		mu      sync.Mutex
 		roots   []kqresource.Root
 		refused []string
@@ -63,7 +63,7 @@
 
 func start(t *testing.T) *testOrigin {
 	t.Helper()
-	s := &testOrigin{store: kqstandin.New()}
+	s := &testOrigin{store: kqfakestore.New()}
 	s.Origin = kqorigin.New(s.store, jsonDecoder{}, func(_ context.Context, r kqresource.Root) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -151,11 +151,11 @@
 	s := start(t)
 	s.write(t, "o/document", document(1, "a"))
 	await(t, "first document is published", func() bool { n, _ := s.count(); return n == 1 })
-	s.store.SetFaults(kqstandin.Faults{Down: true})
-	s.store.SetFaults(kqstandin.Faults{SilentWatch: true})
+	s.store.SetFaults(kqfakestore.Faults{Down: true})
+	s.store.SetFaults(kqfakestore.Faults{SilentWatch: true})
 	s.write(t, "o/document", document(2, "b"))
 	s.store.Compact()
-	s.store.SetFaults(kqstandin.Faults{})
+	s.store.SetFaults(kqfakestore.Faults{})
 	await(t, "second document is published", func() bool { n, _ := s.count(); return n == 2 })
 }
 
@@ -199,7 +199,7 @@
 	s := start(t)
 	s.write(t, "o/document", document(1, "a"))
 	await(t, "first document is published", func() bool { n, _ := s.count(); return n == 1 })
-	s.store.SetFaults(kqstandin.Faults{SilentWatch: true})
+	s.store.SetFaults(kqfakestore.Faults{SilentWatch: true})
 	s.write(t, "o/document", document(2, "b"))
 	await(t, "second document is published", func() bool { n, _ := s.count(); return n == 2 })
 }
--- a/internal/config/kqreader/close_test.go
+++ b/internal/config/kqreader/close_test.go
@@ -10,14 +10,14 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/config/kqreader"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
 // frozenPlatform accepts requests and never answers.
 type frozenPlatform struct {
-	*kqstandin.Standin
+	*kqfakestore.Fake
 	requested    chan struct{}
 	requestEnded atomic.Bool
 }
@@ -36,7 +36,7 @@
 // a bound, for an earlier request to a frozen platform before it released the slot. Close
 // must cancel the request in flight.
 func TestCloseDoesNotWaitForAFrozenPlatform(t *testing.T) {
-	f := &frozenPlatform{Standin: kqstandin.New(), requested: make(chan struct{}, 1)}
+	f := &frozenPlatform{Fake: kqfakestore.New(), requested: make(chan struct{}, 1)}
 	table := kqmember.NewTable(kqmember.Member{Node: "a", Domain: "one", Control: "127.0.0.1:1"})
 	r := kqreader.New(f, table, countingWatcher{new(atomic.Int64)}, 0, func(context.Context, kqname.Address) {}, func(context.Context, bool) {}, func(error) {})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/config/kqreader/reader.go
+++ b/internal/config/kqreader/reader.go
@@ -10,8 +10,8 @@
 
 	"github.com/sourcegraph/conc"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
-	"github.com/kumquatgw/kumquatgw/internal/base/kqpause"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsleep"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqlease"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
@@ -105,10 +105,10 @@
 		case <-ctx.Done():
 		}
 	})
-	kqpause.For(ctx, rand.N(r.maxStartDelay+1))
+	kqsleep.For(ctx, rand.N(r.maxStartDelay+1))
 	for ctx.Err() == nil {
-		kqkeeper.From(ctx).Try("reader", func() { r.step(ctx) })
-		kqpause.For(ctx, stepInterval/2+rand.N(stepInterval))
+		kqsupervisor.From(ctx).RunRecovered("reader", func() { r.step(ctx) })
+		kqsleep.For(ctx, stepInterval/2+rand.N(stepInterval))
 	}
 	r.stopWatch()
 }
@@ -125,7 +125,7 @@
 		return
 	}
 	r.stopWatch()
-	r.holder.Lost()
+	r.holder.RecordLoss()
 	ctx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
 	// If the deletion fails, the slot is free once its lease expires.
@@ -140,20 +140,20 @@
 		return
 	}
 	situation, known := r.situation()
-	if r.servesPeers && !r.holder.Holds() && situation.Readers >= kqlease.Slots {
+	if r.servesPeers && !r.holder.Holds() && situation.Readers >= kqlease.ReadersPerDomain {
 		r.servesPeers = false
 		r.onReading(ctx, false)
 	}
 	switch r.holder.Next(situation, time.Now()) {
-	case kqlease.Look:
+	case kqlease.Acquire:
 		if !known {
 			// All nodes that know no other member have rank 0, so a random delay
 			// orders them instead.
-			kqpause.For(ctx, rand.N(maxIsolatedDelay))
+			kqsleep.For(ctx, rand.N(maxIsolatedDelay))
 		}
 		r.lookForSlot(ctx)
 	case kqlease.Renew:
-		if situation.Readers >= kqlease.Slots && r.hasLostSlot(ctx) {
+		if situation.Readers >= kqlease.ReadersPerDomain && r.hasLostSlot(ctx) {
 			r.stopWatching()
 			return
 		}
@@ -192,9 +192,9 @@
 // whose holder was found unknown or dead more than maxUnknownLooks times.
 func (r *Reader) lookForSlot(ctx context.Context) {
 	self := r.table.Self()
-	first := rand.IntN(kqlease.Slots)
-	for i := range kqlease.Slots {
-		key := SlotKey(self.Domain, (first+i)%kqlease.Slots)
+	first := rand.IntN(kqlease.ReadersPerDomain)
+	for i := range kqlease.ReadersPerDomain {
+		key := SlotKey(self.Domain, (first+i)%kqlease.ReadersPerDomain)
 		e, err := r.store.Get(ctx, key)
 		switch {
 		case errors.Is(err, kqstore.ErrNotFound):
@@ -243,15 +243,15 @@
 		}
 		return false
 	}
-	r.holder.Renewed(sent)
+	r.holder.RecordRenewal(sent)
 	r.lease, r.key, r.revision = lease, key, revision
 	clear(r.unknownLooks)
 	watchCtx, stopWatch := context.WithCancel(ctx)
 	r.stopWatch = stopWatch
 	r.servesPeers = true
-	keeper := kqkeeper.From(ctx)
-	r.group.Go(func() { keeper.Keep(ctx, "hold", func() { r.onReading(ctx, true) }) })
-	r.group.Go(func() { keeper.Keep(watchCtx, "watch", func() { r.watcher.Run(watchCtx) }) })
+	keeper := kqsupervisor.From(ctx)
+	r.group.Go(func() { keeper.RunWithRestart(ctx, "hold", func() { r.onReading(ctx, true) }) })
+	r.group.Go(func() { keeper.RunWithRestart(watchCtx, "watch", func() { r.watcher.Run(watchCtx) }) })
 	return true
 }
 
@@ -262,7 +262,7 @@
 	defer cancel()
 	switch err := r.store.Renew(ctx, r.lease); {
 	case err == nil:
-		r.holder.Renewed(sent)
+		r.holder.RecordRenewal(sent)
 	case errors.Is(err, kqstore.ErrLeaseLapsed):
 		r.stopWatching()
 	default:
@@ -291,5 +291,5 @@
 // keep its lease, and a host held by no other node would be unavailable.
 func (r *Reader) stopWatching() {
 	r.stopWatch()
-	r.holder.Lost()
+	r.holder.RecordLoss()
 }
--- a/internal/config/kqreader/reader_test.go
+++ b/internal/config/kqreader/reader_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/config/kqreader"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -25,7 +25,7 @@
 
 // readerFixture is a failure domain with one node, which has become a reader.
 type readerFixture struct {
-	platform  *kqstandin.Standin
+	platform  *kqfakestore.Fake
 	table     *kqmember.Table
 	reader    *kqreader.Reader
 	running   atomic.Int64
@@ -35,7 +35,7 @@
 func start(t *testing.T) *readerFixture {
 	t.Helper()
 	d := &readerFixture{
-		platform: kqstandin.New(),
+		platform: kqfakestore.New(),
 		table:    kqmember.NewTable(kqmember.Member{Node: "a", Domain: "one", Control: "127.0.0.1:1"}),
 	}
 	d.reader = kqreader.New(d.platform, d.table, countingWatcher{&d.running}, 0, func(context.Context, kqname.Address) {},
@@ -57,7 +57,7 @@
 func TestReaderStopsWatchingAfterLeaseExpires(t *testing.T) {
 	d := start(t)
 
-	d.platform.SetFaults(kqstandin.Faults{LapseLeases: true})
+	d.platform.SetFaults(kqfakestore.Faults{LapseLeases: true})
 	for slot := range 2 {
 		// Other nodes now hold both slots.
 		if _, err := d.platform.Swap(t.Context(), kqreader.SlotKey("one", slot), 0, []byte("127.0.0.1:2"), ""); err != nil {
@@ -89,12 +89,12 @@
 // must continue to serve their peers; otherwise calls to these hosts would fail.
 func TestReadersServePeersWhileThePlatformIsDown(t *testing.T) {
 	d := start(t)
-	d.platform.SetFaults(kqstandin.Faults{Down: true})
+	d.platform.SetFaults(kqfakestore.Faults{Down: true})
 	await(t, "reader stops watching", func() bool { return d.running.Load() == 0 })
 	if !d.isReading.Load() {
 		t.Fatal("the reader no longer holds the whole document")
 	}
-	d.platform.SetFaults(kqstandin.Faults{})
+	d.platform.SetFaults(kqfakestore.Faults{})
 	await(t, "reader watches again", func() bool { return d.running.Load() == 1 })
 }
 
--- a/internal/config/kqreplica/hold.go
+++ b/internal/config/kqreplica/hold.go
@@ -19,9 +19,9 @@
 	r.holdAll = on
 }
 
-// Fill fetches the objects of the current version that the replica lacks, if
+// FetchMissing fetches the objects of the current version that the replica lacks, if
 // HoldAll is on.
-func (r *Replica) Fill(ctx context.Context) error {
+func (r *Replica) FetchMissing(ctx context.Context) error {
 	if root := r.Current().Root(); root.Version > 0 && r.holdsAll() {
 		return r.fetchAll(ctx, root)
 	}
--- a/internal/config/kqreplica/replica.go
+++ b/internal/config/kqreplica/replica.go
@@ -10,7 +10,7 @@
 
 	"github.com/sourcegraph/conc"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqinterest"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqsnapshot"
@@ -53,7 +53,7 @@
 		onRefused     func(reason string)
 		onMemoryLimit func()
 		memoryBudget  int
-		keeper        *kqkeeper.Keeper
+		keeper        *kqsupervisor.Supervisor
 		// wholeDocument makes each version fetch all its objects again.
 		wholeDocument bool
 
@@ -83,21 +83,21 @@
 // does so for the service of its own upstream.
 func WithService(s kqname.Service) Option { return func(r *Replica) { r.services[s] = true } }
 
-// WithChanged calls f with each snapshot that becomes current.
-func WithChanged(f func(*kqsnapshot.Snapshot)) Option {
+// WithOnChange calls f with each snapshot that becomes current.
+func WithOnChange(f func(*kqsnapshot.Snapshot)) Option {
 	return func(r *Replica) { r.onChange = append(r.onChange, f) }
 }
 
 // WithKeeper recovers panics of host fetches by k, so that a panic ends only the
 // fetch.
-func WithKeeper(k *kqkeeper.Keeper) Option { return func(r *Replica) { r.keeper = k } }
+func WithKeeper(k *kqsupervisor.Supervisor) Option { return func(r *Replica) { r.keeper = k } }
 
-// WithRefused calls f with the reason for each version that cannot be applied.
-func WithRefused(f func(reason string)) Option { return func(r *Replica) { r.onRefused = f } }
+// WithOnRefused calls f with the reason for each version that cannot be applied.
+func WithOnRefused(f func(reason string)) Option { return func(r *Replica) { r.onRefused = f } }
 
-// WithMemory limits the bytes of configuration that are held; onMemoryLimit is called
+// WithMemoryBudget limits the bytes of configuration that are held; onMemoryLimit is called
 // for each host dropped, and each fetch of all objects cut short, because of it.
-func WithMemory(bytes int, onMemoryLimit func()) Option {
+func WithMemoryBudget(bytes int, onMemoryLimit func()) Option {
 	return func(r *Replica) { r.memoryBudget, r.onMemoryLimit = bytes, onMemoryLimit }
 }
 
@@ -127,14 +127,14 @@
 // Current returns the current snapshot. A call uses one snapshot throughout.
 func (r *Replica) Current() *kqsnapshot.Snapshot { return r.current.Load() }
 
-// Offer applies a newer root. It ignores an older version, and for the current
+// ApplyRoot applies a newer root. It ignores an older version, and for the current
 // one calls Fill. If the version is invalid or cannot be fetched, it returns an
 // error and keeps the current version.
-func (r *Replica) Offer(ctx context.Context, root kqresource.Root) error {
+func (r *Replica) ApplyRoot(ctx context.Context, root kqresource.Root) error {
 	if v := r.Current().Version(); root.Version < v {
 		return nil
 	} else if root.Version == v {
-		return r.Fill(ctx)
+		return r.FetchMissing(ctx)
 	}
 	if err := r.fetchAndApply(ctx, root, hostInterest{}); err != nil {
 		r.reportRefusal(ctx, err)
@@ -146,12 +146,12 @@
 	return nil
 }
 
-// Want returns a snapshot that holds a host's routes, if the current version has
+// EnsureHost returns a snapshot that holds a host's routes, if the current version has
 // any, and fetches them if necessary. Concurrent calls for a host share one
 // fetch, which continues when ctx ends. now becomes the host's time of last use.
-func (r *Replica) Want(ctx context.Context, host kqname.Host, now time.Time) (*kqsnapshot.Snapshot, error) {
+func (r *Replica) EnsureHost(ctx context.Context, host kqname.Host, now time.Time) (*kqsnapshot.Snapshot, error) {
 	current := r.Current()
-	if exists, held := current.Knows(host); held || !exists {
+	if exists, held := current.HostStatus(host); held || !exists {
 		if held {
 			r.interests.Renew(host, now)
 		}
@@ -194,7 +194,7 @@
 			delete(r.hostFetches, host)
 			close(f.done)
 		}()
-		r.keeper.Try("fetch", func() { f.err = r.fetchHost(ctx, host, now) })
+		r.keeper.RunRecovered("fetch", func() { f.err = r.fetchHost(ctx, host, now) })
 	})
 	return f
 }
@@ -205,13 +205,13 @@
 	for {
 		root := r.Current().Root()
 		err := r.fetchAndApply(ctx, root, hostInterest{host, now})
-		if _, held := r.Current().Knows(host); held || ctx.Err() != nil {
+		if _, held := r.Current().HostStatus(host); held || ctx.Err() != nil {
 			return err
 		}
 		if err != nil && r.Current().Version() == root.Version {
 			return err
 		}
-		if exists, _ := r.Current().Knows(host); !exists {
+		if exists, _ := r.Current().HostStatus(host); !exists {
 			return nil
 		}
 	}
--- a/internal/config/kqreplica/replica_test.go
+++ b/internal/config/kqreplica/replica_test.go
@@ -99,7 +99,7 @@
 // service is not held.
 func checkComplete(s *kqsnapshot.Snapshot) error {
 	for i := range hosts {
-		if _, held := s.Knows(host(i)); !held {
+		if _, held := s.HostStatus(host(i)); !held {
 			continue
 		}
 		for _, path := range []string{"/", "/1/", "/2/", "/3/"} {
@@ -136,13 +136,13 @@
 			roots = append(roots, root)
 		}
 		refused := 0
-		r := kqreplica.New(s, kqreplica.WithRefused(func(string) { refused++ }), kqreplica.WithService("service-0"))
+		r := kqreplica.New(s, kqreplica.WithOnRefused(func(string) { refused++ }), kqreplica.WithService("service-0"))
 		var highest kqname.ConfigVersion
 		for range 20 {
 			if rapid.Bool().Draw(t, "offer") {
-				_ = r.Offer(context.Background(), rapid.SampledFrom(roots).Draw(t, "root"))
+				_ = r.ApplyRoot(context.Background(), rapid.SampledFrom(roots).Draw(t, "root"))
 			} else {
-				_, _ = r.Want(context.Background(), host(rapid.IntRange(0, hosts-1).Draw(t, "host")), time.Unix(1, 0))
+				_, _ = r.EnsureHost(context.Background(), host(rapid.IntRange(0, hosts-1).Draw(t, "host")), time.Unix(1, 0))
 			}
 			now := r.Current()
 			if now.Version() < highest {
@@ -152,7 +152,7 @@
 			if err := checkComplete(now); err != nil {
 				t.Fatalf("version %d: %v", highest, err)
 			}
-			if _, held := now.Knows(host(0)); held && invalid[highest] {
+			if _, held := now.HostStatus(host(0)); held && invalid[highest] {
 				t.Fatalf("host of invalid version %d is held", highest)
 			}
 		}
@@ -166,10 +166,10 @@
 	s := newSource()
 	first, second, third := newRoot(t, s, 1, 1), newRoot(t, s, 2, 2), newRoot(t, s, 3, 3)
 	r := kqreplica.New(s)
-	if err := r.Offer(t.Context(), first); err != nil {
+	if err := r.ApplyRoot(t.Context(), first); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := r.Want(t.Context(), host(0), time.Unix(1, 0)); err != nil {
+	if _, err := r.EnsureHost(t.Context(), host(0), time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
 	}
 	slow, release := make(chan struct{}), make(chan struct{})
@@ -181,9 +181,9 @@
 		return nil
 	}
 	done := make(chan error, 1)
-	go func() { done <- r.Offer(t.Context(), second) }()
+	go func() { done <- r.ApplyRoot(t.Context(), second) }()
 	<-slow
-	if err := r.Offer(t.Context(), third); err != nil {
+	if err := r.ApplyRoot(t.Context(), third); err != nil {
 		t.Fatal(err)
 	}
 	if v := r.Current().Version(); v != 3 {
@@ -204,7 +204,7 @@
 	s := newSource()
 	root := newRoot(t, s, 1, 1)
 	r := kqreplica.New(s)
-	if err := r.Offer(t.Context(), root); err != nil {
+	if err := r.ApplyRoot(t.Context(), root); err != nil {
 		t.Fatal(err)
 	}
 	before := s.fetches.Load()
@@ -212,13 +212,13 @@
 	s.beforeFetch = func(context.Context, []kqresource.Digest) error { <-release; return nil }
 	late, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := r.Want(late, host(2), time.Unix(1, 0)); !errors.Is(err, context.Canceled) {
+	if _, err := r.EnsureHost(late, host(2), time.Unix(1, 0)); !errors.Is(err, context.Canceled) {
 		t.Fatalf("caller with an ended context: %v, want context.Canceled", err)
 	}
 	var group sync.WaitGroup
 	for range 20 {
 		group.Go(func() {
-			if got, err := r.Want(t.Context(), host(2), time.Unix(1, 0)); err != nil || checkComplete(got) != nil {
+			if got, err := r.EnsureHost(t.Context(), host(2), time.Unix(1, 0)); err != nil || checkComplete(got) != nil {
 				t.Errorf("want: %v", err)
 			}
 		})
@@ -236,24 +236,24 @@
 	s := newSource()
 	root := newRoot(t, s, 1, 1)
 	r := kqreplica.New(s, kqreplica.WithService("service-0"))
-	if err := r.Offer(t.Context(), root); err != nil {
+	if err := r.ApplyRoot(t.Context(), root); err != nil {
 		t.Fatal(err)
 	}
 	for i := range hosts {
-		if _, err := r.Want(t.Context(), host(i), time.Unix(int64(10*i), 0)); err != nil {
+		if _, err := r.EnsureHost(t.Context(), host(i), time.Unix(int64(10*i), 0)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if n := r.Sweep(time.Unix(25, 0)); n != 3 {
 		t.Fatalf("dropped %d hosts, want 3", n)
 	}
-	if _, held := r.Current().Knows(host(0)); held {
+	if _, held := r.Current().HostStatus(host(0)); held {
 		t.Fatal("idle host is still held")
 	}
 	if _, ok := r.Object(root.Hosts[host(0)][0]); ok {
 		t.Fatal("object of an idle host is still held")
 	}
-	if _, held := r.Current().Knows(host(3)); !held || checkComplete(r.Current()) != nil {
+	if _, held := r.Current().HostStatus(host(3)); !held || checkComplete(r.Current()) != nil {
 		t.Fatal("host in use was dropped or is incomplete")
 	}
 }
@@ -265,19 +265,19 @@
 	root := newRoot(t, s, 1, 1)
 	limitHits := 0
 	size := len(s.objects[root.Hosts[host(0)][0]])
-	r := kqreplica.New(s, kqreplica.WithMemory(12*size, func() { limitHits++ }))
-	if err := r.Offer(t.Context(), root); err != nil {
+	r := kqreplica.New(s, kqreplica.WithMemoryBudget(12*size, func() { limitHits++ }))
+	if err := r.ApplyRoot(t.Context(), root); err != nil {
 		t.Fatal(err)
 	}
 	for i := range hosts {
-		if _, err := r.Want(t.Context(), host(i), time.Unix(int64(10*i), 0)); err != nil {
+		if _, err := r.EnsureHost(t.Context(), host(i), time.Unix(int64(10*i), 0)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, held := r.Current().Knows(host(0)); held || limitHits == 0 {
+	if _, held := r.Current().HostStatus(host(0)); held || limitHits == 0 {
 		t.Fatalf("host 0 held is %v, memory limit reported %d times", held, limitHits)
 	}
-	if _, held := r.Current().Knows(host(3)); !held {
+	if _, held := r.Current().HostStatus(host(3)); !held {
 		t.Fatal("most recently used host was dropped")
 	}
 }
--- a/internal/config/kqreplica/stage.go
+++ b/internal/config/kqreplica/stage.go
@@ -34,7 +34,7 @@
 		}
 		for digest, data := range fetched {
 			if kqresource.DigestOf(data) != digest {
-				return fmt.Errorf("object %s: %w", digest, kqresource.ErrDigest)
+				return fmt.Errorf("object %s: %w", digest, kqresource.ErrDigestMismatch)
 			}
 			fetchedObjects[digest] = data
 		}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return missing, err
 	}
-	if _, held := snapshot.Knows(added.host); held {
+	if _, held := snapshot.HostStatus(added.host); held {
 		r.interests.Add(added.host, added.used)
 	}
 	r.retainObjects(root, snapshot, objects)
@@ -73,7 +73,7 @@
 	switch {
 	case errors.Is(err, kqsnapshot.ErrInvalid):
 		r.onRefused("invalid")
-	case errors.Is(err, kqresource.ErrDigest):
+	case errors.Is(err, kqresource.ErrDigestMismatch):
 		r.onRefused("wrong_digest")
 	case errors.Is(err, kqsnapshot.ErrIncomplete):
 		r.onRefused("incomplete")
--- a/internal/config/kqresource/resource.go
+++ b/internal/config/kqresource/resource.go
@@ -28,9 +28,9 @@
 
 	// ErrTooLarge means that an object is larger than MaxObjectBytes.
 	ErrTooLarge = namespace.NewType("too_large").New("object is larger than 1 MB")
-	// ErrDigest means that an object is missing, that its bytes do not match its
+	// ErrDigestMismatch means that an object is missing, that its bytes do not match its
 	// digest, or that a digest is malformed.
-	ErrDigest = namespace.NewType("digest").New("bytes do not match the digest")
+	ErrDigestMismatch = namespace.NewType("digest").New("bytes do not match the digest")
 
 	encoder = mustEncoder()
 	decoder = mustDecoder()
@@ -96,7 +96,7 @@
 func ParseDigest(text string) (Digest, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != sha256.Size {
-		return Digest{}, fmt.Errorf("parse digest %q: %w", text, ErrDigest)
+		return Digest{}, fmt.Errorf("parse digest %q: %w", text, ErrDigestMismatch)
 	}
 	return Digest(raw), nil
 }
--- a/internal/config/kqresource/split.go
+++ b/internal/config/kqresource/split.go
@@ -111,7 +111,7 @@
 func (o Objects) decode(d Digest, value any) error {
 	data, ok := o[d]
 	if !ok {
-		return fmt.Errorf("object %s is missing: %w", d, ErrDigest)
+		return fmt.Errorf("object %s is missing: %w", d, ErrDigestMismatch)
 	}
 	return Decode(data, value)
 }
--- a/internal/config/kqsnapshot/snapshot.go
+++ b/internal/config/kqsnapshot/snapshot.go
@@ -57,9 +57,9 @@
 	return list
 }
 
-// Knows reports whether the configuration version has routes for the host, and
+// HostStatus reports whether the configuration version has routes for the host, and
 // whether this snapshot, which is reduced to some hosts, holds them.
-func (s *Snapshot) Knows(host kqname.Host) (exists, held bool) {
+func (s *Snapshot) HostStatus(host kqname.Host) (exists, held bool) {
 	_, exists = s.root.Hosts[host]
 	_, held = s.hosts[host]
 	return exists, held
--- a/internal/config/kqwatch/watch.go
+++ b/internal/config/kqwatch/watch.go
@@ -8,7 +8,7 @@
 
 	"github.com/sourcegraph/conc"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqcommit"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
@@ -57,10 +57,10 @@
 // Run follows the root until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	var group conc.WaitGroup
-	keeper := kqkeeper.From(ctx)
+	keeper := kqsupervisor.From(ctx)
 	group.Go(func() {
 		var lastRevision kqstore.Revision
-		keeper.Keep(ctx, "watch", func() {
+		keeper.RunWithRestart(ctx, "watch", func() {
 			w.repeat(ctx, 0, func() error {
 				e, err := w.store.Watch(ctx, kqcommit.RootKey, lastRevision, watchWait)
 				if err != nil {
@@ -72,7 +72,7 @@
 		})
 	})
 	group.Go(func() {
-		keeper.Keep(ctx, "poll", func() {
+		keeper.RunWithRestart(ctx, "poll", func() {
 			w.repeat(ctx, w.pollInterval, func() error {
 				e, err := w.store.Get(ctx, kqcommit.RootKey)
 				if err != nil {
--- a/internal/config/kqwatch/watch_test.go
+++ b/internal/config/kqwatch/watch_test.go
@@ -8,7 +8,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/config/kqcommit"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqwatch"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -16,8 +16,8 @@
 // The platform answers other calls, but its watch never reports a changed root. Without
 // the poll, an operator's change would be accepted but never take effect.
 func TestVersionComesThroughWhenTheWatchIsSilent(t *testing.T) {
-	platform := kqstandin.New()
-	platform.SetFaults(kqstandin.Faults{SilentWatch: true})
+	platform := kqfakestore.New()
+	platform.SetFaults(kqfakestore.Faults{SilentWatch: true})
 	seen := make(chan kqname.ConfigVersion, 100)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/internal/decide/kqallowance/allowance.go
+++ b/internal/decide/kqallowance/allowance.go
@@ -27,10 +27,10 @@
 	a.tokens = min(a.tokens+usedShare*a.bound.Ratio, a.maxTokens(nodes))
 }
 
-// Repeated counts a call that is repeated because its calling call was retried; the bound
+// RecordRepeat counts a call that is repeated because its calling call was retried; the bound
 // counts it as a retry. It cannot be refused, so the balance may become negative and later
 // retries compensate.
-func (a *Allowance) Repeated(nodes int) {
+func (a *Allowance) RecordRepeat(nodes int) {
 	a.tokens = max(a.tokens-1, -a.maxTokens(nodes))
 }
 
--- a/internal/decide/kqallowance/allowance_test.go
+++ b/internal/decide/kqallowance/allowance_test.go
@@ -44,7 +44,7 @@
 	repeats := 0
 	for n := range calls {
 		if n%8 == 0 {
-			a.Repeated(nodes)
+			a.RecordRepeat(nodes)
 			repeats++
 		} else {
 			a.Earn(nodes)
--- a/internal/decide/kqreturn/doc.go
+++ b/internal/decide/kqcallerretry/doc.go
@@ -1,4 +1,4 @@
-// Package kqreturn recognizes retries by callers after a refusal or failure, and when the
+// Package kqcallerretry recognizes retries by callers after a refusal or failure, and when the
 // caller made its first attempt.
 //
 // Load pattern: overload, retry storm. Each attempt of a caller is a call of its own. If a
@@ -10,4 +10,4 @@
 // A call without a successful answer is remembered for as long as its caller waits, by a
 // hash of the caller and the request. Identical concurrent requests are distinguished by
 // their number only; which of them counts as new makes no difference.
-package kqreturn
+package kqcallerretry
--- a/internal/decide/kqreturn/return.go
+++ b/internal/decide/kqcallerretry/return.go
@@ -1,4 +1,4 @@
-package kqreturn
+package kqcallerretry
 
 import "time"
 
@@ -10,9 +10,9 @@
 	// Key is a hash of a caller and its request.
 	Key uint64
 
-	// Returns remembers the unsuccessful calls of one node. It is not safe for concurrent
+	// RetryTracker remembers the unsuccessful calls of one node. It is not safe for concurrent
 	// use.
-	Returns struct {
+	RetryTracker struct {
 		pending map[Key][]call
 		// order holds the keys of all remembered calls, oldest first, including some that
 		// have been retried since.
@@ -27,11 +27,11 @@
 )
 
 // New returns an empty Returns.
-func New() *Returns { return &Returns{pending: make(map[Key][]call)} }
+func New() *RetryTracker { return &RetryTracker{pending: make(map[Key][]call)} }
 
-// Unserved remembers a call that ended without a successful answer. Its caller made the
+// RecordFailure remembers a call that ended without a successful answer. Its caller made the
 // first attempt at first and waits until until.
-func (r *Returns) Unserved(k Key, first, until time.Time) {
+func (r *RetryTracker) RecordFailure(k Key, first, until time.Time) {
 	for len(r.order) >= maxCalls {
 		r.removeOldest(r.order[0])
 		r.order = r.order[1:]
@@ -40,9 +40,9 @@
 	r.order = append(r.order, k)
 }
 
-// First returns the time of the first attempt of a call that arrives now: now, unless it
+// FirstAttempt returns the time of the first attempt of a call that arrives now: now, unless it
 // is a retry.
-func (r *Returns) First(k Key, now time.Time) time.Time {
+func (r *RetryTracker) FirstAttempt(k Key, now time.Time) time.Time {
 	for {
 		a, ok := r.removeOldest(k)
 		if !ok {
@@ -55,7 +55,7 @@
 }
 
 // removeOldest removes and returns the oldest remembered call of a key.
-func (r *Returns) removeOldest(k Key) (call, bool) {
+func (r *RetryTracker) removeOldest(k Key) (call, bool) {
 	list := r.pending[k]
 	if len(list) == 0 {
 		return call{}, false
--- a/internal/decide/kqreturn/return_test.go
+++ b/internal/decide/kqcallerretry/return_test.go
@@ -1,10 +1,10 @@
-package kqreturn_test
+package kqcallerretry_test
 
 import (
 	"testing"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/decide/kqreturn"
+	"github.com/kumquatgw/kumquatgw/internal/decide/kqcallerretry"
 )
 
 var start = time.Unix(1000, 0)
@@ -13,16 +13,16 @@
 // counted from each retry, the call would be queued before calls that can still meet
 // theirs.
 func TestRetryKeepsFirstAttemptTime(t *testing.T) {
-	r := kqreturn.New()
+	r := kqcallerretry.New()
 	for i := range 3 {
 		now := start.Add(time.Duration(i) * 300 * time.Millisecond)
-		first := r.First(1, now)
+		first := r.FirstAttempt(1, now)
 		if !first.Equal(start) {
 			t.Errorf("attempt %d: first attempt is %v, want %v", i+1, first, start)
 		}
-		r.Unserved(1, first, start.Add(2*time.Second))
+		r.RecordFailure(1, first, start.Add(2*time.Second))
 	}
-	if late := start.Add(3 * time.Second); !r.First(1, late).Equal(late) {
+	if late := start.Add(3 * time.Second); !r.FirstAttempt(1, late).Equal(late) {
 		t.Error("a call after the caller's deadline counts as a retry")
 	}
 }
@@ -30,10 +30,10 @@
 // Two identical requests arrive at once and one is refused. Only one later call may count
 // as a retry.
 func TestOneRefusalMatchesOneRetry(t *testing.T) {
-	r := kqreturn.New()
-	r.Unserved(1, start, start.Add(time.Second))
+	r := kqcallerretry.New()
+	r.RecordFailure(1, start, start.Add(time.Second))
 	now := start.Add(100 * time.Millisecond)
-	if !r.First(1, now).Equal(start) || !r.First(1, now).Equal(now) {
+	if !r.FirstAttempt(1, now).Equal(start) || !r.FirstAttempt(1, now).Equal(now) {
 		t.Error("want one retry and one new call")
 	}
 }
@@ -41,14 +41,14 @@
 // Many refused callers never retry. Memory must stay bounded, and the latest calls must
 // still be recognized.
 func TestOldestCallsAreForgotten(t *testing.T) {
-	r := kqreturn.New()
+	r := kqcallerretry.New()
 	for i := range 100000 {
-		r.Unserved(kqreturn.Key(i), start, start.Add(time.Second))
+		r.RecordFailure(kqcallerretry.Key(i), start, start.Add(time.Second))
 	}
-	if !r.First(99999, start.Add(time.Millisecond)).Equal(start) {
+	if !r.FirstAttempt(99999, start.Add(time.Millisecond)).Equal(start) {
 		t.Error("the latest call is forgotten")
 	}
-	if now := start.Add(time.Millisecond); !r.First(1, now).Equal(now) {
+	if now := start.Add(time.Millisecond); !r.FirstAttempt(1, now).Equal(now) {
 		t.Error("the oldest call is still remembered")
 	}
 }
--- /dev/null
+++ b/internal/decide/kqdetector/doc.go
@@ -0,0 +1,2 @@
+// Package kqdetector detects failed members by missed heartbeats.
+package kqdetector
--- a/internal/decide/kqsuspicion/suspicion.go
+++ b/internal/decide/kqdetector/suspicion.go
@@ -1,4 +1,4 @@
-package kqsuspicion
+package kqdetector
 
 import (
 	"cmp"
@@ -10,9 +10,9 @@
 
 const (
 	// Suspect means that a member has missed heartbeats and may refute the suspicion.
-	Suspect Judgement = "suspect"
+	Suspect Status = "suspect"
 	// Dead means that a suspect has not refuted the suspicion in time.
-	Dead Judgement = "dead"
+	Dead Status = "dead"
 
 	// defaultMissedHeartbeats is the number of missed heartbeats that make a suspect: at
 	// 1% loss, a healthy member is suspected once in a million heartbeats.
@@ -23,13 +23,13 @@
 )
 
 type (
-	// Judgement is the suspected state of a member.
-	Judgement string
+	// Status is the suspected state of a member.
+	Status string
 
-	// Verdict is a change of a member's state.
-	Verdict struct {
-		Node      kqname.Node
-		Judgement Judgement
+	// Change is a change of a member's state.
+	Change struct {
+		Node   kqname.Node
+		Status Status
 	}
 
 	// Detector detects failed members by the time of their last heartbeat.
@@ -56,15 +56,15 @@
 	}
 }
 
-// Heard records a heartbeat or any other message of a member.
-func (d *Detector) Heard(n kqname.Node, now time.Time) {
+// RecordHeartbeat records a heartbeat or any other message of a member.
+func (d *Detector) RecordHeartbeat(n kqname.Node, now time.Time) {
 	if _, ok := d.lastHeard[n]; ok {
 		d.lastHeard[n] = now
 	}
 }
 
-// Watch sets the members that are sent heartbeats and so expected to answer.
-func (d *Detector) Watch(nodes []kqname.Node, now time.Time) {
+// SetWatched sets the members that are sent heartbeats and so expected to answer.
+func (d *Detector) SetWatched(nodes []kqname.Node, now time.Time) {
 	for n := range d.lastHeard {
 		if !slices.Contains(nodes, n) {
 			delete(d.lastHeard, n)
@@ -77,9 +77,9 @@
 	}
 }
 
-// Suspects sets the members that any node suspects. The time to refute starts when this
+// SetSuspects sets the members that any node suspects. The time to refute starts when this
 // node first learns of the suspicion.
-func (d *Detector) Suspects(nodes []kqname.Node, now time.Time) {
+func (d *Detector) SetSuspects(nodes []kqname.Node, now time.Time) {
 	for n := range d.suspectedAt {
 		if !slices.Contains(nodes, n) {
 			delete(d.suspectedAt, n)
@@ -92,27 +92,27 @@
 	}
 }
 
-// Judge returns the members whose state has changed. It must be called at every heartbeat.
+// Check returns the members whose state has changed. It must be called at every heartbeat.
 // After an interval of more than two heartbeats, or a negative one, this node was paused
 // or its clock jumped, so all times are shifted and no member is suspected for it.
-func (d *Detector) Judge(now time.Time) []Verdict {
+func (d *Detector) Check(now time.Time) []Change {
 	if pause := now.Sub(d.checkedAt); !d.checkedAt.IsZero() && (pause > 2*d.interval || pause < 0) {
 		d.shiftTimes(pause)
 	}
 	d.checkedAt = now
-	var changes []Verdict
+	var changes []Change
 	for n, at := range d.suspectedAt {
 		if now.Sub(at) > time.Duration(d.refuteHeartbeats)*d.interval {
-			changes = append(changes, Verdict{n, Dead})
+			changes = append(changes, Change{n, Dead})
 			delete(d.lastHeard, n)
 		}
 	}
 	for n, at := range d.lastHeard {
 		if _, already := d.suspectedAt[n]; !already && now.Sub(at) > time.Duration(d.missedHeartbeats)*d.interval {
-			changes = append(changes, Verdict{n, Suspect})
+			changes = append(changes, Change{n, Suspect})
 		}
 	}
-	slices.SortFunc(changes, func(a, b Verdict) int { return cmp.Compare(a.Node, b.Node) })
+	slices.SortFunc(changes, func(a, b Change) int { return cmp.Compare(a.Node, b.Node) })
 	return changes
 }
 
--- a/internal/decide/kqsuspicion/suspicion_test.go
+++ b/internal/decide/kqdetector/suspicion_test.go
@@ -1,10 +1,10 @@
-package kqsuspicion_test
+package kqdetector_test
 
 import (
 	"testing"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/decide/kqsuspicion"
+	"github.com/kumquatgw/kumquatgw/internal/decide/kqdetector"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -13,25 +13,25 @@
 var start = time.Unix(1000, 0)
 
 func TestSilentMemberIsSuspectedThenDead(t *testing.T) {
-	d := kqsuspicion.New(interval)
-	d.Watch([]kqname.Node{"a", "b"}, start)
-	firstTick := map[kqsuspicion.Judgement]int{}
+	d := kqdetector.New(interval)
+	d.SetWatched([]kqname.Node{"a", "b"}, start)
+	firstTick := map[kqdetector.Status]int{}
 	for tick := range 20 {
 		now := start.Add(time.Duration(tick) * interval)
-		d.Heard("a", now)
-		for _, change := range d.Judge(now) {
+		d.RecordHeartbeat("a", now)
+		for _, change := range d.Check(now) {
 			if change.Node != "b" {
-				t.Fatalf("tick %d: %s is %s, want no suspicion", tick, change.Node, change.Judgement)
+				t.Fatalf("tick %d: %s is %s, want no suspicion", tick, change.Node, change.Status)
 			}
-			if _, ok := firstTick[change.Judgement]; !ok {
-				firstTick[change.Judgement] = tick
+			if _, ok := firstTick[change.Status]; !ok {
+				firstTick[change.Status] = tick
 			}
-			if change.Judgement == kqsuspicion.Suspect {
-				d.Suspects([]kqname.Node{"b"}, now)
+			if change.Status == kqdetector.Suspect {
+				d.SetSuspects([]kqname.Node{"b"}, now)
 			}
 		}
 	}
-	if s, d := firstTick[kqsuspicion.Suspect], firstTick[kqsuspicion.Dead]; s == 0 || d < s+4 || d > 12 {
+	if s, d := firstTick[kqdetector.Suspect], firstTick[kqdetector.Dead]; s == 0 || d < s+4 || d > 12 {
 		t.Fatalf("suspected at tick %d, dead at %d, want at least 4 ticks between and dead by tick 12", s, d)
 	}
 }
@@ -39,13 +39,13 @@
 // A node is paused for a minute, or its clock jumps ahead by one. If it took the silence
 // for a failure of the others, its callers would lose every upstream at once.
 func TestPausedNodeSuspectsNoOther(t *testing.T) {
-	d := kqsuspicion.New(interval)
-	d.Watch([]kqname.Node{"a", "b"}, start)
-	d.Judge(start)
-	if changes := d.Judge(start.Add(time.Minute)); len(changes) > 0 {
+	d := kqdetector.New(interval)
+	d.SetWatched([]kqname.Node{"a", "b"}, start)
+	d.Check(start)
+	if changes := d.Check(start.Add(time.Minute)); len(changes) > 0 {
 		t.Fatalf("changes after a pause: %v, want none", changes)
 	}
-	if changes := d.Judge(start.Add(time.Minute - 30*time.Second)); len(changes) > 0 {
+	if changes := d.Check(start.Add(time.Minute - 30*time.Second)); len(changes) > 0 {
 		t.Fatalf("changes after a clock jump back: %v, want none", changes)
 	}
 }
--- a/internal/decide/kqfailing/failing.go
+++ b/internal/decide/kqfailrate/failing.go
@@ -1,4 +1,4 @@
-package kqfailing
+package kqfailrate
 
 import (
 	"math"
@@ -14,16 +14,16 @@
 	minRate = 0.05
 )
 
-// Failing is the failure rate of one upstream, a decaying mean over its calls. The zero
+// FailureRate is the failure rate of one upstream, a decaying mean over its calls. The zero
 // value is ready to use. It is not safe for concurrent use.
-type Failing struct {
+type FailureRate struct {
 	rate     float64
 	lastCall time.Time
 }
 
-// Note records a call and whether it failed.
-func (f *Failing) Note(failed bool, now time.Time) {
-	rate := Faded(f.rate, now.Sub(f.lastCall))
+// Record records a call and whether it failed.
+func (f *FailureRate) Record(failed bool, now time.Time) {
+	rate := Decay(f.rate, now.Sub(f.lastCall))
 	sample := 0.0
 	if failed {
 		sample = 1
@@ -31,17 +31,17 @@
 	f.rate, f.lastCall = rate+(sample-rate)/windowCalls, now
 }
 
-// Share returns the failure rate, from 0 to 1. It is 0 below minRate, where the failures
+// Rate returns the failure rate, from 0 to 1. It is 0 below minRate, where the failures
 // may be chance.
-func (f *Failing) Share(now time.Time) float64 {
-	if rate := Faded(f.rate, now.Sub(f.lastCall)); rate >= minRate {
+func (f *FailureRate) Rate(now time.Time) float64 {
+	if rate := Decay(f.rate, now.Sub(f.lastCall)); rate >= minRate {
 		return rate
 	}
 	return 0
 }
 
-// Faded returns a failure rate after its decay over the given time without calls.
-func Faded(rate float64, age time.Duration) float64 {
+// Decay returns a failure rate after its decay over the given time without calls.
+func Decay(rate float64, age time.Duration) float64 {
 	if rate == 0 || age <= 0 {
 		return rate
 	}
--- a/internal/decide/kqfifo/fifo.go
+++ b/internal/decide/kqfifo/fifo.go
@@ -26,14 +26,14 @@
 	case q.closed:
 		refuse(t, kqcall.Draining)
 	case !now.Before(t.Deadline):
-		refuse(t, kqcall.Late)
+		refuse(t, kqcall.NotStartedInTime)
 	case q.running < q.count:
 		q.running++
 		t.Verdict = kqslots.Run
 	case len(q.waiting) >= maxWaitingPerSlot*q.count:
 		refuse(t, kqcall.QueueFull)
 	default:
-		t.Verdict, t.GiveUp = kqslots.Wait, t.Deadline
+		t.Verdict, t.ExpireAt = kqslots.Wait, t.Deadline
 		q.waiting = append(q.waiting, t)
 	}
 }
@@ -51,7 +51,7 @@
 		return false
 	}
 	q.waiting = slices.Delete(q.waiting, i, i+1)
-	refuse(t, kqcall.Late)
+	refuse(t, kqcall.NotStartedInTime)
 	return true
 }
 
@@ -80,8 +80,8 @@
 	return kqcall.Load{Running: q.running, Waiting: len(q.waiting), Slots: q.count}
 }
 
-// Tell returns the same as Load, since all calls are treated alike.
-func (q *Queue) Tell(*kqslots.Ticket, time.Time) kqcall.Load { return q.Load() }
+// LoadFor returns the same as Load, since all calls are treated alike.
+func (q *Queue) LoadFor(*kqslots.Ticket, time.Time) kqcall.Load { return q.Load() }
 
 func (q *Queue) serve(now time.Time) []*kqslots.Ticket {
 	var decided []*kqslots.Ticket
@@ -92,7 +92,7 @@
 			q.running++
 			t.Verdict = kqslots.Run
 		} else {
-			refuse(t, kqcall.Late)
+			refuse(t, kqcall.NotStartedInTime)
 		}
 		decided = append(decided, t)
 	}
--- a/internal/decide/kqlease/example_test.go
+++ b/internal/decide/kqlease/example_test.go
@@ -13,7 +13,7 @@
 	var h kqlease.Holder
 	now := time.Unix(0, 0)
 	fmt.Println(h.Next(kqlease.Situation{}, now))
-	h.Renewed(now)
+	h.RecordRenewal(now)
 	fmt.Println(h.Next(kqlease.Situation{}, now.Add(kqlease.TTL/3)))
 	fmt.Println(h.Next(kqlease.Situation{}, now.Add(kqlease.TTL)))
 	// Output:
--- a/internal/decide/kqlease/lease.go
+++ b/internal/decide/kqlease/lease.go
@@ -5,15 +5,15 @@
 const (
 	// Wait means that there is nothing to do.
 	Wait Step = "wait"
-	// Look means to read the slots and acquire a free one.
-	Look Step = "look"
+	// Acquire means to read the slots and acquire a free one.
+	Acquire Step = "look"
 	// Renew means to renew the held lease.
 	Renew Step = "renew"
 	// GiveUp means to stop reading, since the lease may have expired.
 	GiveUp Step = "give_up"
 
-	// Slots is the number of readers of a failure domain: one and a standby.
-	Slots = 2
+	// ReadersPerDomain is the number of readers of a failure domain: one and a standby.
+	ReadersPerDomain = 2
 	// TTL is the duration of a lease. A domain that lost both readers has none for about
 	// that long; the other domains' readers serve it meanwhile.
 	TTL = 6 * time.Second
@@ -65,7 +65,7 @@
 	if h.held {
 		return h.nextHeld(now)
 	}
-	if s.Readers >= Slots || s.Rank >= maxLookers {
+	if s.Readers >= ReadersPerDomain || s.Rank >= maxLookers {
 		h.vacantSince = time.Time{}
 		return Wait
 	}
@@ -76,7 +76,7 @@
 		return Wait
 	}
 	h.lookedAt = now
-	return Look
+	return Acquire
 }
 
 func (h *Holder) nextHeld(now time.Time) Step {
@@ -94,9 +94,9 @@
 // Holds reports whether the lease is held.
 func (h *Holder) Holds() bool { return h.held }
 
-// Renewed records that the platform granted or renewed the lease in answer to a request
+// RecordRenewal records that the platform granted or renewed the lease in answer to a request
 // sent at the given time. The lease lasts at least TTL from then.
-func (h *Holder) Renewed(sent time.Time) { h.held, h.renewedAt, h.requestedAt = true, sent, sent }
+func (h *Holder) RecordRenewal(sent time.Time) { h.held, h.renewedAt, h.requestedAt = true, sent, sent }
 
-// Lost records that the lease was lost or given up.
-func (h *Holder) Lost() { *h = Holder{lookedAt: h.lookedAt} }
+// RecordLoss records that the lease was lost or given up.
+func (h *Holder) RecordLoss() { *h = Holder{lookedAt: h.lookedAt} }
