--- a/internal/decide/kqlease/lease_test.go
+++ b/internal/decide/kqlease/lease_test.go
@@ -11,10 +11,10 @@
 
 func TestHolderRenewsAndGivesUpByLocalClock(t *testing.T) {
 	var h kqlease.Holder
-	if step := h.Next(kqlease.Situation{}, start); step != kqlease.Look {
+	if step := h.Next(kqlease.Situation{}, start); step != kqlease.Acquire {
 		t.Fatalf("next step with a vacant slot is %s, want look", step)
 	}
-	h.Renewed(start)
+	h.RecordRenewal(start)
 	for _, c := range []struct {
 		after time.Duration
 		want  kqlease.Step
@@ -39,7 +39,7 @@
 	for rank := range 80 {
 		var h kqlease.Holder
 		for at := time.Duration(0); at < 3*time.Second; at += 100 * time.Millisecond {
-			if h.Next(kqlease.Situation{Rank: rank}, start.Add(at)) == kqlease.Look {
+			if h.Next(kqlease.Situation{Rank: rank}, start.Add(at)) == kqlease.Acquire {
 				looks++
 			}
 		}
--- a/internal/decide/kqpick/peer.go
+++ b/internal/decide/kqpick/peer.go
@@ -6,7 +6,7 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqeject"
-	"github.com/kumquatgw/kumquatgw/internal/decide/kqfailing"
+	"github.com/kumquatgw/kumquatgw/internal/decide/kqfailrate"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -24,16 +24,16 @@
 	routeLoads routeLoads
 }
 
-// Known returns the upstream's last reported load and its age, both zero if there is none.
-func (peer *Peer) Known(now time.Time) (kqcall.Load, time.Duration) {
+// LastReport returns the upstream's last reported load and its age, both zero if there is none.
+func (peer *Peer) LastReport(now time.Time) (kqcall.Load, time.Duration) {
 	if peer.reportedAt.IsZero() {
 		return peer.load, 0
 	}
 	return peer.load, now.Sub(peer.reportedAt)
 }
 
-// Sent returns the number of this entry's in-flight calls to the upstream.
-func (peer *Peer) Sent() int { return peer.sent }
+// InFlight returns the number of this entry's in-flight calls to the upstream.
+func (peer *Peer) InFlight() int { return peer.sent }
 
 // Ejected reports whether the upstream is ejected.
 func (peer *Peer) Ejected() bool { return peer.state.Ejected() }
@@ -60,7 +60,7 @@
 		}
 	}
 	found, leastExpected := p.leastExpected(list[:local], target.Route, now, random)
-	if leastExpected >= target.Ample.Seconds() {
+	if leastExpected >= target.ComfortableLatency.Seconds() {
 		return nil
 	}
 	return found
@@ -106,7 +106,7 @@
 func (p *Pool) expectedTime(peer *Peer, route kqname.Route, now time.Time) float64 {
 	load := peer.routeLoads.current(route, now)
 	if load.expectedWork == 0 {
-		expectedWork := p.Work(route)
+		expectedWork := p.LeastWork(route)
 		if expectedWork == 0 {
 			expectedWork = peer.expectedWork(p.typicalWork(now))
 		}
@@ -151,15 +151,15 @@
 
 // failureRate returns the reported share of failing calls, decayed by its age.
 func (peer *Peer) failureRate(now time.Time) float64 {
-	return kqfailing.Faded(peer.load.Failing, now.Sub(peer.reportedAt))
+	return kqfailrate.Decay(peer.load.FailureRate, now.Sub(peer.reportedAt))
 }
 
 // coldSlowdown returns how many times slower the upstream is expected to be while it is
 // cold. Warm is the announced end of its cold start; without one, the slowdown falls
 // linearly over coldDuration.
 func (peer *Peer) coldSlowdown(now time.Time) float64 {
-	if !peer.Warm.IsZero() {
-		if now.Before(peer.Warm) {
+	if !peer.WarmFrom.IsZero() {
+		if now.Before(peer.WarmFrom) {
 			return coldFactorBeforeWarm
 		}
 		return 1
--- a/internal/decide/kqpick/pick.go
+++ b/internal/decide/kqpick/pick.go
@@ -74,8 +74,8 @@
 	Option func(*Pool)
 )
 
-// WithPlain makes the pool choose uniformly at random, as a baseline for measurements.
-func WithPlain(uniform bool) Option { return func(p *Pool) { p.uniform = uniform } }
+// WithUniform makes the pool choose uniformly at random, as a baseline for measurements.
+func WithUniform(uniform bool) Option { return func(p *Pool) { p.uniform = uniform } }
 
 // New returns the pool of an entry in the given failure domain.
 func New(domain kqname.Domain, options ...Option) *Pool {
--- a/internal/decide/kqpick/pick_test.go
+++ b/internal/decide/kqpick/pick_test.go
@@ -54,7 +54,7 @@
 	all := make([]kqmember.Candidate, 0, len(works))
 	for i := range works {
 		all = append(all, kqmember.Candidate{
-			Upstream: kqmember.Upstream{Slots: 6, Warm: now.Add(-time.Second)}, Node: kqname.Node(fmt.Sprint(i)), Domain: domains[i],
+			Upstream: kqmember.Upstream{Slots: 6, WarmFrom: now.Add(-time.Second)}, Node: kqname.Node(fmt.Sprint(i)), Domain: domains[i],
 		})
 	}
 	p.Set(all, now)
@@ -103,7 +103,7 @@
 	random := rand.New(rand.NewPCG(1, 3))
 	p := newPool(now, []kqname.Domain{"here", "there"}, 100*time.Millisecond, 60*time.Millisecond)
 	for ample, want := range map[time.Duration]kqname.Node{160 * time.Millisecond: "0", 50 * time.Millisecond: "1"} {
-		o := p.Pick(kqpick.Target{Ample: ample}, nil, now, random)
+		o := p.Pick(kqpick.Target{ComfortableLatency: ample}, nil, now, random)
 		p.Done(o, kqcall.OK(), false, nil, now)
 		if o.Node != want {
 			t.Errorf("ample time %s: went to %s, want %s", ample, o.Node, want)
--- a/internal/decide/kqpick/routes.go
+++ b/internal/decide/kqpick/routes.go
@@ -24,7 +24,7 @@
 
 // update stores the load report of a response.
 func (r *routeLoads) update(report *kqcall.Load, now time.Time) {
-	if report.Route == "" || report.Expected == 0 {
+	if report.Route == "" || report.ExpectedWork == 0 {
 		return
 	}
 	if *r == nil {
@@ -38,7 +38,7 @@
 		load = &routeLoad{}
 		(*r)[report.Route] = load
 	}
-	*load = routeLoad{expectedWork: report.Expected, wait: report.Wait, reportedAt: now}
+	*load = routeLoad{expectedWork: report.ExpectedWork, wait: report.Wait, reportedAt: now}
 }
 
 // sent counts a call that is sent to the upstream.
--- a/internal/decide/kqpick/saturation_test.go
+++ b/internal/decide/kqpick/saturation_test.go
@@ -36,7 +36,7 @@
 	for i := range calls {
 		now = now.Add(50 * time.Millisecond)
 		var tried []kqname.Node
-		for retry := true; retry && len(tried) < maxAttempts; retry = pool.Spare(kqpick.Target{}, tried, now) {
+		for retry := true; retry && len(tried) < maxAttempts; retry = pool.HasFreeSlot(kqpick.Target{}, tried, now) {
 			o := pool.Pick(kqpick.Target{}, tried, now, random)
 			if o == nil {
 				break
@@ -57,7 +57,7 @@
 	free := kqcall.Load{Running: 4, Slots: 6, Work: 200 * time.Millisecond}
 	o := pool.Pick(kqpick.Target{}, nil, now, random)
 	pool.Done(o, kqcall.OK(), false, &free, now)
-	if !pool.Spare(kqpick.Target{}, nil, now.Add(300*time.Millisecond)) {
+	if !pool.HasFreeSlot(kqpick.Target{}, nil, now.Add(300*time.Millisecond)) {
 		t.Error("an upstream that reported free slots counts as full")
 	}
 }
--- a/internal/decide/kqpick/simulation_test.go
+++ b/internal/decide/kqpick/simulation_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
-	"github.com/kumquatgw/kumquatgw/internal/decide/kqfailing"
+	"github.com/kumquatgw/kumquatgw/internal/decide/kqfailrate"
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqpick"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
@@ -34,7 +34,7 @@
 		// record is the gate's count of them.
 		failShare float64
 		failed    int
-		record    kqfailing.Failing
+		record    kqfailrate.FailureRate
 	}
 
 	job struct {
@@ -77,7 +77,7 @@
 	var list []kqmember.Candidate
 	for i := range upstreams {
 		name := nameOf(i)
-		list = append(list, kqmember.Candidate{Node: name, Domain: "d", Gate: kqname.Address(name), Upstream: kqmember.Upstream{Service: "s", Slots: slots, Warm: startTime}})
+		list = append(list, kqmember.Candidate{Node: name, Domain: "d", Gate: kqname.Address(name), Upstream: kqmember.Upstream{Service: "s", Slots: slots, WarmFrom: startTime}})
 		sim.upstreams[name] = &upstream{slots: slots, factor: []float64{0.5, 1, 1, 1.5}[i%4]}
 	}
 	for range entries {
@@ -93,7 +93,7 @@
 }
 
 func (sim *simulation) call(entry int) {
-	p := sim.entries[entry].Pick(kqpick.Target{Ample: target / 2}, nil, sim.now, sim.random)
+	p := sim.entries[entry].Pick(kqpick.Target{ComfortableLatency: target / 2}, nil, sim.now, sim.random)
 	j := &job{entry: entry, peer: p, arrivedAt: sim.now}
 	u := sim.upstreams[p.Node]
 	u.calls++
@@ -115,13 +115,13 @@
 		if failed {
 			u.failed++
 		}
-		u.record.Note(failed, sim.now)
+		u.record.Record(failed, sim.now)
 		if len(u.waiting) > 0 {
 			next := u.waiting[0]
 			u.waiting = u.waiting[1:]
 			sim.run(u, next)
 		}
-		load := kqcall.Load{Running: u.running, Waiting: len(u.waiting), Slots: u.slots, Work: time.Duration(float64(work) * u.factor), Failing: u.record.Share(sim.now)}
+		load := kqcall.Load{Running: u.running, Waiting: len(u.waiting), Slots: u.slots, Work: time.Duration(float64(work) * u.factor), FailureRate: u.record.Rate(sim.now)}
 		sim.after(time.Millisecond, func() {
 			sim.took = append(sim.took, sim.now.Sub(j.arrivedAt))
 			sim.entries[j.entry].Done(j.peer, kqcall.OK(), failed, &load, sim.now)
--- a/internal/decide/kqpick/slow_test.go
+++ b/internal/decide/kqpick/slow_test.go
@@ -77,7 +77,7 @@
 	var all []kqmember.Candidate
 	join := func() {
 		all = append(slices.Clone(all), kqmember.Candidate{
-			Upstream: kqmember.Upstream{Slots: 6, Warm: now.Add(-time.Second)}, Node: kqname.Node(fmt.Sprint(len(all))), Domain: "x",
+			Upstream: kqmember.Upstream{Slots: 6, WarmFrom: now.Add(-time.Second)}, Node: kqname.Node(fmt.Sprint(len(all))), Domain: "x",
 		})
 		p.Set(all, now)
 	}
--- a/internal/decide/kqpick/target.go
+++ b/internal/decide/kqpick/target.go
@@ -26,12 +26,12 @@
 	// Fallback is the version used after the target has refused a call or has no upstream
 	// for it; empty means none.
 	Fallback kqname.UpstreamVersion
-	// Not lists excluded versions. FallbackNot lists those excluded by the target that is
+	// ExcludedVersions lists excluded versions. FallbackNot lists those excluded by the target that is
 	// used instead of Fallback.
-	Not, FallbackNot []kqname.UpstreamVersion
-	// Ample is the expected time up to which an upstream of the own failure domain is
+	ExcludedVersions, FallbackExcludedVersions []kqname.UpstreamVersion
+	// ComfortableLatency is the expected time up to which an upstream of the own failure domain is
 	// preferred to all others; 0 means none.
-	Ample time.Duration
+	ComfortableLatency time.Duration
 	// Route is the route of the call; empty if upstreams report no routes.
 	Route kqname.Route
 }
@@ -40,26 +40,26 @@
 func (t Target) Next() Target {
 	switch {
 	case t.Fallback != "":
-		return Target{Version: t.Fallback, Ample: t.Ample, Route: t.Route}
-	case len(t.FallbackNot) > 0:
-		return Target{Not: t.FallbackNot, Ample: t.Ample, Route: t.Route}
+		return Target{Version: t.Fallback, ComfortableLatency: t.ComfortableLatency, Route: t.Route}
+	case len(t.FallbackExcludedVersions) > 0:
+		return Target{ExcludedVersions: t.FallbackExcludedVersions, ComfortableLatency: t.ComfortableLatency, Route: t.Route}
 	default:
 		return t
 	}
 }
 
 // HasNext reports whether there is a fallback target.
-func (t Target) HasNext() bool { return t.Fallback != "" || len(t.FallbackNot) > 0 }
+func (t Target) HasNext() bool { return t.Fallback != "" || len(t.FallbackExcludedVersions) > 0 }
 
 func (t Target) allows(c kqmember.Candidate) bool {
-	return (t.Version == "" || c.Version == t.Version) && (t.Nodes == nil || t.Nodes[c.Node]) && !slices.Contains(t.Not, c.Version)
+	return (t.Version == "" || c.Version == t.Version) && (t.Nodes == nil || t.Nodes[c.Node]) && !slices.Contains(t.ExcludedVersions, c.Version)
 }
 
-// Ample returns the expected time within which a local upstream is preferred, for calls
+// ComfortableLatency returns the expected time within which a local upstream is preferred, for calls
 // with the given target. It is less for nested calls: the calling call holds a slot of its
 // upstream while it waits, so when slots are short, extra milliseconds delay other
 // callers, and a local queue is reason enough to use another domain.
-func Ample(target time.Duration, nested bool) time.Duration {
+func ComfortableLatency(target time.Duration, nested bool) time.Duration {
 	if nested {
 		return time.Duration(nestedComfortableShare * float64(target))
 	}
--- a/internal/decide/kqretry/retry_test.go
+++ b/internal/decide/kqretry/retry_test.go
@@ -40,10 +40,10 @@
 // pay it twice, so only idempotent calls may be retried.
 func TestUnknownOutcomeIsRetriedOnlyIfIdempotent(t *testing.T) {
 	b := kqretry.New(true)
-	if b.Spend(kqcall.Lose(kqcall.Cut), false) {
+	if b.Spend(kqcall.UnknownOutcome(kqcall.Cut), false) {
 		t.Error("a call that may have run is retried")
 	}
-	if !b.Spend(kqcall.Lose(kqcall.Cut), true) {
+	if !b.Spend(kqcall.UnknownOutcome(kqcall.Cut), true) {
 		t.Error("an idempotent call is not retried")
 	}
 }
--- a/internal/decide/kqshed/shed.go
+++ b/internal/decide/kqshed/shed.go
@@ -34,9 +34,9 @@
 // New returns a Shedder without data.
 func New() *Shedder { return &Shedder{} }
 
-// Refuse counts a call of the class and reports whether to refuse it. late is set if the
+// ShouldShed counts a call of the class and reports whether to refuse it. late is set if the
 // call can no longer meet its target.
-func (s *Shedder) Refuse(c kqdocument.Class, late bool, now time.Time, random *rand.Rand) bool {
+func (s *Shedder) ShouldShed(c kqdocument.Class, late bool, now time.Time, random *rand.Rand) bool {
 	i := c.Rank()
 	w := &s.classes[i]
 	w.decay(now)
@@ -51,8 +51,8 @@
 	return true
 }
 
-// Refused counts a call that a gate refused for load.
-func (s *Shedder) Refused(c kqdocument.Class) { s.classes[c.Rank()].refused++ }
+// RecordRefusal counts a call that a gate refused for load.
+func (s *Shedder) RecordRefusal(c kqdocument.Class) { s.classes[c.Rank()].refused++ }
 
 // shedProbability returns the probability of refusing a call. Late calls are refused first,
 // up to the number of calls in excess of factor times the accepted ones.
--- a/internal/decide/kqshed/shed_test.go
+++ b/internal/decide/kqshed/shed_test.go
@@ -45,7 +45,7 @@
 			if c.at.After(now) {
 				return false
 			}
-			if s.Refuse(kqdocument.ClassBackground, c.attempts > 0, now, random) {
+			if s.ShouldShed(kqdocument.ClassBackground, c.attempts > 0, now, random) {
 				refused = append(refused, c)
 			} else {
 				admitted = append(admitted, c)
@@ -62,7 +62,7 @@
 			late++
 		}
 		for _, c := range admitted[min(1, len(admitted)):] {
-			s.Refused(kqdocument.ClassBackground)
+			s.RecordRefusal(kqdocument.ClassBackground)
 			refused = append(refused, c)
 		}
 		for _, c := range refused {
--- a/internal/decide/kqslots/overload_test.go
+++ b/internal/decide/kqslots/overload_test.go
@@ -81,7 +81,7 @@
 func simulate(l load, seed uint64) map[kqname.Route]*results {
 	sim := &simulation{
 		load: l, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 1)),
-		slots: kqslots.New(l.slots, seed, kqslots.WithExact()), results: make(map[kqname.Route]*results), calls: make(map[*kqslots.Ticket]*request), entered: make(map[*kqslots.Ticket]time.Time),
+		slots: kqslots.New(l.slots, seed, kqslots.WithFixedLimit()), results: make(map[kqname.Route]*results), calls: make(map[*kqslots.Ticket]*request), entered: make(map[*kqslots.Ticket]time.Time),
 	}
 	for i := range l.streams {
 		s := &l.streams[i]
@@ -140,7 +140,7 @@
 			}
 		})
 	case kqslots.Wait:
-		sim.after(t.GiveUp.Sub(sim.now), func() {
+		sim.after(t.ExpireAt.Sub(sim.now), func() {
 			if sim.slots.Expire(t) {
 				sim.handle(t)
 			}
--- a/internal/decide/kqslots/queue.go
+++ b/internal/decide/kqslots/queue.go
@@ -31,7 +31,7 @@
 		return
 	}
 	t.Verdict = Wait
-	t.GiveUp = now.Add(min(maxWait, max(left-expected, 0)))
+	t.ExpireAt = now.Add(min(maxWait, max(left-expected, 0)))
 	s.push(t, expected, now)
 }
 
@@ -109,17 +109,17 @@
 		t := s.pop(queues, now)
 		s.recordWait(t, now)
 		switch {
-		case !now.Before(t.GiveUp):
+		case !now.Before(t.ExpireAt):
 			// The call reached its maximum wait before Expire was called. Refuse it now,
 			// since its answer would be too late.
-			t.refuse(kqcall.Late, s.retryAfter())
+			t.refuse(kqcall.NotStartedInTime, s.retryAfter())
 		case !t.missesTarget && !t.startBy.IsZero() && now.After(t.startBy):
 			t.missesTarget = true
-			if now.Add(s.expectLateWait(t, t.item.Work)).Before(t.GiveUp) {
+			if now.Add(s.expectLateWait(t, t.item.Work)).Before(t.ExpireAt) {
 				s.push(t, t.item.Work, t.item.EnqueuedAt)
 				continue
 			}
-			t.refuse(kqcall.Late, s.retryAfter())
+			t.refuse(kqcall.NotStartedInTime, s.retryAfter())
 		default:
 			s.start(t, t.missesTarget)
 		}
@@ -159,7 +159,7 @@
 // nearGiveUp reports whether the oldest call has used seven eighths of its maximum wait.
 func nearGiveUp(q *kqfair.Queue, now time.Time) bool {
 	item := q.Oldest()
-	return now.Sub(item.EnqueuedAt) > ticketOf(item).GiveUp.Sub(item.EnqueuedAt)*7/8
+	return now.Sub(item.EnqueuedAt) > ticketOf(item).ExpireAt.Sub(item.EnqueuedAt)*7/8
 }
 
 func ticketOf(item *kqfair.Item) *Ticket {
--- a/internal/decide/kqslots/slots.go
+++ b/internal/decide/kqslots/slots.go
@@ -81,8 +81,8 @@
 		// Verdict and, for Refuse, Refusal are set by Slots.
 		Verdict Verdict
 		Refusal kqcall.Outcome
-		// GiveUp is when the gate must call Expire if the call still waits.
-		GiveUp time.Time
+		// ExpireAt is when the gate must call Expire if the call still waits.
+		ExpireAt time.Time
 		// Ready is used by the gate to wake a waiting call.
 		Ready chan struct{}
 
@@ -142,10 +142,10 @@
 	return s
 }
 
-// WithExact takes the announced slots as the upstream's real concurrency and disables
+// WithFixedLimit takes the announced slots as the upstream's real concurrency and disables
 // learning the limit. Learning would reduce the throughput of such an upstream further
 // when it becomes slow for another reason.
-func WithExact() Option { return func(s *Slots) { s.fixedLimit = true } }
+func WithFixedLimit() Option { return func(s *Slots) { s.fixedLimit = true } }
 
 // Enter decides whether the call runs, waits or is refused, and sets its verdict.
 func (s *Slots) Enter(t *Ticket, now time.Time) {
@@ -162,7 +162,7 @@
 	case s.closed:
 		t.refuse(kqcall.Draining, minRetryAfter)
 	case left <= 0:
-		t.refuse(kqcall.Late, 0)
+		t.refuse(kqcall.NotStartedInTime, 0)
 	case s.hasFreeSlot(t.isLongJob, now) && totalLen(s.queues(t)) == 0:
 		s.queue(t).RecordUnqueued(t.Caller, expected, now)
 		s.start(t, true)
@@ -201,7 +201,7 @@
 		return false
 	}
 	s.queue(t).Remove(&t.item)
-	t.refuse(kqcall.Late, s.retryAfter())
+	t.refuse(kqcall.NotStartedInTime, s.retryAfter())
 	return true
 }
 
@@ -235,14 +235,14 @@
 	return kqcall.Load{Running: s.running, Waiting: s.waiting(), Slots: s.limit.Allowed(), Work: s.work.Pace()}
 }
 
-// Tell returns the load with the expected work and wait of a call like the ticket's.
-func (s *Slots) Tell(t *Ticket, now time.Time) kqcall.Load {
+// LoadFor returns the load with the expected work and wait of a call like the ticket's.
+func (s *Slots) LoadFor(t *Ticket, now time.Time) kqcall.Load {
 	l := s.Load()
 	expected, ok := s.work.Lookup(t.Route)
 	if !ok {
 		return l
 	}
-	l.Expected = expected
+	l.ExpectedWork = expected
 	if !s.hasFreeSlot(t.isLongJob, now) || totalLen(s.queues(t)) > 0 {
 		l.Wait = time.Duration(float64(s.expectWait(t, expected, now)) * s.waitCorrection())
 	}
--- a/internal/decide/kqslots/slots_test.go
+++ b/internal/decide/kqslots/slots_test.go
@@ -19,7 +19,7 @@
 func TestProbesDoNotReserveSlots(t *testing.T) {
 	const slots = 12
 	now := time.Unix(1000, 0)
-	s := kqslots.New(slots, 1, kqslots.WithExact())
+	s := kqslots.New(slots, 1, kqslots.WithFixedLimit())
 	run := func(route kqname.Route, took time.Duration) {
 		call := ticket(route, now)
 		s.Enter(call, now)
@@ -50,7 +50,7 @@
 func TestCallsQueueWhileTheirTargetAllows(t *testing.T) {
 	const slots, work = 6, 120 * time.Millisecond
 	now := time.Unix(1000, 0)
-	s := kqslots.New(slots, 1, kqslots.WithExact())
+	s := kqslots.New(slots, 1, kqslots.WithFixedLimit())
 	var running []*kqslots.Ticket
 	enter := func() *kqslots.Ticket {
 		call := ticket("browse", now)
--- a/internal/decide/kqsuspicion/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package kqsuspicion detects failed members by missed heartbeats.
-package kqsuspicion
--- a/internal/lab/kqcut/listener.go
+++ b/internal/lab/kqcut/listener.go
@@ -48,8 +48,8 @@
 	return c, nil
 }
 
-// Cut closes the listener and resets every connection.
-func (l *Listener) Cut() {
+// ResetAll closes the listener and resets every connection.
+func (l *Listener) ResetAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = true
--- a/internal/lab/kqdemo/caller.go
+++ b/internal/lab/kqdemo/caller.go
@@ -123,7 +123,7 @@
 	}
 	req.SetRequestURI("http://" + string(r.host) + path)
 	req.Header.SetMethod(method)
-	req.Header.Set(kqupstream.HeaderWork, r.workID)
+	req.Header.Set(kqupstream.HeaderWorkID, r.workID)
 	if r.forged {
 		setForgedHeaders(&req.Header)
 	}
@@ -186,6 +186,6 @@
 	h.Set(kqcall.HeaderTimeout, "1")
 	h.Set(kqcall.HeaderDepth, "31")
 	h.Set(kqcall.HeaderResult, string(kqcall.NotRun))
-	h.Set(kqcall.HeaderReason, string(kqcall.Late))
+	h.Set(kqcall.HeaderReason, string(kqcall.NotStartedInTime))
 	h.Set("kq-call", forged+"|||woodshed|"+string(newVersion)+"||1|1|1|31")
 }
--- a/internal/lab/kqdemo/entry_pool.go
+++ b/internal/lab/kqdemo/entry_pool.go
@@ -121,4 +121,4 @@
 }
 
 // workID returns the work id that an answer echoes.
-func workID(resp *fasthttp.Response) string { return string(resp.Header.Peek(kqupstream.HeaderWork)) }
+func workID(resp *fasthttp.Response) string { return string(resp.Header.Peek(kqupstream.HeaderWorkID)) }
--- a/internal/lab/kqdemo/faults.go
+++ b/internal/lab/kqdemo/faults.go
@@ -10,7 +10,7 @@
 	"github.com/sourcegraph/conc"
 
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqupstream"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -79,7 +79,7 @@
 func (s *script) injectPlatformOutage(ctx context.Context) error {
 	platform := s.demo.fleet.Platform
 	s.outage.from = time.Now()
-	platform.SetFaults(kqstandin.Faults{Down: true})
+	platform.SetFaults(kqfakestore.Faults{Down: true})
 	s.demo.state.probes++
 	_, err := s.demo.commit(ctx, "while the platform is away")
 	s.outage.commitFailed = err != nil
@@ -92,7 +92,7 @@
 	if rest := outageDuration - time.Since(s.outage.from); rest > 0 {
 		time.Sleep(rest)
 	}
-	platform.SetFaults(kqstandin.Faults{})
+	platform.SetFaults(kqfakestore.Faults{})
 	s.outage.to = time.Now()
 	began, err := s.demo.commit(ctx, "while the platform is away")
 	if err != nil {
@@ -107,13 +107,13 @@
 // at most 10 times in all.
 func (s *script) loseCommitAnswers(ctx context.Context) error {
 	s.demo.state.probes++
-	s.demo.fleet.Platform.SetFaults(kqstandin.Faults{LoseAnswers: 3})
+	s.demo.fleet.Platform.SetFaults(kqfakestore.Faults{LoseResponses: 3})
 	var began time.Time
 	err := errors.New("commit not attempted")
 	for n := 0; err != nil && n < 10; n++ {
 		began, err = s.demo.commit(ctx, "with answers lost")
 	}
-	s.demo.fleet.Platform.SetFaults(kqstandin.Faults{})
+	s.demo.fleet.Platform.SetFaults(kqfakestore.Faults{})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/kqdemo/invalid_version.go
+++ b/internal/lab/kqdemo/invalid_version.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	past, err := kqresource.Encode(kqcommit.Past{Root: root, Digest: kqresource.DigestOf(before)})
+	past, err := kqresource.Encode(kqcommit.HistoryRecord{Root: root, Digest: kqresource.DigestOf(before)})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/kqdemo/outcomes.go
+++ b/internal/lab/kqdemo/outcomes.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 )
 
 const (
@@ -136,7 +136,7 @@
 			continue
 		}
 		r.Bad++
-		if o.state == kqboard.TakenBack {
+		if o.state == kqtracker.FinalRollback {
 			r.BadTakenBack++
 		}
 		r.BadShareMax = max(r.BadShareMax, s.demo.runLog.maxNewShare(o.dep.service, o.start, s.ended))
--- a/internal/lab/kqdemo/rollouts.go
+++ b/internal/lab/kqdemo/rollouts.go
@@ -6,7 +6,7 @@
 
 	"github.com/sourcegraph/conc"
 
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -25,7 +25,7 @@
 	// detected is when a node first showed that the new version gets no more
 	// calls; ended is when a node first showed a final state.
 	detected, ended time.Time
-	state           kqboard.State
+	state           kqtracker.State
 	reason          string
 }
 
@@ -81,12 +81,12 @@
 	}
 }
 
-func (o *observedRollout) update(status kqboard.Status, now time.Time) {
-	stopped := status.State == kqboard.Running && status.Step > 0 && status.Share == 0
-	if o.detected.IsZero() && (stopped || status.State == kqboard.TakenBack) {
+func (o *observedRollout) update(status kqtracker.Status, now time.Time) {
+	stopped := status.State == kqtracker.Running && status.Step > 0 && status.Share == 0
+	if o.detected.IsZero() && (stopped || status.State == kqtracker.FinalRollback) {
 		o.detected = now
 	}
-	if o.ended.IsZero() && (status.State == kqboard.Done || status.State == kqboard.TakenBack) {
+	if o.ended.IsZero() && (status.State == kqtracker.Done || status.State == kqtracker.FinalRollback) {
 		o.ended, o.state, o.reason = now, status.State, status.Why
 	}
 	if o.ended.IsZero() {
@@ -115,7 +115,7 @@
 
 // endedOnTime reports whether the rollout was done by its deadline.
 func (o *observedRollout) endedOnTime() bool {
-	return o.state == kqboard.Done && !o.ended.IsZero() && !o.ended.After(o.deadline)
+	return o.state == kqtracker.Done && !o.ended.IsZero() && !o.ended.After(o.deadline)
 }
 
 // maxNewShare returns the largest share of its service's calls that the new
--- a/internal/lab/kqdemo/script.go
+++ b/internal/lab/kqdemo/script.go
@@ -55,8 +55,8 @@
 	}
 )
 
-// Once starts the deployment, runs the script and returns its report.
-func (d *Demo) Once(ctx context.Context) (Report, error) {
+// RunScript starts the deployment, runs the script and returns its report.
+func (d *Demo) RunScript(ctx context.Context) (Report, error) {
 	if err := d.start(ctx); err != nil {
 		return Report{}, errors.Join(err, d.close())
 	}
--- a/internal/lab/kqfault/kind.go
+++ b/internal/lab/kqfault/kind.go
@@ -10,8 +10,8 @@
 	// it.
 	Goodbye Kind = "goodbye"
 
-	// Variable is the environment variable that selects the fault.
-	Variable = "KUMQUATGW_FAULT"
+	// EnvVariable is the environment variable that selects the fault.
+	EnvVariable = "KUMQUATGW_FAULT"
 )
 
 // Kind identifies an injected fault.
--- a/internal/lab/kqfault/none.go
+++ b/internal/lab/kqfault/none.go
@@ -2,5 +2,5 @@
 
 package kqfault
 
-// Planted returns false: this build contains no injected faults.
-func Planted(Kind) bool { return false }
+// Enabled returns false: this build contains no injected faults.
+func Enabled(Kind) bool { return false }
--- a/internal/lab/kqfault/planted.go
+++ b/internal/lab/kqfault/planted.go
@@ -4,7 +4,7 @@
 
 import "os"
 
-var planted = Kind(os.Getenv(Variable))
+var planted = Kind(os.Getenv(EnvVariable))
 
-// Planted reports whether this process runs with the given fault.
-func Planted(k Kind) bool { return planted == k }
+// Enabled reports whether this process runs with the given fault.
+func Enabled(k Kind) bool { return planted == k }
--- a/internal/lab/kqfleet/fleet.go
+++ b/internal/lab/kqfleet/fleet.go
@@ -13,7 +13,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/run/kqlog"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqnode"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqsettings"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -27,7 +27,7 @@
 type (
 	// Fleet is a set of servers and the in-memory platform that they share.
 	Fleet struct {
-		Platform *kqstandin.Standin
+		Platform *kqfakestore.Fake
 
 		logger         *kqlog.Logger
 		store          kqstore.Store
@@ -65,7 +65,7 @@
 
 // New returns a fleet without servers.
 func New(options ...Option) *Fleet {
-	f := &Fleet{Platform: kqstandin.New(), logger: kqlog.Discard(), adjustSettings: func(*kqsettings.Settings) {}}
+	f := &Fleet{Platform: kqfakestore.New(), logger: kqlog.Discard(), adjustSettings: func(*kqsettings.Settings) {}}
 	for _, o := range options {
 		o(f)
 	}
--- a/internal/lab/kqfleet/server.go
+++ b/internal/lab/kqfleet/server.go
@@ -76,7 +76,7 @@
 func (s *Server) Kill() {
 	s.stopNode(kqnode.ErrKilled)
 	for _, l := range s.listeners {
-		l.Cut()
+		l.ResetAll()
 	}
 	for _, r := range s.upstreams() {
 		r.upstream.Kill()
--- a/internal/lab/kqfleet/stop_test.go
+++ b/internal/lab/kqfleet/stop_test.go
@@ -78,7 +78,7 @@
 		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 		req.SetRequestURI("http://store/")
 		req.Header.SetMethod(fasthttp.MethodPost)
-		req.Header.Set(kqupstream.HeaderWork, fmt.Sprint(number))
+		req.Header.Set(kqupstream.HeaderWorkID, fmt.Sprint(number))
 		err := client.DoTimeout(req, resp, timeout)
 		var opErr *net.OpError
 		switch {
--- a/internal/lab/kqloadmodel/model.go
+++ b/internal/lab/kqloadmodel/model.go
@@ -115,7 +115,7 @@
 	}
 	for i := range s.Entries {
 		m.entries = append(m.entries, &entry{
-			pool:    kqpick.New(kqname.Domain(fmt.Sprint(i%failureDomains)), kqpick.WithPlain(s.Baseline)),
+			pool:    kqpick.New(kqname.Domain(fmt.Sprint(i%failureDomains)), kqpick.WithUniform(s.Baseline)),
 			shedder: kqshed.New(), budget: kqretry.New(true),
 		})
 	}
@@ -176,7 +176,7 @@
 	m.nextEntry++
 	c := &call{Stream: s, arrived: m.now, deadline: m.now.Add(milliseconds(s.DeadlineMS)), entry: e}
 	e.budget.Earn()
-	if !m.settings.Baseline && e.shedder.Refuse(s.Class, false, m.now, m.random) {
+	if !m.settings.Baseline && e.shedder.ShouldShed(s.Class, false, m.now, m.random) {
 		m.finish(c, kqcall.Refuse(kqcall.Overload))
 		return
 	}
@@ -201,7 +201,7 @@
 	u.queue.Enter(c.ticket, m.now)
 	m.applyVerdict(u, c.ticket)
 	if t := c.ticket; t.Verdict == kqslots.Wait {
-		m.schedule(t.GiveUp.Sub(m.now), time.Time{}, func() {
+		m.schedule(t.ExpireAt.Sub(m.now), time.Time{}, func() {
 			if u.calls[t] != nil && t.Verdict == kqslots.Wait && u.queue.Expire(t) {
 				m.applyVerdict(u, t)
 			}
@@ -217,7 +217,7 @@
 	case kqslots.Run:
 		took := time.Duration(float64(milliseconds(c.ServiceTimeMS)) * u.serviceTimeFactor)
 		if remaining := c.deadline.Sub(m.now); took > remaining {
-			m.schedule(remaining, time.Time{}, func() { m.completeCall(u, c, remaining, kqcall.Lose(kqcall.Timeout)) })
+			m.schedule(remaining, time.Time{}, func() { m.completeCall(u, c, remaining, kqcall.UnknownOutcome(kqcall.Timeout)) })
 			return
 		}
 		m.schedule(took, time.Time{}, func() { m.completeCall(u, c, took, kqcall.OK()) })
@@ -245,12 +245,12 @@
 func (m *Model) handleResponse(c *call, o kqcall.Outcome, load kqcall.Load) {
 	e := c.entry
 	if o.Reason == kqcall.QueueFull {
-		e.shedder.Refused(c.Class)
+		e.shedder.RecordRefusal(c.Class)
 	}
 	e.pool.Done(c.peer, o, false, &load, m.now)
 	retry := e.budget.Spend(o, true)
 	if m.settings.Baseline {
-		retry = o.Result == kqcall.NotRun && o.Reason != kqcall.Late
+		retry = o.Result == kqcall.NotRun && o.Reason != kqcall.NotStartedInTime
 	}
 	if !retry || len(c.triedNodes) == maxAttempts || !m.now.Before(c.deadline) {
 		m.finish(c, o)
--- a/internal/lab/kqnodes/fault.go
+++ b/internal/lab/kqnodes/fault.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 )
 
 // prefetchPause is how long replaced nodes run before their first calls.
@@ -28,8 +28,8 @@
 // new nodes know only the addresses of the others as seeds.
 func (b *bench) platformDown(ctx context.Context) error {
 	b.regressions()
-	b.fleet.platform.SetFaults(kqstandin.Faults{Down: true})
-	defer b.fleet.platform.SetFaults(kqstandin.Faults{})
+	b.fleet.platform.SetFaults(kqfakestore.Faults{Down: true})
+	defer b.fleet.platform.SetFaults(kqfakestore.Faults{})
 	time.Sleep(b.plan.Idle / 2)
 	numbers := b.fleet.kill(func(n int) bool { return n%10 == 7 })
 	at := time.Now()
@@ -70,7 +70,7 @@
 	if _, err := b.commit(ctx); err != nil {
 		return err
 	}
-	b.fleet.platform.SetFaults(kqstandin.Faults{MaxReads: maxReads, MaxWrites: maxWrites})
+	b.fleet.platform.SetFaults(kqfakestore.Faults{MaxReads: maxReads, MaxWrites: maxWrites})
 	at := time.Now()
 	if err := b.fleet.start(numbers, nil); err != nil {
 		return err
--- a/internal/lab/kqnodes/fleet.go
+++ b/internal/lab/kqnodes/fleet.go
@@ -11,7 +11,7 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/run/kqnode"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqsettings"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -28,7 +28,7 @@
 type (
 	// fleet holds the nodes of one run and the platform that they share.
 	fleet struct {
-		platform *kqstandin.Standin
+		platform *kqfakestore.Fake
 		store    *meteredStore
 		strategy string
 		prefetch bool
@@ -52,7 +52,7 @@
 )
 
 func newFleet(strategy string, prefetch bool, count int) *fleet {
-	platform := kqstandin.New()
+	platform := kqfakestore.New()
 	return &fleet{platform: platform, store: &meteredStore{Store: platform}, strategy: strategy, prefetch: prefetch, usedServices: min(max(count/nodesPerService, 1), services)}
 }
 
@@ -179,7 +179,7 @@
 			p.Go(func() (time.Duration, error) {
 				began := time.Now()
 				index := m.number % f.usedServices
-				_, err := m.Want(ctx, host(index+j*(index+1)))
+				_, err := m.EnsureHost(ctx, host(index+j*(index+1)))
 				return time.Since(began), err
 			})
 		}
--- a/internal/lab/kqplayers/rollout.go
+++ b/internal/lab/kqplayers/rollout.go
@@ -20,7 +20,7 @@
 	rollout struct {
 		plan         kqplan.Plan
 		progress     kqprogress.Progress
-		judge        *kqverdict.Judge
+		judge        *kqverdict.Evaluator
 		lastDecision kqstep.Decision
 		final        kqprogress.Final
 	}
@@ -65,7 +65,7 @@
 	}
 	r.judge.Observe(t.Sample)
 	r.plan.Cancelled = t.Cancelled
-	d := kqstep.Decide(r.plan.Start.Add(at), kqstep.State{
+	d := kqstep.Decide(r.plan.Start.Add(at), kqstep.Inputs{
 		Plan: r.plan, Progress: r.progress, Finding: r.judge.Finding(),
 		OldSlots: t.OldSlots, NewSlots: t.NewSlots, ColdSlots: t.ColdSlots,
 	})
@@ -74,8 +74,8 @@
 		r.progress.Step++
 	case kqstep.Done:
 		r.final = kqprogress.Done
-	case kqstep.TakeBack:
-		r.final = kqprogress.TakenBack
+	case kqstep.Rollback:
+		r.final = kqprogress.FinalRollback
 	case kqstep.Hold:
 		if r.lastDecision.Action == kqstep.Hold {
 			return nil, nil
@@ -101,7 +101,7 @@
 	switch r.final {
 	case kqprogress.Done:
 		return 1
-	case kqprogress.TakenBack:
+	case kqprogress.FinalRollback:
 		return 0
 	default:
 		return kqstep.Share(r.plan, r.progress.Step)
--- a/internal/lab/kqsoak/plan.go
+++ b/internal/lab/kqsoak/plan.go
@@ -86,8 +86,8 @@
 		Nodes int
 		// For is the time in which faults begin.
 		For time.Duration
-		// Planned restricts the plan to planned work, without unplanned faults.
-		Planned bool
+		// PlannedOnly restricts the plan to planned work, without unplanned faults.
+		PlannedOnly bool
 	}
 
 	// Plan is a list of faults ordered by their start time.
@@ -119,7 +119,7 @@
 
 // addNext adds a random fault that begins at a given time.
 func (g *generator) addNext(at time.Duration) {
-	if !g.options.Planned && g.random.IntN(2) == 0 {
+	if !g.options.PlannedOnly && g.random.IntN(2) == 0 {
 		g.addUnplanned(at)
 		return
 	}
--- a/internal/lab/kqsoak/plan_test.go
+++ b/internal/lab/kqsoak/plan_test.go
@@ -30,7 +30,7 @@
 	for seed := range uint64(20) {
 		var last time.Duration
 		leaves := make(map[int]time.Duration)
-		for _, f := range kqsoak.Generate(kqsoak.Options{Seed: seed, Nodes: 4, For: 20 * time.Second, Planned: true}) {
+		for _, f := range kqsoak.Generate(kqsoak.Options{Seed: seed, Nodes: 4, For: 20 * time.Second, PlannedOnly: true}) {
 			if f.At < last || f.Target < 0 || f.Target > 3 {
 				t.Fatalf("seed %d: fault %+v is out of order after %v, or its target does not exist", seed, f, last)
 			}
--- a/internal/lab/kqsoak/unplanned.go
+++ b/internal/lab/kqsoak/unplanned.go
@@ -32,7 +32,7 @@
 func (o Options) HasGateProxy(node int) bool { return node >= o.Nodes-o.gateProxies() }
 
 func (o Options) gateProxies() int {
-	if o.Planned {
+	if o.PlannedOnly {
 		return 0
 	}
 	return max(1, o.Nodes/gateProxyPart)
@@ -78,7 +78,7 @@
 // addRollout adds the rollout to a bad version. It is generated last, so that the other
 // faults of a seed stay the same.
 func (g *generator) addRollout() {
-	if !g.options.Planned && g.options.For >= rolloutFor {
+	if !g.options.PlannedOnly && g.options.For >= rolloutFor {
 		g.add(Fault{At: g.between(firstFault, 3*time.Second), Kind: Rollout, Target: g.randomNode(), For: rolloutFor})
 	}
 }
--- a/internal/lab/kqsoakrun/caller.go
+++ b/internal/lab/kqsoakrun/caller.go
@@ -142,7 +142,7 @@
 
 func (c *caller) request(r route, work string) string {
 	ms := float64(minWork.Milliseconds()) * math.Pow(float64(maxWork/minWork), c.random.Float64())
-	head := fmt.Sprintf("Host: %s\r\n%s: %s\r\n%s: %d\r\n", r.host, kqupstream.HeaderWork, work, kqupstream.HeaderWorkMS, int(ms))
+	head := fmt.Sprintf("Host: %s\r\n%s: %s\r\n%s: %d\r\n", r.host, kqupstream.HeaderWorkID, work, kqupstream.HeaderWorkMS, int(ms))
 	if r.idempotent {
 		return "GET " + r.path + " HTTP/1.1\r\n" + head + "\r\n"
 	}
@@ -164,7 +164,7 @@
 	call.AnswerRead, call.Status = true, a.StatusCode
 	call.Result, call.Reason = a.Header.Get(kqcall.HeaderResult), a.Header.Get(kqcall.HeaderReason)
 	if call.Result == string(kqcall.Answered) {
-		call.AnswerIDs = []string{a.Header.Get(kqupstream.HeaderWork)}
+		call.AnswerIDs = []string{a.Header.Get(kqupstream.HeaderWorkID)}
 		if words := strings.Fields(string(body)); a.StatusCode == http.StatusOK && len(words) == 3 {
 			call.AnswerIDs = append(call.AnswerIDs, words[2])
 		} else if a.StatusCode == http.StatusOK {
--- a/internal/lab/kqsoakrun/unplanned.go
+++ b/internal/lab/kqsoakrun/unplanned.go
@@ -24,7 +24,7 @@
 // openProxies opens proxies in front of the store and the nodes if the plan has
 // unplanned faults.
 func (s *Soak) openProxies() error {
-	if s.options.Planned {
+	if s.options.PlannedOnly {
 		return nil
 	}
 	p, err := kqproxy.New(strings.TrimPrefix(s.storeURL, "http://"))
--- a/internal/lab/kqsurvey/record.go
+++ b/internal/lab/kqsurvey/record.go
@@ -55,7 +55,7 @@
 	err := e.Encode(traceHead{"trace", "rollout", seed, settings{prefer, w.Window.Milliseconds(), 0.05}})
 	end := outcome{State: "running"}
 	for at := 0; err == nil && at < int(w.Window/tick) && end.State == "running"; at++ {
-		s := w.Tick(at, kqstep.Share(t.plan, t.progress.Step), t.progress.Step <= kqstep.Small)
+		s := w.Tick(at, kqstep.Share(t.plan, t.progress.Step), t.progress.Step <= kqstep.SmallShareStep)
 		t.judge.Observe(s.Sample)
 		d := t.decide(start.Add(time.Duration(at+1) * tick))
 		input := kqtick.Tick{Sample: s.Sample}
@@ -80,7 +80,7 @@
 		t.progress.Step++
 	case kqstep.Done:
 		x.State = "done"
-	case kqstep.TakeBack:
+	case kqstep.Rollback:
 		x.State = "taken back"
 	case kqstep.Hold:
 	}
--- a/internal/lab/kqsurvey/survey.go
+++ b/internal/lab/kqsurvey/survey.go
@@ -49,28 +49,28 @@
 		// while it was bad. FailsLater versions are left out, since their share
 		// had grown while they were good.
 		BadShareMax float64 `json:"bad_share_max"`
-		// SecondsAfterShowing is the 99th percentile of the time, in seconds, that
+		// SecondsAfterDetection is the 99th percentile of the time, in seconds, that
 		// bad versions still had traffic after the oracle had detected them.
-		SecondsAfterShowing float64 `json:"seconds_after_showing_p99"`
-		Kinds               []Kind  `json:"kinds"`
+		SecondsAfterDetection float64 `json:"seconds_after_showing_p99"`
+		Kinds                 []Kind  `json:"kinds"`
 	}
 
 	// Kind is the results of one decider for one kind of version.
 	Kind struct {
 		Kind  kqworld.Kind `json:"kind"`
 		Count int          `json:"count"`
-		// Right is the share of rollouts, from 0 to 1, with the correct end.
-		Right float64 `json:"right"`
+		// CorrectShare is the share of rollouts, from 0 to 1, with the correct end.
+		CorrectShare float64 `json:"right"`
 
 		// ShareMax is the largest share of traffic that a version had while it was
 		// bad. SecondsP99 and CallsP99 count from the oracle's detection. These
 		// fields appear only in the printed table.
 		ShareMax float64 `json:"-"`
-		// Over counts the versions that had more than 5% of the traffic, as bounded
+		// OverShareBound counts the versions that had more than 5% of the traffic, as bounded
 		// by maxSmallShare, while they were bad.
-		Over       int     `json:"-"`
-		SecondsP99 float64 `json:"-"`
-		CallsP99   float64 `json:"-"`
+		OverShareBound int     `json:"-"`
+		SecondsP99     float64 `json:"-"`
+		CallsP99       float64 `json:"-"`
 	}
 )
 
@@ -130,17 +130,17 @@
 			}
 			summary.Count++
 			if r.correct {
-				summary.Right++
+				summary.CorrectShare++
 			}
 			summary.ShareMax = max(summary.ShareMax, r.maxBadShare)
 			if r.maxBadShare > maxSmallShare {
-				summary.Over++
+				summary.OverShareBound++
 			}
 			kindSeconds = append(kindSeconds, r.badSeconds)
 			kindCalls = append(kindCalls, r.badCalls)
 		}
 		p.addKind(k, summary)
-		summary.Right /= float64(max(summary.Count, 1))
+		summary.CorrectShare /= float64(max(summary.Count, 1))
 		summary.SecondsP99, summary.CallsP99 = p99(kindSeconds), p99(kindCalls)
 		p.Kinds = append(p.Kinds, summary)
 		if !k.Good() {
@@ -149,18 +149,18 @@
 	}
 	p.GoodOnTime /= float64(max(p.Good, 1))
 	p.BadTakenBack /= float64(max(p.Bad, 1))
-	p.SecondsAfterShowing = p99(badSeconds)
+	p.SecondsAfterDetection = p99(badSeconds)
 	return p
 }
 
 func (p *Policy) addKind(k kqworld.Kind, summary Kind) {
 	if k.Good() {
 		p.Good += summary.Count
-		p.GoodOnTime += summary.Right
+		p.GoodOnTime += summary.CorrectShare
 		return
 	}
 	p.Bad += summary.Count
-	p.BadTakenBack += summary.Right
+	p.BadTakenBack += summary.CorrectShare
 	if k != kqworld.FailsLater {
 		p.BadShareMax = max(p.BadShareMax, summary.ShareMax)
 	}
--- a/internal/lab/kqsurvey/trial.go
+++ b/internal/lab/kqsurvey/trial.go
@@ -40,7 +40,7 @@
 		world    *kqworld.World
 		plan     kqplan.Plan
 		progress kqprogress.Progress
-		judge    *kqverdict.Judge
+		judge    *kqverdict.Evaluator
 		// logLikelihoodRatio is the oracle's evidence so far. detectableAt is the
 		// tick in which it reached threshold, -1 before.
 		logLikelihoodRatio float64
@@ -62,7 +62,7 @@
 	oracle = result{kind: w.Kind, at: -1}
 	ended, drainedAt := false, -1
 	for at := 0; at < int(w.Window/tick); at++ {
-		s := w.Tick(at, kqstep.Share(t.plan, t.progress.Step), t.progress.Step <= kqstep.Small)
+		s := w.Tick(at, kqstep.Share(t.plan, t.progress.Step), t.progress.Step <= kqstep.SmallShareStep)
 		if t.observe(at, s) && oracle.at < 0 {
 			oracle.at = at
 		}
@@ -74,7 +74,7 @@
 		}
 		t.judge.Observe(s.Sample)
 		switch d := t.decide(start.Add(time.Duration(at+1) * tick)); d.Action {
-		case kqstep.TakeBack:
+		case kqstep.Rollback:
 			ended, drainedAt, actual.at = true, at+propagationTicks, at+propagationTicks
 		case kqstep.Done:
 			ended = true
@@ -92,7 +92,7 @@
 }
 
 func (t *trial) decide(now time.Time) kqstep.Decision {
-	s := kqstep.State{Plan: t.plan, Progress: t.progress, Finding: t.judge.Finding()}
+	s := kqstep.Inputs{Plan: t.plan, Progress: t.progress, Finding: t.judge.Finding()}
 	s.OldSlots, s.NewSlots, s.ColdSlots = t.world.Slots(int(now.Sub(t.plan.Start)/tick) - 1)
 	return kqstep.Decide(now, s)
 }
--- a/internal/lab/kqupstream/event.go
+++ b/internal/lab/kqupstream/event.go
@@ -34,13 +34,13 @@
 	Option func(*Upstream)
 )
 
-// WithTeller sets a function that receives each event, for runs before the call's work
+// WithEventHandler sets a function that receives each event, for runs before the call's work
 // begins and after it has ended. The function must be safe for concurrent use.
-func WithTeller(f func(Event)) Option { return func(u *Upstream) { u.onEvent = f } }
+func WithEventHandler(f func(Event)) Option { return func(u *Upstream) { u.onEvent = f } }
 
-// WithServesOn sets how long a leaving upstream keeps serving, counted from its first
+// WithDrainPeriod sets how long a leaving upstream keeps serving, counted from its first
 // goodbye announcement.
-func WithServesOn(d time.Duration) Option { return func(u *Upstream) { u.servesOn = d } }
+func WithDrainPeriod(d time.Duration) Option { return func(u *Upstream) { u.servesOn = d } }
 
 func (u *Upstream) emit(k Kind, work string) { u.onEvent(Event{Kind: k, Work: work, At: time.Now()}) }
 
--- a/internal/lab/kqupstream/upstream.go
+++ b/internal/lab/kqupstream/upstream.go
@@ -20,9 +20,9 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// HeaderWork is the request header with the caller's work id. The answer echoes it, and
+// HeaderWorkID is the request header with the caller's work id. The answer echoes it, and
 // the upstream counts the runs of each id.
-const HeaderWork = "Work-Id"
+const HeaderWorkID = "Work-Id"
 
 const (
 	// maxBody is the largest request body that an upstream accepts, in bytes: the
@@ -137,7 +137,7 @@
 // is lost. It may be called once.
 func (u *Upstream) Kill() {
 	close(u.killed)
-	u.listener.Cut()
+	u.listener.ResetAll()
 }
 
 // Run serves calls and announces the upstream until ctx ends, and then drains.
@@ -190,7 +190,7 @@
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	work := string(ctx.Request.Header.Peek(HeaderWork))
+	work := string(ctx.Request.Header.Peek(HeaderWorkID))
 	u.mu.Lock()
 	u.runs[work]++
 	u.mu.Unlock()
@@ -200,7 +200,7 @@
 	u.emit(Begun, work)
 	defer u.emit(Ended, work)
 	time.Sleep(u.duration(b, running, ctx))
-	ctx.Response.Header.Set(HeaderWork, work)
+	ctx.Response.Header.Set(HeaderWorkID, work)
 	if bytes.HasPrefix(ctx.Path(), []byte(b.FailPath)) && rand.Float64() < b.FailShare {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
--- a/internal/lab/kqworld/draw.go
+++ b/internal/lab/kqworld/draw.go
@@ -72,7 +72,7 @@
 	w.coldSeconds = int(uniform(r, 2, 10))
 	// The new version's upstreams start up to two minutes before the rollout.
 	w.newVersionStart = -int(uniform(r, 0, 120))
-	w.excluded = int(kqplan.Plan{Deadline: time.Time{}.Add(w.Window)}.Cold() / time.Second)
+	w.excluded = int(kqplan.Plan{Deadline: time.Time{}.Add(w.Window)}.ColdStart() / time.Second)
 	w.drawNoise(r)
 	w.drawEffect(r)
 }
--- a/internal/lab/kqworld/world.go
+++ b/internal/lab/kqworld/world.go
@@ -126,7 +126,7 @@
 	w.newVersionNoiseState = noiseCorrelation*w.newVersionNoiseState + w.newVersionNoise*math.Sqrt(1-noiseCorrelation*noiseCorrelation)*w.random.NormFloat64()
 	old, next := w.versionStates(at, newShare, small)
 	bad := w.isEffectActive(at, next)
-	recentlyStarted := kqevidence.Pair{Route: kqevidence.Young}
+	recentlyStarted := kqevidence.Pair{Route: kqevidence.ColdUpstreams}
 	s := TickResult{Share: next.rate / (old.rate + next.rate), Bad: bad && next.rate > 0}
 	for i := range w.routes {
 		p := kqevidence.Pair{Route: w.routeNames[i]}
@@ -157,9 +157,9 @@
 }
 
 func (w *World) versionStates(at int, newShare float64, small bool) (old, next versionState) {
-	share := kqshare.Share{From: "old", To: "new", Of: newShare, Small: small}
+	share := kqshare.Share{From: "old", To: "new", Fraction: newShare, Small: small}
 	old, next = w.conditions(at, true), w.conditions(at, false)
-	b := share.Burst(w.liveCandidates(old.alive, next.alive))
+	b := share.Distribution(w.liveCandidates(old.alive, next.alive))
 	serving := float64(w.Servers)
 	if b.Nodes != nil {
 		serving = float64(len(b.Nodes))
--- a/internal/peer/kqspread/direct_test.go
+++ b/internal/peer/kqbroadcast/direct_test.go
@@ -1,4 +1,4 @@
-package kqspread_test
+package kqbroadcast_test
 
 import (
 	"context"
@@ -8,17 +8,17 @@
 
 	"github.com/sourcegraph/conc"
 
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqbroadcast"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqspread"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-const topic kqspread.Topic = "test"
+const topic kqbroadcast.Topic = "test"
 
 type (
 	peer struct {
-		spreader *kqspread.Spreader
+		spreader *kqbroadcast.Broadcaster
 		address  kqname.Address
 		received chan string
 	}
@@ -35,9 +35,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server, client := kqpeer.NewServer(nil), kqpeer.NewClient(name, nil)
+	server, client := kqrpc.NewServer(nil), kqrpc.NewClient(name, nil)
 	p := &peer{address: kqname.Address(l.Addr().String()), received: make(chan string, 100)}
-	p.spreader = kqspread.New(server, client, name, overlay, func() {})
+	p.spreader = kqbroadcast.New(server, client, name, overlay, func() {})
 	p.spreader.Subscribe(topic, func(_ kqname.Node, payload []byte) { p.received <- string(payload) })
 	ctx, stop := context.WithCancel(context.Background())
 	var group conc.WaitGroup
@@ -60,7 +60,7 @@
 	for _, p := range []*peer{b, c} {
 		overlay.list = append(overlay.list, kqmember.Member{Control: p.address})
 	}
-	a.spreader.Send(t.Context(), topic, []byte("evidence"), []kqname.Address{b.address})
+	a.spreader.SendDirect(t.Context(), topic, []byte("evidence"), []kqname.Address{b.address})
 	if got := next(t, b); got != "evidence" {
 		t.Fatalf("the given node received %q, want evidence", got)
 	}
--- a/internal/peer/kqspread/flood.go
+++ b/internal/peer/kqbroadcast/flood.go
@@ -1,4 +1,4 @@
-package kqspread
+package kqbroadcast
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 
 	"github.com/sourcegraph/conc"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -16,7 +16,7 @@
 const maxBatchBytes = 256 << 10
 
 // Run forwards queued messages to the neighbours until ctx ends.
-func (s *Spreader) Run(ctx context.Context) {
+func (s *Broadcaster) Run(ctx context.Context) {
 	defer s.sending.Wait()
 	for {
 		select {
@@ -30,14 +30,14 @@
 		case <-time.After(batchDelay):
 		}
 		for batch := s.batch(); len(batch) > 0; batch = s.batch() {
-			kqkeeper.From(ctx).Try("spread", func() { s.flood(ctx, batch) })
+			kqsupervisor.From(ctx).RunRecovered("spread", func() { s.flood(ctx, batch) })
 		}
 	}
 }
 
 // batch dequeues the next messages from the queue: at least one if there is
 // any, and otherwise as many as fit in maxBatchBytes.
-func (s *Spreader) batch() []message {
+func (s *Broadcaster) batch() []message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	size, n := 0, 0
@@ -53,7 +53,7 @@
 
 // flood offers a batch to all neighbours and waits until each has answered or
 // sendTimeout has passed.
-func (s *Spreader) flood(ctx context.Context, batch []message) {
+func (s *Broadcaster) flood(ctx context.Context, batch []message) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	var ids offer
@@ -69,8 +69,8 @@
 
 // sendTo offers the ids of a batch to a peer and sends the messages that it lacks.
 // Failures are ignored: the peer's other neighbours offer it the same messages.
-func (s *Spreader) sendTo(ctx context.Context, to kqname.Address, ids offer, batch []message) {
-	missing, err := kqpeer.Call[offer, offer](ctx, s.client, to, methodOffer, ids)
+func (s *Broadcaster) sendTo(ctx context.Context, to kqname.Address, ids offer, batch []message) {
+	missing, err := kqrpc.Call[offer, offer](ctx, s.client, to, methodOffer, ids)
 	if err != nil || len(missing.IDs) == 0 {
 		return
 	}
@@ -80,5 +80,5 @@
 			d.Messages = append(d.Messages, m)
 		}
 	}
-	_, _ = kqpeer.Call[delivery, empty](ctx, s.client, to, methodDeliver, d)
+	_, _ = kqrpc.Call[delivery, empty](ctx, s.client, to, methodDeliver, d)
 }
--- a/internal/peer/kqspread/spreader.go
+++ b/internal/peer/kqbroadcast/spreader.go
@@ -1,4 +1,4 @@
-package kqspread
+package kqbroadcast
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"github.com/sourcegraph/conc"
 
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -41,13 +41,13 @@
 		Neighbours() []kqmember.Member
 	}
 
-	// Spreader publishes and receives messages. It is safe for concurrent use.
+	// Broadcaster publishes and receives messages. It is safe for concurrent use.
 	//
 	// A message floods over the overlay: each node offers message ids to its
 	// neighbours and sends them the messages that they lack, so that a payload
 	// reaches a node about once however many links the node has.
-	Spreader struct {
-		client  *kqpeer.Client
+	Broadcaster struct {
+		client  *kqrpc.Client
 		self    kqname.Node
 		overlay Overlay
 		onDrop  func()
@@ -89,22 +89,22 @@
 // New returns a spreader that registers its methods on server and sends through
 // client. It calls onDrop for each message that it does not forward because the
 // queue is full, and for each peer that Send skips.
-func New(server *kqpeer.Server, client *kqpeer.Client, self kqname.Node, overlay Overlay, onDrop func()) *Spreader {
-	s := &Spreader{
+func New(server *kqrpc.Server, client *kqrpc.Client, self kqname.Node, overlay Overlay, onDrop func()) *Broadcaster {
+	s := &Broadcaster{
 		client: client, self: self, overlay: overlay, onDrop: onDrop, receivers: make(map[Topic][]Receiver),
 		seen: make(map[messageID]bool), recent: make([]messageID, seenIDs), wake: make(chan struct{}, 1),
 		busy: make(map[kqname.Address]bool),
 	}
-	kqpeer.Handle(server, methodOffer, func(_ context.Context, _ kqname.Node, q offer) (offer, error) {
+	kqrpc.Handle(server, methodOffer, func(_ context.Context, _ kqname.Node, q offer) (offer, error) {
 		return s.missingIDs(q), nil
 	})
-	kqpeer.Handle(server, methodDeliver, func(_ context.Context, _ kqname.Node, q delivery) (empty, error) {
+	kqrpc.Handle(server, methodDeliver, func(_ context.Context, _ kqname.Node, q delivery) (empty, error) {
 		for _, m := range q.Messages {
 			s.accept(m)
 		}
 		return empty{}, nil
 	})
-	kqpeer.Handle(server, methodDirect, func(_ context.Context, _ kqname.Node, m message) (empty, error) {
+	kqrpc.Handle(server, methodDirect, func(_ context.Context, _ kqname.Node, m message) (empty, error) {
 		s.deliver(m)
 		return empty{}, nil
 	})
@@ -113,7 +113,7 @@
 
 // Subscribe registers r to be called with each message of a topic, including
 // those that this node publishes.
-func (s *Spreader) Subscribe(t Topic, r Receiver) {
+func (s *Broadcaster) Subscribe(t Topic, r Receiver) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.receivers[t] = append(s.receivers[t], r)
@@ -121,13 +121,13 @@
 
 // Publish delivers a message to the local receivers and queues it for flooding to
 // all other nodes. It does not wait for them.
-func (s *Spreader) Publish(_ context.Context, t Topic, payload []byte) {
+func (s *Broadcaster) Publish(_ context.Context, t Topic, payload []byte) {
 	s.accept(message{ID: messageID(rand.Uint64()), From: s.self, Topic: t, Payload: payload})
 }
 
 // accept delivers a message to the local receivers and queues it for the
 // neighbours, unless it was accepted before.
-func (s *Spreader) accept(m message) {
+func (s *Broadcaster) accept(m message) {
 	s.mu.Lock()
 	if s.seen[m.ID] {
 		s.mu.Unlock()
@@ -153,7 +153,7 @@
 }
 
 // missingIDs returns the offered ids that this node has not seen.
-func (s *Spreader) missingIDs(q offer) offer {
+func (s *Broadcaster) missingIDs(q offer) offer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var missing offer
--- a/internal/peer/kqbudget/budget.go
+++ b/internal/peer/kqbudget/budget.go
@@ -46,8 +46,8 @@
 // senders can limit them.
 func (b *Budget) Received(bytes int) { b.next.Received(bytes) }
 
-// Allow returns 0 if bulk traffic may be sent now, and otherwise how long to wait.
-func (b *Budget) Allow(now time.Time) time.Duration {
+// Delay returns 0 if bulk traffic may be sent now, and otherwise how long to wait.
+func (b *Budget) Delay(now time.Time) time.Duration {
 	tokens := b.limiter.TokensAt(now)
 	if tokens > 0 {
 		return 0
--- a/internal/peer/kqdeparture/departure.go
+++ b/internal/peer/kqdeparture/departure.go
@@ -12,9 +12,9 @@
 
 	"github.com/sourcegraph/conc"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqpause"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsleep"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -58,15 +58,15 @@
 	// Departure records that an upstream instance leaves. It covers every process of
 	// the instance that started at Born or before.
 	Departure struct {
-		Instance kqname.Instance `cbor:"1,keyasint"`
-		Born     int64           `cbor:"2,keyasint"`
+		Instance  kqname.Instance `cbor:"1,keyasint"`
+		StartedMS int64           `cbor:"2,keyasint"`
 	}
 
 	// Departures holds the known departures and replicates them. It is safe for
 	// concurrent use.
 	Departures struct {
 		store  Store
-		client *kqpeer.Client
+		client *kqrpc.Client
 		table  *kqmember.Table
 		group  conc.WaitGroup
 
@@ -83,22 +83,22 @@
 )
 
 // New returns an empty set of departures that registers its methods on server.
-func New(store Store, server *kqpeer.Server, client *kqpeer.Client, table *kqmember.Table) *Departures {
+func New(store Store, server *kqrpc.Server, client *kqrpc.Client, table *kqmember.Table) *Departures {
 	d := &Departures{store: store, client: client, table: table, known: make(map[Departure]time.Time)}
-	kqpeer.Handle(server, methodReplicate, func(_ context.Context, _ kqname.Node, q departureList) (empty, error) {
+	kqrpc.Handle(server, methodReplicate, func(_ context.Context, _ kqname.Node, q departureList) (empty, error) {
 		d.add(q.Departures, time.Now())
 		return empty{}, nil
 	})
-	kqpeer.Handle(server, methodFetch, func(context.Context, kqname.Node, empty) (departureList, error) {
+	kqrpc.Handle(server, methodFetch, func(context.Context, kqname.Node, empty) (departureList, error) {
 		return departureList{d.list(time.Now())}, nil
 	})
 	return d
 }
 
-// Tell records a departure and replicates it. It returns when the store or a quorum
+// Replicate records a departure and replicates it. It returns when the store or a quorum
 // of peers holds it, or after replicateTimeout; the write to the store continues in
 // the background. A departure that is already known is not sent again.
-func (d *Departures) Tell(ctx context.Context, one Departure) {
+func (d *Departures) Replicate(ctx context.Context, one Departure) {
 	if !d.add([]Departure{one}, time.Now()) {
 		return
 	}
@@ -113,7 +113,7 @@
 		d.group.Go(func() {
 			callCtx, stop := context.WithTimeout(background, replicateTimeout)
 			defer stop()
-			if _, err := kqpeer.Call[departureList, empty](callCtx, d.client, to, methodReplicate, departureList{[]Departure{one}}); err == nil {
+			if _, err := kqrpc.Call[departureList, empty](callCtx, d.client, to, methodReplicate, departureList{[]Departure{one}}); err == nil {
 				acknowledged <- struct{}{}
 			}
 		})
@@ -140,7 +140,7 @@
 			stored <- struct{}{}
 			return
 		}
-		kqpause.For(ctx, storeRetryPause)
+		kqsleep.For(ctx, storeRetryPause)
 	}
 }
 
@@ -158,7 +158,7 @@
 		if len(answered) >= quorum || storeRead && len(answered) > 0 {
 			break
 		}
-		kqpause.For(ctx, learnPause)
+		kqsleep.For(ctx, learnPause)
 	}
 	return d.list(time.Now())
 }
@@ -201,7 +201,7 @@
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, learnTimeout/8)
-		a, err := kqpeer.Call[empty, departureList](callCtx, d.client, to, methodFetch, empty{})
+		a, err := kqrpc.Call[empty, departureList](callCtx, d.client, to, methodFetch, empty{})
 		cancel()
 		if err == nil {
 			d.add(a.Departures, time.Now())
@@ -259,7 +259,7 @@
 // keyOf returns the store key of a departure. The instance is encoded in base32, since
 // it may contain characters that a key must not.
 func keyOf(d Departure) string {
-	return prefix + base32.StdEncoding.WithPadding(base32.NoPadding).EncodeToString([]byte(d.Instance)) + "/" + strconv.FormatInt(d.Born, 10)
+	return prefix + base32.StdEncoding.WithPadding(base32.NoPadding).EncodeToString([]byte(d.Instance)) + "/" + strconv.FormatInt(d.StartedMS, 10)
 }
 
 // parse returns the departure that a store key stands for.
@@ -270,5 +270,5 @@
 	if err = errors.Join(err, parseErr); err != nil {
 		return Departure{}, fmt.Errorf("parse departure key %q: %w", key, err)
 	}
-	return Departure{Instance: kqname.Instance(instance), Born: n}, nil
+	return Departure{Instance: kqname.Instance(instance), StartedMS: n}, nil
 }
--- a/internal/peer/kqregister/doc.go
+++ b/internal/peer/kqdiscovery/doc.go
@@ -1,5 +1,5 @@
-// Package kqregister implements node discovery through the store. Each node keeps
+// Package kqdiscovery implements node discovery through the store. Each node keeps
 // an entry with its control address under a lease, and lists the entries of others
 // at its start and from time to time. Entries do not decide whether a node is alive;
 // heartbeats do.
-package kqregister
+package kqdiscovery
--- a/internal/peer/kqregister/register.go
+++ b/internal/peer/kqdiscovery/register.go
@@ -1,4 +1,4 @@
-package kqregister
+package kqdiscovery
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 
 	"github.com/sourcegraph/conc"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
-	"github.com/kumquatgw/kumquatgw/internal/base/kqpause"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsleep"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -72,9 +72,9 @@
 	return &Register{store: store, node: node, control: control, known: known, contact: contact, onError: onError, wake: make(chan struct{}, 1)}
 }
 
-// Wake triggers a renewal of the entry at once. It is called when the store is
+// RenewNow triggers a renewal of the entry at once. It is called when the store is
 // available again, since the lease may have lapsed during the outage.
-func (r *Register) Wake() {
+func (r *Register) RenewNow() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -84,9 +84,9 @@
 // Run maintains the entry and looks up peers until ctx ends.
 func (r *Register) Run(ctx context.Context) {
 	var group conc.WaitGroup
-	keeper := kqkeeper.From(ctx)
-	group.Go(func() { keeper.Keep(ctx, "register", func() { r.maintainEntry(ctx) }) })
-	group.Go(func() { keeper.Keep(ctx, "look", func() { r.lookUpPeers(ctx) }) })
+	keeper := kqsupervisor.From(ctx)
+	group.Go(func() { keeper.RunWithRestart(ctx, "register", func() { r.maintainEntry(ctx) }) })
+	group.Go(func() { keeper.RunWithRestart(ctx, "look", func() { r.lookUpPeers(ctx) }) })
 	group.Wait()
 }
 
@@ -107,7 +107,7 @@
 		if ctx.Err() == nil {
 			r.onError(err)
 		}
-		kqpause.For(ctx, retryPause/2+rand.N(retryPause))
+		kqsleep.For(ctx, retryPause/2+rand.N(retryPause))
 	}
 }
 
@@ -148,7 +148,7 @@
 // lookUpPeers lists the entries periodically and contacts up to maxContacts random
 // addresses that are not known.
 func (r *Register) lookUpPeers(ctx context.Context) {
-	kqpause.For(ctx, rand.N(firstLookupJitter))
+	kqsleep.For(ctx, rand.N(firstLookupJitter))
 	for ; ctx.Err() == nil; r.awaitLookup(ctx) {
 		l, err := r.store.List(ctx, prefix)
 		if err != nil {
@@ -177,5 +177,5 @@
 	if peers == 0 {
 		interval = aloneInterval
 	}
-	kqpause.For(ctx, interval/2+rand.N(interval))
+	kqsleep.For(ctx, interval/2+rand.N(interval))
 }
--- a/internal/peer/kqregister/register_test.go
+++ b/internal/peer/kqdiscovery/register_test.go
@@ -1,4 +1,4 @@
-package kqregister_test
+package kqdiscovery_test
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 
 	"github.com/sourcegraph/conc"
 
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqregister"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqdiscovery"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -33,10 +33,10 @@
 	p.found[to] = true
 }
 
-func start(t *testing.T, store *kqstandin.Standin, node string) (*peers, *kqregister.Register) {
+func start(t *testing.T, store *kqfakestore.Fake, node string) (*peers, *kqdiscovery.Register) {
 	t.Helper()
 	p := &peers{found: make(map[kqname.Address]bool)}
-	r := kqregister.New(store, kqname.Node(node), kqname.Address(node+":1"), p.known, p.contact, func(error) {})
+	r := kqdiscovery.New(store, kqname.Node(node), kqname.Address(node+":1"), p.known, p.contact, func(error) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	var group conc.WaitGroup
 	group.Go(func() { r.Run(ctx) })
@@ -60,11 +60,11 @@
 // Guards against nodes that never discover each other when they start without seeds
 // during an outage of the store: callers of one would not reach the other's upstream.
 func TestNodesFindEachOtherAfterStoreOutage(t *testing.T) {
-	store := kqstandin.New()
-	store.SetFaults(kqstandin.Faults{Down: true})
+	store := kqfakestore.New()
+	store.SetFaults(kqfakestore.Faults{Down: true})
 	a, _ := start(t, store, "a")
 	b, _ := start(t, store, "b")
-	store.SetFaults(kqstandin.Faults{})
+	store.SetFaults(kqfakestore.Faults{})
 	await(t, "both nodes have discovered each other", func() bool {
 		_, first := a.known("b:1")
 		_, second := b.known("a:1")
@@ -75,7 +75,7 @@
 // Guards against entries that stay missing after their leases lapsed during an outage of
 // the store: a node that starts then would discover no peer.
 func TestEntryIsRewrittenAfterItsLeaseLapsed(t *testing.T) {
-	store := kqstandin.New()
+	store := kqfakestore.New()
 	_, r := start(t, store, "a")
 	listed := func() int {
 		l, err := store.List(t.Context(), "kumquatgw/nodes/")
@@ -85,10 +85,10 @@
 		return len(l.Entries)
 	}
 	await(t, "the entry is written", func() bool { return listed() == 1 })
-	store.SetFaults(kqstandin.Faults{LapseLeases: true})
+	store.SetFaults(kqfakestore.Faults{LapseLeases: true})
 	if listed() != 0 {
 		t.Fatal("the entry outlives its lease")
 	}
-	r.Wake()
+	r.RenewNow()
 	await(t, "the entry is written again", func() bool { return listed() == 1 })
 }
--- a/internal/peer/kqmember/member.go
+++ b/internal/peer/kqmember/member.go
@@ -32,9 +32,9 @@
 		Draining bool                   `cbor:"4,keyasint,omitempty"`
 		// Started is when the upstream first announced itself.
 		Started time.Time `cbor:"5,keyasint"`
-		// Warm is when the upstream's warm-up ends by its own announcement; zero if
+		// WarmFrom is when the upstream's warm-up ends by its own announcement; zero if
 		// it announced none.
-		Warm time.Time `cbor:"6,keyasint,omitzero"`
+		WarmFrom time.Time `cbor:"6,keyasint,omitzero"`
 	}
 
 	// Member is one node's record. Of two records the one with the higher
@@ -47,17 +47,17 @@
 		Gate        kqname.Address       `cbor:"5,keyasint"`
 		Incarnation uint64               `cbor:"6,keyasint"`
 		State       State                `cbor:"7,keyasint"`
-		Config      kqname.ConfigVersion `cbor:"8,keyasint"`
+		HeldVersion kqname.ConfigVersion `cbor:"8,keyasint"`
 		Upstreams   []Upstream           `cbor:"9,keyasint,omitempty"`
 		// Reader reports whether the node watches the platform for the others.
 		Reader bool `cbor:"10,keyasint,omitempty"`
 		// Service is the configured service of the node's local upstream; it is set
 		// also while no upstream runs.
 		Service kqname.Service `cbor:"11,keyasint,omitempty"`
-		// Link is the bandwidth of the server's link in Mbit/s, and Cores the share of
+		// LinkMbits is the bandwidth of the server's link in Mbit/s, and Cores the share of
 		// cores that the node may use. Both come from its settings; 0 means not set.
-		Link  float64 `cbor:"12,keyasint,omitempty"`
-		Cores float64 `cbor:"13,keyasint,omitempty"`
+		LinkMbits float64 `cbor:"12,keyasint,omitempty"`
+		CoreShare float64 `cbor:"13,keyasint,omitempty"`
 		// Process identifies the node's process by its start time, in milliseconds
 		// since 1970.
 		Process uint64 `cbor:"14,keyasint,omitempty"`
@@ -109,9 +109,9 @@
 	return t
 }
 
-// OnNews registers f to be called with each changed record, this node's own
+// OnChange registers f to be called with each changed record, this node's own
 // included. It must be called before the table is shared; f must not block.
-func (t *Table) OnNews(f func(Member)) { t.subscribers = append(t.subscribers, f) }
+func (t *Table) OnChange(f func(Member)) { t.subscribers = append(t.subscribers, f) }
 
 // Self returns the node's own record.
 func (t *Table) Self() Member {
@@ -143,14 +143,14 @@
 	return m
 }
 
-// SetConfig raises the configuration version that a member holds. Subscribers are
+// SetHeldVersion raises the configuration version that a member holds. Subscribers are
 // not notified, since versions travel on heartbeats: flooding a record for each
 // node and version would cost a quadratic number of messages per change.
-func (t *Table) SetConfig(n kqname.Node, v kqname.ConfigVersion) {
+func (t *Table) SetHeldVersion(n kqname.Node, v kqname.ConfigVersion) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if m, ok := t.members[n]; ok && v > m.Config {
-		m.Config = v
+	if m, ok := t.members[n]; ok && v > m.HeldVersion {
+		m.HeldVersion = v
 		t.set(m)
 	}
 }
@@ -225,9 +225,9 @@
 	return m, true
 }
 
-// Forget drops the members that have been dead since before the given time. A
+// PruneDead drops the members that have been dead since before the given time. A
 // dead member that no earlier call has seen is recorded as having died now.
-func (t *Table) Forget(before, now time.Time) {
+func (t *Table) PruneDead(before, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for n, m := range t.members {
@@ -284,8 +284,8 @@
 	return t.candidates[service]
 }
 
-// Living returns the number of alive and suspect members, this node included.
-func (t *Table) Living() int {
+// LiveCount returns the number of alive and suspect members, this node included.
+func (t *Table) LiveCount() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.liveCount
--- a/internal/peer/kqmember/member_test.go
+++ b/internal/peer/kqmember/member_test.go
@@ -45,10 +45,10 @@
 		}
 		all := func(int) bool { return true }
 		for range 2 {
-			for _, m := range a.Bucket(all) {
+			for _, m := range a.RecordsInBuckets(all) {
 				b.Merge(m)
 			}
-			for _, m := range b.Bucket(all) {
+			for _, m := range b.RecordsInBuckets(all) {
 				a.Merge(m)
 			}
 			// A suspect that does not refute in time is declared dead.
@@ -72,7 +72,7 @@
 func TestNodeRefutesItsOwnDeath(t *testing.T) {
 	table := kqmember.NewTable(member(1, 5, kqmember.Alive))
 	var announced kqmember.Member
-	table.OnNews(func(m kqmember.Member) { announced = m })
+	table.OnChange(func(m kqmember.Member) { announced = m })
 	table.Merge(member(1, 5, kqmember.Dead))
 	if announced.Incarnation <= 5 || announced.State != kqmember.Alive {
 		t.Fatalf("announced %+v, want alive with an incarnation over 5", announced)
@@ -86,8 +86,8 @@
 	table := kqmember.NewTable(member(1, 1, kqmember.Alive))
 	table.Merge(member(2, 1, kqmember.Dead))
 	start := time.Unix(0, 0)
-	table.Forget(start.Add(-time.Hour), start)
-	table.Forget(start.Add(time.Hour), start.Add(2*time.Hour))
+	table.PruneDead(start.Add(-time.Hour), start)
+	table.PruneDead(start.Add(time.Hour), start.Add(2*time.Hour))
 	table.Merge(member(2, 1, kqmember.Dead))
 	if _, ok := table.Find("node-2"); ok {
 		t.Fatal("the pruned dead member was added again")
--- a/internal/peer/kqmember/summary.go
+++ b/internal/peer/kqmember/summary.go
@@ -16,13 +16,13 @@
 	// Summary holds hashes of a table: one for each bucket of records, and one for
 	// the configuration versions that members hold. Equal tables have equal summaries.
 	Summary struct {
-		Records [Buckets]uint64
-		Configs uint64
+		Records        [Buckets]uint64
+		VersionHolders uint64
 	}
 
-	// Configs maps each configuration version to the name hashes of the members
+	// VersionHolders maps each configuration version to the name hashes of the members
 	// that hold it.
-	Configs map[kqname.ConfigVersion][]uint64
+	VersionHolders map[kqname.ConfigVersion][]uint64
 )
 
 // Hash returns the combined hash of all buckets of records.
@@ -49,11 +49,11 @@
 	}
 	h := nameHash(m.Node)
 	s.Records[h%Buckets] ^= hashPair(h, m.Incarnation<<3|uint64(m.State))
-	s.Configs ^= hashPair(h, uint64(m.Config))
+	s.VersionHolders ^= hashPair(h, uint64(m.HeldVersion))
 }
 
-// Bucket returns the records in the buckets for which chosen returns true.
-func (t *Table) Bucket(chosen func(bucket int) bool) []Member {
+// RecordsInBuckets returns the records in the buckets for which chosen returns true.
+func (t *Table) RecordsInBuckets(chosen func(bucket int) bool) []Member {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	var list []Member
@@ -65,22 +65,22 @@
 	return list
 }
 
-// Configs returns which members hold which configuration version.
-func (t *Table) Configs() Configs {
+// VersionHolders returns which members hold which configuration version.
+func (t *Table) VersionHolders() VersionHolders {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	c := make(Configs)
+	c := make(VersionHolders)
 	for n, m := range t.members {
 		if m.State != Dead {
-			c[m.Config] = append(c[m.Config], nameHash(n))
+			c[m.HeldVersion] = append(c[m.HeldVersion], nameHash(n))
 		}
 	}
 	return c
 }
 
-// MergeConfigs raises the configuration versions of members to those that a peer
+// MergeVersionHolders raises the configuration versions of members to those that a peer
 // knows. This node's own version is not changed.
-func (t *Table) MergeConfigs(c Configs) {
+func (t *Table) MergeVersionHolders(c VersionHolders) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	held := make(map[uint64]kqname.ConfigVersion)
@@ -90,8 +90,8 @@
 		}
 	}
 	for n, m := range t.members {
-		if v := held[nameHash(n)]; v > m.Config && n != t.self {
-			m.Config = v
+		if v := held[nameHash(n)]; v > m.HeldVersion && n != t.self {
+			m.HeldVersion = v
 			t.set(m)
 		}
 	}
--- a/internal/peer/kqexchange/exchange.go
+++ b/internal/peer/kqmembersync/exchange.go
@@ -1,4 +1,4 @@
-package kqexchange
+package kqmembersync
 
 import (
 	"context"
@@ -8,11 +8,11 @@
 
 	"github.com/sourcegraph/conc"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
-	"github.com/kumquatgw/kumquatgw/internal/decide/kqsuspicion"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
+	"github.com/kumquatgw/kumquatgw/internal/decide/kqdetector"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqoverlay"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -38,25 +38,25 @@
 	Versions interface {
 		// Newest returns the highest version whose root this node holds.
 		Newest() kqname.ConfigVersion
-		// Heard is called with the newest version in each heartbeat, or answer to
+		// VersionSeen is called with the newest version in each heartbeat, or answer to
 		// one, of a peer.
-		Heard(v kqname.ConfigVersion, from kqname.Address)
-		// Answered is called with each peer that answered a heartbeat and the newest
+		VersionSeen(v kqname.ConfigVersion, from kqname.Address)
+		// PeerAnswered is called with each peer that answered a heartbeat and the newest
 		// version in the answer.
-		Answered(n kqname.Node, v kqname.ConfigVersion)
+		PeerAnswered(n kqname.Node, v kqname.ConfigVersion)
 	}
 
 	// Budget limits the bulk traffic of comparisons and floods.
 	Budget interface {
-		// Allow returns 0 if bulk traffic may be sent now, and otherwise how long to
+		// Delay returns 0 if bulk traffic may be sent now, and otherwise how long to
 		// wait.
-		Allow(now time.Time) time.Duration
+		Delay(now time.Time) time.Duration
 	}
 
-	// Exchanger synchronizes this node's table with its peers'. It is safe for
+	// Synchronizer synchronizes this node's table with its peers'. It is safe for
 	// concurrent use.
-	Exchanger struct {
-		client   *kqpeer.Client
+	Synchronizer struct {
+		client   *kqrpc.Client
 		table    *kqmember.Table
 		overlay  *kqoverlay.Overlay
 		versions Versions
@@ -66,7 +66,7 @@
 
 		mu           sync.Mutex
 		contacts     []kqname.Address
-		detector     *kqsuspicion.Detector
+		detector     *kqdetector.Detector
 		busy         map[kqname.Address]bool
 		lastCompared time.Time
 		// queue holds the records to be flooded, the latest of each node.
@@ -84,35 +84,35 @@
 // that get heartbeats while every known peer is dead or none is known, and one of them
 // from time to time later on, so that two parts of a fleet that dropped each other
 // join again.
-func New(server *kqpeer.Server, client *kqpeer.Client, table *kqmember.Table, overlay *kqoverlay.Overlay,
+func New(server *kqrpc.Server, client *kqrpc.Client, table *kqmember.Table, overlay *kqoverlay.Overlay,
 	versions Versions, budget Budget, contacts []kqname.Address, interval time.Duration,
-) *Exchanger {
-	e := &Exchanger{
+) *Synchronizer {
+	e := &Synchronizer{
 		client: client, table: table, overlay: overlay, versions: versions, budget: budget, interval: interval,
-		contacts: contacts, detector: kqsuspicion.New(interval), busy: make(map[kqname.Address]bool),
+		contacts: contacts, detector: kqdetector.New(interval), busy: make(map[kqname.Address]bool),
 		queue: make(map[kqname.Node]kqmember.Member), wake: make(chan struct{}, 1), beatNow: make(chan struct{}, 1),
 	}
 	self := table.Self().Node
-	table.OnNews(func(m kqmember.Member) {
+	table.OnChange(func(m kqmember.Member) {
 		if m.Node == self {
 			e.enqueue(m)
 		}
 	})
-	kqpeer.Handle(server, methodHeartbeat, e.answerHeartbeat)
-	kqpeer.Handle(server, methodCompare, e.answerCompare)
-	kqpeer.Handle(server, methodUpdates, e.mergeUpdates)
+	kqrpc.Handle(server, methodHeartbeat, e.answerHeartbeat)
+	kqrpc.Handle(server, methodCompare, e.answerCompare)
+	kqrpc.Handle(server, methodUpdates, e.mergeUpdates)
 	return e
 }
 
 // Run sends heartbeats and floods changed records until ctx ends.
-func (e *Exchanger) Run(ctx context.Context) {
+func (e *Synchronizer) Run(ctx context.Context) {
 	defer e.group.Wait()
-	keeper := kqkeeper.From(ctx)
-	e.group.Go(func() { keeper.Keep(ctx, "news", func() { e.floodQueue(ctx) }) })
+	keeper := kqsupervisor.From(ctx)
+	e.group.Go(func() { keeper.RunWithRestart(ctx, "news", func() { e.floodQueue(ctx) }) })
 	ticker := time.NewTicker(e.interval)
 	defer ticker.Stop()
 	for beat := 0; ; beat++ {
-		keeper.Try("heartbeat", func() { e.tick(ctx, beat, time.Now()) })
+		keeper.RunRecovered("heartbeat", func() { e.tick(ctx, beat, time.Now()) })
 		select {
 		case <-ctx.Done():
 			return
@@ -122,23 +122,23 @@
 	}
 }
 
-// Contact sends a heartbeat to an address outside the table, such as that of a
+// Probe sends a heartbeat to an address outside the table, such as that of a
 // node found through the store.
-func (e *Exchanger) Contact(ctx context.Context, to kqname.Address) {
+func (e *Synchronizer) Probe(ctx context.Context, to kqname.Address) {
 	if to != e.table.Self().Control {
 		e.sendHeartbeat(ctx, to)
 	}
 }
 
-// Announce sends all queued records to the neighbours at once, and returns when
+// FlushUpdates sends all queued records to the neighbours at once, and returns when
 // each has received them or has failed. A leaving node uses it, since it cannot
 // wait for the next flood.
-func (e *Exchanger) Announce(ctx context.Context) { e.send(ctx, e.dequeue(maxQueue)) }
+func (e *Synchronizer) FlushUpdates(ctx context.Context) { e.send(ctx, e.dequeue(maxQueue)) }
 
 // tick sends the heartbeats that are due on a beat: to all neighbours, to a random
 // member that is not dead or, without one, to all contacts, and to the members to be
 // probed. It also prunes dead members and closes idle connections.
-func (e *Exchanger) tick(ctx context.Context, beat int, now time.Time) {
+func (e *Synchronizer) tick(ctx context.Context, beat int, now time.Time) {
 	neighbours := e.overlay.Neighbours()
 	e.detectFailures(neighbours, now)
 	for _, m := range neighbours {
@@ -163,14 +163,14 @@
 		if len(e.contacts) > 0 {
 			e.sendHeartbeat(ctx, e.contacts[rand.IntN(len(e.contacts))])
 		}
-		e.table.Forget(now.Add(-deadRetention), now)
+		e.table.PruneDead(now.Add(-deadRetention), now)
 	}
-	e.client.Sweep(now.Add(-idleBeats * e.interval))
+	e.client.CloseIdle(now.Add(-idleBeats * e.interval))
 }
 
 // detectFailures declares members suspect or dead by their missed heartbeats, and
 // queues the changed records. A leaving member is declared dead without suspicion.
-func (e *Exchanger) detectFailures(neighbours []kqmember.Member, now time.Time) {
+func (e *Synchronizer) detectFailures(neighbours []kqmember.Member, now time.Time) {
 	var watched, suspects []kqname.Node
 	for _, m := range neighbours {
 		watched = append(watched, m.Node)
@@ -181,9 +181,9 @@
 		}
 	}
 	e.mu.Lock()
-	e.detector.Watch(watched, now)
-	e.detector.Suspects(suspects, now)
-	verdicts := e.detector.Judge(now)
+	e.detector.SetWatched(watched, now)
+	e.detector.SetSuspects(suspects, now)
+	verdicts := e.detector.Check(now)
 	e.mu.Unlock()
 	for _, v := range verdicts {
 		m, ok := e.table.Find(v.Node)
@@ -191,7 +191,7 @@
 			continue
 		}
 		m.State = kqmember.Suspect
-		if old, _ := e.table.Find(v.Node); v.Judgement == kqsuspicion.Dead || old.State == kqmember.Leaving {
+		if old, _ := e.table.Find(v.Node); v.Status == kqdetector.Dead || old.State == kqmember.Leaving {
 			m.State = kqmember.Dead
 		}
 		if e.table.Declare(m) {
@@ -202,7 +202,7 @@
 
 // randomAddress returns the control address of a random other member that matches,
 // and false if there is none.
-func (e *Exchanger) randomAddress(matches func(kqmember.Member) bool) (kqname.Address, bool) {
+func (e *Synchronizer) randomAddress(matches func(kqmember.Member) bool) (kqname.Address, bool) {
 	self := e.table.Self().Node
 	var list []kqname.Address
 	for _, m := range e.table.Members() {
--- a/internal/peer/kqexchange/flood.go
+++ b/internal/peer/kqmembersync/flood.go
@@ -1,4 +1,4 @@
-package kqexchange
+package kqmembersync
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"github.com/sourcegraph/conc"
 
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -34,7 +34,7 @@
 
 // mergeUpdates merges a peer's records and queues those that changed this table, so
 // that every record crosses each link about once and the flood ends by itself.
-func (e *Exchanger) mergeUpdates(_ context.Context, _ kqname.Node, q updates) (empty, error) {
+func (e *Synchronizer) mergeUpdates(_ context.Context, _ kqname.Node, q updates) (empty, error) {
 	for _, m := range q.Members {
 		if !e.table.Merge(m) || q.Quiet {
 			continue
@@ -48,7 +48,7 @@
 
 // enqueue queues a record for the flood, replacing an older one of the same node.
 // If the queue is full, the record is dropped and left to comparisons.
-func (e *Exchanger) enqueue(m kqmember.Member) {
+func (e *Synchronizer) enqueue(m kqmember.Member) {
 	e.mu.Lock()
 	if _, ok := e.queue[m.Node]; ok || len(e.queue) < maxQueue {
 		e.queue[m.Node] = m
@@ -61,7 +61,7 @@
 }
 
 // dequeue removes and returns at most limit queued records.
-func (e *Exchanger) dequeue(limit int) []kqmember.Member {
+func (e *Synchronizer) dequeue(limit int) []kqmember.Member {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var batch []kqmember.Member
@@ -77,7 +77,7 @@
 
 // floodQueue sends queued records to the neighbours in batches, within the budget,
 // until ctx ends.
-func (e *Exchanger) floodQueue(ctx context.Context) {
+func (e *Synchronizer) floodQueue(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -91,7 +91,7 @@
 				return
 			case <-time.After(wait):
 			}
-			if wait = e.budget.Allow(time.Now()); wait > 0 {
+			if wait = e.budget.Delay(time.Now()); wait > 0 {
 				continue
 			}
 			batch := e.dequeue(maxBatch)
@@ -106,7 +106,7 @@
 
 // send sends a batch to all neighbours and waits until each has answered or
 // callTimeout has passed.
-func (e *Exchanger) send(ctx context.Context, batch []kqmember.Member) {
+func (e *Synchronizer) send(ctx context.Context, batch []kqmember.Member) {
 	if len(batch) == 0 {
 		return
 	}
@@ -117,7 +117,7 @@
 	for _, to := range e.overlay.Neighbours() {
 		group.Go(func() {
 			// The error is ignored: a comparison repairs what a peer has missed.
-			_, _ = kqpeer.Call[updates, empty](ctx, e.client, to.Control, methodUpdates, updates{Members: batch})
+			_, _ = kqrpc.Call[updates, empty](ctx, e.client, to.Control, methodUpdates, updates{Members: batch})
 		})
 	}
 }
--- a/internal/peer/kqexchange/heartbeat.go
+++ b/internal/peer/kqmembersync/heartbeat.go
@@ -1,12 +1,12 @@
-package kqexchange
+package kqmembersync
 
 import (
 	"context"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -28,8 +28,8 @@
 
 	heartbeatAnswer struct {
 		heartbeat
-		Node    kqname.Node `cbor:"5,keyasint"`
-		Configs uint64      `cbor:"6,keyasint"`
+		Node           kqname.Node `cbor:"5,keyasint"`
+		VersionHolders uint64      `cbor:"6,keyasint"`
 		// Unknown reports that the receiver has no record of the sender, has one of
 		// another incarnation, or holds it suspect or dead.
 		Unknown bool `cbor:"7,keyasint,omitempty"`
@@ -37,14 +37,14 @@
 
 	// comparison requests the records of the buckets whose hashes differ.
 	comparison struct {
-		Records []uint64         `cbor:"1,keyasint"`
-		Configs kqmember.Configs `cbor:"2,keyasint"`
+		Records        []uint64                `cbor:"1,keyasint"`
+		VersionHolders kqmember.VersionHolders `cbor:"2,keyasint"`
 	}
 
 	comparisonAnswer struct {
-		Buckets []int             `cbor:"1,keyasint"`
-		Members []kqmember.Member `cbor:"2,keyasint"`
-		Configs kqmember.Configs  `cbor:"3,keyasint"`
+		Buckets        []int                   `cbor:"1,keyasint"`
+		Members        []kqmember.Member       `cbor:"2,keyasint"`
+		VersionHolders kqmember.VersionHolders `cbor:"3,keyasint"`
 		// Busy is how long the receiver's budget stays exhausted, in milliseconds.
 		// If it is set, all other fields are empty.
 		Busy int64 `cbor:"4,keyasint,omitempty"`
@@ -53,7 +53,7 @@
 
 // sendHeartbeat sends a heartbeat in its own goroutine, so that a peer that hangs
 // does not delay others. It does nothing while one to the same peer is in flight.
-func (e *Exchanger) sendHeartbeat(ctx context.Context, to kqname.Address) {
+func (e *Synchronizer) sendHeartbeat(ctx context.Context, to kqname.Address) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if to == "" || e.busy[to] || ctx.Err() != nil {
@@ -68,64 +68,64 @@
 		}()
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		kqkeeper.From(ctx).Try("heartbeat", func() { e.heartbeat(ctx, to) })
+		kqsupervisor.From(ctx).RunRecovered("heartbeat", func() { e.heartbeat(ctx, to) })
 	})
 }
 
 // heartbeat sends a heartbeat, records the answer, and compares tables if
 // either node does not know the other or the hashes differ.
-func (e *Exchanger) heartbeat(ctx context.Context, to kqname.Address) {
+func (e *Synchronizer) heartbeat(ctx context.Context, to kqname.Address) {
 	summary := e.table.Summary()
-	a, err := kqpeer.Call[heartbeat, heartbeatAnswer](ctx, e.client, to, methodHeartbeat, e.ownHeartbeat(summary))
+	a, err := kqrpc.Call[heartbeat, heartbeatAnswer](ctx, e.client, to, methodHeartbeat, e.ownHeartbeat(summary))
 	if err != nil || a.Node == e.table.Self().Node {
 		return
 	}
 	e.recordHeartbeat(a.Node, a.heartbeat, to)
-	e.versions.Answered(a.Node, a.Newest)
+	e.versions.PeerAnswered(a.Node, a.Newest)
 	_, known := e.table.Find(a.Node)
 	if a.Unknown || !known {
 		e.compare(ctx, to)
 		return
 	}
-	if (a.Records != summary.Hash() || a.Configs != summary.Configs) && e.mayCompare(time.Now()) {
+	if (a.Records != summary.Hash() || a.VersionHolders != summary.VersionHolders) && e.mayCompare(time.Now()) {
 		e.compare(ctx, to)
 	}
 }
 
-func (e *Exchanger) ownHeartbeat(s kqmember.Summary) heartbeat {
+func (e *Synchronizer) ownHeartbeat(s kqmember.Summary) heartbeat {
 	self := e.table.Self()
-	return heartbeat{Incarnation: self.Incarnation, Records: s.Hash(), Newest: e.versions.Newest(), Config: self.Config}
+	return heartbeat{Incarnation: self.Incarnation, Records: s.Hash(), Newest: e.versions.Newest(), Config: self.HeldVersion}
 }
 
-func (e *Exchanger) answerHeartbeat(_ context.Context, from kqname.Node, q heartbeat) (heartbeatAnswer, error) {
+func (e *Synchronizer) answerHeartbeat(_ context.Context, from kqname.Node, q heartbeat) (heartbeatAnswer, error) {
 	m, ok := e.table.Find(from)
 	if ok {
 		e.recordHeartbeat(from, q, m.Control)
 	}
 	summary := e.table.Summary()
 	return heartbeatAnswer{
-		heartbeat: e.ownHeartbeat(summary), Node: e.table.Self().Node, Configs: summary.Configs,
+		heartbeat: e.ownHeartbeat(summary), Node: e.table.Self().Node, VersionHolders: summary.VersionHolders,
 		Unknown: !ok || m.Incarnation != q.Incarnation || m.State == kqmember.Suspect || m.State == kqmember.Dead,
 	}, nil
 }
 
 // recordHeartbeat passes a peer's heartbeat to the failure detector, the table and
 // the configuration versions.
-func (e *Exchanger) recordHeartbeat(n kqname.Node, b heartbeat, at kqname.Address) {
+func (e *Synchronizer) recordHeartbeat(n kqname.Node, b heartbeat, at kqname.Address) {
 	e.mu.Lock()
-	e.detector.Heard(n, time.Now())
+	e.detector.RecordHeartbeat(n, time.Now())
 	e.mu.Unlock()
-	e.table.SetConfig(n, b.Config)
-	e.versions.Heard(b.Newest, at)
+	e.table.SetHeldVersion(n, b.Config)
+	e.versions.VersionSeen(b.Newest, at)
 }
 
 // mayCompare limits this node to one comparison per reconcileBeats heartbeats and
 // to its budget. Right after a change all tables differ until the flood has reached
 // them, so comparing more often would only cost traffic.
-func (e *Exchanger) mayCompare(now time.Time) bool {
+func (e *Synchronizer) mayCompare(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now.Sub(e.lastCompared) < reconcileBeats*e.interval || e.budget.Allow(now) > 0 {
+	if now.Sub(e.lastCompared) < reconcileBeats*e.interval || e.budget.Delay(now) > 0 {
 		return false
 	}
 	e.lastCompared = now
@@ -134,9 +134,9 @@
 
 // compare merges this table and a peer's so that both hold the newer records. The
 // records received are not flooded, since other nodes compare too.
-func (e *Exchanger) compare(ctx context.Context, to kqname.Address) {
+func (e *Synchronizer) compare(ctx context.Context, to kqname.Address) {
 	own := e.table.Summary()
-	a, err := kqpeer.Call[comparison, comparisonAnswer](ctx, e.client, to, methodCompare, comparison{Records: own.Records[:], Configs: e.table.Configs()})
+	a, err := kqrpc.Call[comparison, comparisonAnswer](ctx, e.client, to, methodCompare, comparison{Records: own.Records[:], VersionHolders: e.table.VersionHolders()})
 	if err != nil || a.Busy > 0 {
 		return
 	}
@@ -146,7 +146,7 @@
 		theirs[m.Node] = m
 		e.table.Merge(m)
 	}
-	e.table.MergeConfigs(a.Configs)
+	e.table.MergeVersionHolders(a.VersionHolders)
 	if wasAlone && len(theirs) > 1 {
 		select {
 		case e.beatNow <- struct{}{}:
@@ -158,22 +158,22 @@
 		differs[b] = true
 	}
 	var newer []kqmember.Member
-	for _, m := range e.table.Bucket(func(b int) bool { return differs[b] }) {
+	for _, m := range e.table.RecordsInBuckets(func(b int) bool { return differs[b] }) {
 		if t, ok := theirs[m.Node]; !ok || m.Incarnation > t.Incarnation || m.Incarnation == t.Incarnation && m.State > t.State {
 			newer = append(newer, m)
 		}
 	}
 	if len(newer) > 0 {
 		// The error is ignored: the next comparison repeats what is lost.
-		_, _ = kqpeer.Call[updates, empty](ctx, e.client, to, methodUpdates, updates{Members: newer, Quiet: true})
+		_, _ = kqrpc.Call[updates, empty](ctx, e.client, to, methodUpdates, updates{Members: newer, Quiet: true})
 	}
 }
 
-func (e *Exchanger) answerCompare(_ context.Context, _ kqname.Node, q comparison) (comparisonAnswer, error) {
-	if wait := e.budget.Allow(time.Now()); wait > 0 {
+func (e *Synchronizer) answerCompare(_ context.Context, _ kqname.Node, q comparison) (comparisonAnswer, error) {
+	if wait := e.budget.Delay(time.Now()); wait > 0 {
 		return comparisonAnswer{Busy: wait.Milliseconds() + 1}, nil
 	}
-	e.table.MergeConfigs(q.Configs)
+	e.table.MergeVersionHolders(q.VersionHolders)
 	own := e.table.Summary()
 	var a comparisonAnswer
 	differs := make(map[int]bool)
@@ -183,7 +183,7 @@
 			differs[i] = true
 		}
 	}
-	a.Members = e.table.Bucket(func(b int) bool { return differs[b] })
-	a.Configs = e.table.Configs()
+	a.Members = e.table.RecordsInBuckets(func(b int) bool { return differs[b] })
+	a.VersionHolders = e.table.VersionHolders()
 	return a, nil
 }
--- a/internal/peer/kqoverlay/overlay.go
+++ b/internal/peer/kqoverlay/overlay.go
@@ -25,7 +25,7 @@
 // New returns the overlay of the members in a table.
 func New(table *kqmember.Table) *Overlay {
 	o := &Overlay{table: table, stale: true}
-	table.OnNews(func(kqmember.Member) {
+	table.OnChange(func(kqmember.Member) {
 		o.mu.Lock()
 		o.stale = true
 		o.mu.Unlock()
--- a/internal/peer/kqpeer/client.go
+++ b/internal/peer/kqrpc/client.go
@@ -1,4 +1,4 @@
-package kqpeer
+package kqrpc
 
 import (
 	"context"
@@ -86,8 +86,8 @@
 	return a, nil
 }
 
-// Forget closes and removes the connection to a peer.
-func (c *Client) Forget(to kqname.Address) {
+// Disconnect closes and removes the connection to a peer.
+func (c *Client) Disconnect(to kqname.Address) {
 	c.mu.Lock()
 	l, ok := c.links[to]
 	delete(c.links, to)
@@ -97,10 +97,10 @@
 	}
 }
 
-// Sweep closes the connections that have been idle since before the given time.
+// CloseIdle closes the connections that have been idle since before the given time.
 // Without it, a node that sends heartbeats to random peers would end up with a
 // connection to each node of the fleet.
-func (c *Client) Sweep(before time.Time) {
+func (c *Client) CloseIdle(before time.Time) {
 	c.mu.Lock()
 	var idle []*link
 	for to, l := range c.links {
--- a/internal/peer/kqpeer/guard_test.go
+++ b/internal/peer/kqrpc/guard_test.go
@@ -1,4 +1,4 @@
-package kqpeer_test
+package kqrpc_test
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"github.com/sourcegraph/conc"
 
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -18,8 +18,8 @@
 func TestSenderMustMatchItsCertificate(t *testing.T) {
 	var ran atomic.Int32
 	authenticate := func(_ context.Context, c net.Conn) (net.Conn, kqname.Node, error) { return c, "honest", nil }
-	server := kqpeer.NewServer(nil, kqpeer.WithGuard(authenticate))
-	kqpeer.Handle(server, "order", func(context.Context, kqname.Node, int) (int, error) {
+	server := kqrpc.NewServer(nil, kqrpc.WithGuard(authenticate))
+	kqrpc.Handle(server, "order", func(context.Context, kqname.Node, int) (int, error) {
 		ran.Add(1)
 		return 1, nil
 	})
@@ -37,8 +37,8 @@
 		sender kqname.Node
 		runs   int32
 	}{{"impostor", 0}, {"honest", 1}} {
-		client := kqpeer.NewClient(c.sender, nil)
-		_, err := kqpeer.Call[int, int](ctx, client, kqname.Address(l.Addr().String()), "order", 1)
+		client := kqrpc.NewClient(c.sender, nil)
+		_, err := kqrpc.Call[int, int](ctx, client, kqname.Address(l.Addr().String()), "order", 1)
 		client.Close()
 		if ran.Load() != c.runs || (err == nil) != (c.runs == 1) {
 			t.Errorf("requests of %s: handler ran %d times, error %v; want %d runs", c.sender, ran.Load(), err, c.runs)
--- a/internal/peer/kqpeer/meter.go
+++ b/internal/peer/kqrpc/meter.go
@@ -1,4 +1,4 @@
-package kqpeer
+package kqrpc
 
 import "net"
 
--- a/internal/peer/kqpeer/panic_test.go
+++ b/internal/peer/kqrpc/panic_test.go
@@ -1,12 +1,12 @@
-package kqpeer_test
+package kqrpc_test
 
 import (
 	"context"
 	"net"
 	"testing"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -17,11 +17,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	panics := make(chan kqkeeper.Panic, 1)
-	ctx, stop := context.WithCancel(kqkeeper.New(func(p kqkeeper.Panic) { panics <- p }).With(t.Context()))
+	panics := make(chan kqsupervisor.Panic, 1)
+	ctx, stop := context.WithCancel(kqsupervisor.New(func(p kqsupervisor.Panic) { panics <- p }).With(t.Context()))
 	defer stop()
-	s := kqpeer.NewServer(nil)
-	kqpeer.Handle(s, "t.p", func(_ context.Context, _ kqname.Node, q int) (int, error) {
+	s := kqrpc.NewServer(nil)
+	kqrpc.Handle(s, "t.p", func(_ context.Context, _ kqname.Node, q int) (int, error) {
 		if q == 0 {
 			panic("fault")
 		}
@@ -29,12 +29,12 @@
 	})
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(ctx, l) }()
-	c := kqpeer.NewClient("a", nil)
+	c := kqrpc.NewClient("a", nil)
 	to := kqname.Address(l.Addr().String())
-	if _, err := kqpeer.Call[int, int](ctx, c, to, "t.p", 0); err == nil {
+	if _, err := kqrpc.Call[int, int](ctx, c, to, "t.p", 0); err == nil {
 		t.Error("the request that panicked was answered")
 	}
-	if a, err := kqpeer.Call[int, int](ctx, c, to, "t.p", 7); err != nil || a != 7 {
+	if a, err := kqrpc.Call[int, int](ctx, c, to, "t.p", 7); err != nil || a != 7 {
 		t.Errorf("the next request returned %d, %v, want 7", a, err)
 	}
 	if p := <-panics; p.Value != "fault" || p.Part != "peer" {
--- a/internal/peer/kqpeer/server.go
+++ b/internal/peer/kqrpc/server.go
@@ -1,4 +1,4 @@
-package kqpeer
+package kqrpc
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"storj.io/drpc/drpcserver"
 	"storj.io/drpc/drpcwire"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -122,7 +122,7 @@
 	}
 	err := fmt.Errorf("%s: %w", rpc, ErrPanicked)
 	// The library does not recover panics, so one would end the process.
-	kqkeeper.From(stream.Context()).Try(part, func() { err = m(stream) })
+	kqsupervisor.From(stream.Context()).RunRecovered(part, func() { err = m(stream) })
 	return err
 }
 
@@ -144,7 +144,7 @@
 			return fmt.Errorf("serve peers on %s: %w", l.Addr(), err)
 		}
 		tracker.Run(func(ctx context.Context) {
-			if !kqkeeper.From(ctx).Try(part, func() { s.serveOne(ctx, server, conn) }) {
+			if !kqsupervisor.From(ctx).RunRecovered(part, func() { s.serveOne(ctx, server, conn) }) {
 				_ = conn.Close()
 			}
 		})
--- a/internal/rollout/kqevidence/evidence.go
+++ b/internal/rollout/kqevidence/evidence.go
@@ -15,10 +15,10 @@
 	MaxRoutes = 16
 	// OtherRoutes stands for all routes over MaxRoutes.
 	OtherRoutes kqname.Route = "others"
-	// Young stands for the calls to upstreams that have only just started. They also count
+	// ColdUpstreams stands for the calls to upstreams that have only just started. They also count
 	// under their own route, but without their latency; here they have it, to distinguish a
 	// far slower version from a cold start.
-	Young kqname.Route = "just started"
+	ColdUpstreams kqname.Route = "just started"
 
 	// lowestEdge is the upper edge of the lowest bucket, in seconds. Buckets that grow
 	// by a quarter can distinguish a version that is 1.3 times slower from one that is
--- a/internal/rollout/kqledger/ledger.go
+++ b/internal/rollout/kqledger/ledger.go
@@ -182,7 +182,7 @@
 func (r *Report) cell(next bool) kqevidence.Cell {
 	var c kqevidence.Cell
 	for i := range r.Rows {
-		if r.Rows[i].Route != kqevidence.Young {
+		if r.Rows[i].Route != kqevidence.ColdUpstreams {
 			c.Add(r.Rows[i].CellOf(next))
 		}
 	}
--- a/internal/rollout/kqowner/lease.go
+++ b/internal/rollout/kqowner/lease.go
@@ -30,7 +30,7 @@
 	if !candidate {
 		return nil
 	}
-	lease, err := o.store.Grant(ctx, TTL)
+	lease, err := o.store.Grant(ctx, LeaseTTL)
 	if err != nil {
 		return fmt.Errorf("grant lease: %w", err)
 	}
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// Leave releases the lease of a plan if this node holds it.
-func (o *Owner) Leave(ctx context.Context, id kqplan.ID) error {
+// Release releases the lease of a plan if this node holds it.
+func (o *Owner) Release(ctx context.Context, id kqplan.ID) error {
 	o.mu.Lock()
 	state, ok := o.plans[id]
 	held := ok && state.lease != kqstore.NoLease
--- a/internal/rollout/kqowner/owner.go
+++ b/internal/rollout/kqowner/owner.go
@@ -9,22 +9,22 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqplan"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqprogress"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
 const (
-	// TTL is how long an owner's lease lasts unless it is renewed.
-	TTL = 3 * time.Second
+	// LeaseTTL is how long an owner's lease lasts unless it is renewed.
+	LeaseTTL = 3 * time.Second
 	// renewInterval leaves time for two more attempts before the lease expires.
-	renewInterval = TTL / 3
+	renewInterval = LeaseTTL / 3
 	// trustedFor is how long a holder relies on a lease after requesting it. It is
 	// counted from before the request, by the holder's own clock, so that a holder
 	// that was paused stops acting before the lease expires on the platform.
-	trustedFor = TTL * 2 / 3
+	trustedFor = LeaseTTL * 2 / 3
 	// retryDelay is the pause after a call that failed, so that a platform that
 	// recovers does not get calls from all nodes at once over and over.
 	retryDelay = time.Second
@@ -92,9 +92,9 @@
 	return &Owner{self: self, store: store, board: board, plans: make(map[kqplan.ID]*planState)}
 }
 
-// Holds reports whether this node holds the plan's lease and may advance it at the time
+// HoldsLease reports whether this node holds the plan's lease and may advance it at the time
 // now, and whether the last call of Work for it failed.
-func (o *Owner) Holds(id kqplan.ID, now time.Time) (holds, lastSyncFailed bool) {
+func (o *Owner) HoldsLease(id kqplan.ID, now time.Time) (holds, lastSyncFailed bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	state, ok := o.plans[id]
@@ -104,9 +104,9 @@
 	return state.loaded && now.Before(state.validUntil), state.lastSyncFailed
 }
 
-// Work makes the platform calls that are due for one plan: it reads what is stored,
+// Sync makes the platform calls that are due for one plan: it reads what is stored,
 // acquires the lease if candidate, renews it, stores the progress and sets the final state.
-func (o *Owner) Work(ctx context.Context, v kqboard.View, candidate bool, now time.Time) error {
+func (o *Owner) Sync(ctx context.Context, v kqtracker.PlanSnapshot, candidate bool, now time.Time) error {
 	state := o.planState(v.Plan.ID)
 	if !v.Progress.Open() || now.Before(state.retryAt) {
 		return nil
@@ -122,7 +122,7 @@
 	return nil
 }
 
-func (o *Owner) sync(ctx context.Context, state *planState, v kqboard.View, candidate bool, now time.Time) error {
+func (o *Owner) sync(ctx context.Context, state *planState, v kqtracker.PlanSnapshot, candidate bool, now time.Time) error {
 	if !o.isLoaded(state) {
 		if err := o.load(ctx, state, v.Plan.ID); err != nil {
 			return err
@@ -131,7 +131,7 @@
 	if err := o.maintainLease(ctx, state, v.Plan.ID, candidate, now); err != nil {
 		return err
 	}
-	if holds, _ := o.Holds(v.Plan.ID, now); !holds {
+	if holds, _ := o.HoldsLease(v.Plan.ID, now); !holds {
 		return nil
 	}
 	if err := o.saveProgress(ctx, state, v); err != nil {
@@ -181,7 +181,7 @@
 }
 
 // saveProgress stores the progress if it is ahead of what is stored.
-func (o *Owner) saveProgress(ctx context.Context, state *planState, v kqboard.View) error {
+func (o *Owner) saveProgress(ctx context.Context, state *planState, v kqtracker.PlanSnapshot) error {
 	joined := kqprogress.Join(state.saved, v.Progress)
 	if joined == state.saved {
 		return nil
@@ -202,11 +202,11 @@
 
 // storeFinal writes the final state that is due. Only the first record is accepted; an owner
 // that comes second, or whose answer was lost, reads the stored record and merges it.
-func (o *Owner) storeFinal(ctx context.Context, v kqboard.View, now time.Time) error {
-	if v.Wish == kqprogress.Open {
+func (o *Owner) storeFinal(ctx context.Context, v kqtracker.PlanSnapshot, now time.Time) error {
+	if v.DueFinal == kqprogress.Open {
 		return nil
 	}
-	data, err := cbor.Marshal(record{Final: v.Wish, Why: v.Why, By: o.self, At: now})
+	data, err := cbor.Marshal(record{Final: v.DueFinal, Why: v.Why, By: o.self, At: now})
 	if err != nil {
 		return fmt.Errorf("encode final state: %w", err)
 	}
--- a/internal/rollout/kqowner/owner_test.go
+++ b/internal/rollout/kqowner/owner_test.go
@@ -7,11 +7,11 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqledger"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqowner"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqprogress"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -26,7 +26,7 @@
 
 	// node is the part of a node that decides on rollouts.
 	node struct {
-		board *kqboard.Board
+		board *kqtracker.Tracker
 		owner *kqowner.Owner
 	}
 )
@@ -47,12 +47,12 @@
 	}
 }
 
-func newNode(name kqname.Node, platform *kqstandin.Standin, all map[kqname.Service]kqresource.Service) *node {
-	b := kqboard.New(kqledger.Source{Node: name}, upstreams{
+func newNode(name kqname.Node, platform *kqfakestore.Fake, all map[kqname.Service]kqresource.Service) *node {
+	b := kqtracker.New(kqledger.Source{Node: name}, upstreams{
 		{Upstream: kqmember.Upstream{Service: "shed", Version: "v1", Slots: 6}, Node: "a"},
 		{Upstream: kqmember.Upstream{Service: "shed", Version: "v2", Slots: 6}, Node: "b"},
 	})
-	b.Adopt(all, start)
+	b.Update(all, start)
 	return &node{board: b, owner: kqowner.New(name, platform, b)}
 }
 
@@ -61,22 +61,22 @@
 func (n *node) runOnce(now time.Time, step bool) {
 	for _, v := range n.board.Views(now) {
 		// Errors are expected: some tests make the platform unavailable.
-		_ = n.owner.Work(context.Background(), v, true, now)
-		if holds, _ := n.owner.Holds(v.Plan.ID, now); holds && step {
+		_ = n.owner.Sync(context.Background(), v, true, now)
+		if holds, _ := n.owner.HoldsLease(v.Plan.ID, now); holds && step {
 			n.board.Step(v.Plan.ID, now)
 		}
 	}
 }
 
-func (n *node) states(now time.Time) map[kqname.Rollout]kqboard.State {
-	states := make(map[kqname.Rollout]kqboard.State)
+func (n *node) states(now time.Time) map[kqname.Rollout]kqtracker.State {
+	states := make(map[kqname.Rollout]kqtracker.State)
 	for _, s := range n.board.Statuses(now) {
 		states[s.Rollout] = s.State
 	}
 	return states
 }
 
-func (n *node) view(t *testing.T) kqboard.View {
+func (n *node) view(t *testing.T) kqtracker.PlanSnapshot {
 	t.Helper()
 	for _, v := range n.board.Views(start.Add(time.Hour)) {
 		if v.Plan.Name == "move" {
@@ -84,11 +84,11 @@
 		}
 	}
 	t.Fatal("the plan is not on the board")
-	return kqboard.View{}
+	return kqtracker.PlanSnapshot{}
 }
 
-func newPlatform(c *clock) *kqstandin.Standin {
-	return kqstandin.New(kqstandin.WithNow(func() time.Time { return c.now }))
+func newPlatform(c *clock) *kqfakestore.Fake {
+	return kqfakestore.New(kqfakestore.WithNow(func() time.Time { return c.now }))
 }
 
 // Guards against two final states after an owner was paused in the middle of a rollout. Its
@@ -101,15 +101,15 @@
 	first.runOnce(c.now, true)
 	first.runOnce(c.now, true)
 	id := first.view(t).Plan.ID
-	if holds, _ := first.owner.Holds(id, c.now); !holds {
+	if holds, _ := first.owner.HoldsLease(id, c.now); !holds {
 		t.Fatal("the first owner has no lease")
 	}
-	c.now = c.now.Add(2 * kqowner.TTL)
-	if holds, _ := first.owner.Holds(id, c.now); holds {
+	c.now = c.now.Add(2 * kqowner.LeaseTTL)
+	if holds, _ := first.owner.HoldsLease(id, c.now); holds {
 		t.Error("an owner that was paused past its lease still holds it")
 	}
 	second.runOnce(c.now, true)
-	if holds, _ := second.owner.Holds(id, c.now); !holds {
+	if holds, _ := second.owner.HoldsLease(id, c.now); !holds {
 		t.Fatal("the second node did not take over")
 	}
 	if step := second.view(t).Progress.Step; step < 1 {
@@ -137,13 +137,13 @@
 		c.now = c.now.Add(time.Second)
 	}
 	n.runOnce(c.now, false)
-	if n.view(t).Wish == kqprogress.Open {
-		for n.view(t).Wish == kqprogress.Open && c.now.Before(start.Add(2*time.Minute)) {
+	if n.view(t).DueFinal == kqprogress.Open {
+		for n.view(t).DueFinal == kqprogress.Open && c.now.Before(start.Add(2*time.Minute)) {
 			c.now = c.now.Add(time.Second)
 			n.runOnce(c.now, true)
 		}
 	}
-	p.SetFaults(kqstandin.Faults{LoseAnswers: 4})
+	p.SetFaults(kqfakestore.Faults{LoseResponses: 4})
 	n.runOnce(c.now, true)
 	n.board.Join(n.view(t).Plan.ID, kqprogress.Progress{RolledBack: true, Why: "errors"})
 	for range 20 {
@@ -165,25 +165,25 @@
 		n.runOnce(c.now, true)
 		c.now = c.now.Add(time.Second)
 	}
-	p.SetFaults(kqstandin.Faults{Down: true})
+	p.SetFaults(kqfakestore.Faults{Down: true})
 	id := n.view(t).Plan.ID
 	for range 90 {
 		c.now = c.now.Add(time.Second)
 		n.runOnce(c.now, true)
 		n.board.Step(id, c.now)
 	}
-	if s := n.states(c.now)["move"]; s != kqboard.Running {
+	if s := n.states(c.now)["move"]; s != kqtracker.Running {
 		t.Errorf("while the platform is unavailable the rollout is %q", s)
 	}
 	if step := n.view(t).Progress.Step; step != 4 {
 		t.Errorf("the rollout stopped at step %d", step)
 	}
-	p.SetFaults(kqstandin.Faults{})
+	p.SetFaults(kqfakestore.Faults{})
 	for range 10 {
 		c.now = c.now.Add(time.Second)
 		n.runOnce(c.now, true)
 	}
-	if s := n.states(c.now)["move"]; s != kqboard.Done {
+	if s := n.states(c.now)["move"]; s != kqtracker.Done {
 		t.Errorf("after the outage the rollout is %q", s)
 	}
 }
@@ -202,19 +202,19 @@
 		next := plan("next")
 		next.Start, next.Deadline = start.Add(2*time.Minute), start.Add(3*time.Minute)
 		if !doneFirst {
-			n.board.Adopt(service(next), c.now)
+			n.board.Update(service(next), c.now)
 		}
 		c.now = c.now.Add(3 * time.Second)
 		n.runOnce(c.now, true)
 		other.runOnce(c.now, true)
-		n.board.Adopt(service(next), c.now)
+		n.board.Update(service(next), c.now)
 		for range 20 {
 			c.now = c.now.Add(time.Second)
 			n.runOnce(c.now, true)
 			other.runOnce(c.now, true)
 		}
 		checkSameFinal(t, c.now, n, other)
-		if s := n.states(c.now)["next"]; s != kqboard.Pending {
+		if s := n.states(c.now)["next"]; s != kqtracker.Pending {
 			t.Errorf("the new plan is %q", s)
 		}
 	}
@@ -232,7 +232,7 @@
 	}
 	cancelled := plan("move")
 	cancelled.Cancelled = true
-	other.board.Adopt(service(cancelled), c.now)
+	other.board.Update(service(cancelled), c.now)
 	other.board.Step(other.view(t).Plan.ID, c.now)
 	for range 20 {
 		c.now = c.now.Add(time.Second)
@@ -247,7 +247,7 @@
 func checkSameFinal(t *testing.T, now time.Time, nodes ...*node) {
 	t.Helper()
 	first := nodes[0].states(now)["move"]
-	if first != kqboard.Done && first != kqboard.TakenBack {
+	if first != kqtracker.Done && first != kqtracker.FinalRollback {
 		t.Errorf("no final state: %q, %+v", first, nodes[0].view(t))
 	}
 	for _, n := range nodes {
--- a/internal/rollout/kqplan/plan.go
+++ b/internal/rollout/kqplan/plan.go
@@ -78,17 +78,17 @@
 	return p
 }
 
-// Old reports whether the rollout moves traffic away from the version.
-func (p Plan) Old(v kqname.UpstreamVersion) bool {
+// IsOld reports whether the rollout moves traffic away from the version.
+func (p Plan) IsOld(v kqname.UpstreamVersion) bool {
 	if p.From == "" {
 		return v != p.To
 	}
 	return v == p.From
 }
 
-// Cold returns how long after an upstream's start its slowness is attributed to the cold
+// ColdStart returns how long after an upstream's start its slowness is attributed to the cold
 // start and not to its version.
-func (p Plan) Cold() time.Duration { return min(p.Window()/coldWindowDivisor, maxColdStart) }
+func (p Plan) ColdStart() time.Duration { return min(p.Window()/coldWindowDivisor, maxColdStart) }
 
 // WarmAt returns the end of an upstream's cold start: warm if the upstream announced it, or
 // else Cold after its start.
@@ -96,7 +96,7 @@
 	if !warm.IsZero() {
 		return warm
 	}
-	return started.Add(p.Cold())
+	return started.Add(p.ColdStart())
 }
 
 func newPlan(r kqdocument.Rollout, policy kqdocument.Policy) Plan {
--- a/internal/rollout/kqprogress/progress.go
+++ b/internal/rollout/kqprogress/progress.go
@@ -5,8 +5,8 @@
 	Open Final = ""
 	// Done rollouts have moved all traffic to the new version.
 	Done Final = "done"
-	// TakenBack rollouts were rolled back: all traffic goes to the old version.
-	TakenBack Final = "taken back"
+	// FinalRollback rollouts were rolled back: all traffic goes to the old version.
+	FinalRollback Final = "taken back"
 )
 
 type (
@@ -45,8 +45,8 @@
 
 func joinFinal(a, b Final) Final {
 	switch {
-	case a == TakenBack || b == TakenBack:
-		return TakenBack
+	case a == FinalRollback || b == FinalRollback:
+		return FinalRollback
 	case a == Done || b == Done:
 		return Done
 	default:
--- a/internal/rollout/kqprogress/progress_test.go
+++ b/internal/rollout/kqprogress/progress_test.go
@@ -17,7 +17,7 @@
 			Step:       rapid.IntRange(0, 4).Draw(t, "step"),
 			RolledBack: rapid.Bool().Draw(t, "rolled_back"),
 			Why:        rapid.SampledFrom([]string{"", "errors", "slower"}).Draw(t, "why"),
-			Final:      rapid.SampledFrom([]kqprogress.Final{kqprogress.Open, kqprogress.Open, kqprogress.Done, kqprogress.TakenBack}).Draw(t, "final"),
+			Final:      rapid.SampledFrom([]kqprogress.Final{kqprogress.Open, kqprogress.Open, kqprogress.Done, kqprogress.FinalRollback}).Draw(t, "final"),
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/rollout/kqshare/share.go
+++ b/internal/rollout/kqshare/share.go
@@ -17,27 +17,27 @@
 	// Share is how a rollout's calls are split at one step.
 	Share struct {
 		From, To kqname.UpstreamVersion
-		// Of is the share of traffic for the new version, from 0 to 1.
-		Of float64
+		// Fraction is the share of traffic for the new version, from 0 to 1.
+		Fraction float64
 		// Small is set if the share goes to few upstreams.
 		Small bool
 		// MayGrow lets the share grow to the new version's part of all slots.
 		MayGrow bool
-		// Not are further versions that must get no calls if From is empty, which
+		// ExcludedVersions are further versions that must get no calls if From is empty, which
 		// stands for every version but To.
-		Not []kqname.UpstreamVersion
+		ExcludedVersions []kqname.UpstreamVersion
 	}
 
-	// Burst is the distribution of a share over each second and over upstreams.
-	Burst struct {
+	// Distribution is the distribution of a share over each second and over upstreams.
+	Distribution struct {
 		From, To kqname.UpstreamVersion
 		// Nodes limits the new version's calls to these; nil accepts all.
 		Nodes map[kqname.Node]bool
 		// Within is the share of calls for the new version during the burst, and Duty
 		// the part of each second that the burst lasts (the duty cycle).
 		Within, Duty float64
-		// Not are the versions that must not get the old version's calls.
-		Not []kqname.UpstreamVersion
+		// ExcludedVersions are the versions that must not get the old version's calls.
+		ExcludedVersions []kqname.UpstreamVersion
 	}
 
 	// Random generates numbers in [0, 1).
@@ -47,18 +47,18 @@
 )
 
 // Split returns the version and the upstreams that one call may go to at the time now.
-func (b Burst) Split(now time.Time, random Random) kqpick.Target {
+func (b Distribution) Split(now time.Time, random Random) kqpick.Target {
 	phase := time.Duration(now.UnixNano() % int64(period))
 	if b.Within <= 0 || float64(phase) >= b.Duty*float64(period) || random.Float64() >= b.Within {
-		return kqpick.Target{Version: b.From, Not: b.Not}
+		return kqpick.Target{Version: b.From, ExcludedVersions: b.ExcludedVersions}
 	}
-	return kqpick.Target{Version: b.To, Nodes: b.Nodes, Fallback: b.From, FallbackNot: b.Not}
+	return kqpick.Target{Version: b.To, Nodes: b.Nodes, Fallback: b.From, FallbackExcludedVersions: b.ExcludedVersions}
 }
 
-// Burst returns the distribution of the share over each second and over upstreams. It is
+// Distribution returns the distribution of the share over each second and over upstreams. It is
 // valid until the upstreams change.
-func (s Share) Burst(all []kqmember.Candidate) Burst {
-	burst := Burst{From: s.From, To: s.To, Within: s.Of, Duty: 1, Not: s.ExcludedFromOld()}
+func (s Share) Distribution(all []kqmember.Candidate) Distribution {
+	burst := Distribution{From: s.From, To: s.To, Within: s.Fraction, Duty: 1, ExcludedVersions: s.ExcludedFromOld()}
 	oldSlots, newSlots := 0, 0
 	for _, c := range all {
 		switch {
@@ -69,21 +69,21 @@
 		}
 	}
 	if s.MayGrow && newSlots > 0 {
-		burst.Within = max(s.Of, float64(newSlots)/float64(newSlots+oldSlots))
+		burst.Within = max(s.Fraction, float64(newSlots)/float64(newSlots+oldSlots))
 		return burst
 	}
 	if !s.Small {
 		// When many new upstreams crash, the remaining ones would get more load than
 		// an old one, and be slow through no fault of their version.
 		if newSlots < oldSlots {
-			burst.Within = min(s.Of, float64(newSlots)/float64(oldSlots))
+			burst.Within = min(s.Fraction, float64(newSlots)/float64(oldSlots))
 		}
 		return burst
 	}
 	newSlots = 0
 	selected := make(map[kqname.Node]bool)
 	for _, c := range all {
-		if c.Version == s.To && (newSlots == 0 || float64(newSlots+c.Slots) <= s.Of*float64(oldSlots)) {
+		if c.Version == s.To && (newSlots == 0 || float64(newSlots+c.Slots) <= s.Fraction*float64(oldSlots)) {
 			selected[c.Node] = true
 			newSlots += c.Slots
 		}
@@ -93,14 +93,14 @@
 	}
 	// During the burst, a selected upstream gets the load of an old one, in proportion
 	// to its slots.
-	within := max(s.Of, min(float64(newSlots)/float64(oldSlots), 1))
-	return Burst{From: s.From, To: s.To, Nodes: selected, Within: within, Duty: s.Of / within, Not: s.ExcludedFromOld()}
+	within := max(s.Fraction, min(float64(newSlots)/float64(oldSlots), 1))
+	return Distribution{From: s.From, To: s.To, Nodes: selected, Within: within, Duty: s.Fraction / within, ExcludedVersions: s.ExcludedFromOld()}
 }
 
 // IsOld reports whether the rollout moves calls away from the version.
 func (s Share) IsOld(v kqname.UpstreamVersion) bool {
 	if s.From == "" {
-		return v != s.To && !slices.Contains(s.Not, v)
+		return v != s.To && !slices.Contains(s.ExcludedVersions, v)
 	}
 	return v == s.From
 }
@@ -111,5 +111,5 @@
 	if s.From != "" {
 		return nil
 	}
-	return append(slices.Clone(s.Not), s.To)
+	return append(slices.Clone(s.ExcludedVersions), s.To)
 }
--- a/internal/rollout/kqshare/share_test.go
+++ b/internal/rollout/kqshare/share_test.go
@@ -25,8 +25,8 @@
 				})
 			}
 		}
-		s := kqshare.Share{From: "v1", To: "v2", Of: 0.05, Small: true}
-		b := s.Burst(all)
+		s := kqshare.Share{From: "v1", To: "v2", Fraction: 0.05, Small: true}
+		b := s.Distribution(all)
 		random := rand.New(rand.NewPCG(1, 1))
 		const calls, second = 200000, 7
 		next, busiest := 0, 0.0
@@ -62,8 +62,8 @@
 	for i, v := range []kqname.UpstreamVersion{"v1", "v1", "v2", "v3", "v3", "v3", "v3"} {
 		all = append(all, kqmember.Candidate{Upstream: kqmember.Upstream{Version: v, Slots: 6}, Node: kqname.Node(fmt.Sprint(i))})
 	}
-	s := kqshare.Share{To: "v3", Of: 0.65, Not: []kqname.UpstreamVersion{"v2"}, MayGrow: true}
-	b := s.Burst(all)
+	s := kqshare.Share{To: "v3", Fraction: 0.65, ExcludedVersions: []kqname.UpstreamVersion{"v2"}, MayGrow: true}
+	b := s.Distribution(all)
 	random := rand.New(rand.NewPCG(1, 1))
 	next := 0
 	for range 1000 {
@@ -72,7 +72,7 @@
 			next++
 			target = target.Next()
 		}
-		if !slices.Contains(target.Not, "v2") || !slices.Contains(target.Not, "v3") {
+		if !slices.Contains(target.ExcludedVersions, "v2") || !slices.Contains(target.ExcludedVersions, "v3") {
 			t.Fatalf("the old version's calls may go to %+v", target)
 		}
 	}
--- a/internal/rollout/kqstep/step.go
+++ b/internal/rollout/kqstep/step.go
@@ -18,11 +18,11 @@
 	Advance Action = "advance"
 	// Done ends the rollout with the new version.
 	Done Action = "done"
-	// TakeBack rolls back: it ends the rollout with the old version.
-	TakeBack Action = "take back"
+	// Rollback rolls back: it ends the rollout with the old version.
+	Rollback Action = "take back"
 
-	// Small is the step of the small share.
-	Small = 1
+	// SmallShareStep is the step of the small share.
+	SmallShareStep = 1
 	// LastStep is the step before done.
 	LastStep = 4
 
@@ -59,8 +59,8 @@
 		Why    string
 	}
 
-	// State is the input of a decision.
-	State struct {
+	// Inputs is the input of a decision.
+	Inputs struct {
 		Plan     kqplan.Plan
 		Progress kqprogress.Progress
 		Finding  kqverdict.Finding
@@ -128,7 +128,7 @@
 // Share returns the share of traffic, from 0 to 1, that goes to the new
 // version at a step of the plan.
 func Share(p kqplan.Plan, step int) float64 {
-	if step <= Small {
+	if step <= SmallShareStep {
 		return float64(max(step, 0)) * p.SmallShare
 	}
 	return scheduleStepOf(p, min(step, LastStep)).share
@@ -147,16 +147,16 @@
 }
 
 // Decide returns what to do at the time now. It never undoes a step.
-func Decide(now time.Time, s State) Decision {
+func Decide(now time.Time, s Inputs) Decision {
 	switch {
 	case !s.Progress.Open():
 		return Decision{Hold, "it has ended"}
 	case s.Progress.RolledBack:
-		return Decision{TakeBack, s.Progress.Why}
+		return Decision{Rollback, s.Progress.Why}
 	case s.Plan.Cancelled:
-		return Decision{TakeBack, "an operator cancelled it"}
+		return Decision{Rollback, "an operator cancelled it"}
 	case IsBad(s.Plan, s.Finding):
-		return Decision{TakeBack, Describe(s.Finding)}
+		return Decision{Rollback, Describe(s.Finding)}
 	case now.Before(s.Plan.Start):
 		return Decision{Hold, "its start has not come"}
 	case s.Progress.Step == 0:
@@ -177,9 +177,9 @@
 }
 
 // decideStart decides whether a rollout at step 0 starts.
-func decideStart(now time.Time, s State) Decision {
+func decideStart(now time.Time, s Inputs) Decision {
 	if !now.Before(s.Plan.Deadline) {
-		return Decision{TakeBack, "its deadline passed before it began"}
+		return Decision{Rollback, "its deadline passed before it began"}
 	}
 	if s.NewSlots+s.ColdSlots == 0 {
 		return Decision{Hold, "no upstream of the new version is ready"}
@@ -188,7 +188,7 @@
 }
 
 // decideNext decides whether a rollout under way goes to its next step.
-func decideNext(now time.Time, s State) Decision {
+func decideNext(now time.Time, s Inputs) Decision {
 	elapsedFraction := float64(now.Sub(s.Plan.Start)) / float64(s.Plan.Window())
 	if !now.Before(s.Plan.Deadline) && (s.Progress.Step < LastStep || !hasCapacity(s, 1, 1) || !fitsBusySlots(s)) {
 		return decideOverdue(s)
@@ -197,16 +197,16 @@
 	switch {
 	case elapsedFraction < scheduleStepOf(s.Plan, to).due:
 		return Decision{Hold, "the next step is not due"}
-	case s.Progress.Step == Small && elapsedFraction < extendSmallUntil && s.Plan.Duration == 0 && max(s.Finding.Total, -s.Finding.InFavor) > 0:
+	case s.Progress.Step == SmallShareStep && elapsedFraction < extendSmallUntil && s.Plan.Duration == 0 && max(s.Finding.Total, -s.Finding.InFavor) > 0:
 		return Decision{Hold, "the small share goes on, since the evidence is not clear: " + Describe(s.Finding)}
 	case s.Plan.Duration > 0 && to <= LastStep && s.Finding.Calls < minOrderedCalls && elapsedFraction < delayLimit(s, to):
 		return Decision{Hold, fmt.Sprintf("%d calls are too few to go on by", s.Finding.Calls)}
 	case s.Plan.Duration > 0 && to <= LastStep && hasRecentEvidence(s) && elapsedFraction < delayLimit(s, to):
 		return Decision{Hold, "the share does not grow while the evidence is against it: " + Describe(s.Finding)}
 	case isOverLimits(s):
-		return Decision{TakeBack, "the time for it is up and the evidence leans against it: " + Describe(s.Finding)}
+		return Decision{Rollback, "the time for it is up and the evidence leans against it: " + Describe(s.Finding)}
 	case to > LastStep && s.Finding.Calls < thresholdsOf(s.Plan).minCalls:
-		return Decision{TakeBack, fmt.Sprintf("the time is up and %d calls are too few to judge by", s.Finding.Calls)}
+		return Decision{Rollback, fmt.Sprintf("the time is up and %d calls are too few to judge by", s.Finding.Calls)}
 	case to > LastStep && !fitsBusySlots(s):
 		return Decision{Hold, fmt.Sprintf("%.0f slots in use have no room in %d of the new version", s.BusySlots, s.NewSlots+s.ColdSlots)}
 	case to > LastStep && hasCapacity(s, 1, elapsedFraction):
@@ -220,14 +220,14 @@
 // decideOverdue ends a rollout whose deadline passed before its last step, for example
 // after an outage of all nodes that could have owned it, or before the new version could
 // take all traffic.
-func decideOverdue(s State) Decision {
+func decideOverdue(s Inputs) Decision {
 	if s.Plan.Prefer == kqdocument.PreferFinishing && s.Finding.Calls > 0 && !isOverLimits(s) && canCarryAll(s) {
 		return Decision{Done, "the deadline came and nothing speaks against it"}
 	}
 	if !canCarryAll(s) {
-		return Decision{TakeBack, "the deadline came and its upstreams are too few"}
+		return Decision{Rollback, "the deadline came and its upstreams are too few"}
 	}
-	return Decision{TakeBack, "the deadline came without enough evidence for it"}
+	return Decision{Rollback, "the deadline came without enough evidence for it"}
 }
 
 // delayLimit returns the part of the window until which an ordered rollout may delay a
@@ -235,7 +235,7 @@
 // never gets enough of them at the small share: if every step waited until urgentFrom, the
 // last steps would follow at once, and the old upstreams would be stopped with calls in
 // flight. Only evidence against the version justifies the longer wait.
-func delayLimit(s State, to int) float64 {
+func delayLimit(s Inputs, to int) float64 {
 	if isOverLimits(s) {
 		return urgentFrom
 	}
@@ -244,10 +244,10 @@
 
 // hasRecentEvidence reports whether the recent calls are evidence against the version,
 // though not enough for a rollback.
-func hasRecentEvidence(s State) bool { return s.Finding.Recent >= pausingEvidence }
+func hasRecentEvidence(s Inputs) bool { return s.Finding.Recent >= pausingEvidence }
 
 // isOverLimits reports whether the evidence is too strong to go on once a step is due.
-func isOverLimits(s State) bool {
+func isOverLimits(s Inputs) bool {
 	limits := thresholdsOf(s.Plan)
 	return s.Finding.Total >= limits.maxTotal || -s.Finding.InFavor >= limits.maxPooledTest
 }
@@ -256,7 +256,7 @@
 // the slots that the share takes of the old version's. Upstreams that have just started
 // count half, and from urgentFrom in full: a few slow calls are better than a rollout that
 // does not finish in time.
-func hasCapacity(s State, share, elapsedFraction float64) bool {
+func hasCapacity(s Inputs, share, elapsedFraction float64) bool {
 	coldWeight := 0.5
 	if elapsedFraction >= urgentFrom {
 		coldWeight = 1
@@ -267,7 +267,7 @@
 // canCarryAll reports whether the upstreams of the new version can take all traffic at the
 // deadline: they have at least minCapacity of the old version's slots and fit the calls in
 // flight.
-func canCarryAll(s State) bool {
+func canCarryAll(s Inputs) bool {
 	slots := float64(s.NewSlots + s.ColdSlots)
 	return slots > 0 && slots >= thresholdsOf(s.Plan).minCapacity*float64(s.OldSlots) && fitsBusySlots(s)
 }
@@ -277,7 +277,7 @@
 // did not fit, callers would be rejected from then on, which is worse than having to order
 // a good version again. If the old version has no more slots than the new one, the result
 // is true, since a rollback would not help.
-func fitsBusySlots(s State) bool {
+func fitsBusySlots(s Inputs) bool {
 	slots := s.NewSlots + s.ColdSlots
 	return s.BusySlots <= maxUtilization*float64(slots) || slots >= s.OldSlots
 }
--- a/internal/rollout/kqstep/step_test.go
+++ b/internal/rollout/kqstep/step_test.go
@@ -16,8 +16,8 @@
 
 var start = time.Unix(1000, 0)
 
-func state(prefer kqdocument.Preference, step int) kqstep.State {
-	return kqstep.State{
+func state(prefer kqdocument.Preference, step int) kqstep.Inputs {
+	return kqstep.Inputs{
 		Plan:     kqplan.Plan{Start: start, Deadline: start.Add(10 * time.Minute), Prefer: prefer, SmallShare: 0.05},
 		Progress: kqprogress.Progress{Step: step}, OldSlots: 36, NewSlots: 36,
 	}
@@ -28,7 +28,7 @@
 // Callers would get a version that was never compared.
 func TestPlanWithPassedDeadlineIsRolledBack(t *testing.T) {
 	for _, prefer := range []kqdocument.Preference{kqdocument.PreferFinishing, kqdocument.PreferTakingBack} {
-		if d := kqstep.Decide(start.Add(time.Hour), state(prefer, 0)); d.Action != kqstep.TakeBack {
+		if d := kqstep.Decide(start.Add(time.Hour), state(prefer, 0)); d.Action != kqstep.Rollback {
 			t.Errorf("%s: %+v, want a rollback", prefer, d)
 		}
 	}
@@ -39,7 +39,7 @@
 func TestRolloutWithTooFewCallsEndsByPolicy(t *testing.T) {
 	few := kqverdict.Finding{Calls: 3}
 	for prefer, want := range map[kqdocument.Preference]kqstep.Action{
-		kqdocument.PreferFinishing: kqstep.Done, kqdocument.PreferTakingBack: kqstep.TakeBack,
+		kqdocument.PreferFinishing: kqstep.Done, kqdocument.PreferTakingBack: kqstep.Rollback,
 	} {
 		s := state(prefer, 1)
 		for at := time.Duration(0); at <= 11*time.Minute; at += time.Second {
@@ -68,8 +68,8 @@
 // beside overloaded old ones.
 func TestGoodVersionIsDoneInTime(t *testing.T) {
 	plan := kqplan.Plan{Duration: 12 * time.Second, Prefer: kqdocument.PreferFinishing, SmallShare: 0.05}.Begin(start)
-	s := kqstep.State{Plan: plan, OldSlots: 36, NewSlots: 60, Finding: kqverdict.Finding{Calls: 133, Total: 1.1, InFavor: -3}}
-	if !advance(t, s, plan.Start.Add(plan.Duration), func(now time.Time, s *kqstep.State) {
+	s := kqstep.Inputs{Plan: plan, OldSlots: 36, NewSlots: 60, Finding: kqverdict.Finding{Calls: 133, Total: 1.1, InFavor: -3}}
+	if !advance(t, s, plan.Start.Add(plan.Duration), func(now time.Time, s *kqstep.Inputs) {
 		if now.Sub(start) > 6*time.Second && s.Progress.Step < 2 {
 			t.Fatalf("still at step %d after half of the time", s.Progress.Step)
 		}
@@ -80,14 +80,14 @@
 
 // advance applies the decisions for a good version at every tick until end, and reports
 // whether the rollout was done by then. It calls observe with the state before each decision.
-func advance(t *testing.T, s kqstep.State, end time.Time, observe func(now time.Time, s *kqstep.State)) bool {
+func advance(t *testing.T, s kqstep.Inputs, end time.Time, observe func(now time.Time, s *kqstep.Inputs)) bool {
 	t.Helper()
 	for now := s.Plan.Start; now.Before(end); now = now.Add(tick) {
 		observe(now, &s)
 		switch d := kqstep.Decide(now, s); d.Action {
 		case kqstep.Advance:
 			s.Progress.Step++
-		case kqstep.TakeBack:
+		case kqstep.Rollback:
 			t.Fatalf("rolled back after %s: %s", now.Sub(s.Plan.Start), d.Why)
 		case kqstep.Done:
 			return true
@@ -100,8 +100,8 @@
 // also in an ordered rollout of 12 s.
 func TestBadVersionIsRolledBackAtOnce(t *testing.T) {
 	plan := kqplan.Plan{Duration: 12 * time.Second, Prefer: kqdocument.PreferFinishing, SmallShare: 0.05}.Begin(start)
-	s := kqstep.State{Plan: plan, Progress: kqprogress.Progress{Step: 2}, OldSlots: 36, NewSlots: 60, Finding: kqverdict.Finding{Calls: 30, Total: 9}}
-	if d := kqstep.Decide(start.Add(3*time.Second), s); d.Action != kqstep.TakeBack {
+	s := kqstep.Inputs{Plan: plan, Progress: kqprogress.Progress{Step: 2}, OldSlots: 36, NewSlots: 60, Finding: kqverdict.Finding{Calls: 30, Total: 9}}
+	if d := kqstep.Decide(start.Add(3*time.Second), s); d.Action != kqstep.Rollback {
 		t.Errorf("%+v, want a rollback", d)
 	}
 }
@@ -113,7 +113,7 @@
 // the rollback threshold may end the rollout.
 func TestTooFewCallsDoNotCauseRollback(t *testing.T) {
 	plan := kqplan.Plan{Duration: 15 * time.Second}.Begin(start)
-	s := kqstep.State{
+	s := kqstep.Inputs{
 		Plan: plan, Progress: kqprogress.Progress{Step: 1}, OldSlots: 72, NewSlots: 84,
 		Finding: kqverdict.Finding{Calls: 7, Total: 4.7},
 	}
@@ -121,11 +121,11 @@
 	if d := kqstep.Decide(at(0.4), s); d.Action != kqstep.Hold {
 		t.Errorf("after 7 calls: %s, %s", d.Action, d.Why)
 	}
-	if d := kqstep.Decide(at(0.9), s); d.Action != kqstep.TakeBack {
+	if d := kqstep.Decide(at(0.9), s); d.Action != kqstep.Rollback {
 		t.Errorf("late in the window: %s, %s", d.Action, d.Why)
 	}
 	s.Finding.Total = 12
-	if d := kqstep.Decide(at(0.4), s); d.Action != kqstep.TakeBack {
+	if d := kqstep.Decide(at(0.4), s); d.Action != kqstep.Rollback {
 		t.Errorf("with evidence over the threshold: %s, %s", d.Action, d.Why)
 	}
 }
@@ -140,9 +140,9 @@
 		longestCall    = time.Second
 	)
 	plan := kqplan.Plan{Duration: 8 * time.Second, Prefer: kqdocument.PreferFinishing, SmallShare: 0.05}.Begin(start)
-	s := kqstep.State{Plan: plan, OldSlots: 192, NewSlots: 192}
+	s := kqstep.Inputs{Plan: plan, OldSlots: 192, NewSlots: 192}
 	calls := 0.0
-	if !advance(t, s, plan.Deadline.Add(-longestCall), func(_ time.Time, s *kqstep.State) {
+	if !advance(t, s, plan.Deadline.Add(-longestCall), func(_ time.Time, s *kqstep.Inputs) {
 		calls += callsPerSecond * tick.Seconds() * kqstep.Share(plan, s.Progress.Step)
 		s.Finding.Calls = uint64(calls)
 	}) {
@@ -155,7 +155,7 @@
 // were stopped, a third of the calls of the lowest class were shed from then on.
 func TestRolloutIsNotDoneBeforeTrafficFits(t *testing.T) {
 	plan := kqplan.Plan{Duration: 15 * time.Second, Prefer: kqdocument.PreferFinishing}.Begin(start)
-	s := kqstep.State{
+	s := kqstep.Inputs{
 		Plan: plan, Progress: kqprogress.Progress{Step: kqstep.LastStep}, OldSlots: 60, NewSlots: 48,
 		Finding: kqverdict.Finding{Calls: 1300, Total: -3, InFavor: 8},
 	}
@@ -164,7 +164,7 @@
 		busySlots float64
 		elapsed   float64
 		want      kqstep.Action
-	}{{45, 0.9, kqstep.Hold}, {45, 1.01, kqstep.TakeBack}, {30, 0.9, kqstep.Done}, {0, 0.9, kqstep.Done}} {
+	}{{45, 0.9, kqstep.Hold}, {45, 1.01, kqstep.Rollback}, {30, 0.9, kqstep.Done}, {0, 0.9, kqstep.Done}} {
 		s.BusySlots = c.busySlots
 		if d := kqstep.Decide(at(c.elapsed), s); d.Action != c.want {
 			t.Errorf("with %v slots in use at %v of the window: %s, %s; want %s", c.busySlots, c.elapsed, d.Action, d.Why, c.want)
@@ -176,7 +176,7 @@
 // against it grows slowly, since calls of the old version fail too.
 func TestShareDoesNotGrowOnRecentEvidence(t *testing.T) {
 	plan := kqplan.Plan{Duration: 15 * time.Second}.Begin(start)
-	s := kqstep.State{
+	s := kqstep.Inputs{
 		Plan: plan, Progress: kqprogress.Progress{Step: 2}, OldSlots: 60, NewSlots: 60,
 		Finding: kqverdict.Finding{Calls: 60, Total: 0.9, Recent: 3.3},
 	}
--- a/internal/rollout/kqboard/board.go
+++ b/internal/rollout/kqtracker/board.go
@@ -1,4 +1,4 @@
-package kqboard
+package kqtracker
 
 import (
 	"cmp"
@@ -29,8 +29,8 @@
 		Upstreams(service kqname.Service) []kqmember.Candidate
 	}
 
-	// Board is a node's view of the rollouts. It is safe for concurrent use.
-	Board struct {
+	// Tracker is a node's view of the rollouts. It is safe for concurrent use.
+	Tracker struct {
 		self      kqledger.Source
 		directory Directory
 
@@ -50,16 +50,16 @@
 )
 
 // New returns a board without rollouts.
-func New(self kqledger.Source, directory Directory) *Board {
-	return &Board{
+func New(self kqledger.Source, directory Directory) *Tracker {
+	return &Tracker{
 		self: self, directory: directory,
 		planStates: make(map[kqplan.ID]*planState), services: make(map[kqname.Service]service),
 	}
 }
 
-// Adopt applies the services of the current configuration. A plan that was removed
+// Update applies the services of the current configuration. A plan that was removed
 // from its service, or replaced, is rolled back unless it has ended.
-func (b *Board) Adopt(all map[kqname.Service]kqresource.Service, now time.Time) {
+func (b *Tracker) Update(all map[kqname.Service]kqresource.Service, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for name, s := range all {
@@ -89,7 +89,7 @@
 }
 
 // planStateFor returns the state of a plan and creates it if the plan is new.
-func (b *Board) planStateFor(p kqplan.Plan, now time.Time) *planState {
+func (b *Tracker) planStateFor(p kqplan.Plan, now time.Time) *planState {
 	ps, ok := b.planStates[p.ID]
 	if !ok {
 		ps = newPlanState(p.Begin(now), b.self, now)
@@ -135,10 +135,10 @@
 	return !ps.removedAt.IsZero() && now.Sub(ps.removedAt) >= removedRetention
 }
 
-// Weigh evaluates the evidence collected for a plan. It is only for nodes that receive
+// Evaluate evaluates the evidence collected for a plan. It is only for nodes that receive
 // the reports of all gates: with the reports of its own gate alone, a node has the calls
 // of only one of the two versions.
-func (b *Board) Weigh(id kqplan.ID, now time.Time) {
+func (b *Tracker) Evaluate(id kqplan.ID, now time.Time) {
 	ps, ok := b.planState(id)
 	if !ok {
 		return
@@ -151,19 +151,19 @@
 }
 
 // Step decides on a plan's next step and applies the decision.
-func (b *Board) Step(id kqplan.ID, now time.Time) kqstep.Decision {
+func (b *Tracker) Step(id kqplan.ID, now time.Time) kqstep.Decision {
 	ps, ok := b.planState(id)
 	if !ok {
 		return kqstep.Decision{Action: kqstep.Hold, Why: "the plan is not known"}
 	}
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	s := kqstep.State{Plan: ps.plan, Progress: ps.progress, Finding: ps.finding, BusySlots: ps.busySlots}
+	s := kqstep.Inputs{Plan: ps.plan, Progress: ps.progress, Finding: ps.finding, BusySlots: ps.busySlots}
 	for _, c := range b.directory.Upstreams(ps.plan.Service) {
 		switch {
-		case ps.plan.Old(c.Version):
+		case ps.plan.IsOld(c.Version):
 			s.OldSlots += c.Slots
-		case c.Version == ps.plan.To && !now.Before(ps.plan.WarmAt(c.Started, c.Warm)):
+		case c.Version == ps.plan.To && !now.Before(ps.plan.WarmAt(c.Started, c.WarmFrom)):
 			s.NewSlots += c.Slots
 		case c.Version == ps.plan.To:
 			s.ColdSlots += c.Slots
@@ -182,7 +182,7 @@
 
 // Join merges progress received from a peer or the platform. It reports whether the
 // node's own progress changed and whether the sender's was stale.
-func (b *Board) Join(id kqplan.ID, p kqprogress.Progress) (changed, senderStale bool) {
+func (b *Tracker) Join(id kqplan.ID, p kqprogress.Progress) (changed, senderStale bool) {
 	ps, ok := b.planState(id)
 	if !ok {
 		return false, false
@@ -193,20 +193,20 @@
 	changed, senderStale = joined != ps.progress, joined != p
 	ps.progress = joined
 	if joined.RolledBack {
-		ps.dueFinal = kqprogress.TakenBack
+		ps.dueFinal = kqprogress.FinalRollback
 	}
 	return changed, senderStale
 }
 
 // Merge adds another gate's report.
-func (b *Board) Merge(id kqplan.ID, r kqledger.Report) {
+func (b *Tracker) Merge(id kqplan.ID, r kqledger.Report) {
 	if ps, ok := b.planState(id); ok {
 		ps.ledger.Merge(r)
 	}
 }
 
-// Owned records that a node announced itself as the owner of the plan.
-func (b *Board) Owned(id kqplan.ID, owner kqname.Node, now time.Time) {
+// SetOwner records that a node announced itself as the owner of the plan.
+func (b *Tracker) SetOwner(id kqplan.ID, owner kqname.Node, now time.Time) {
 	if ps, ok := b.planState(id); ok {
 		ps.mu.Lock()
 		defer ps.mu.Unlock()
@@ -214,14 +214,14 @@
 	}
 }
 
-func (b *Board) planState(id kqplan.ID) (*planState, bool) {
+func (b *Tracker) planState(id kqplan.ID) (*planState, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	ps, ok := b.planStates[id]
 	return ps, ok
 }
 
-func (b *Board) allPlanStates() []*planState {
+func (b *Tracker) allPlanStates() []*planState {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	list := make([]*planState, 0, len(b.planStates))
--- a/internal/rollout/kqboard/board_test.go
+++ b/internal/rollout/kqtracker/board_test.go
@@ -1,4 +1,4 @@
-package kqboard_test
+package kqtracker_test
 
 import (
 	"math/rand/v2"
@@ -7,9 +7,9 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqledger"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqprogress"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -28,12 +28,12 @@
 	}
 }
 
-func board(s kqresource.Service) *kqboard.Board {
-	b := kqboard.New(kqledger.Source{Node: "a"}, upstreams{
+func board(s kqresource.Service) *kqtracker.Tracker {
+	b := kqtracker.New(kqledger.Source{Node: "a"}, upstreams{
 		{Upstream: kqmember.Upstream{Service: "shed", Version: "v1", Slots: 6}, Node: "a"},
 		{Upstream: kqmember.Upstream{Service: "shed", Version: "v2", Slots: 6}, Node: "b"},
 	})
-	b.Adopt(map[kqname.Service]kqresource.Service{"shed": s}, start)
+	b.Update(map[kqname.Service]kqresource.Service{"shed": s}, start)
 	return b
 }
 
@@ -55,7 +55,7 @@
 	}
 	again := plan
 	again.Name, again.Start, again.Deadline = "again", start.Add(time.Hour), start.Add(2*time.Hour)
-	b.Adopt(map[kqname.Service]kqresource.Service{"shed": service(plan, again)}, start.Add(time.Hour))
+	b.Update(map[kqname.Service]kqresource.Service{"shed": service(plan, again)}, start.Add(time.Hour))
 	if b.Refuses("shed", "v2") {
 		t.Error("the version of a new plan is refused because of the old plan")
 	}
@@ -66,11 +66,11 @@
 func TestRemovedPlansAreDeleted(t *testing.T) {
 	plan := kqdocument.Rollout{Name: "move", Service: "shed", From: "v1", To: "v2", Policy: "first", Start: start, Deadline: start.Add(time.Minute)}
 	b := board(service(plan))
-	b.Adopt(map[kqname.Service]kqresource.Service{"shed": service()}, start.Add(time.Minute))
+	b.Update(map[kqname.Service]kqresource.Service{"shed": service()}, start.Add(time.Minute))
 	if list := b.Statuses(start.Add(time.Minute)); len(list) != 1 || list[0].Share != 0 {
 		t.Errorf("a removed plan must be kept until it is settled: %+v", list)
 	}
-	b.Adopt(map[kqname.Service]kqresource.Service{"shed": service()}, start.Add(2*time.Hour))
+	b.Update(map[kqname.Service]kqresource.Service{"shed": service()}, start.Add(2*time.Hour))
 	if list := b.Statuses(start.Add(2 * time.Hour)); len(list) != 0 {
 		t.Errorf("the removed plan is still listed: %+v", list)
 	}
--- a/internal/rollout/kqboard/capacity_test.go
+++ b/internal/rollout/kqtracker/capacity_test.go
@@ -1,4 +1,4 @@
-package kqboard_test
+package kqtracker_test
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqledger"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqprogress"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -24,7 +24,7 @@
 			version = "v2"
 		}
 		list = append(list, kqmember.Candidate{
-			Upstream: kqmember.Upstream{Service: "shed", Version: version, Slots: slotsPerUpstream, Started: start.Add(-time.Minute), Warm: start.Add(-time.Minute)},
+			Upstream: kqmember.Upstream{Service: "shed", Version: version, Slots: slotsPerUpstream, Started: start.Add(-time.Minute), WarmFrom: start.Add(-time.Minute)},
 			Node:     kqname.Node(fmt.Sprintf("n%d", i)),
 		})
 	}
@@ -36,8 +36,8 @@
 func runToEnd(busySlots, remaining int) (kqprogress.Final, string) {
 	f := newFixture(6)
 	directory := warmUpstreams()[:oldGates+remaining]
-	f.collector = kqboard.New(kqledger.Source{Node: "collector"}, directory)
-	f.collector.Adopt(map[kqname.Service]kqresource.Service{"shed": orderedService()}, start)
+	f.collector = kqtracker.New(kqledger.Source{Node: "collector"}, directory)
+	f.collector.Update(map[kqname.Service]kqresource.Service{"shed": orderedService()}, start)
 	calls := busySlots * int(tickInterval) / int(typicalLatency) / (oldGates + remaining)
 	for f.now.Before(start.Add(15 * time.Second)) {
 		for g := range oldGates + remaining {
@@ -45,8 +45,8 @@
 		}
 		f.endTick()
 		f.collector.Step(f.plan, f.now)
-		if v := f.collector.Views(f.now)[0]; v.Wish != kqprogress.Open {
-			return v.Wish, v.Why
+		if v := f.collector.Views(f.now)[0]; v.DueFinal != kqprogress.Open {
+			return v.DueFinal, v.Why
 		}
 	}
 	return kqprogress.Open, ""
@@ -58,7 +58,7 @@
 // the old version's. The old upstreams were stopped, and two thirds of the calls of the lowest
 // class were shed or late from then on, where hardly any had been.
 func TestRolloutIsNotDoneIfTrafficDoesNotFit(t *testing.T) {
-	if final, reason := runToEnd(43, 2); final != kqprogress.TakenBack {
+	if final, reason := runToEnd(43, 2); final != kqprogress.FinalRollback {
 		t.Errorf("with 43 slots in use and 24 slots of the new version the rollout ended as %q: %s", final, reason)
 	}
 }
--- a/internal/rollout/kqboard/collecting_test.go
+++ b/internal/rollout/kqtracker/collecting_test.go
@@ -1,4 +1,4 @@
-package kqboard_test
+package kqtracker_test
 
 import (
 	"testing"
@@ -18,12 +18,12 @@
 	id := b.Views(start)[0].Plan.ID
 	b.Join(id, kqprogress.Progress{Step: 4})
 	now := start.Add(window * 98 / 100)
-	b.Weigh(id, now)
+	b.Evaluate(id, now)
 	if d := b.Step(id, now); d.Action != kqstep.Hold {
 		t.Errorf("before collecting: %s, %s; want hold", d.Action, d.Why)
 	}
 	now = now.Add(5 * tick)
-	b.Weigh(id, now)
+	b.Evaluate(id, now)
 	if d := b.Step(id, now); d.Action != kqstep.Done {
 		t.Errorf("after collecting: %s, %s; want done", d.Action, d.Why)
 	}
--- a/internal/rollout/kqboard/failure_test.go
+++ b/internal/rollout/kqtracker/failure_test.go
@@ -1,4 +1,4 @@
-package kqboard_test
+package kqtracker_test
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqgate"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqledger"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqplan"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -27,8 +27,8 @@
 // their evidence.
 type fixture struct {
 	random    *rand.Rand
-	gates     []*kqboard.Board
-	collector *kqboard.Board
+	gates     []*kqtracker.Tracker
+	collector *kqtracker.Tracker
 	plan      kqplan.ID
 	now       time.Time
 }
@@ -42,8 +42,8 @@
 	s := orderedService()
 	f := &fixture{random: rand.New(rand.NewPCG(seed, 1)), now: start}
 	for i := range oldGates + newGates + 1 {
-		b := kqboard.New(kqledger.Source{Node: kqname.Node(fmt.Sprintf("n%d", i))}, upstreams{})
-		b.Adopt(map[kqname.Service]kqresource.Service{"shed": s}, start)
+		b := kqtracker.New(kqledger.Source{Node: kqname.Node(fmt.Sprintf("n%d", i))}, upstreams{})
+		b.Update(map[kqname.Service]kqresource.Service{"shed": s}, start)
 		f.gates = append(f.gates, b)
 	}
 	last := len(f.gates) - 1
@@ -78,7 +78,7 @@
 			f.collector.Merge(f.plan, report)
 		}
 	}
-	f.collector.Weigh(f.plan, f.now)
+	f.collector.Evaluate(f.plan, f.now)
 	p, _ := f.collector.Progress(f.plan)
 	return p.Why
 }
@@ -134,7 +134,7 @@
 		for g := range oldGates + newGates {
 			f.countSuccesses(g, 2)
 			if g >= oldGates && f.random.IntN(2) == 0 {
-				f.observe(g, kqcall.Lose(kqcall.Cancelled), 0, typicalLatency)
+				f.observe(g, kqcall.UnknownOutcome(kqcall.Cancelled), 0, typicalLatency)
 			}
 		}
 		if reason := f.endTick(); reason != "" {
@@ -171,7 +171,7 @@
 			f.countSuccesses(g, 4)
 		}
 		for g := range newGates {
-			f.observe(oldGates+g, kqcall.Lose(kqcall.Cancelled), 0, 10*typicalLatency)
+			f.observe(oldGates+g, kqcall.UnknownOutcome(kqcall.Cancelled), 0, 10*typicalLatency)
 		}
 		if reason := f.endTick(); reason != "" {
 			return
--- a/internal/rollout/kqboard/planstate.go
+++ b/internal/rollout/kqtracker/planstate.go
@@ -1,4 +1,4 @@
-package kqboard
+package kqtracker
 
 import (
 	"sync"
@@ -41,7 +41,7 @@
 	mu        sync.Mutex
 	plan      kqplan.Plan
 	progress  kqprogress.Progress
-	evaluator *kqverdict.Judge
+	evaluator *kqverdict.Evaluator
 	finding   kqverdict.Finding
 	totals    Evidence
 	// busySlots is the average number of slots in use, and totalSlots the number of slots
@@ -71,7 +71,7 @@
 
 	// cachedSplit is the split of calls between the versions for cachedKey.
 	cachedKey   splitKey
-	cachedSplit kqshare.Burst
+	cachedSplit kqshare.Distribution
 }
 
 // splitKey identifies the input of a cached split: a step, and the directory's list of
@@ -109,7 +109,7 @@
 	ps.evaluator.Observe(sample)
 	ps.finding = ps.evaluator.Finding()
 	for i := range sample {
-		if sample[i].Route == kqevidence.Young {
+		if sample[i].Route == kqevidence.ColdUpstreams {
 			continue
 		}
 		ps.totals.add(&sample[i])
@@ -144,7 +144,7 @@
 
 func (ps *planState) rollback(why string) {
 	ps.progress = kqprogress.Join(ps.progress, kqprogress.Progress{RolledBack: true, Why: why})
-	ps.dueFinal = kqprogress.TakenBack
+	ps.dueFinal = kqprogress.FinalRollback
 }
 
 func (ps *planState) apply(d kqstep.Decision) {
@@ -152,7 +152,7 @@
 	switch d.Action {
 	case kqstep.Advance:
 		ps.progress.Step++
-	case kqstep.TakeBack:
+	case kqstep.Rollback:
 		ps.rollback(d.Why)
 	case kqstep.Done:
 		ps.dueFinal = kqprogress.Done
--- a/internal/rollout/kqboard/status.go
+++ b/internal/rollout/kqtracker/status.go
@@ -1,4 +1,4 @@
-package kqboard
+package kqtracker
 
 import (
 	"cmp"
@@ -20,8 +20,8 @@
 	Running State = "running"
 	// Done rollouts have moved all traffic to the new version.
 	Done State = "done"
-	// TakenBack rollouts were rolled back: all traffic goes to the old version.
-	TakenBack State = "taken back"
+	// FinalRollback rollouts were rolled back: all traffic goes to the old version.
+	FinalRollback State = "taken back"
 )
 
 type (
@@ -62,7 +62,7 @@
 )
 
 // Statuses returns all rollouts on this node, ordered by start and name.
-func (b *Board) Statuses(now time.Time) []Status {
+func (b *Tracker) Statuses(now time.Time) []Status {
 	list := []Status{}
 	for _, ps := range b.allPlanStates() {
 		list = append(list, ps.status(now))
@@ -72,7 +72,7 @@
 }
 
 // Status returns a rollout as shown to operators.
-func (b *Board) Status(id kqplan.ID, now time.Time) (Status, bool) {
+func (b *Tracker) Status(id kqplan.ID, now time.Time) (Status, bool) {
 	ps, ok := b.planState(id)
 	if !ok {
 		return Status{}, false
@@ -100,8 +100,8 @@
 	switch {
 	case ps.progress.Final == kqprogress.Done:
 		s.State, s.Share, s.Why = Done, 1, ps.progress.Why
-	case ps.progress.Final == kqprogress.TakenBack:
-		s.State, s.Why = TakenBack, ps.progress.Why
+	case ps.progress.Final == kqprogress.FinalRollback:
+		s.State, s.Why = FinalRollback, ps.progress.Why
 	case ps.progress.RolledBack:
 		s.Why = "no traffic any more, waiting for the platform to record it: " + ps.progress.Why
 	case !ps.hasStarted(now):
--- a/internal/rollout/kqboard/traffic.go
+++ b/internal/rollout/kqtracker/traffic.go
@@ -1,4 +1,4 @@
-package kqboard
+package kqtracker
 
 import (
 	"maps"
@@ -23,7 +23,7 @@
 const failureStatus = 500
 
 // Split returns the version and the upstreams that a call to a service may go to.
-func (b *Board) Split(s kqresource.Service, now time.Time, random kqshare.Random) kqpick.Target {
+func (b *Tracker) Split(s kqresource.Service, now time.Time, random kqshare.Random) kqpick.Target {
 	base := s.Service.Version
 	rolledBackVersions := b.rolledBackVersions(s.Service.Name)
 	for _, ps := range b.planStatesOf(s.Service.Name) {
@@ -49,7 +49,7 @@
 			rolledBackVersions = append(rolledBackVersions, to)
 		}
 	}
-	return kqpick.Target{Version: base, Not: rolledBackVersions}
+	return kqpick.Target{Version: base, ExcludedVersions: rolledBackVersions}
 }
 
 // hasUpstream reports whether any upstream of the version accepts new calls.
@@ -59,7 +59,7 @@
 
 // split returns how calls are split among the upstreams at a step. The result is cached
 // until the step or the upstreams change, since it is needed for every call.
-func (ps *planState) split(all []kqmember.Candidate, step int, rolledBackVersions []kqname.UpstreamVersion) kqshare.Burst {
+func (ps *planState) split(all []kqmember.Candidate, step int, rolledBackVersions []kqname.UpstreamVersion) kqshare.Distribution {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	k := splitKey{step: step, count: len(all)}
@@ -68,7 +68,7 @@
 	}
 	if ps.cachedKey != k {
 		ps.cachedKey, ps.cachedSplit = k, newBurst(kqshare.Share{
-			From: ps.plan.From, To: ps.plan.To, Of: kqstep.Share(ps.plan, step), Small: step <= kqstep.Small, MayGrow: kqstep.MayExceedShare(ps.plan, step), Not: rolledBackVersions,
+			From: ps.plan.From, To: ps.plan.To, Fraction: kqstep.Share(ps.plan, step), Small: step <= kqstep.SmallShareStep, MayGrow: kqstep.MayExceedShare(ps.plan, step), ExcludedVersions: rolledBackVersions,
 		}, all)
 	}
 	return ps.cachedSplit
@@ -77,7 +77,7 @@
 // newBurst returns the split of calls for a share. A version without upstreams, for example
 // after all of them crashed together, gets no calls: the other version serves until they
 // are back.
-func newBurst(share kqshare.Share, all []kqmember.Candidate) kqshare.Burst {
+func newBurst(share kqshare.Share, all []kqmember.Candidate) kqshare.Distribution {
 	old, next := false, false
 	for _, c := range all {
 		old = old || share.IsOld(c.Version)
@@ -85,17 +85,17 @@
 	}
 	switch {
 	case !next:
-		return kqshare.Burst{From: share.From, Not: share.ExcludedFromOld()}
+		return kqshare.Distribution{From: share.From, ExcludedVersions: share.ExcludedFromOld()}
 	case !old:
-		return kqshare.Burst{From: share.To}
+		return kqshare.Distribution{From: share.To}
 	default:
-		return share.Burst(all)
+		return share.Distribution(all)
 	}
 }
 
 // Refuses reports whether the gate must reject calls for a version: it was rolled back,
 // and it is neither the service's version nor in use by another rollout.
-func (b *Board) Refuses(name kqname.Service, version kqname.UpstreamVersion) bool {
+func (b *Tracker) Refuses(name kqname.Service, version kqname.UpstreamVersion) bool {
 	b.mu.RLock()
 	base := b.services[name].version
 	refused := b.services[name].rolledBackVersions[version]
@@ -105,7 +105,7 @@
 		p, to, from := ps.progress, ps.plan.To, ps.plan.From
 		ps.mu.Unlock()
 		if to == version {
-			refused = p.RolledBack && p.Final != kqprogress.Done || p.Final == kqprogress.TakenBack
+			refused = p.RolledBack && p.Final != kqprogress.Done || p.Final == kqprogress.FinalRollback
 		}
 		if from == version && from != "" && p.Open() {
 			refused = false
@@ -117,11 +117,11 @@
 // Observe counts a call that this node's gate sent to its upstream, for every open
 // rollout from or to the call's version. started is when the upstream started, and warm
 // when its cold start ends according to the upstream, or the zero time if it did not say.
-func (b *Board) Observe(o kqgate.Observation, started, warm time.Time) {
+func (b *Tracker) Observe(o kqgate.Observation, started, warm time.Time) {
 	for _, ps := range b.planStatesOf(o.Service) {
 		ps.mu.Lock()
 		open := ps.progress.Open() && !o.Began.Before(ps.plan.Start)
-		old, to, cold := ps.plan.Old(o.Version), ps.plan.To, o.Began.Before(ps.plan.WarmAt(started, warm))
+		old, to, cold := ps.plan.IsOld(o.Version), ps.plan.To, o.Began.Before(ps.plan.WarmAt(started, warm))
 		ps.mu.Unlock()
 		if !open || !old && o.Version != to || !ps.shouldCount(o) {
 			continue
@@ -130,7 +130,7 @@
 		case !hasUsableLatency(o):
 			ps.ledger.Count(o.Route, func(r *kqledger.Row) { r.CellOf(o.Version == to).CountUntimed(isFailure(o)) })
 		case cold:
-			ps.ledger.Count(kqevidence.Young, func(r *kqledger.Row) { r.CellOf(o.Version == to).Count(o.Took, isFailure(o)) })
+			ps.ledger.Count(kqevidence.ColdUpstreams, func(r *kqledger.Row) { r.CellOf(o.Version == to).Count(o.Took, isFailure(o)) })
 			ps.ledger.Count(o.Route, func(r *kqledger.Row) { r.CellOf(o.Version == to).CountUntimed(isFailure(o)) })
 		default:
 			ps.ledger.Count(o.Route, func(r *kqledger.Row) { r.CellOf(o.Version == to).Count(o.Took, isFailure(o)) })
@@ -172,7 +172,7 @@
 
 // rolledBackVersions returns the versions of a service whose ordered rollouts were removed
 // without ending as done.
-func (b *Board) rolledBackVersions(name kqname.Service) []kqname.UpstreamVersion {
+func (b *Tracker) rolledBackVersions(name kqname.Service) []kqname.UpstreamVersion {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	if len(b.services[name].rolledBackVersions) == 0 {
@@ -181,7 +181,7 @@
 	return slices.Collect(maps.Keys(b.services[name].rolledBackVersions))
 }
 
-func (b *Board) planStatesOf(name kqname.Service) []*planState {
+func (b *Tracker) planStatesOf(name kqname.Service) []*planState {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.services[name].planStates
--- a/internal/rollout/kqboard/view.go
+++ b/internal/rollout/kqtracker/view.go
@@ -1,4 +1,4 @@
-package kqboard
+package kqtracker
 
 import (
 	"fmt"
@@ -11,32 +11,32 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// View is a copy of a plan's state for the loop that acts as the plan's owner.
-type View struct {
+// PlanSnapshot is a copy of a plan's state for the loop that acts as the plan's owner.
+type PlanSnapshot struct {
 	Plan     kqplan.Plan
 	Progress kqprogress.Progress
-	// Wish is the final state that is due and not yet stored on the platform.
-	Wish kqprogress.Final
+	// DueFinal is the final state that is due and not yet stored on the platform.
+	DueFinal kqprogress.Final
 	// Why is the reason for Wish.
 	Why string
-	// Seen is when this node first received the plan.
-	Seen time.Time
+	// KnownSince is when this node first received the plan.
+	KnownSince time.Time
 	// Owner is the node that last announced itself as the plan's owner, at Heard.
-	Owner kqname.Node
-	Heard time.Time
-	// Gone is set if the plan is no longer in the document.
-	Gone bool
+	Owner     kqname.Node
+	OwnerSeen time.Time
+	// Removed is set if the plan is no longer in the document.
+	Removed bool
 }
 
 // Views returns every plan that has started, was rolled back or was cancelled.
-func (b *Board) Views(now time.Time) []View {
-	var list []View
+func (b *Tracker) Views(now time.Time) []PlanSnapshot {
+	var list []PlanSnapshot
 	for _, ps := range b.allPlanStates() {
 		ps.mu.Lock()
 		if ps.hasStarted(now) || ps.progress.RolledBack || ps.plan.Cancelled {
-			v := View{Plan: ps.plan, Progress: ps.progress, Seen: ps.knownSince, Owner: ps.owner, Heard: ps.ownerSeen, Why: ps.lastDecision.Why, Gone: !ps.removedAt.IsZero()}
+			v := PlanSnapshot{Plan: ps.plan, Progress: ps.progress, KnownSince: ps.knownSince, Owner: ps.owner, OwnerSeen: ps.ownerSeen, Why: ps.lastDecision.Why, Removed: !ps.removedAt.IsZero()}
 			if ps.progress.Open() {
-				v.Wish = ps.dueFinal
+				v.DueFinal = ps.dueFinal
 			}
 			if ps.progress.RolledBack {
 				v.Why = ps.progress.Why
@@ -50,7 +50,7 @@
 
 // Report returns this gate's own evidence for a plan, at most once a tick. It returns
 // false if there is nothing new.
-func (b *Board) Report(id kqplan.ID, now time.Time) (kqledger.Report, bool) {
+func (b *Tracker) Report(id kqplan.ID, now time.Time) (kqledger.Report, bool) {
 	ps, ok := b.planState(id)
 	if !ok || !ps.beginReport(now) {
 		return kqledger.Report{}, false
@@ -59,7 +59,7 @@
 }
 
 // Event returns a sentence about the plan's last change, once for each change.
-func (b *Board) Event(id kqplan.ID) (string, bool) {
+func (b *Tracker) Event(id kqplan.ID) (string, bool) {
 	ps, ok := b.planState(id)
 	if !ok {
 		return "", false
@@ -90,7 +90,7 @@
 }
 
 // Progress returns the progress of a plan.
-func (b *Board) Progress(id kqplan.ID) (kqprogress.Progress, bool) {
+func (b *Tracker) Progress(id kqplan.ID) (kqprogress.Progress, bool) {
 	ps, ok := b.planState(id)
 	if !ok {
 		return kqprogress.Progress{}, false
--- a/internal/rollout/kqverdict/route.go
+++ b/internal/rollout/kqverdict/route.go
@@ -39,7 +39,7 @@
 // newColdTests returns the test of cold upstreams: those that have just started. Their
 // calls are counted under the pseudo-route kqevidence.Young.
 func newColdTests() *routeTests {
-	return &routeTests{route: kqevidence.Young, tests: []*sequentialTest{newSlowdownTest("far slower than a cold start", toleratedColdSlowdown, 10)}}
+	return &routeTests{route: kqevidence.ColdUpstreams, tests: []*sequentialTest{newSlowdownTest("far slower than a cold start", toleratedColdSlowdown, 10)}}
 }
 
 // observe evaluates one tick and only then adds the old version's calls to the
@@ -83,7 +83,7 @@
 	if r.route == "" {
 		return "all routes"
 	}
-	if r.route == kqevidence.Young {
+	if r.route == kqevidence.ColdUpstreams {
 		return "upstreams that have just started"
 	}
 	return "route " + string(r.route)
--- a/internal/rollout/kqverdict/slow_server_test.go
+++ b/internal/rollout/kqverdict/slow_server_test.go
@@ -56,7 +56,7 @@
 	oldCount      int
 	next          versionLatency
 	collector     *kqledger.Ledger
-	judge         *kqverdict.Judge
+	judge         *kqverdict.Evaluator
 }
 
 func newFleet(seed uint64, old, next []float64, v versionLatency) *fleet {
--- a/internal/rollout/kqverdict/verdict.go
+++ b/internal/rollout/kqverdict/verdict.go
@@ -34,8 +34,8 @@
 )
 
 type (
-	// Judge evaluates the evidence of one rollout.
-	Judge struct {
+	// Evaluator evaluates the evidence of one rollout.
+	Evaluator struct {
 		pooled *routeTests
 		cold   *routeTests
 		routes []*routeTests
@@ -63,17 +63,17 @@
 )
 
 // New returns a judge without evidence.
-func New() *Judge {
-	return &Judge{pooled: newRouteTests(""), cold: newColdTests(), byName: make(map[kqname.Route]*routeTests)}
+func New() *Evaluator {
+	return &Evaluator{pooled: newRouteTests(""), cold: newColdTests(), byName: make(map[kqname.Route]*routeTests)}
 }
 
 // Observe adds the calls of both versions in one tick.
-func (j *Judge) Observe(s kqevidence.Sample) {
+func (j *Evaluator) Observe(s kqevidence.Sample) {
 	var all kqevidence.Pair
 	var cold kqevidence.Pair
 	for i := range s {
 		p := &s[i]
-		if p.Route == kqevidence.Young {
+		if p.Route == kqevidence.ColdUpstreams {
 			cold = *p
 			continue
 		}
@@ -92,7 +92,7 @@
 }
 
 // Finding returns the result of the tests so far.
-func (j *Judge) Finding() Finding {
+func (j *Evaluator) Finding() Finding {
 	f := Finding{Calls: j.calls, InFavor: math.Inf(1)}
 	if len(j.routes) == 0 {
 		return f
@@ -117,7 +117,7 @@
 }
 
 // wealthShare returns the share of the initial wealth that a route's tests get.
-func (j *Judge) wealthShare(r *routeTests) float64 {
+func (j *Evaluator) wealthShare(r *routeTests) float64 {
 	switch {
 	case r == j.cold:
 		return coldWealth
@@ -130,7 +130,7 @@
 	}
 }
 
-func (j *Judge) activeTests() []*routeTests {
+func (j *Evaluator) activeTests() []*routeTests {
 	// With a single route the pooled tests cover the same calls, and testing them
 	// twice would only divide the wealth.
 	if len(j.routes) < 2 {
@@ -139,7 +139,7 @@
 	return append([]*routeTests{j.pooled, j.cold}, j.routes...)
 }
 
-func (j *Judge) routeTests(route kqname.Route) *routeTests {
+func (j *Evaluator) routeTests(route kqname.Route) *routeTests {
 	r, ok := j.byName[route]
 	if !ok {
 		r = newRouteTests(route)
--- a/internal/run/kqcommand/command.go
+++ b/internal/run/kqcommand/command.go
@@ -26,20 +26,20 @@
 	// runner holds the function that runs each command, by its full name.
 	runner map[string]func(context.Context) error
 	// adapters holds the adapters to platforms by the name that settings use.
-	adapters map[string]Joiner
+	adapters map[string]Connector
 }
 
 type (
-	// Joiner connects a node to a platform. It returns the settings with the limits of
+	// Connector connects a node to a platform. It returns the settings with the limits of
 	// the platform applied, the platform's store, and the node's adapter to it.
-	Joiner func(kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error)
+	Connector func(kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error)
 
 	// Option configures a Command.
 	Option func(*Command)
 )
 
 // WithAdapter registers an adapter to a platform under the name that settings use.
-func WithAdapter(name string, connect Joiner) Option {
+func WithAdapter(name string, connect Connector) Option {
 	return func(c *Command) { c.adapters[name] = connect }
 }
 
@@ -51,7 +51,7 @@
 		errors: errors,
 		runner: make(map[string]func(context.Context) error),
 
-		adapters: make(map[string]Joiner),
+		adapters: make(map[string]Connector),
 	}
 	for _, o := range options {
 		o(c)
--- a/internal/run/kqcommand/commit.go
+++ b/internal/run/kqcommand/commit.go
@@ -40,7 +40,7 @@
 		outcome, err := newCommitter(*url).Commit(ctx, kqcommit.Request{
 			ID: *id, Base: kqname.ConfigVersion(*base), Author: *author, Reason: *reason, At: time.Now(), Document: d,
 		})
-		if errors.Is(err, kqcommit.ErrRequest) || errors.Is(err, kqcommit.ErrReused) {
+		if errors.Is(err, kqcommit.ErrInvalidRequest) || errors.Is(err, kqcommit.ErrRequestIDReused) {
 			return err
 		}
 		if err != nil {
@@ -54,7 +54,7 @@
 	clause := parent.Command("settle", "Show the outcome of a commit whose answer was lost.")
 	id := clause.Arg("request-id", "The commit's request id.").Required().String()
 	c.register(clause, func(ctx context.Context) error {
-		outcome, err := newCommitter(*url).Settle(ctx, *id)
+		outcome, err := newCommitter(*url).ResolveOutcome(ctx, *id)
 		if err != nil {
 			return err
 		}
@@ -83,7 +83,7 @@
 			return fmt.Errorf("collect: --older-than %v is under %v", *minAge, minCollectAge)
 		}
 		store := kqstoreclient.New(*url)
-		result, err := kqcommit.New(store).Collect(ctx, store, time.Now().Add(-*minAge))
+		result, err := kqcommit.New(store).CollectGarbage(ctx, store, time.Now().Add(-*minAge))
 		if err != nil {
 			return err
 		}
--- a/internal/run/kqcommand/demo.go
+++ b/internal/run/kqcommand/demo.go
@@ -25,7 +25,7 @@
 }
 
 func (c *Command) demoOnce(ctx context.Context, asJSON bool) error {
-	report, err := kqdemo.New(c.out, kqdemo.WithProgress(c.errors)).Once(ctx)
+	report, err := kqdemo.New(c.out, kqdemo.WithProgress(c.errors)).RunScript(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/run/kqcommand/node.go
+++ b/internal/run/kqcommand/node.go
@@ -54,7 +54,7 @@
 		if err != nil {
 			return fmt.Errorf("start node: %w", err)
 		}
-		n, err := kqnode.New(s, store, kqnode.WithLogger(logger), kqnode.WithUnwritten(output.Dropped), kqnode.WithAdapter(adapter))
+		n, err := kqnode.New(s, store, kqnode.WithLogger(logger), kqnode.WithUnwrittenLines(output.Dropped), kqnode.WithAdapter(adapter))
 		if err != nil {
 			return err
 		}
@@ -64,7 +64,7 @@
 		watching, stop := context.WithCancel(context.WithoutCancel(ctx))
 		defer stop()
 		group.Go(func() {
-			n.Keep(watching, "settings", func() { watchSettings(watching, signals, *file, n, logger) })
+			n.RunWithRestart(watching, "settings", func() { watchSettings(watching, signals, *file, n, logger) })
 		})
 		return n.Run(ctx)
 	})
--- a/internal/run/kqcommand/platform.go
+++ b/internal/run/kqcommand/platform.go
@@ -10,7 +10,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstoreclient"
 )
 
@@ -30,7 +30,7 @@
 	if err != nil {
 		return fmt.Errorf("start platform: %w", err)
 	}
-	server := &http.Server{Handler: kqstandin.New().Handler(), ReadHeaderTimeout: readHeaderTimeout}
+	server := &http.Server{Handler: kqfakestore.New().Handler(), ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	fmt.Fprintf(c.out, "platform listens on http://%s\n", l.Addr())
@@ -45,17 +45,17 @@
 func (c *Command) addFault(parent *kingpin.CmdClause) {
 	clause := parent.Command("fault", "Replace the faults of a running stand-in; without flags, remove all of them.")
 	url := clause.Flag("url", "URL of the stand-in.").Default(defaultPlatformURL).String()
-	var f kqstandin.Faults
+	var f kqfakestore.Faults
 	clause.Flag("down", "Refuse every call.").BoolVar(&f.Down)
 	clause.Flag("slow", "Delay each call by this duration.").DurationVar(&f.Slow)
-	clause.Flag("lose-answers", "Apply this many writes, but lose their answers.").IntVar(&f.LoseAnswers)
+	clause.Flag("lose-answers", "Apply this many writes, but lose their answers.").IntVar(&f.LoseResponses)
 	clause.Flag("silent-watch", "Do not answer watches when their key changes.").BoolVar(&f.SilentWatch)
 	clause.Flag("stale-reads", "Answer reads and watches with the state before the last write.").BoolVar(&f.StaleReads)
 	clause.Flag("lapse-leases", "Expire every lease now, as if its holder had been paused.").BoolVar(&f.LapseLeases)
 	clause.Flag("max-reads", "Refuse reads beyond this many per second; 0 sets no limit.").IntVar(&f.MaxReads)
 	clause.Flag("max-writes", "Refuse writes beyond this many per second; 0 sets no limit.").IntVar(&f.MaxWrites)
 	c.register(clause, func(ctx context.Context) error {
-		if f.Slow < 0 || f.LoseAnswers < 0 || f.MaxReads < 0 || f.MaxWrites < 0 {
+		if f.Slow < 0 || f.LoseResponses < 0 || f.MaxReads < 0 || f.MaxWrites < 0 {
 			return errors.New("set faults: a time or a count is negative")
 		}
 		set, err := kqstoreclient.New(*url).SetFaults(ctx, f)
--- a/internal/run/kqcommand/reload_fault.go
+++ b/internal/run/kqcommand/reload_fault.go
@@ -7,4 +7,4 @@
 // stopsHandlingReload makes a node that was signalled to stop no longer handle the
 // reload signal SIGHUP, which then ends the process with its calls in flight. The soak
 // injects this fault to check that it is found.
-var stopsHandlingReload = kqfault.Planted(kqfault.Reload)
+var stopsHandlingReload = kqfault.Enabled(kqfault.Reload)
--- a/internal/run/kqcommand/rollout.go
+++ b/internal/run/kqcommand/rollout.go
@@ -7,7 +7,7 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqapi"
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqclient"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 )
 
 // watchInterval is the interval at which --watch fetches the state again.
@@ -48,7 +48,7 @@
 	})
 }
 
-func fetchRollouts(ctx context.Context, client *kqclient.Client) ([]kqboard.Status, error) {
+func fetchRollouts(ctx context.Context, client *kqclient.Client) ([]kqtracker.Status, error) {
 	var answer kqapi.RolloutStates
 	if err := client.Get(ctx, kqapi.Prefix+"/rollout-states", &answer); err != nil {
 		return nil, fmt.Errorf("get rollouts: %w", err)
@@ -56,7 +56,7 @@
 	return answer.Rollouts, nil
 }
 
-func (c *Command) printRollouts(list []kqboard.Status, asJSON bool) error {
+func (c *Command) printRollouts(list []kqtracker.Status, asJSON bool) error {
 	if asJSON {
 		return c.printJSON(list)
 	}
@@ -70,7 +70,7 @@
 
 // stateSummary returns the states and steps of all rollouts. --watch prints the
 // rollouts again only if it changes, and not on every further call.
-func stateSummary(list []kqboard.Status) string {
+func stateSummary(list []kqtracker.Status) string {
 	text := ""
 	for _, s := range list {
 		text += fmt.Sprintf("%s %s %d;", s.Rollout, s.State, s.Step)
@@ -79,9 +79,9 @@
 }
 
 // allEnded reports whether no rollout is pending or running.
-func allEnded(list []kqboard.Status) bool {
+func allEnded(list []kqtracker.Status) bool {
 	for _, s := range list {
-		if s.State == kqboard.Pending || s.State == kqboard.Running {
+		if s.State == kqtracker.Pending || s.State == kqtracker.Running {
 			return false
 		}
 	}
--- a/internal/run/kqcommand/soak.go
+++ b/internal/run/kqcommand/soak.go
@@ -34,7 +34,7 @@
 		if *seed == 0 {
 			*seed = rand.Uint64N(1 << 32)
 		}
-		o := kqsoak.Options{Seed: *seed, Nodes: *nodes, For: *length, Planned: *planned}
+		o := kqsoak.Options{Seed: *seed, Nodes: *nodes, For: *length, PlannedOnly: *planned}
 		return c.soak(ctx, o, *folder, *asJSON)
 	})
 }
@@ -48,7 +48,7 @@
 		}
 	}
 	repeatCommand := fmt.Sprintf("kumquatgw soak --seed %d --for %v --nodes %d", o.Seed, o.For, o.Nodes)
-	if o.Planned {
+	if o.PlannedOnly {
 		repeatCommand += " --planned"
 	}
 	s, err := kqsoakrun.New(o, folder, repeatCommand)
--- a/internal/run/kqcommand/status.go
+++ b/internal/run/kqcommand/status.go
@@ -10,14 +10,14 @@
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqapi"
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqclient"
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqview"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 )
 
 // status holds the content of the status command; its JSON form is for scripts.
 type status struct {
 	Convergence kqview.Convergence `json:"convergence"`
 	Fleet       kqview.Fleet       `json:"fleet"`
-	Rollouts    []kqboard.Status   `json:"rollouts"`
+	Rollouts    []kqtracker.Status `json:"rollouts"`
 	Platform    kqview.Platform    `json:"platform"`
 }
 
--- a/internal/run/kqcommand/upstream.go
+++ b/internal/run/kqcommand/upstream.go
@@ -55,12 +55,12 @@
 // is written as one line before the call proceeds, so that the output is complete even
 // if the upstream is killed.
 func (c *Command) upstreamOptions(servesOn time.Duration, printEvents bool) []kqupstream.Option {
-	options := []kqupstream.Option{kqupstream.WithServesOn(servesOn)}
+	options := []kqupstream.Option{kqupstream.WithDrainPeriod(servesOn)}
 	if !printEvents {
 		return options
 	}
 	var mu sync.Mutex
-	return append(options, kqupstream.WithTeller(func(e kqupstream.Event) {
+	return append(options, kqupstream.WithEventHandler(func(e kqupstream.Event) {
 		line, err := json.Marshal(e)
 		if err != nil {
 			return
--- a/internal/run/kqnotable/doc.go
+++ b/internal/run/kqevents/doc.go
@@ -1,4 +1,4 @@
-// Package kqnotable keeps the few recent events of a process that explain most problems
+// Package kqevents keeps the few recent events of a process that explain most problems
 // of its callers: its start, signals, the steps of its shutdown, and peers that restarted
 // without announcing their departure.
-package kqnotable
+package kqevents
--- a/internal/run/kqnotable/history.go
+++ b/internal/run/kqevents/history.go
@@ -1,4 +1,4 @@
-package kqnotable
+package kqevents
 
 import (
 	"fmt"
--- a/internal/run/kqnotable/history_test.go
+++ b/internal/run/kqevents/history_test.go
@@ -1,4 +1,4 @@
-package kqnotable_test
+package kqevents_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/run/kqnotable"
+	"github.com/kumquatgw/kumquatgw/internal/run/kqevents"
 )
 
 // While many calls fail, their log lines push the line of a signal out of what log
@@ -14,7 +14,7 @@
 // stay bounded when a whole fleet restarts.
 func TestRecentEventsAreRepeatedForAMinute(t *testing.T) {
 	start := time.Unix(1000, 0)
-	var h kqnotable.History
+	var h kqevents.History
 	for i := range 30 {
 		h.Add(fmt.Sprintf("event %d", i), start.Add(time.Duration(i)*time.Second))
 	}
--- a/internal/run/kqmetric/call.go
+++ b/internal/run/kqmetric/call.go
@@ -19,9 +19,9 @@
 	}, []string{"result", "reason"})
 }
 
-// Gated counts the outcome of a call at this node's gate. A call that is retried
+// GateCallEnded counts the outcome of a call at this node's gate. A call that is retried
 // has an outcome at several gates, but only one at the entry, which Ended counts.
-func (m *Metrics) Gated(o kqcall.Outcome) {
+func (m *Metrics) GateCallEnded(o kqcall.Outcome) {
 	m.gateCalls.WithLabelValues(labelValue(o.Result, results), labelValue(o.Reason, reasons)).Inc()
 }
 
--- a/internal/run/kqmetric/metric.go
+++ b/internal/run/kqmetric/metric.go
@@ -86,9 +86,9 @@
 	return m
 }
 
-// Unwritten registers a counter of the log lines that the output did not take;
+// RegisterUnwrittenLines registers a counter of the log lines that the output did not take;
 // count returns their number since the start.
-func (m *Metrics) Unwritten(count func() uint64) {
+func (m *Metrics) RegisterUnwrittenLines(count func() uint64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "kumquatgw_log_lines_unwritten_total", Help: "Log lines that the standard output did not take: its reader stalls, or is gone.",
 	}, func() float64 { return float64(count()) }))
@@ -103,17 +103,17 @@
 // PlatformFailed counts a call to the platform's service that failed.
 func (m *Metrics) PlatformFailed() { m.platformFailed.Inc() }
 
-// BudgetBound counts one time that a control budget was exceeded: "send" delayed
+// BudgetExceeded counts one time that a control budget was exceeded: "send" delayed
 // bulk traffic, or "memory" evicted a host's configuration.
-func (m *Metrics) BudgetBound(budget string) { m.budgetBound.WithLabelValues(budget).Inc() }
+func (m *Metrics) BudgetExceeded(budget string) { m.budgetBound.WithLabelValues(budget).Inc() }
 
 // SpreadDropped counts a broadcast message that was dropped: the forwarding queue
 // was full, or the receiver was still busy with the one before.
 func (m *Metrics) SpreadDropped() { m.spreadDropped.Inc() }
 
-// StoreAnswered counts a call to the store by kind and status; both come from the
+// CountStoreCall counts a call to the store by kind and status; both come from the
 // adapter's small fixed sets. Status 0 means that no answer came.
-func (m *Metrics) StoreAnswered(call string, status int) {
+func (m *Metrics) CountStoreCall(call string, status int) {
 	text := strconv.Itoa(status)
 	m.storeCalls.WithLabelValues(call, text).Inc()
 	m.storeMu.Lock()
@@ -141,25 +141,25 @@
 // LineSuppressed counts a log line that exceeded the rate limit for its reason.
 func (m *Metrics) LineSuppressed(string) { m.suppressedLines.Inc() }
 
-// Version records the configuration version that was applied, and the time.
-func (m *Metrics) Version(v kqname.ConfigVersion) {
+// SetVersion records the configuration version that was applied, and the time.
+func (m *Metrics) SetVersion(v kqname.ConfigVersion) {
 	m.version.Set(float64(v))
 	m.versionSince.Store(time.Now().UnixNano())
 }
 
-// Since returns when the current configuration version was applied, or the zero
+// VersionSince returns when the current configuration version was applied, or the zero
 // time before the first one.
-func (m *Metrics) Since() time.Time {
+func (m *Metrics) VersionSince() time.Time {
 	if at := m.versionSince.Load(); at != 0 {
 		return time.Unix(0, at)
 	}
 	return time.Time{}
 }
 
-// Sent implements kqpeer.Meter.
+// Sent implements kqrpc.Meter.
 func (m *Metrics) Sent(bytes int) { m.sentBytes.Add(uint64(max(bytes, 0))) }
 
-// Received implements kqpeer.Meter.
+// Received implements kqrpc.Meter.
 func (m *Metrics) Received(bytes int) { m.receivedBytes.Add(uint64(max(bytes, 0))) }
 
 // ControlBytes returns the control traffic in bytes since the start.
--- a/internal/run/kqmetric/security.go
+++ b/internal/run/kqmetric/security.go
@@ -51,8 +51,8 @@
 // PeerRefused counts a peer connection refused for its certificate.
 func (s *Security) PeerRefused() { s.peerRefused.Inc() }
 
-// Forged counts a call from outside that carried internal headers.
-func (s *Security) Forged() { s.forged.Inc() }
+// ForgedHeaders counts a call from outside that carried internal headers.
+func (s *Security) ForgedHeaders() { s.forged.Inc() }
 
 // ReloadFailed counts a changed file, such as "certificate" or "tokens", that
 // could not be loaded.
@@ -61,5 +61,5 @@
 // AdminRefused counts an operator's request that was refused.
 func (s *Security) AdminRefused(reason string) { s.adminRefused.WithLabelValues(reason).Inc() }
 
-// AdminDone counts a committed operator's change; way is how it was requested.
-func (s *Security) AdminDone(way string) { s.adminDone.WithLabelValues(way).Inc() }
+// AdminCommitted counts a committed operator's change; way is how it was requested.
+func (s *Security) AdminCommitted(way string) { s.adminDone.WithLabelValues(way).Inc() }
--- a/internal/run/kqnode/adapter.go
+++ b/internal/run/kqnode/adapter.go
@@ -9,7 +9,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqlocal"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqorigin"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -23,13 +23,13 @@
 		Dialect kqcall.Dialect
 		// Announcements parses the local upstream's announcements.
 		Announcements Announcements
-		// Operators decodes the document and the rollout orders that operators write
+		// OperatorDecoder decodes the document and the rollout orders that operators write
 		// to the store directly; Lister lists and follows those entries.
-		Operators kqorigin.Decoder
-		Lister    kqstore.Lister
-		// Answered registers f, which is called after each call to the store with the
+		OperatorDecoder kqorigin.Decoder
+		Lister          kqstore.Lister
+		// OnResponse registers f, which is called after each call to the store with the
 		// call's kind and the answer's status, or 0 without an answer.
-		Answered func(f func(call string, status int))
+		OnResponse func(f func(call string, status int))
 		// Reports encodes the state of an order for operators.
 		Reports Reports
 	}
@@ -42,7 +42,7 @@
 
 	// Reports returns the store key and value that report an order's state to operators.
 	Reports interface {
-		Report(s kqname.Service, to kqname.UpstreamVersion, state kqboard.State) (key string, value []byte, err error)
+		Report(s kqname.Service, to kqname.UpstreamVersion, state kqtracker.State) (key string, value []byte, err error)
 	}
 )
 
@@ -52,7 +52,7 @@
 // recordStoreCall counts a call to the store, and logs when the store becomes
 // unavailable and when it is available again.
 func (n *Node) recordStoreCall(call string, status int) {
-	n.metrics.StoreAnswered(call, status)
+	n.metrics.CountStoreCall(call, status)
 	unavailable := status == 0 || status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests
 	if n.storeUnavailable.Swap(unavailable) == unavailable {
 		return
@@ -63,7 +63,7 @@
 	} else {
 		entry.Info("Store answers again.")
 		if n.distribution.register != nil {
-			n.distribution.register.Wake()
+			n.distribution.register.RenewNow()
 		}
 	}
 }
--- a/internal/run/kqnode/admin.go
+++ b/internal/run/kqnode/admin.go
@@ -18,7 +18,7 @@
 	operators := kqoperator.New(n.settings.Admin.Tokens)
 	if n.settings.Admin.Tokens != "" {
 		reloader, err := kqreload.New([]string{n.settings.Admin.Tokens}, operators.Load,
-			kqreload.WithEvery(n.settings.TLS.ReloadEvery), kqreload.WithFailed(func(err error) {
+			kqreload.WithInterval(n.settings.TLS.ReloadEvery), kqreload.WithFailureHandler(func(err error) {
 				n.security.ReloadFailed("tokens")
 				log.WithError(err).Warn("Cannot load the operators' token file; the current tokens stay in use.")
 			}))
--- a/internal/run/kqnode/announce.go
+++ b/internal/run/kqnode/announce.go
@@ -55,12 +55,12 @@
 	if leaves {
 		// An earlier announcement must not take effect after the departure.
 		held := n.pendingAnnouncements.remove(a.Instance)
-		if a.Born == 0 {
-			a.Born = max(held.Born, n.local.Born(a.Instance))
+		if a.StartedMS == 0 {
+			a.StartedMS = max(held.StartedMS, n.local.StartedMS(a.Instance))
 		}
-		if a.Born == 0 {
+		if a.StartedMS == 0 {
 			// The start time is unknown; now is an upper bound.
-			a.Born = now.UnixMilli()
+			a.StartedMS = now.UnixMilli()
 		}
 	}
 	if err := n.local.Announce(a, now); err != nil {
@@ -69,7 +69,7 @@
 	if leaves {
 		n.gate.Sweep(now)
 		if n.distribution.departures != nil {
-			n.distribution.departures.Tell(context.Background(), kqdeparture.Departure{Instance: a.Instance, Born: a.Born})
+			n.distribution.departures.Replicate(context.Background(), kqdeparture.Departure{Instance: a.Instance, StartedMS: a.StartedMS})
 		}
 	}
 	return nil
@@ -80,7 +80,7 @@
 func (n *Node) learnDepartures(ctx context.Context) {
 	now := time.Now()
 	for _, d := range n.distribution.departures.Learn(ctx) {
-		n.local.Left(d.Instance, d.Born, now)
+		n.local.ApplyGoodbye(d.Instance, d.StartedMS, now)
 	}
 	for _, a := range n.pendingAnnouncements.release() {
 		if err := n.local.Announce(a, time.Now()); err != nil {
--- a/internal/run/kqnode/announce_test.go
+++ b/internal/run/kqnode/announce_test.go
@@ -13,7 +13,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqlocal"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqnode"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqsettings"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
@@ -26,7 +26,7 @@
 	name, state, _ := strings.Cut(string(body), " ")
 	a := kqlocal.Announcement{Instance: kqname.Instance(name), Gone: state == "gone"}
 	if !a.Gone {
-		a.Service, a.Version, a.Address, a.Slots, a.Born = "store", "v1", kqname.Address("127.0.0.1:"+map[string]string{"one": "1", "two": "2"}[name]), 4, 7
+		a.Service, a.Version, a.Address, a.Slots, a.StartedMS = "store", "v1", kqname.Address("127.0.0.1:"+map[string]string{"one": "1", "two": "2"}[name]), 4, 7
 	}
 	return a, true, nil
 }
@@ -46,13 +46,13 @@
 
 // startAdapted starts a node for an upstream of the service "store", with an adapter to
 // a platform. stop kills it without a drain.
-func startAdapted(t *testing.T, name string, store *kqstandin.Standin) (node *kqnode.Node, stop func()) {
+func startAdapted(t *testing.T, name string, store *kqfakestore.Fake) (node *kqnode.Node, stop func()) {
 	t.Helper()
 	s := kqsettings.Default()
 	s.Node.Name, s.Node.Domain, s.Node.Service = kqname.Node(name), "one", "store"
 	s.Node.EntryListen, s.Node.LocalListen, s.Node.GateListen, s.Node.ControlListen = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 	s.Node.DrainTimeout = time.Second
-	node, err := kqnode.New(s, store, kqnode.WithAdapter(kqnode.Adapter{Announcements: textAnnouncements{}, Operators: emptyOperators{}, Lister: store}))
+	node, err := kqnode.New(s, store, kqnode.WithAdapter(kqnode.Adapter{Announcements: textAnnouncements{}, OperatorDecoder: emptyOperators{}, Lister: store}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,13 +91,13 @@
 // If the upstream leaves meanwhile, its held announcement must not be applied later: that
 // would bring the upstream back, and calls would be lost in its shutdown.
 func TestDepartureWhileAnnouncementsAreHeld(t *testing.T) {
-	store := kqstandin.New()
-	store.SetFaults(kqstandin.Faults{Down: true})
+	store := kqfakestore.New()
+	store.SetFaults(kqfakestore.Faults{Down: true})
 	node, stop := startAdapted(t, "a", store)
 	defer stop()
 	sendAnnouncement(t, node, "one ready")
 	sendAnnouncement(t, node, "one gone")
-	store.SetFaults(kqstandin.Faults{})
+	store.SetFaults(kqfakestore.Faults{})
 	sendAnnouncement(t, node, "two ready")
 	await(t, "the other upstream is announced", func() bool { return hasUpstream(node) })
 	sendAnnouncement(t, node, "two gone")
@@ -110,7 +110,7 @@
 // must not accept a late announcement of that upstream: calls would reach an upstream that
 // ends within seconds.
 func TestGoodbyeOutlivesTheProcess(t *testing.T) {
-	store := kqstandin.New()
+	store := kqfakestore.New()
 	node, stop := startAdapted(t, "a", store)
 	sendAnnouncement(t, node, "one ready")
 	await(t, "the upstream is announced", func() bool { return hasUpstream(node) })
@@ -131,7 +131,7 @@
 // and an announcement delayed for seconds follows. If the node accepted it, calls would
 // reach an upstream that is about to end.
 func TestLateAnnouncementAfterDeparture(t *testing.T) {
-	store := kqstandin.New()
+	store := kqfakestore.New()
 	node, stop := startAdapted(t, "a", store)
 	defer stop()
 	sendAnnouncement(t, node, "two ready")
--- a/internal/run/kqnode/body.go
+++ b/internal/run/kqnode/body.go
@@ -46,7 +46,7 @@
 const connectionMemoryEighths = 5
 
 // newBodyBound returns the bound on the memory that callers' bodies may take.
-func (n *Node) newBodyBound() *kqbody.Bound {
+func (n *Node) newBodyBound() *kqbody.Limiter {
 	var options []kqbody.Option
 	if memory := n.settings.Node.Memory; memory > 0 {
 		options = append(options, kqbody.WithConnections(memory/8*connectionMemoryEighths, n.callConnections))
@@ -65,7 +65,7 @@
 // unknown.
 func (n *Node) reserveBody(wait time.Duration) func(*fasthttp.RequestHeader) fasthttp.RequestConfig {
 	return func(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
-		if h.ContentLength() > n.settings.Call.MaxBody || n.bodies.Take(h, wait, n.settings.Call.ReadTimeout) {
+		if h.ContentLength() > n.settings.Call.MaxBody || n.bodies.Reserve(h, wait, n.settings.Call.ReadTimeout) {
 			return fasthttp.RequestConfig{}
 		}
 		return fasthttp.RequestConfig{MaxRequestBodySize: rejectedBodyLimit}
--- a/internal/run/kqnode/call.go
+++ b/internal/run/kqnode/call.go
@@ -11,9 +11,9 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqconnection"
+	"github.com/kumquatgw/kumquatgw/internal/call/kqdisconnect"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqentry"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqgate"
-	"github.com/kumquatgw/kumquatgw/internal/call/kqhangup"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqlocal"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqnesting"
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqallowance"
@@ -53,11 +53,11 @@
 	n.local = kqlocal.New(n.settings.Member.UpstreamTTL, func(list []kqmember.Upstream) {
 		n.table.Update(func(m *kqmember.Member) { m.Upstreams = list })
 	})
-	n.callWatch = kqhangup.New()
+	n.callWatch = kqdisconnect.New()
 	gate := []kqgate.Option{kqgate.WithWithdrawer(n.local), kqgate.WithObserver(n.rollouts), kqgate.WithGuard(n.rollouts), kqgate.WithHangup(n.callWatch), kqgate.WithCounter(n.metrics), kqgate.WithKeeper(n.keeper)}
 	entry := append(n.entryTLSOptions(), kqentry.WithCounter(n.metrics), kqentry.WithSplitter(n.rollouts),
 		kqentry.WithDomain(n.settings.Node.Domain), kqentry.WithHangup(n.callWatch),
-		kqentry.WithForged(n.security.Forged), kqentry.WithKeeper(n.keeper))
+		kqentry.WithForged(n.security.ForgedHeaders), kqentry.WithKeeper(n.keeper))
 	nesting := kqnesting.New()
 	gate, entry = append(gate, kqgate.WithNesting(nesting)), append(entry, kqentry.WithNesting(nesting))
 	if n.settings.Call.Slots == slotsExact {
@@ -73,14 +73,14 @@
 	}
 	if c := n.settings.Call; c.RepeatRatio > 0 {
 		bound := kqallowance.Bound{Ratio: c.RepeatRatio, Slack: c.RepeatSlack}
-		entry = append(entry, kqentry.WithBound(bound, n.table.Living))
+		entry = append(entry, kqentry.WithBound(bound, n.table.LiveCount))
 	}
 	n.gate = kqgate.New(n.local, gate...)
 	n.entry = kqentry.New(n.settings.Node.Name, n.replica, n.table, n.gate, entry...)
 	n.servers = callServers{
 		entry: n.newServer(n.entry.ServeOutside, n.metrics.Ended, entryBodyWait),
 		local: n.newServer(n.serveLocal, n.metrics.Ended, entryBodyWait),
-		gate:  n.newServer(n.gate.Serve, n.metrics.Gated, n.settings.Call.ReadTimeout/2),
+		gate:  n.newServer(n.gate.Serve, n.metrics.GateCallEnded, n.settings.Call.ReadTimeout/2),
 		ready: n.newServer(n.serveReady, func(kqcall.Outcome) {}, 0),
 	}
 }
@@ -127,7 +127,7 @@
 func (n *Node) readErrorHandler(count func(kqcall.Outcome)) func(*fasthttp.RequestCtx, error) {
 	return func(ctx *fasthttp.RequestCtx, err error) {
 		o := n.readErrorOutcome(ctx, errors.Join(err, kqconnection.ReadError(ctx.Conn())))
-		n.bodies.Give(&ctx.Request.Header)
+		n.bodies.ReleaseRequest(&ctx.Request.Header)
 		count(o)
 		c := &kqcall.Call{Request: &ctx.Request, Response: &ctx.Response}
 		c.Answer(o)
@@ -140,7 +140,7 @@
 	var small *fasthttp.ErrSmallBuffer
 	var network net.Error
 	switch {
-	case errors.Is(err, kqconnection.ErrNoRoom):
+	case errors.Is(err, kqconnection.ErrBodyMemoryExhausted):
 		return noMemoryOutcome()
 	case errors.Is(err, fasthttp.ErrBodyTooLarge) && n.lackedMemory(ctx):
 		return noMemoryOutcome()
--- a/internal/run/kqnode/collect.go
+++ b/internal/run/kqnode/collect.go
@@ -32,7 +32,7 @@
 			return
 		case <-time.After(rand.N(2 * collectPeriod)):
 		}
-		done, err := kqcommit.New(n.store).Collect(ctx, n.store, time.Now().Add(-collectMinAge))
+		done, err := kqcommit.New(n.store).CollectGarbage(ctx, n.store, time.Now().Add(-collectMinAge))
 		if err != nil {
 			log.WithError(err).Warn("Collection failed or is incomplete; the next one continues.")
 			continue
