--- a/internal/run/kqnode/config.go
+++ b/internal/run/kqnode/config.go
@@ -17,12 +17,12 @@
 	"github.com/kumquatgw/kumquatgw/internal/config/kqresource"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqsnapshot"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqwatch"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqbroadcast"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqdeparture"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqexchange"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqdiscovery"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqmembersync"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqoverlay"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqregister"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqspread"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -42,7 +42,7 @@
 	reader      *kqreader.Reader
 	watcher     kqreader.Watcher
 	follower    *kqfollower.Follower
-	register    *kqregister.Register
+	register    *kqdiscovery.Register
 	departures  *kqdeparture.Departures
 	fetcher     *kqfetch.Fetcher
 	direct      bool
@@ -68,26 +68,26 @@
 	var receive func(context.Context, kqresource.Root)
 	store, watcher := n.newVersionSource(func(ctx context.Context, r kqresource.Root) { receive(ctx, r) }, platformFailed)
 	fetcher := kqfetch.New(n.peers, n.client, n.table, store, n.budget, c.PlatformRate, c.ExpectedNodes)
-	if maker, ok := store.(kqfetch.Maker); ok {
-		fetcher.TakeWhole(maker)
+	if maker, ok := store.(kqfetch.ObjectBuilder); ok {
+		fetcher.UseBuilder(maker)
 	}
 	n.replica = kqreplica.New(n.replicaSource(direct, store, fetcher), n.replicaOptions(direct)...)
-	fetcher.Serve(n.replica)
+	fetcher.ServeFrom(n.replica)
 	overlay := kqoverlay.New(n.table)
 	d := kqdistribute.New(n.peers, n.client, n.table, overlay, n.budget, n.replica, func(v kqname.ConfigVersion, err error) {
 		log.WithError(err).Warnf("Refused version %d.", v)
 	})
-	receive = d.Take
+	receive = d.AcceptRoot
 	if direct {
 		receive = func(ctx context.Context, root kqresource.Root) {
-			if err := n.replica.Offer(ctx, root); err != nil {
+			if err := n.replica.ApplyRoot(ctx, root); err != nil {
 				log.WithError(err).Warnf("Refused version %d.", root.Version)
 			}
 		}
 	}
-	n.exchange = kqexchange.New(n.peers, n.client, n.table, overlay, d, n.budget, n.seedAddresses(), n.settings.Member.Heartbeat)
-	n.spreader = kqspread.New(n.peers, n.client, n.settings.Node.Name, overlay, n.metrics.SpreadDropped)
-	reader := kqreader.New(n.store, n.table, watcher, c.StartSpread, n.exchange.Contact, n.setReader, platformFailed)
+	n.exchange = kqmembersync.New(n.peers, n.client, n.table, overlay, d, n.budget, n.seedAddresses(), n.settings.Member.Heartbeat)
+	n.spreader = kqbroadcast.New(n.peers, n.client, n.settings.Node.Name, overlay, n.metrics.SpreadDropped)
+	reader := kqreader.New(n.store, n.table, watcher, c.StartSpread, n.exchange.Probe, n.setReader, platformFailed)
 	n.distribution = distribution{distributor: d, reader: reader, watcher: watcher, fetcher: fetcher, direct: direct}
 	if n.adapter.Lister != nil {
 		n.distribution.register = n.newRegister(platformFailed)
@@ -100,7 +100,7 @@
 // the watcher of new versions. Both read the commits of this program's console or,
 // with an adapter, the keys that the platform's operators write.
 func (n *Node) newVersionSource(receive func(context.Context, kqresource.Root), failed func(error)) (kqfetch.Platform, kqreader.Watcher) {
-	if n.adapter.Operators == nil {
+	if n.adapter.OperatorDecoder == nil {
 		return kqcommit.New(n.store), kqwatch.New(n.store, receive, failed)
 	}
 	log := n.logger.Part("config")
@@ -108,7 +108,7 @@
 		n.metrics.ConfigRefused("invalid")
 		log.WithError(err).Warnf("Refused the value of key %s.", key)
 	}
-	origin := kqorigin.New(n.adapter.Lister, n.adapter.Operators, receive, refused, failed)
+	origin := kqorigin.New(n.adapter.Lister, n.adapter.OperatorDecoder, receive, refused, failed)
 	return origin, origin
 }
 
@@ -117,7 +117,7 @@
 
 // newRegister returns a register through which the node finds its peers in the store,
 // for platforms that provide no seeds.
-func (n *Node) newRegister(failed func(error)) *kqregister.Register {
+func (n *Node) newRegister(failed func(error)) *kqdiscovery.Register {
 	self := n.table.Self()
 	known := func(to kqname.Address) (peers int, known bool) {
 		for _, m := range n.table.Members() {
@@ -128,16 +128,16 @@
 		}
 		return peers, known
 	}
-	return kqregister.New(n.storeWithLister(), self.Node, self.Control, known, n.exchange.Contact, failed)
+	return kqdiscovery.New(n.storeWithLister(), self.Node, self.Control, known, n.exchange.Probe, failed)
 }
 
 func (n *Node) replicaOptions(direct bool) []kqreplica.Option {
 	options := []kqreplica.Option{
-		kqreplica.WithMemory(n.settings.Member.MemoryBudget, func() { n.metrics.BudgetBound("memory") }),
-		kqreplica.WithRefused(n.metrics.ConfigRefused), kqreplica.WithKeeper(n.keeper),
-		kqreplica.WithChanged(func(s *kqsnapshot.Snapshot) {
-			n.metrics.Version(s.Version())
-			n.table.SetConfig(n.settings.Node.Name, s.Version())
+		kqreplica.WithMemoryBudget(n.settings.Member.MemoryBudget, func() { n.metrics.BudgetExceeded("memory") }),
+		kqreplica.WithOnRefused(n.metrics.ConfigRefused), kqreplica.WithKeeper(n.keeper),
+		kqreplica.WithOnChange(func(s *kqsnapshot.Snapshot) {
+			n.metrics.SetVersion(s.Version())
+			n.table.SetHeldVersion(n.settings.Node.Name, s.Version())
 			n.logger.Part("config").WithFields(logrus.Fields{"event": "applied", "version": s.Version()}).Info("Version is in force.")
 			n.rollouts.adoptConfig(s)
 		}),
@@ -164,7 +164,7 @@
 	n.replica.HoldAll(on)
 	n.table.Update(func(m *kqmember.Member) { m.Reader = on })
 	for on && ctx.Err() == nil {
-		err := n.replica.Fill(ctx)
+		err := n.replica.FetchMissing(ctx)
 		if err == nil {
 			return
 		}
@@ -188,7 +188,7 @@
 	}
 	for _, h := range n.distribution.fetcher.PeerHosts(ctx) {
 		// A host that cannot be fetched now is fetched with its first call.
-		_, _ = n.Want(ctx, h)
+		_, _ = n.EnsureHost(ctx, h)
 	}
 }
 
--- a/internal/run/kqnode/distribution_test.go
+++ b/internal/run/kqnode/distribution_test.go
@@ -16,10 +16,10 @@
 	"github.com/kumquatgw/kumquatgw/internal/config/kqreader"
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqlease"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqnode"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqsettings"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
@@ -33,7 +33,7 @@
 // set, the regions cannot reach each other, and region-1 cannot reach the platform.
 type regionalFleet struct {
 	t           *testing.T
-	platform    *kqstandin.Standin
+	platform    *kqfakestore.Fake
 	commits     *kqcommit.Committer
 	version     kqname.ConfigVersion
 	partitioned atomic.Bool
@@ -81,7 +81,7 @@
 
 func newRegionalFleet(t *testing.T, nodes int) *regionalFleet {
 	t.Helper()
-	f := &regionalFleet{t: t, platform: kqstandin.New(), regions: make(map[kqname.Address]kqname.Region)}
+	f := &regionalFleet{t: t, platform: kqfakestore.New(), regions: make(map[kqname.Address]kqname.Region)}
 	f.commits = kqcommit.New(f.platform)
 	f.commit()
 	t.Cleanup(func() {
@@ -111,7 +111,7 @@
 		s.Member.Seeds = []string{string(f.nodes[0].ControlAddress())}
 	}
 	n, err := kqnode.New(s, partitionableStore{f.platform, func() bool { return f.partitioned.Load() && region == "region-1" }},
-		kqnode.WithPeerOptions(kqpeer.WithDialer(func(ctx context.Context, to kqname.Address) (net.Conn, error) {
+		kqnode.WithPeerOptions(kqrpc.WithDialer(func(ctx context.Context, to kqname.Address) (net.Conn, error) {
 			return f.dial(ctx, region, to)
 		})))
 	if err != nil {
@@ -186,7 +186,7 @@
 
 // hasReader reports whether a failure domain has a reader.
 func (f *regionalFleet) hasReader(d kqname.Domain) bool {
-	for slot := range kqlease.Slots {
+	for slot := range kqlease.ReadersPerDomain {
 		if _, err := f.platform.Get(f.t.Context(), kqreader.SlotKey(d, slot)); err == nil {
 			return true
 		}
@@ -266,7 +266,7 @@
 	f := newRegionalFleet(t, 6)
 	f.commit()
 	f.await("version 2 everywhere", func() bool { return f.allAtVersion(2) })
-	f.platform.SetFaults(kqstandin.Faults{Down: true})
+	f.platform.SetFaults(kqfakestore.Faults{Down: true})
 	gone := f.nodes[5]
 	gone.kill(kqnode.ErrKilled)
 	<-gone.done
@@ -287,7 +287,7 @@
 func TestChangeWhileAllLeasesLapse(t *testing.T) {
 	f := newRegionalFleet(t, 6)
 	for range 3 {
-		f.platform.SetFaults(kqstandin.Faults{LapseLeases: true})
+		f.platform.SetFaults(kqfakestore.Faults{LapseLeases: true})
 		f.commit()
 		f.await("the change is in force", func() bool { return f.allAtVersion(f.version) })
 	}
--- a/internal/run/kqnode/drain.go
+++ b/internal/run/kqnode/drain.go
@@ -46,11 +46,11 @@
 // server waits until other nodes have closed theirs, at most until their idle
 // connections have timed out after kqsend.IdleFor.
 func (n *Node) drainCalls(ctx context.Context) error {
-	n.gate.Leave()
+	n.gate.Drain()
 	n.stopAccepting(ctx, RoleEntry, RoleLocal)
 	err := n.drainServers(ctx, n.entry.Calls, map[Role]*fasthttp.Server{RoleEntry: n.servers.entry, RoleLocal: n.servers.local})
 	n.entry.Close()
-	n.awaitNoConnections(ctx, kqsend.IdleFor+sweepPeriod, RoleGate)
+	n.awaitNoConnections(ctx, kqsend.DefaultIdleTimeout+sweepPeriod, RoleGate)
 	n.stopAccepting(ctx, RoleGate)
 	return errors.Join(err, n.drainServers(ctx, n.callWatch.Count, map[Role]*fasthttp.Server{RoleGate: n.servers.gate}))
 }
@@ -82,10 +82,10 @@
 		n.logEvent(logrus.Fields{"event": "leaving", "step": "cancelled"}, "Leaving: calls that take longer are cancelled.")
 		err = fmt.Errorf("drain: calls were cancelled: %w", context.DeadlineExceeded)
 	}
-	n.callWatch.Cancel(kqcall.Draining)
+	n.callWatch.CancelAll(kqcall.Draining)
 	for role := range servers {
 		if l, ok := n.connections[role]; ok {
-			l.EndReading(time.Now())
+			l.InterruptReads(time.Now())
 		}
 	}
 	ticker := time.NewTicker(drainPoll)
@@ -102,7 +102,7 @@
 	count := 0
 	for role := range servers {
 		if l, ok := n.connections[role]; ok {
-			count += l.Early()
+			count += l.PipelinedCount()
 		}
 	}
 	return count
@@ -117,7 +117,7 @@
 	for role := range servers {
 		if l, ok := n.connections[role]; ok {
 			_ = l.Close()
-			l.InOrder()
+			l.DisablePipelining()
 		}
 	}
 	ticker := time.NewTicker(drainPoll)
@@ -130,7 +130,7 @@
 	}
 	for role := range servers {
 		if l, ok := n.connections[role]; ok {
-			l.CloseSilent()
+			l.CloseUnused()
 		}
 	}
 }
@@ -148,7 +148,7 @@
 	ticker := time.NewTicker(drainPoll)
 	defer ticker.Stop()
 	for now := range ticker.C {
-		if now.Sub(began) >= minCallerGrace && n.entry.Quiet(now) >= callerQuietPeriod || now.After(end.Add(-closeMargin)) {
+		if now.Sub(began) >= minCallerGrace && n.entry.SinceLastCall(now) >= callerQuietPeriod || now.After(end.Add(-closeMargin)) {
 			return
 		}
 	}
@@ -157,7 +157,7 @@
 // openConnections returns the number of open connections of a role.
 func (n *Node) openConnections(r Role) int {
 	if l, ok := n.connections[r]; ok {
-		return l.Open()
+		return l.OpenCount()
 	}
 	return 0
 }
--- a/internal/run/kqnode/fuzz_test.go
+++ b/internal/run/kqnode/fuzz_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/run/kqnode"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqsettings"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 )
 
 // peerMethods are the RPC methods that peers may call.
@@ -30,7 +30,7 @@
 	s := kqsettings.Default()
 	s.Node.Name, s.Node.Domain = "fuzzed", "one"
 	s.Node.EntryListen, s.Node.LocalListen, s.Node.GateListen, s.Node.ControlListen = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
-	n, err := kqnode.New(s, kqstandin.New())
+	n, err := kqnode.New(s, kqfakestore.New())
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/run/kqnode/leave.go
+++ b/internal/run/kqnode/leave.go
@@ -20,24 +20,24 @@
 	ctx, cancel := context.WithTimeout(context.Background(), n.drainTimeout())
 	defer cancel()
 	// A panic in one step must not keep the calls in flight from finishing.
-	n.keeper.Try("leave", func() { n.divertTraffic(ctx) })
+	n.keeper.RunRecovered("leave", func() { n.divertTraffic(ctx) })
 	var err error
-	n.keeper.Try("leave", func() { err = n.drainCalls(ctx) })
+	n.keeper.RunRecovered("leave", func() { err = n.drainCalls(ctx) })
 	n.logLeaveStep("no calls are taken")
-	n.keeper.Try("leave", n.announceDead)
-	n.keeper.Try("leave", func() { n.distribution.reader.Close(ctx) })
+	n.keeper.RunRecovered("leave", n.announceDead)
+	n.keeper.RunRecovered("leave", func() { n.distribution.reader.Close(ctx) })
 	return errors.Join(err, n.shutdownAdmin(ctx))
 }
 
 // divertTraffic waits for callers to move to other nodes, and then announces the
 // departure to those nodes.
 func (n *Node) divertTraffic(ctx context.Context) {
-	n.entry.Leave()
+	n.entry.Drain()
 	n.awaitCallersGone(ctx)
-	n.entry.Refuse()
+	n.entry.RefuseAll()
 	n.logLeaveStep("callers have gone, or had the time to")
 	n.table.Update(func(m *kqmember.Member) { m.State = kqmember.Leaving })
-	n.exchange.Announce(ctx)
+	n.exchange.FlushUpdates(ctx)
 	n.rollouts.releaseLeases(ctx)
 	n.logLeaveStep("the others know")
 }
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), finalAnnounceTimeout)
 	defer cancel()
 	n.table.Update(func(m *kqmember.Member) { m.State = kqmember.Dead })
-	n.exchange.Announce(ctx)
+	n.exchange.FlushUpdates(ctx)
 }
 
 // shutdownAdmin waits for the answers to operators' requests. Its timeout is short, since
--- a/internal/run/kqnode/listen.go
+++ b/internal/run/kqnode/listen.go
@@ -38,7 +38,7 @@
 		}
 		bare := opened
 		if tcp, ok := opened.(*net.TCPListener); ok && l.role != RoleControl && l.role != RoleAdmin && l.role != RoleReady {
-			n.callListeners[l.role], n.connections[l.role] = tcp, kqconnection.New(tcp, kqconnection.WithRoom(n.bodies, entryBodyWait))
+			n.callListeners[l.role], n.connections[l.role] = tcp, kqconnection.New(tcp, kqconnection.WithBodyLimiter(n.bodies, entryBodyWait))
 			bare = n.connections[l.role]
 		}
 		*l.to = kqacceptor.New(n.wrap(l.role, bare), func(err error) { n.logAcceptFailure(l.role, err) })
--- a/internal/run/kqnode/listen_test.go
+++ b/internal/run/kqnode/listen_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/run/kqnode"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqsettings"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 )
 
 // failingListener is a listener whose Accept fails with acceptErr while that is set.
@@ -46,7 +46,7 @@
 			s := kqsettings.Default()
 			s.Node.Name, s.Node.Domain, s.Node.Region = "a", "one", "one"
 			s.Node.EntryListen, s.Node.LocalListen, s.Node.GateListen, s.Node.ControlListen = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
-			n, err := kqnode.New(s, kqstandin.New(), kqnode.WithListener(func(r kqnode.Role, l net.Listener) net.Listener {
+			n, err := kqnode.New(s, kqfakestore.New(), kqnode.WithListener(func(r kqnode.Role, l net.Listener) net.Listener {
 				if r != kqnode.RoleEntry {
 					return l
 				}
--- a/internal/run/kqnode/node.go
+++ b/internal/run/kqnode/node.go
@@ -12,23 +12,23 @@
 	"github.com/sourcegraph/conc"
 
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqadmin"
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqbody"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqconnection"
+	"github.com/kumquatgw/kumquatgw/internal/call/kqdisconnect"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqentry"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqgate"
-	"github.com/kumquatgw/kumquatgw/internal/call/kqhangup"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqlocal"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqreplica"
 	"github.com/kumquatgw/kumquatgw/internal/config/kqsnapshot"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqbroadcast"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqbudget"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqexchange"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqspread"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqmembersync"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
+	"github.com/kumquatgw/kumquatgw/internal/run/kqevents"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqlog"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqmetric"
-	"github.com/kumquatgw/kumquatgw/internal/run/kqnotable"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqrecord"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqsettings"
 	"github.com/kumquatgw/kumquatgw/internal/security/kqidentity"
@@ -84,21 +84,21 @@
 
 		listeners            listeners
 		table                *kqmember.Table
-		peers                *kqpeer.Server
-		client               *kqpeer.Client
-		spreader             *kqspread.Spreader
-		exchange             *kqexchange.Exchanger
+		peers                *kqrpc.Server
+		client               *kqrpc.Client
+		spreader             *kqbroadcast.Broadcaster
+		exchange             *kqmembersync.Synchronizer
 		replica              *kqreplica.Replica
 		budget               *kqbudget.Budget
 		distribution         distribution
-		peerOptions          []kqpeer.ClientOption
+		peerOptions          []kqrpc.ClientOption
 		local                *kqlocal.Upstreams
 		gate                 *kqgate.Gate
 		entry                *kqentry.Entry
-		callWatch            *kqhangup.Watch
+		callWatch            *kqdisconnect.Watcher
 		servers              callServers
 		rollouts             *rollouts
-		admin                *kqadmin.Admin
+		admin                *kqadmin.AdminServer
 		identity             *kqidentity.Identity
 		security             *kqmetric.Security
 		tokens               *kqreload.Reloader
@@ -108,10 +108,10 @@
 		adapter              Adapter
 		pendingAnnouncements pendingAnnouncements
 		recorder             *kqrecord.Recorder
-		keeper               *kqkeeper.Keeper
-		bodies               *kqbody.Bound
+		keeper               *kqsupervisor.Supervisor
+		bodies               *kqbody.Limiter
 		storeUnavailable     atomic.Bool
-		recentEvents         kqnotable.History
+		recentEvents         kqevents.History
 		memberProcesses      memberProcesses
 		// unwrittenLines returns the number of log lines that the log's output did not
 		// accept, and loggedUnwritten is the number that was last logged.
@@ -137,10 +137,10 @@
 // WithLogger sets the node's logger.
 func WithLogger(l *kqlog.Logger) Option { return func(n *Node) { n.logger = l } }
 
-// WithUnwritten sets the function that returns how many log lines the log's output
+// WithUnwrittenLines sets the function that returns how many log lines the log's output
 // did not accept.
-func WithUnwritten(count func() uint64) Option {
-	return func(n *Node) { n.unwrittenLines = count; n.metrics.Unwritten(count) }
+func WithUnwrittenLines(count func() uint64) Option {
+	return func(n *Node) { n.unwrittenLines = count; n.metrics.RegisterUnwrittenLines(count) }
 }
 
 // WithListener replaces each listener that the node opens by the result of wrap, so
@@ -150,7 +150,7 @@
 }
 
 // WithPeerOptions sets the options of the client that connects to peers.
-func WithPeerOptions(options ...kqpeer.ClientOption) Option {
+func WithPeerOptions(options ...kqrpc.ClientOption) Option {
 	return func(n *Node) { n.peerOptions = options }
 }
 
@@ -167,7 +167,7 @@
 	}
 	n.logger = n.logger.WithNode(string(settings.Node.Name))
 	n.log = n.logger.Part("node")
-	n.keeper = kqkeeper.New(n.recordPanic)
+	n.keeper = kqsupervisor.New(n.recordPanic)
 	n.bodies = n.newBodyBound()
 	if err := n.listen(); err != nil {
 		n.listeners.close()
@@ -179,20 +179,20 @@
 	}
 	n.table = kqmember.NewTable(kqmember.Member{
 		Node: settings.Node.Name, Domain: settings.Node.Domain, Region: settings.Node.Region, Service: settings.Node.Service,
-		Control: advertisedAddress(settings.Node.ControlAddress, n.listeners.control),
-		Gate:    advertisedAddress(settings.Node.GateAddress, n.listeners.gate),
-		Link:    settings.Node.Link, Cores: settings.Node.Cores,
+		Control:   advertisedAddress(settings.Node.ControlAddress, n.listeners.control),
+		Gate:      advertisedAddress(settings.Node.GateAddress, n.listeners.gate),
+		LinkMbits: settings.Node.LinkMbits, CoreShare: settings.Node.CoreShare,
 		// The records of a replaced node must supersede those of its previous
 		// process. Nothing is persisted, so the start time orders them.
 		Incarnation: uint64(n.started.UnixMilli()), Process: uint64(n.started.UnixMilli()),
 	})
-	n.table.OnNews(n.logMember)
-	if n.adapter.Answered != nil {
-		n.adapter.Answered(n.recordStoreCall)
+	n.table.OnChange(n.logMember)
+	if n.adapter.OnResponse != nil {
+		n.adapter.OnResponse(n.recordStoreCall)
 	}
-	n.budget = kqbudget.New(settings.Member.SendBudget, n.metrics, func() { n.metrics.BudgetBound("send") })
-	n.peers = kqpeer.NewServer(n.budget, n.peerServerOptions()...)
-	n.client = kqpeer.NewClient(settings.Node.Name, n.budget, append(n.peerClientOptions(), n.peerOptions...)...)
+	n.budget = kqbudget.New(settings.Member.SendBudget, n.metrics, func() { n.metrics.BudgetExceeded("send") })
+	n.peers = kqrpc.NewServer(n.budget, n.peerServerOptions()...)
+	n.client = kqrpc.NewClient(settings.Node.Name, n.budget, append(n.peerClientOptions(), n.peerOptions...)...)
 	n.setUpConfig()
 	n.rollouts = n.newRollouts()
 	n.setUpCalls()
@@ -207,19 +207,19 @@
 // Run serves until ctx ends and then drains, unless the cause is ErrKilled: new
 // calls are diverted to other nodes first, and calls in flight finish.
 func (n *Node) Run(ctx context.Context) error {
-	n.log.WithFields(logrus.Fields{"event": "started", "settings": n.settings.Shown()}).Infof("Started as %s in %s.", n.settings.Node.Name, n.settings.Node.Domain)
+	n.log.WithFields(logrus.Fields{"event": "started", "settings": n.settings.NonDefaults()}).Infof("Started as %s in %s.", n.settings.Node.Name, n.settings.Node.Domain)
 	n.recentEvents.Add("started", n.started)
 	background, stop := context.WithCancel(n.keeper.With(context.Background()))
 	defer stop()
 	var group conc.WaitGroup
 	supervise := func(part string, f func()) {
-		group.Go(func() { n.keeper.Keep(background, part, f) })
+		group.Go(func() { n.keeper.RunWithRestart(background, part, f) })
 	}
 	n.runConfig(background, supervise)
 	supervise("sweep", func() { runEvery(background, sweepPeriod, n.sweep) })
 	supervise("collect", func() { n.collect(background) })
 	supervise("notable", func() { runEvery(background, recentEventsLogPeriod, n.logRecentEvents) })
-	if n.adapter.Answered != nil {
+	if n.adapter.OnResponse != nil {
 		supervise("store_calls", func() { runEvery(background, storeCallsLogPeriod, n.logStoreCalls) })
 	}
 	supervise("hangup", func() { n.callWatch.Run(background) })
@@ -231,7 +231,7 @@
 		group.Go(func() {
 			// A listener that panics is not restarted; the node drains and stops.
 			err := errListenerPanicked
-			n.keeper.Try("listener", func() { err = f() })
+			n.keeper.RunRecovered("listener", func() { err = f() })
 			if err != nil {
 				failed <- err
 			}
@@ -267,8 +267,8 @@
 	if err := n.logger.SetLevel(s.Log.Level); err != nil {
 		return fmt.Errorf("reload settings: %w", err)
 	}
-	n.recorder.Set(s.Log.Sample, s.Log.PerReason)
-	n.logEvent(logrus.Fields{"event": "reload", "settings": s.Shown()}, "Settings reloaded.")
+	n.recorder.SetLimits(s.Log.Sample, s.Log.PerReason)
+	n.logEvent(logrus.Fields{"event": "reload", "settings": s.NonDefaults()}, "Settings reloaded.")
 	return nil
 }
 
@@ -313,10 +313,10 @@
 // Name returns the node's name.
 func (n *Node) Name() kqname.Node { return n.settings.Node.Name }
 
-// Want fetches a host's routes unless the node holds them, and returns the snapshot
+// EnsureHost fetches a host's routes unless the node holds them, and returns the snapshot
 // with them.
-func (n *Node) Want(ctx context.Context, host kqname.Host) (*kqsnapshot.Snapshot, error) {
-	return n.replica.Want(ctx, host, time.Now())
+func (n *Node) EnsureHost(ctx context.Context, host kqname.Host) (*kqsnapshot.Snapshot, error) {
+	return n.replica.EnsureHost(ctx, host, time.Now())
 }
 
 // Version returns the configuration version in force.
@@ -357,7 +357,7 @@
 	n.entry.Sweep(now)
 	for _, m := range n.table.Members() {
 		if m.State >= kqmember.Leaving {
-			n.entry.LetGo(m.Gate)
+			n.entry.CloseIdleTo(m.Gate)
 		}
 	}
 	n.replica.Sweep(now.Add(-n.settings.Config.InterestIdle))
--- a/internal/run/kqnode/panic.go
+++ b/internal/run/kqnode/panic.go
@@ -7,13 +7,13 @@
 	"github.com/sirupsen/logrus"
 	"github.com/valyala/fasthttp"
 
-	"github.com/kumquatgw/kumquatgw/internal/base/kqkeeper"
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
 )
 
 // recordPanic counts a recovered panic, and logs it if it has a stack: repeated panics of
 // a part come without one.
-func (n *Node) recordPanic(p kqkeeper.Panic) {
+func (n *Node) recordPanic(p kqsupervisor.Panic) {
 	n.metrics.Panicked(p.Part)
 	if p.Stack == "" {
 		return
@@ -21,19 +21,21 @@
 	n.logEvent(logrus.Fields{"event": "panic", "panicked": p.Part, "panic": p.Value, "stack": p.Stack}, fmt.Sprintf("Panic in %s: %s.", p.Part, p.Value))
 }
 
-// Keep runs a part of the program until it returns, and restarts it after a panic.
-func (n *Node) Keep(ctx context.Context, part string, f func()) { n.keeper.Keep(ctx, part, f) }
+// RunWithRestart runs a part of the program until it returns, and restarts it after a panic.
+func (n *Node) RunWithRestart(ctx context.Context, part string, f func()) {
+	n.keeper.RunWithRestart(ctx, part, f)
+}
 
 // recoverPanics limits a panic to the request that caused it. The HTTP library does not
 // recover panics, so one would end the process. Whether the call ran is unknown then.
 func (n *Node) recoverPanics(handler fasthttp.RequestHandler, count func(kqcall.Outcome)) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		n.bodies.Serve(&ctx.Request.Header)
-		defer n.bodies.Give(&ctx.Request.Header)
-		if n.keeper.Try("request", func() { handler(ctx) }) {
+		n.bodies.MarkRead(&ctx.Request.Header)
+		defer n.bodies.ReleaseRequest(&ctx.Request.Header)
+		if n.keeper.RunRecovered("request", func() { handler(ctx) }) {
 			return
 		}
-		o := kqcall.Lose(kqcall.Panicked)
+		o := kqcall.UnknownOutcome(kqcall.Panicked)
 		count(o)
 		c := &kqcall.Call{Request: &ctx.Request, Response: &ctx.Response}
 		c.Answer(o)
--- a/internal/run/kqnode/report.go
+++ b/internal/run/kqnode/report.go
@@ -11,7 +11,7 @@
 	dto "github.com/prometheus/client_model/go"
 
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqview"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -35,7 +35,7 @@
 
 // handleReports serves this node's report to peers whose operators request it.
 func (n *Node) handleReports() {
-	kqpeer.Handle(n.peers, reportMethod, func(context.Context, kqname.Node, reportRequest) (kqview.Report, error) {
+	kqrpc.Handle(n.peers, reportMethod, func(context.Context, kqname.Node, reportRequest) (kqview.Report, error) {
 		return n.ownReport()
 	})
 }
@@ -47,7 +47,7 @@
 	}
 	for _, m := range n.table.Members() {
 		if m.Node == node {
-			return kqpeer.Call[reportRequest, kqview.Report](ctx, n.client, m.Control, reportMethod, reportRequest{})
+			return kqrpc.Call[reportRequest, kqview.Report](ctx, n.client, m.Control, reportMethod, reportRequest{})
 		}
 	}
 	return kqview.Report{}, fmt.Errorf("report of %s: %w", node, ErrUnknownMember)
@@ -55,7 +55,7 @@
 
 func (n *Node) ownReport() (kqview.Report, error) {
 	r := kqview.Report{
-		Node: n.settings.Node.Name, Version: n.Version(), Since: n.metrics.Since(), Started: n.started, Ready: n.Ready(),
+		Node: n.settings.Node.Name, Version: n.Version(), Since: n.metrics.VersionSince(), Started: n.started, Ready: n.Ready(),
 	}
 	families, err := n.metrics.Registry().Gather()
 	if err != nil {
--- a/internal/run/kqnode/rollout.go
+++ b/internal/run/kqnode/rollout.go
@@ -15,10 +15,10 @@
 	"github.com/kumquatgw/kumquatgw/internal/config/kqsnapshot"
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqpick"
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqledger"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqowner"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqplan"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -35,7 +35,7 @@
 type (
 	rollouts struct {
 		node  *Node
-		board *kqboard.Board
+		board *kqtracker.Tracker
 		owner *kqowner.Owner
 
 		// progressSentAt is when this node last published a plan's progress; only tick
@@ -43,7 +43,7 @@
 		progressSentAt map[kqplan.ID]time.Time
 		// reportedStates holds the state of each order last reported to operators; only
 		// syncPlatform uses it.
-		reportedStates   map[kqplan.ID]kqboard.State
+		reportedStates   map[kqplan.ID]kqtracker.State
 		lastAnswer       atomic.Int64
 		relayed          statusRelay
 		oldVersionDrains *oldVersionDrains
@@ -54,7 +54,7 @@
 // and publish.
 func (n *Node) newRollouts() *rollouts {
 	self := kqledger.Source{Node: n.settings.Node.Name, Boot: uint64(n.started.UnixNano())}
-	r := &rollouts{node: n, board: kqboard.New(self, n.table), progressSentAt: make(map[kqplan.ID]time.Time), reportedStates: make(map[kqplan.ID]kqboard.State), oldVersionDrains: newOldVersionDrains()}
+	r := &rollouts{node: n, board: kqtracker.New(self, n.table), progressSentAt: make(map[kqplan.ID]time.Time), reportedStates: make(map[kqplan.ID]kqtracker.State), oldVersionDrains: newOldVersionDrains()}
 	r.owner = kqowner.New(n.settings.Node.Name, n.store, r.board)
 	n.metrics.Registry().MustRegister(r.stateGauge())
 	n.spreader.Subscribe(topicEvidence, r.handleEvidence)
@@ -65,7 +65,7 @@
 
 // Rollouts returns the rollouts of the services that the node holds, and the last
 // statuses that the owners of other rollouts published.
-func (n *Node) Rollouts() []kqboard.Status {
+func (n *Node) Rollouts() []kqtracker.Status {
 	return n.rollouts.relayed.mergeInto(n.rollouts.board.Statuses(time.Now()))
 }
 
@@ -84,13 +84,13 @@
 	var started, warm time.Time
 	for _, u := range r.node.table.Self().Upstreams {
 		if u.Service == o.Service && u.Version == o.Version {
-			started, warm = u.Started, u.Warm
+			started, warm = u.Started, u.WarmFrom
 		}
 	}
 	r.board.Observe(o, started, warm)
 }
 
-func (r *rollouts) adoptConfig(s *kqsnapshot.Snapshot) { r.board.Adopt(s.Services(), time.Now()) }
+func (r *rollouts) adoptConfig(s *kqsnapshot.Snapshot) { r.board.Update(s.Services(), time.Now()) }
 
 func (r *rollouts) run(ctx context.Context, supervise func(part string, f func())) {
 	supervise("rollout", func() { runEvery(ctx, rolloutTick, r.tick) })
@@ -102,7 +102,7 @@
 	for _, v := range r.board.Views(now) {
 		id := v.Plan.ID
 		if r.collectsEvidence(v) {
-			r.board.Weigh(id, now)
+			r.board.Evaluate(id, now)
 		}
 		if report, ok := r.board.Report(id, now); ok {
 			r.report(v, evidenceMessage{id, report})
@@ -110,7 +110,7 @@
 		owner := r.mayStep(v, now)
 		if owner {
 			r.board.Step(id, now)
-			r.board.Owned(id, r.node.settings.Node.Name, now)
+			r.board.SetOwner(id, r.node.settings.Node.Name, now)
 		}
 		text, changed := r.board.Event(id)
 		if changed {
@@ -143,16 +143,16 @@
 // the platform is down, a node that has known the plan for offlineStepDelay may if it was
 // the last owner or, after kqowner.TTL without a message from another owner, if it is the
 // first of the service's nodes by name.
-func (r *rollouts) mayStep(v kqboard.View, now time.Time) bool {
-	holds, down := r.owner.Holds(v.Plan.ID, now)
+func (r *rollouts) mayStep(v kqtracker.PlanSnapshot, now time.Time) bool {
+	holds, down := r.owner.HoldsLease(v.Plan.ID, now)
 	if holds {
 		return true
 	}
-	if !down || now.Sub(v.Seen) < offlineStepDelay {
+	if !down || now.Sub(v.KnownSince) < offlineStepDelay {
 		return false
 	}
 	self := r.node.settings.Node.Name
-	if v.Owner != self && now.Sub(v.Heard) < kqowner.TTL {
+	if v.Owner != self && now.Sub(v.OwnerSeen) < kqowner.LeaseTTL {
 		return false
 	}
 	return v.Owner == self || r.rank(v.Plan.Service) == 0
@@ -188,7 +188,7 @@
 // continue them at once.
 func (r *rollouts) releaseLeases(ctx context.Context) {
 	for _, v := range r.board.Views(time.Now()) {
-		if err := r.owner.Leave(ctx, v.Plan.ID); err != nil {
+		if err := r.owner.Release(ctx, v.Plan.ID); err != nil {
 			r.node.logger.Part("rollout").WithError(err).Info("Lease was not released; it will expire.")
 		}
 	}
@@ -202,9 +202,9 @@
 	}
 	for _, v := range r.board.Views(now) {
 		rank := r.rank(v.Plan.Service)
-		available := now.Sub(v.Heard) >= kqowner.TTL || v.Owner == r.node.settings.Node.Name || r.hasLeft(v.Owner)
-		candidate := rank >= 0 && available && now.Sub(v.Seen) >= time.Duration(min(rank, 20))*rolloutTick*3
-		if err := r.owner.Work(ctx, v, candidate, now); err != nil {
+		available := now.Sub(v.OwnerSeen) >= kqowner.LeaseTTL || v.Owner == r.node.settings.Node.Name || r.hasLeft(v.Owner)
+		candidate := rank >= 0 && available && now.Sub(v.KnownSince) >= time.Duration(min(rank, 20))*rolloutTick*3
+		if err := r.owner.Sync(ctx, v, candidate, now); err != nil {
 			r.node.logger.Part("rollout").WithError(err).Debug("Platform calls for a rollout failed.")
 		}
 		r.reportOrder(ctx, v, rank, now)
--- a/internal/run/kqnode/rollout_drain.go
+++ b/internal/run/kqnode/rollout_drain.go
@@ -6,15 +6,15 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqspread"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqbroadcast"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqplan"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqprogress"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
 const (
-	topicWorking kqspread.Topic = "rollout.working"
+	topicWorking kqbroadcast.Topic = "rollout.working"
 
 	// doneSpreadTime is the time allowed for all nodes to learn that a rollout is done: its
 	// owner publishes it within a tick, and the flood takes some tens of milliseconds.
@@ -82,11 +82,11 @@
 
 // sendWorking notifies the nodes that report a finished rollout of calls in flight at its
 // old version on this server.
-func (r *rollouts) sendWorking(v kqboard.View, now time.Time) {
+func (r *rollouts) sendWorking(v kqtracker.PlanSnapshot, now time.Time) {
 	if r.node.adapter.Reports == nil || v.Plan.Duration == 0 || v.Progress.Final != kqprogress.Done {
 		return
 	}
-	if now.Sub(r.oldVersionDrains.markDone(v.Plan.ID, now)) > maxWorkingWatch || !r.node.gate.Working(v.Plan.Service, v.Plan.Old) {
+	if now.Sub(r.oldVersionDrains.markDone(v.Plan.ID, now)) > maxWorkingWatch || !r.node.gate.HasCalls(v.Plan.Service, v.Plan.IsOld) {
 		return
 	}
 	r.oldVersionDrains.markWorking(v.Plan.ID, now)
--- a/internal/run/kqnode/rollout_fault_test.go
+++ b/internal/run/kqnode/rollout_fault_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqfleet"
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqupstream"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -66,7 +66,7 @@
 			f.killed = s
 		}
 	}
-	if s := f.await(kqboard.Done); s.Owner == owner {
+	if s := f.await(kqtracker.Done); s.Owner == owner {
 		t.Errorf("done by owner %s, which was killed", owner)
 	}
 }
@@ -80,13 +80,13 @@
 	f.commit(0, rolloutPlan(time.Now(), 40*time.Second))
 	f.startLoad()
 	f.awaitAll("the small share of traffic", func(s *kqfleet.Server) bool { return rolloutShare(s) > 0 })
-	f.Platform.SetFaults(kqstandin.Faults{Down: true})
+	f.Platform.SetFaults(kqfakestore.Faults{Down: true})
 	for _, s := range f.next {
 		s.Upstream.SetBehaviour(kqupstream.Behaviour{Work: 2 * time.Millisecond, FailShare: 0.7})
 	}
 	f.awaitAll("no share of traffic", func(s *kqfleet.Server) bool { return rolloutShare(s) == 0 })
 	for _, s := range f.Servers() {
-		if list := s.Node.Rollouts(); list[0].State != kqboard.Running {
+		if list := s.Node.Rollouts(); list[0].State != kqtracker.Running {
 			t.Errorf("%s reports %q before it is stored", s.Spec.Node, list[0].State)
 		}
 	}
@@ -104,8 +104,8 @@
 	if after := upstreamRuns(f.next); after != before {
 		t.Errorf("a version without a share of the traffic ran %d more calls", after-before)
 	}
-	f.Platform.SetFaults(kqstandin.Faults{})
-	f.await(kqboard.TakenBack)
+	f.Platform.SetFaults(kqfakestore.Faults{})
+	f.await(kqtracker.FinalRollback)
 }
 
 // All upstreams of the new version and one of the old one drain at once while a rollout
@@ -126,7 +126,7 @@
 	if n := f.failed.Load(); n > 0 {
 		t.Errorf("%d calls failed", n)
 	}
-	if s.State == kqboard.Done {
+	if s.State == kqtracker.Done {
 		t.Errorf("the rollout to a version without upstreams is done: %+v", s)
 	}
 }
@@ -139,7 +139,7 @@
 	f := newRolloutFleet(t, kqupstream.Behaviour{Work: 30 * time.Millisecond})
 	f.commit(0, rolloutPlan(time.Now(), 90*time.Second))
 	f.startLoad()
-	if s := f.await(kqboard.TakenBack); !strings.Contains(s.Why, "far slower than a cold start") {
+	if s := f.await(kqtracker.FinalRollback); !strings.Contains(s.Why, "far slower than a cold start") {
 		t.Errorf("rolled back for another reason: %s", s.Why)
 	}
 }
--- a/internal/run/kqnode/rollout_message.go
+++ b/internal/run/kqnode/rollout_message.go
@@ -9,17 +9,17 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqspread"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqbroadcast"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqledger"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqplan"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqprogress"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
 const (
-	topicEvidence kqspread.Topic = "rollout.evidence"
-	topicProgress kqspread.Topic = "rollout.progress"
+	topicEvidence kqbroadcast.Topic = "rollout.evidence"
+	topicProgress kqbroadcast.Topic = "rollout.progress"
 
 	// answerPeriod bounds how often a node answers peers that lack progress, and
 	// answeringNodes how many nodes of a service answer. If all did, each restart would
@@ -47,15 +47,15 @@
 		Progress kqprogress.Progress `cbor:"2,keyasint"`
 		// Owner is true if the sender owns the rollout. Status then holds what operators
 		// read of it, for nodes that do not hold its service.
-		Owner  bool            `cbor:"3,keyasint,omitempty"`
-		Status *kqboard.Status `cbor:"4,keyasint,omitempty"`
+		Owner  bool              `cbor:"3,keyasint,omitempty"`
+		Status *kqtracker.Status `cbor:"4,keyasint,omitempty"`
 	}
 
 	// statusRelay keeps the rollout statuses that owners publish, so that operators can
 	// query any node. It is safe for concurrent use.
 	statusRelay struct {
 		mu       sync.Mutex
-		statuses map[kqname.Rollout]kqboard.Status
+		statuses map[kqname.Rollout]kqtracker.Status
 	}
 
 	// stateGauge counts the rollouts that a node holds, by state.
@@ -80,19 +80,19 @@
 }
 
 // collectsEvidence reports whether this node receives the evidence of all gates.
-func (r *rollouts) collectsEvidence(v kqboard.View) bool {
+func (r *rollouts) collectsEvidence(v kqtracker.PlanSnapshot) bool {
 	rank := r.rank(v.Plan.Service)
 	return rank >= 0 && rank < collectingNodes || v.Owner == r.node.settings.Node.Name
 }
 
 // report sends this gate's evidence to the nodes that weigh it.
-func (r *rollouts) report(v kqboard.View, m evidenceMessage) {
+func (r *rollouts) report(v kqtracker.PlanSnapshot, m evidenceMessage) {
 	r.sendToService(v, collectingNodes, topicEvidence, m)
 }
 
 // sendToService sends a message of a rollout to the first nodes of its service by name,
 // and to its owner.
-func (r *rollouts) sendToService(v kqboard.View, first int, topic kqspread.Topic, m any) {
+func (r *rollouts) sendToService(v kqtracker.PlanSnapshot, first int, topic kqbroadcast.Topic, m any) {
 	payload, err := cbor.Marshal(m)
 	if err != nil {
 		r.node.logger.Part("rollout").WithError(err).Warnf("Cannot encode a message of topic %s.", topic)
@@ -104,7 +104,7 @@
 			to = append(to, n.Control)
 		}
 	}
-	r.node.spreader.Send(context.Background(), topic, payload, to)
+	r.node.spreader.SendDirect(context.Background(), topic, payload, to)
 }
 
 func (r *rollouts) handleEvidence(_ kqname.Node, payload []byte) {
@@ -126,7 +126,7 @@
 		r.relayed.store(*m.Status)
 	}
 	if m.Owner {
-		r.board.Owned(m.Plan, from, now)
+		r.board.SetOwner(m.Plan, from, now)
 	}
 	if _, stale := r.board.Join(m.Plan, m.Progress); stale {
 		r.answerStale(m.Plan, now)
@@ -146,7 +146,7 @@
 
 // publish floods a message to all nodes. Each message holds the whole state, so that the
 // next one makes up for a lost one.
-func (r *rollouts) publish(topic kqspread.Topic, message any) {
+func (r *rollouts) publish(topic kqbroadcast.Topic, message any) {
 	payload, err := cbor.Marshal(message)
 	if err != nil {
 		r.node.logger.Part("rollout").WithError(err).Warn("Cannot encode a message.")
@@ -155,11 +155,11 @@
 	r.node.spreader.Publish(context.Background(), topic, payload)
 }
 
-func (l *statusRelay) store(s kqboard.Status) {
+func (l *statusRelay) store(s kqtracker.Status) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.statuses == nil {
-		l.statuses = make(map[kqname.Rollout]kqboard.Status)
+		l.statuses = make(map[kqname.Rollout]kqtracker.Status)
 	}
 	if _, ok := l.statuses[s.Rollout]; ok || len(l.statuses) < maxRelayed {
 		l.statuses[s.Rollout] = s
@@ -167,15 +167,15 @@
 }
 
 // mergeInto adds the relayed statuses of other rollouts to a node's own, and sorts them.
-func (l *statusRelay) mergeInto(own []kqboard.Status) []kqboard.Status {
+func (l *statusRelay) mergeInto(own []kqtracker.Status) []kqtracker.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, s := range l.statuses {
-		if !slices.ContainsFunc(own, func(o kqboard.Status) bool { return o.Rollout == name }) {
+		if !slices.ContainsFunc(own, func(o kqtracker.Status) bool { return o.Rollout == name }) {
 			own = append(own, s)
 		}
 	}
-	slices.SortFunc(own, kqboard.Compare)
+	slices.SortFunc(own, kqtracker.Compare)
 	return own
 }
 
@@ -188,11 +188,11 @@
 
 // Collect implements prometheus.Collector.
 func (g *stateGauge) Collect(out chan<- prometheus.Metric) {
-	counts := make(map[kqboard.State]int)
+	counts := make(map[kqtracker.State]int)
 	for _, s := range g.rollouts.board.Statuses(time.Now()) {
 		counts[s.State]++
 	}
-	for _, state := range []kqboard.State{kqboard.Pending, kqboard.Running, kqboard.Done, kqboard.TakenBack} {
+	for _, state := range []kqtracker.State{kqtracker.Pending, kqtracker.Running, kqtracker.Done, kqtracker.FinalRollback} {
 		out <- prometheus.MustNewConstMetric(g.desc, prometheus.GaugeValue, float64(counts[state]), string(state))
 	}
 }
--- a/internal/run/kqnode/rollout_report.go
+++ b/internal/run/kqnode/rollout_report.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqprogress"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
@@ -20,22 +20,22 @@
 // read it there. A final state is reported only once it is settled, so that all nodes
 // report the same one. A rollout is reported as done only once no call is in flight at
 // its old version, since operators then stop the old upstreams.
-func (r *rollouts) reportOrder(ctx context.Context, v kqboard.View, rank int, now time.Time) {
-	if r.node.adapter.Reports == nil || v.Plan.Duration == 0 || v.Gone {
+func (r *rollouts) reportOrder(ctx context.Context, v kqtracker.PlanSnapshot, rank int, now time.Time) {
+	if r.node.adapter.Reports == nil || v.Plan.Duration == 0 || v.Removed {
 		return
 	}
-	state := kqboard.Running
+	state := kqtracker.Running
 	switch v.Progress.Final {
 	case kqprogress.Done:
-		state = kqboard.Done
-	case kqprogress.TakenBack:
-		state = kqboard.TakenBack
+		state = kqtracker.Done
+	case kqprogress.FinalRollback:
+		state = kqtracker.FinalRollback
 	}
-	owner, _ := r.owner.Holds(v.Plan.ID, now)
-	if r.reportedStates[v.Plan.ID] == state || rank < 0 || !owner && (state == kqboard.Running || rank >= reportingNodes) {
+	owner, _ := r.owner.HoldsLease(v.Plan.ID, now)
+	if r.reportedStates[v.Plan.ID] == state || rank < 0 || !owner && (state == kqtracker.Running || rank >= reportingNodes) {
 		return
 	}
-	if state == kqboard.Done && !r.oldVersionDrains.isOver(v.Plan, now) {
+	if state == kqtracker.Done && !r.oldVersionDrains.isOver(v.Plan, now) {
 		return
 	}
 	if err := r.writeReport(ctx, v, state); err != nil {
@@ -46,7 +46,7 @@
 	r.node.logger.Part("rollout").Infof("Reported that order %s of %s is %s.", v.Plan.Name, v.Plan.Service, state)
 }
 
-func (r *rollouts) writeReport(ctx context.Context, v kqboard.View, state kqboard.State) error {
+func (r *rollouts) writeReport(ctx context.Context, v kqtracker.PlanSnapshot, state kqtracker.State) error {
 	key, value, err := r.node.adapter.Reports.Report(v.Plan.Service, v.Plan.To, state)
 	if err != nil {
 		return fmt.Errorf("report order %s: %w", v.Plan.Name, err)
--- a/internal/run/kqnode/rollout_test.go
+++ b/internal/run/kqnode/rollout_test.go
@@ -14,7 +14,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/config/kqcommit"
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqfleet"
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqupstream"
-	"github.com/kumquatgw/kumquatgw/internal/rollout/kqboard"
+	"github.com/kumquatgw/kumquatgw/internal/rollout/kqtracker"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -122,15 +122,15 @@
 }
 
 // awaitEnd waits until every node reports the same final state.
-func (f *rolloutFleet) awaitEnd() kqboard.Status {
+func (f *rolloutFleet) awaitEnd() kqtracker.Status {
 	f.t.Helper()
-	return f.await(kqboard.Done, kqboard.TakenBack)
+	return f.await(kqtracker.Done, kqtracker.FinalRollback)
 }
 
-func (f *rolloutFleet) await(want ...kqboard.State) kqboard.Status {
+func (f *rolloutFleet) await(want ...kqtracker.State) kqtracker.Status {
 	f.t.Helper()
 	servers := slices.DeleteFunc(f.Servers(), func(s *kqfleet.Server) bool { return s == f.killed })
-	var last []kqboard.Status
+	var last []kqtracker.Status
 	for end := time.Now().Add(rolloutTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		agreed := 0
 		first := servers[0].Node.Rollouts()
@@ -145,7 +145,7 @@
 		}
 	}
 	f.t.Fatalf("not all nodes report the rollout as %q; %d calls failed; last %+v", want, f.failed.Load(), last)
-	return kqboard.Status{}
+	return kqtracker.Status{}
 }
 
 // A team starts a healthy new version next to the old one, with a deadline for moving the
@@ -156,7 +156,7 @@
 	f := newRolloutFleet(t, kqupstream.Behaviour{Work: 2 * time.Millisecond})
 	f.commit(0, rolloutPlan(time.Now().Add(time.Second), 5*time.Second))
 	f.startLoad()
-	f.await(kqboard.Done)
+	f.await(kqtracker.Done)
 	if n := f.failed.Load(); n > 0 {
 		t.Errorf("%d calls failed during the rollout of a healthy version", n)
 	}
@@ -176,7 +176,7 @@
 	f := newRolloutFleet(t, kqupstream.Behaviour{Work: 2 * time.Millisecond, FailShare: 0.5})
 	f.commit(0, rolloutPlan(time.Now(), 30*time.Second))
 	f.startLoad()
-	s := f.await(kqboard.TakenBack)
+	s := f.await(kqtracker.FinalRollback)
 	if s.Share != 0 || s.Step > 1 {
 		t.Errorf("rolled back at step %d with share %v, want step 1 at most and no share", s.Step, s.Share)
 	}
--- a/internal/run/kqnode/tls.go
+++ b/internal/run/kqnode/tls.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/kumquatgw/kumquatgw/internal/call/kqentry"
-	"github.com/kumquatgw/kumquatgw/internal/peer/kqpeer"
+	"github.com/kumquatgw/kumquatgw/internal/peer/kqrpc"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqmetric"
 	"github.com/kumquatgw/kumquatgw/internal/security/kqidentity"
 	"github.com/kumquatgw/kumquatgw/internal/security/kqreload"
@@ -23,11 +23,11 @@
 	log := n.logger.Part("tls")
 	files := kqidentity.Files{CA: n.settings.TLS.CA, Certificate: n.settings.TLS.Certificate, Key: n.settings.TLS.Key}
 	identity, err := kqidentity.New(n.settings.Node.Name, files,
-		kqidentity.WithRefused(func(err error) {
+		kqidentity.WithRefusalHandler(func(err error) {
 			n.security.PeerRefused()
 			log.WithError(err).Warn("Refused a peer's certificate.")
 		}),
-		kqidentity.WithReload(kqreload.WithEvery(n.settings.TLS.ReloadEvery), kqreload.WithFailed(func(err error) {
+		kqidentity.WithReload(kqreload.WithInterval(n.settings.TLS.ReloadEvery), kqreload.WithFailureHandler(func(err error) {
 			n.security.ReloadFailed("certificate")
 			log.WithError(err).Warn("Cannot load the certificate files; the current certificate stays in use.")
 		})))
@@ -35,22 +35,22 @@
 		return fmt.Errorf("set up tls: %w", err)
 	}
 	n.identity = identity
-	n.listeners.gate = tls.NewListener(n.listeners.gate, identity.Mutual())
+	n.listeners.gate = tls.NewListener(n.listeners.gate, identity.MutualTLSConfig())
 	return nil
 }
 
-func (n *Node) peerServerOptions() []kqpeer.ServerOption {
+func (n *Node) peerServerOptions() []kqrpc.ServerOption {
 	if n.identity == nil {
 		return nil
 	}
-	return []kqpeer.ServerOption{kqpeer.WithGuard(n.identity.Accept)}
+	return []kqrpc.ServerOption{kqrpc.WithGuard(n.identity.Accept)}
 }
 
-func (n *Node) peerClientOptions() []kqpeer.ClientOption {
+func (n *Node) peerClientOptions() []kqrpc.ClientOption {
 	if n.identity == nil {
 		return nil
 	}
-	return []kqpeer.ClientOption{kqpeer.WithClientGuard(n.identity.Connect)}
+	return []kqrpc.ClientOption{kqrpc.WithClientGuard(n.identity.Connect)}
 }
 
 func (n *Node) entryTLSOptions() []kqentry.Option {
@@ -71,7 +71,7 @@
 	if n.identity == nil {
 		return nil
 	}
-	return n.identity.Public()
+	return n.identity.PublicTLSConfig()
 }
 
 func (n *Node) certificateExpiry() time.Time {
--- a/internal/run/kqnode/tls_test.go
+++ b/internal/run/kqnode/tls_test.go
@@ -278,7 +278,7 @@
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(awaitTimeout))
 	fmt.Fprintf(conn, "GET / HTTP/1.1\r\nHost: store\r\n%s: %s\r\n"+
-		"Kq-Call: x;outsider;store;store;;;i;;;5000000;0;\r\n\r\n", kqupstream.HeaderWork, work)
+		"Kq-Call: x;outsider;store;store;;;i;;;5000000;0;\r\n\r\n", kqupstream.HeaderWorkID, work)
 	answer := make([]byte, 512)
 	n, err := conn.Read(answer)
 	return string(answer[:n]), err
--- a/internal/run/kqnode/unwritten_test.go
+++ b/internal/run/kqnode/unwritten_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/kumquatgw/kumquatgw/internal/run/kqnode"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqsettings"
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 )
 
 // Log lines are lost when the log's collector stalls. The log itself cannot show that, so
@@ -15,7 +15,7 @@
 	s := kqsettings.Default()
 	s.Node.Name, s.Node.Domain = "counted", "one"
 	s.Node.EntryListen, s.Node.LocalListen, s.Node.GateListen, s.Node.ControlListen = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
-	n, err := kqnode.New(s, kqstandin.New(), kqnode.WithUnwritten(func() uint64 { return 7 }))
+	n, err := kqnode.New(s, kqfakestore.New(), kqnode.WithUnwrittenLines(func() uint64 { return 7 }))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/run/kqrecord/record.go
+++ b/internal/run/kqrecord/record.go
@@ -48,12 +48,12 @@
 // suppressed lines.
 func New(callLog, gateLog *logrus.Entry, sampleEvery, linesPerReason int, counter Counter) *Recorder {
 	r := &Recorder{callLog: callLog, gateLog: gateLog, counter: counter, windows: make(map[string]*rateWindow)}
-	r.Set(sampleEvery, linesPerReason)
+	r.SetLimits(sampleEvery, linesPerReason)
 	return r
 }
 
-// Set changes the sampling and the rate limit.
-func (r *Recorder) Set(sampleEvery, linesPerReason int) {
+// SetLimits changes the sampling and the rate limit.
+func (r *Recorder) SetLimits(sampleEvery, linesPerReason int) {
 	r.sampleEvery.Store(int64(sampleEvery))
 	r.linesPerReason.Store(int64(linesPerReason))
 }
@@ -85,8 +85,8 @@
 	r.callLog.WithFields(fields).Info("Call ended.")
 }
 
-// Gated implements kqgate.Recorder: it logs a call that ended at the gate.
-func (r *Recorder) Gated(g kqgate.Record, now time.Time) {
+// GateCallEnded implements kqgate.Recorder: it logs a call that ended at the gate.
+func (r *Recorder) GateCallEnded(g kqgate.Record, now time.Time) {
 	r.counter.Took("queue", g.Waited)
 	if g.Took > 0 {
 		r.counter.Took("upstream", g.Took)
@@ -142,9 +142,9 @@
 	lines := make([]map[string]any, 0, len(list))
 	for _, t := range list {
 		line := map[string]any{
-			"to": t.To, "sent": t.Sent, "running": t.Load.Running, "waiting": t.Load.Waiting, "slots": t.Load.Slots,
-			"load_age_ms": milliseconds(t.LoadAge), "left_ms": milliseconds(t.Left), "took_ms": milliseconds(t.Took), "result": t.Outcome.Result,
-			"again": t.Again, "upstream_version": t.Version,
+			"to": t.To, "sent": t.InFlight, "running": t.Load.Running, "waiting": t.Load.Waiting, "slots": t.Load.Slots,
+			"load_age_ms": milliseconds(t.LoadAge), "left_ms": milliseconds(t.TimeLeft), "took_ms": milliseconds(t.Took), "result": t.Outcome.Result,
+			"again": t.Resent, "upstream_version": t.Version,
 		}
 		if t.Outcome.Reason != kqcall.NoReason {
 			line["reason"] = t.Outcome.Reason
--- a/internal/run/kqrecord/record_test.go
+++ b/internal/run/kqrecord/record_test.go
@@ -67,7 +67,7 @@
 	for i := range 400 {
 		id := fmt.Sprint("call-", i)
 		entry.Ended(endedCall(id, kqcall.OK(), 200), now)
-		gate.Gated(kqgate.Record{Call: &kqcall.Call{ID: kqcall.ID(id)}, Outcome: kqcall.OK(), Status: 200}, now)
+		gate.GateCallEnded(kqgate.Record{Call: &kqcall.Call{ID: kqcall.ID(id)}, Outcome: kqcall.OK(), Status: 200}, now)
 		quoted := fmt.Sprintf(`"id":%q`, id)
 		if strings.Contains(first.String(), quoted) != strings.Contains(second.String(), quoted) {
 			t.Errorf("%s is logged on one node only", id)
--- a/internal/run/kqsettings/non_default.go
+++ b/internal/run/kqsettings/non_default.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// Shown returns the settings that differ from their defaults, by "section.key",
+// NonDefaults returns the settings that differ from their defaults, by "section.key",
 // for the log. No setting is secret: keys and tokens are kept in separate files.
-func (s Settings) Shown() map[string]string {
+func (s Settings) NonDefaults() map[string]string {
 	standard := Default()
 	defaults := fields(&standard)
 	changed := make(map[string]string)
--- a/internal/run/kqsettings/settings.go
+++ b/internal/run/kqsettings/settings.go
@@ -29,8 +29,8 @@
 		Domain         kqname.Domain  `key:"domain" required:"true" doc:"Failure domain of this server."`
 		Region         kqname.Region  `key:"region" default:"default" doc:"Region of this server."`
 		Service        kqname.Service `key:"service" doc:"Service of the upstream on this server; its configuration is always held."`
-		Link           float64        `key:"link" default:"0" min:"0" max:"1000000" doc:"Bandwidth of this server's link in Mbit/s; 0 states none. Those with the widest links read the platform's service for the others."`
-		Cores          float64        `key:"cores" default:"0" min:"0" max:"1024" doc:"Share of cores that this node may use; 0 states none."`
+		LinkMbits      float64        `key:"link" default:"0" min:"0" max:"1000000" doc:"Bandwidth of this server's link in Mbit/s; 0 states none. Those with the widest links read the platform's service for the others."`
+		CoreShare      float64        `key:"cores" default:"0" min:"0" max:"1024" doc:"Share of cores that this node may use; 0 states none."`
 		EntryListen    kqname.Address `key:"entry_listen" default:"127.0.0.1:8080" doc:"Where callers from outside connect."`
 		LocalListen    kqname.Address `key:"local_listen" default:"127.0.0.1:8081" doc:"Where the local upstream announces itself and makes calls; loopback only."`
 		GateListen     kqname.Address `key:"gate_listen" default:"127.0.0.1:8082" doc:"Where other nodes send calls for the local upstream."`
--- a/internal/run/kqearly/early.go
+++ b/internal/run/kqsighup/early.go
@@ -1,7 +1,7 @@
-// Package kqearly keeps a node's process alive when it gets the reload signal, SIGHUP,
+// Package kqsighup keeps a node's process alive when it gets the reload signal, SIGHUP,
 // during its start: by default the signal would end a process that does not listen for it
 // yet. Main packages import it for its side effect.
-package kqearly
+package kqsighup
 
 import (
 	"os"
--- a/internal/run/kqearly/early_test.go
+++ b/internal/run/kqsighup/early_test.go
@@ -1,4 +1,4 @@
-package kqearly_test
+package kqsighup_test
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	_ "github.com/kumquatgw/kumquatgw/internal/run/kqearly"
+	_ "github.com/kumquatgw/kumquatgw/internal/run/kqsighup"
 )
 
 const childVariable = "KQEARLY_CHILD"
--- a/internal/security/kqidentity/identity.go
+++ b/internal/security/kqidentity/identity.go
@@ -70,8 +70,8 @@
 	return func(cfg *options) { cfg.reload = append(cfg.reload, o...) }
 }
 
-// WithRefused sets a function that is called with the reason for each refused peer.
-func WithRefused(f func(error)) Option { return func(cfg *options) { cfg.onRefused = f } }
+// WithRefusalHandler sets a function that is called with the reason for each refused peer.
+func WithRefusalHandler(f func(error)) Option { return func(cfg *options) { cfg.onRefused = f } }
 
 // New loads the identity of a node. The certificate must name that node.
 func New(node kqname.Node, files Files, opts ...Option) (*Identity, error) {
@@ -94,17 +94,17 @@
 // Expires returns when the certificate in use expires.
 func (i *Identity) Expires() time.Time { return i.loaded.Load().certificate.Leaf.NotAfter }
 
-// Public returns the TLS configuration for connections from operators, who
+// PublicTLSConfig returns the TLS configuration for connections from operators, who
 // authenticate by token and not by certificate.
-func (i *Identity) Public() *tls.Config {
+func (i *Identity) PublicTLSConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12, NextProtos: []string{"http/1.1"},
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return i.loaded.Load().certificate, nil },
 	}
 }
 
-// Mutual returns the TLS configuration for connections from other nodes.
-func (i *Identity) Mutual() *tls.Config {
+// MutualTLSConfig returns the TLS configuration for connections from other nodes.
+func (i *Identity) MutualTLSConfig() *tls.Config {
 	return &tls.Config{
 		// VerifyConnection also refuses connections without a certificate. Unlike
 		// tls.RequireAnyClientCert, it reports them to onRefused.
@@ -117,7 +117,7 @@
 // Accept performs the TLS handshake of a connection from another node and returns
 // the authenticated node.
 func (i *Identity) Accept(ctx context.Context, conn net.Conn) (net.Conn, kqname.Node, error) {
-	secured := tls.Server(conn, i.Mutual())
+	secured := tls.Server(conn, i.MutualTLSConfig())
 	if err := secured.HandshakeContext(ctx); err != nil {
 		// Other errors are reported here, such as a refusal by the other end: a node
 		// of another fleet may refuse this node's certificate first. ErrForeign was
--- a/internal/security/kqreload/reload.go
+++ b/internal/security/kqreload/reload.go
@@ -28,12 +28,12 @@
 	Option func(*Reloader)
 )
 
-// WithEvery sets the polling interval.
-func WithEvery(d time.Duration) Option { return func(r *Reloader) { r.interval = d } }
+// WithInterval sets the polling interval.
+func WithInterval(d time.Duration) Option { return func(r *Reloader) { r.interval = d } }
 
-// WithFailed sets a function that is called with the error of each failed poll or
+// WithFailureHandler sets a function that is called with the error of each failed poll or
 // load. The content loaded before stays in use.
-func WithFailed(f func(error)) Option { return func(r *Reloader) { r.onFailure = f } }
+func WithFailureHandler(f func(error)) Option { return func(r *Reloader) { r.onFailure = f } }
 
 // New calls load for the first time and returns the reloader and the error of that
 // load.
--- a/internal/security/kqthrottle/throttle.go
+++ b/internal/security/kqthrottle/throttle.go
@@ -41,8 +41,8 @@
 	return time.Duration((1 - l.TokensAt(now)) * float64(refillInterval))
 }
 
-// Failed records a failure of the source.
-func (t *Throttle) Failed(source string, now time.Time) {
+// RecordFailure records a failure of the source.
+func (t *Throttle) RecordFailure(source string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l, ok := t.sources[source]
--- a/internal/store/kqstandin/count.go
+++ b/internal/store/kqfakestore/count.go
@@ -1,4 +1,4 @@
-package kqstandin
+package kqfakestore
 
 import (
 	"context"
@@ -24,7 +24,7 @@
 }
 
 // Counts returns the number of calls received since the start.
-func (s *Standin) Counts() Counts {
+func (s *Fake) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
@@ -33,7 +33,7 @@
 // begin applies the delay of the fault Slow, counts the call and refuses it under the
 // faults Down, MaxReads and MaxWrites. If it returns nil, it has expired leases and
 // holds the lock.
-func (s *Standin) begin(ctx context.Context, count func(*Standin) bool) error {
+func (s *Fake) begin(ctx context.Context, count func(*Fake) bool) error {
 	if slow := s.Faults().Slow; slow > 0 {
 		select {
 		case <-ctx.Done():
@@ -61,7 +61,7 @@
 }
 
 // countRead counts a read and reports whether it is within MaxReads.
-func (s *Standin) countRead() bool {
+func (s *Fake) countRead() bool {
 	c := &s.counts
 	c.Reads++
 	c.secondReads++
@@ -70,13 +70,13 @@
 }
 
 // countWatch counts a watch, which is a read too.
-func (s *Standin) countWatch() bool {
+func (s *Fake) countWatch() bool {
 	s.counts.Watches++
 	return s.countRead()
 }
 
 // countWrite counts a write and reports whether it is within MaxWrites.
-func (s *Standin) countWrite() bool {
+func (s *Fake) countWrite() bool {
 	c := &s.counts
 	c.Writes++
 	c.secondWrites++
--- a/internal/store/kqstandin/lease.go
+++ b/internal/store/kqfakestore/lease.go
@@ -1,4 +1,4 @@
-package kqstandin
+package kqfakestore
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 }
 
 // Grant implements kqstore.Store.
-func (s *Standin) Grant(ctx context.Context, ttl time.Duration) (kqstore.Lease, error) {
-	if err := s.begin(ctx, (*Standin).countWrite); err != nil {
+func (s *Fake) Grant(ctx context.Context, ttl time.Duration) (kqstore.Lease, error) {
+	if err := s.begin(ctx, (*Fake).countWrite); err != nil {
 		return "", fmt.Errorf("grant lease: %w", err)
 	}
 	defer s.mu.Unlock()
@@ -30,8 +30,8 @@
 }
 
 // Renew implements kqstore.Store.
-func (s *Standin) Renew(ctx context.Context, name kqstore.Lease) error {
-	if err := s.begin(ctx, (*Standin).countWrite); err != nil {
+func (s *Fake) Renew(ctx context.Context, name kqstore.Lease) error {
+	if err := s.begin(ctx, (*Fake).countWrite); err != nil {
 		return fmt.Errorf("renew %s: %w", name, err)
 	}
 	defer s.mu.Unlock()
@@ -45,7 +45,7 @@
 }
 
 // lapse deletes the leases for which expired returns true, together with their keys.
-func (s *Standin) lapse(expired func(lease) bool) {
+func (s *Fake) lapse(expired func(lease) bool) {
 	for name, l := range s.leases {
 		if !expired(l) {
 			continue
--- a/internal/store/kqstandin/list.go
+++ b/internal/store/kqfakestore/list.go
@@ -1,4 +1,4 @@
-package kqstandin
+package kqfakestore
 
 import (
 	"cmp"
@@ -12,15 +12,15 @@
 )
 
 // Compact drops the history: Follow from an older revision returns ErrCompacted.
-func (s *Standin) Compact() {
+func (s *Fake) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deleted, s.compactedAt = nil, s.revision
 }
 
 // List implements kqstore.Lister.
-func (s *Standin) List(ctx context.Context, prefix string) (kqstore.Listing, error) {
-	if err := s.begin(ctx, (*Standin).countRead); err != nil {
+func (s *Fake) List(ctx context.Context, prefix string) (kqstore.Listing, error) {
+	if err := s.begin(ctx, (*Fake).countRead); err != nil {
 		return kqstore.Listing{}, fmt.Errorf("list %s: %w", prefix, err)
 	}
 	defer s.mu.Unlock()
@@ -28,15 +28,15 @@
 }
 
 // Follow implements kqstore.Lister.
-func (s *Standin) Follow(ctx context.Context, prefix string, after kqstore.Revision, wait time.Duration) (kqstore.Listing, error) {
+func (s *Fake) Follow(ctx context.Context, prefix string, after kqstore.Revision, wait time.Duration) (kqstore.Listing, error) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
-	count := (*Standin).countWatch
+	count := (*Fake).countWatch
 	for {
 		if err := s.begin(ctx, count); err != nil {
 			return kqstore.Listing{}, fmt.Errorf("follow %s: %w", prefix, err)
 		}
-		count = func(*Standin) bool { return true }
+		count = func(*Fake) bool { return true }
 		compacted, silent, changed := after < s.compactedAt, s.faults.SilentWatch, s.changed
 		l := s.changesSince(prefix, after)
 		s.mu.Unlock()
@@ -58,7 +58,7 @@
 
 // changesSince returns the keys under the prefix that were written or deleted after a
 // revision, entries and deletions each in the order of their changes.
-func (s *Standin) changesSince(prefix string, after kqstore.Revision) kqstore.Listing {
+func (s *Fake) changesSince(prefix string, after kqstore.Revision) kqstore.Listing {
 	l := kqstore.Listing{Revision: s.revision}
 	for key := range s.entries {
 		if e, ok := s.read(key); ok && strings.HasPrefix(key, prefix) && e.Revision > after {
--- a/internal/store/kqstandin/serve.go
+++ b/internal/store/kqfakestore/serve.go
@@ -1,4 +1,4 @@
-package kqstandin
+package kqfakestore
 
 import (
 	"context"
@@ -50,7 +50,7 @@
 
 // Handler serves the stand-in as JSON over HTTP: POST /v1/{get,put,swap,delete,
 // grant,renew,watch}, GET and PUT /faults, and GET /counts.
-func (s *Standin) Handler() http.Handler {
+func (s *Fake) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/{verb}", s.serveVerb)
 	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { reply(w, http.StatusOK, s.Counts()) })
@@ -70,7 +70,7 @@
 	return mux
 }
 
-func (s *Standin) serveVerb(w http.ResponseWriter, r *http.Request) {
+func (s *Fake) serveVerb(w http.ResponseWriter, r *http.Request) {
 	var c Call
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&c)
 	var over *http.MaxBytesError
@@ -98,7 +98,7 @@
 
 // serve runs one call. WaitMS is the wait of a watch or the ttl of a lease, at most
 // maxWait.
-func (s *Standin) serve(ctx context.Context, verb string, c Call) (a Answer, err error) {
+func (s *Fake) serve(ctx context.Context, verb string, c Call) (a Answer, err error) {
 	wait := min(time.Duration(max(c.WaitMS, 0))*time.Millisecond, maxWait)
 	switch verb {
 	case "get":
--- a/internal/store/kqstandin/standin.go
+++ b/internal/store/kqfakestore/standin.go
@@ -1,4 +1,4 @@
-package kqstandin
+package kqfakestore
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 )
 
 type (
-	// Standin is an in-memory key-value service. It implements kqstore.Store and
+	// Fake is an in-memory key-value service. It implements kqstore.Store and
 	// kqstore.Lister, and is safe for concurrent use.
-	Standin struct {
+	Fake struct {
 		mu       sync.Mutex
 		entries  map[string]record
 		leases   map[kqstore.Lease]lease
@@ -35,9 +35,9 @@
 		Down bool `json:"down"`
 		// Slow is the delay of each call.
 		Slow time.Duration `json:"slow"`
-		// LoseAnswers is the number of writes that take effect but return
+		// LoseResponses is the number of writes that take effect but return
 		// ErrUnavailable.
-		LoseAnswers int `json:"lose_answers"`
+		LoseResponses int `json:"lose_answers"`
 		// SilentWatch keeps watches waiting although their key has changed.
 		SilentWatch bool `json:"silent_watch"`
 		// StaleReads makes reads and watches return the value of each key before
@@ -53,7 +53,7 @@
 	}
 
 	// Option configures a Standin.
-	Option func(*Standin)
+	Option func(*Fake)
 
 	deletion struct {
 		key      string
@@ -69,11 +69,11 @@
 )
 
 // WithNow sets the clock; the default is time.Now.
-func WithNow(now func() time.Time) Option { return func(s *Standin) { s.now = now } }
+func WithNow(now func() time.Time) Option { return func(s *Fake) { s.now = now } }
 
 // New returns an empty stand-in without faults.
-func New(options ...Option) *Standin {
-	s := &Standin{
+func New(options ...Option) *Fake {
+	s := &Fake{
 		entries: make(map[string]record),
 		leases:  make(map[kqstore.Lease]lease),
 		changed: make(chan struct{}),
@@ -86,7 +86,7 @@
 }
 
 // SetFaults replaces the injected faults.
-func (s *Standin) SetFaults(f Faults) {
+func (s *Fake) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f.LapseLeases {
@@ -98,15 +98,15 @@
 }
 
 // Faults returns the injected faults.
-func (s *Standin) Faults() Faults {
+func (s *Fake) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
 // Get implements kqstore.Store.
-func (s *Standin) Get(ctx context.Context, key string) (kqstore.Entry, error) {
-	if err := s.begin(ctx, (*Standin).countRead); err != nil {
+func (s *Fake) Get(ctx context.Context, key string) (kqstore.Entry, error) {
+	if err := s.begin(ctx, (*Fake).countRead); err != nil {
 		return kqstore.Entry{}, fmt.Errorf("get %s: %w", key, err)
 	}
 	defer s.mu.Unlock()
@@ -118,8 +118,8 @@
 }
 
 // Put implements kqstore.Store.
-func (s *Standin) Put(ctx context.Context, key string, value []byte, lease kqstore.Lease) (kqstore.Revision, error) {
-	if err := s.begin(ctx, (*Standin).countWrite); err != nil {
+func (s *Fake) Put(ctx context.Context, key string, value []byte, lease kqstore.Lease) (kqstore.Revision, error) {
+	if err := s.begin(ctx, (*Fake).countWrite); err != nil {
 		return 0, fmt.Errorf("put %s: %w", key, err)
 	}
 	defer s.mu.Unlock()
@@ -127,8 +127,8 @@
 }
 
 // Swap implements kqstore.Store.
-func (s *Standin) Swap(ctx context.Context, key string, expected kqstore.Revision, value []byte, lease kqstore.Lease) (kqstore.Revision, error) {
-	if err := s.begin(ctx, (*Standin).countWrite); err != nil {
+func (s *Fake) Swap(ctx context.Context, key string, expected kqstore.Revision, value []byte, lease kqstore.Lease) (kqstore.Revision, error) {
+	if err := s.begin(ctx, (*Fake).countWrite); err != nil {
 		return 0, fmt.Errorf("swap %s: %w", key, err)
 	}
 	defer s.mu.Unlock()
@@ -139,8 +139,8 @@
 }
 
 // Delete implements kqstore.Store.
-func (s *Standin) Delete(ctx context.Context, key string, expected kqstore.Revision) error {
-	if err := s.begin(ctx, (*Standin).countWrite); err != nil {
+func (s *Fake) Delete(ctx context.Context, key string, expected kqstore.Revision) error {
+	if err := s.begin(ctx, (*Fake).countWrite); err != nil {
 		return fmt.Errorf("delete %s: %w", key, err)
 	}
 	defer s.mu.Unlock()
@@ -159,15 +159,15 @@
 }
 
 // Watch implements kqstore.Store.
-func (s *Standin) Watch(ctx context.Context, key string, after kqstore.Revision, wait time.Duration) (kqstore.Entry, error) {
+func (s *Fake) Watch(ctx context.Context, key string, after kqstore.Revision, wait time.Duration) (kqstore.Entry, error) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
-	count := (*Standin).countWatch
+	count := (*Fake).countWatch
 	for {
 		if err := s.begin(ctx, count); err != nil {
 			return kqstore.Entry{}, fmt.Errorf("watch %s: %w", key, err)
 		}
-		count = func(*Standin) bool { return true }
+		count = func(*Fake) bool { return true }
 		e, ok := s.read(key)
 		silent := s.faults.SilentWatch
 		changed := s.changed
@@ -186,7 +186,7 @@
 }
 
 // read returns a key's entry, or its previous one under the fault StaleReads.
-func (s *Standin) read(key string) (kqstore.Entry, bool) {
+func (s *Fake) read(key string) (kqstore.Entry, bool) {
 	r, ok := s.entries[key]
 	if !ok {
 		return kqstore.Entry{}, false
@@ -201,7 +201,7 @@
 }
 
 // write stores a value under the next revision and wakes the watches.
-func (s *Standin) write(key string, value []byte, name kqstore.Lease) (kqstore.Revision, error) {
+func (s *Fake) write(key string, value []byte, name kqstore.Lease) (kqstore.Revision, error) {
 	if len(value) > kqstore.MaxValueBytes {
 		return 0, fmt.Errorf("write %s of %d bytes: %w", key, len(value), kqstore.ErrTooLarge)
 	}
@@ -220,16 +220,16 @@
 
 // writeResult returns the result of a write that has taken effect: nil, or an error
 // under the fault LoseAnswers.
-func (s *Standin) writeResult() error {
-	if s.faults.LoseAnswers > 0 {
-		s.faults.LoseAnswers--
+func (s *Fake) writeResult() error {
+	if s.faults.LoseResponses > 0 {
+		s.faults.LoseResponses--
 		return fmt.Errorf("answer lost by injected fault: %w", kqstore.ErrUnavailable)
 	}
 	return nil
 }
 
 // wake wakes all waiting watches, which then check their keys again.
-func (s *Standin) wake() {
+func (s *Fake) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/internal/store/kqstoreclient/client.go
+++ b/internal/store/kqstoreclient/client.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
@@ -40,50 +40,50 @@
 
 // Get implements kqstore.Store.
 func (c *Client) Get(ctx context.Context, key string) (kqstore.Entry, error) {
-	a, err := c.call(ctx, "get", kqstandin.Call{Key: key}, 0)
+	a, err := c.call(ctx, "get", kqfakestore.Call{Key: key}, 0)
 	return a.Entry, err
 }
 
 // Put implements kqstore.Store.
 func (c *Client) Put(ctx context.Context, key string, value []byte, lease kqstore.Lease) (kqstore.Revision, error) {
-	a, err := c.call(ctx, "put", kqstandin.Call{Key: key, Value: value, Lease: lease}, 0)
+	a, err := c.call(ctx, "put", kqfakestore.Call{Key: key, Value: value, Lease: lease}, 0)
 	return a.Revision, err
 }
 
 // Swap implements kqstore.Store.
 func (c *Client) Swap(ctx context.Context, key string, expected kqstore.Revision, value []byte, lease kqstore.Lease) (kqstore.Revision, error) {
-	a, err := c.call(ctx, "swap", kqstandin.Call{Key: key, Expected: expected, Value: value, Lease: lease}, 0)
+	a, err := c.call(ctx, "swap", kqfakestore.Call{Key: key, Expected: expected, Value: value, Lease: lease}, 0)
 	return a.Revision, err
 }
 
 // Delete implements kqstore.Store.
 func (c *Client) Delete(ctx context.Context, key string, expected kqstore.Revision) error {
-	_, err := c.call(ctx, "delete", kqstandin.Call{Key: key, Expected: expected}, 0)
+	_, err := c.call(ctx, "delete", kqfakestore.Call{Key: key, Expected: expected}, 0)
 	return err
 }
 
 // Grant implements kqstore.Store.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (kqstore.Lease, error) {
-	a, err := c.call(ctx, "grant", kqstandin.Call{WaitMS: ttl.Milliseconds()}, 0)
+	a, err := c.call(ctx, "grant", kqfakestore.Call{WaitMS: ttl.Milliseconds()}, 0)
 	return a.Lease, err
 }
 
 // Renew implements kqstore.Store.
 func (c *Client) Renew(ctx context.Context, lease kqstore.Lease) error {
-	_, err := c.call(ctx, "renew", kqstandin.Call{Lease: lease}, 0)
+	_, err := c.call(ctx, "renew", kqfakestore.Call{Lease: lease}, 0)
 	return err
 }
 
 // Watch implements kqstore.Store.
 func (c *Client) Watch(ctx context.Context, key string, after kqstore.Revision, wait time.Duration) (kqstore.Entry, error) {
-	a, err := c.call(ctx, "watch", kqstandin.Call{Key: key, Expected: after, WaitMS: wait.Milliseconds()}, wait)
+	a, err := c.call(ctx, "watch", kqfakestore.Call{Key: key, Expected: after, WaitMS: wait.Milliseconds()}, wait)
 	return a.Entry, err
 }
 
 // call posts one operation and decodes its answer. An unreachable service, and an
 // answer that cannot be read or has an unknown error code, give ErrUnavailable.
-func (c *Client) call(ctx context.Context, verb string, call kqstandin.Call, wait time.Duration) (kqstandin.Answer, error) {
-	var a kqstandin.Answer
+func (c *Client) call(ctx context.Context, verb string, call kqfakestore.Call, wait time.Duration) (kqfakestore.Answer, error) {
+	var a kqfakestore.Answer
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+wait)
 	defer cancel()
 	body, err := json.Marshal(call)
@@ -105,7 +105,7 @@
 	if a.Error == "" {
 		return a, nil
 	}
-	cause, ok := kqstandin.Errors[a.Error]
+	cause, ok := kqfakestore.Errors[a.Error]
 	if !ok {
 		cause = kqstore.ErrUnavailable
 	}
--- a/internal/store/kqstoreclient/contract_test.go
+++ b/internal/store/kqstoreclient/contract_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstoreclient"
 )
@@ -21,7 +21,7 @@
 // service's clock.
 type fixture struct {
 	kqstore.Store
-	standin *kqstandin.Standin
+	standin *kqfakestore.Fake
 	mu      sync.Mutex
 	now     time.Time
 }
@@ -44,7 +44,7 @@
 	for _, name := range []string{"memory", "http"} {
 		t.Run(name, func(t *testing.T) {
 			b := &fixture{now: time.Unix(1000, 0)}
-			b.standin = kqstandin.New(kqstandin.WithNow(b.clock))
+			b.standin = kqfakestore.New(kqfakestore.WithNow(b.clock))
 			b.Store = b.standin
 			if name == "http" {
 				server := httptest.NewServer(b.standin.Handler())
@@ -104,7 +104,7 @@
 		ctx := t.Context()
 		for name, lapse := range map[string]func(){
 			"paused":  func() { b.advance(11 * time.Second) },
-			"dropped": func() { b.standin.SetFaults(kqstandin.Faults{LapseLeases: true}) },
+			"dropped": func() { b.standin.SetFaults(kqfakestore.Faults{LapseLeases: true}) },
 		} {
 			lease := must[kqstore.Lease](t)(b.Grant(ctx, 10*time.Second))
 			must[kqstore.Revision](t)(b.Swap(ctx, name, kqstore.Absent, nil, lease))
@@ -127,26 +127,26 @@
 	forBoth(t, func(t *testing.T, b *fixture) {
 		ctx := t.Context()
 		revision := must[kqstore.Revision](t)(b.Put(ctx, "a", []byte("1"), kqstore.NoLease))
-		b.standin.SetFaults(kqstandin.Faults{Down: true})
+		b.standin.SetFaults(kqfakestore.Faults{Down: true})
 		_, err := b.Get(ctx, "a")
 		checkError(t, "down", err, kqstore.ErrUnavailable)
-		b.standin.SetFaults(kqstandin.Faults{LoseAnswers: 1})
+		b.standin.SetFaults(kqfakestore.Faults{LoseResponses: 1})
 		_, err = b.Swap(ctx, "a", revision, []byte("2"), kqstore.NoLease)
 		checkError(t, "lost answer", err, kqstore.ErrUnavailable)
 		if e := must[kqstore.Entry](t)(b.Get(ctx, "a")); string(e.Value) != "2" {
 			t.Errorf("after a write whose answer was lost the value is %q, want 2", e.Value)
 		}
-		b.standin.SetFaults(kqstandin.Faults{StaleReads: true})
+		b.standin.SetFaults(kqfakestore.Faults{StaleReads: true})
 		if e := must[kqstore.Entry](t)(b.Get(ctx, "a")); string(e.Value) != "1" {
 			t.Errorf("a stale read returned %q, want the previous value 1", e.Value)
 		}
 		b.advance(time.Second)
-		b.standin.SetFaults(kqstandin.Faults{MaxReads: 1})
+		b.standin.SetFaults(kqfakestore.Faults{MaxReads: 1})
 		_, err = b.Get(ctx, "a")
 		checkError(t, "first read", err, nil)
 		_, err = b.Get(ctx, "a")
 		checkError(t, "second read", err, kqstore.ErrRateLimited)
-		b.standin.SetFaults(kqstandin.Faults{Slow: time.Minute})
+		b.standin.SetFaults(kqfakestore.Faults{Slow: time.Minute})
 		brief, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
 		defer cancel()
 		if _, err = b.Get(brief, "a"); err == nil {
@@ -186,7 +186,7 @@
 		if c := b.standin.Counts(); c.Watches != 1 || c.Reads != 1 || c.Writes != 7 {
 			t.Errorf("counts %+v, want 1 watch, which is the only read, and 7 writes", c)
 		}
-		b.standin.SetFaults(kqstandin.Faults{SilentWatch: true})
+		b.standin.SetFaults(kqfakestore.Faults{SilentWatch: true})
 		must[kqstore.Revision](t)(b.Put(ctx, "a", []byte("3"), kqstore.NoLease))
 		_, err := b.Watch(ctx, "a", last, 10*time.Millisecond)
 		checkError(t, "silent watch", err, kqstore.ErrNotFound)
@@ -196,8 +196,8 @@
 // Guards against a misspelled fault in a request: if unknown fields were ignored, the
 // request would switch all faults off. It must be refused and change nothing.
 func TestMistypedFaultChangesNothing(t *testing.T) {
-	b := kqstandin.New()
-	b.SetFaults(kqstandin.Faults{Down: true})
+	b := kqfakestore.New()
+	b.SetFaults(kqfakestore.Faults{Down: true})
 	server := httptest.NewServer(b.Handler())
 	defer server.Close()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodPut, server.URL+"/faults", strings.NewReader(`{"dwon":false}`))
--- a/internal/store/kqstoreclient/fault.go
+++ b/internal/store/kqstoreclient/fault.go
@@ -9,7 +9,7 @@
 	"io"
 	"net/http"
 
-	"github.com/kumquatgw/kumquatgw/internal/store/kqstandin"
+	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 )
 
 const maxAnswer = 64 << 10
@@ -18,8 +18,8 @@
 
 // SetFaults replaces the injected faults of a stand-in service and returns those in
 // force.
-func (c *Client) SetFaults(ctx context.Context, f kqstandin.Faults) (kqstandin.Faults, error) {
-	var set kqstandin.Faults
+func (c *Client) SetFaults(ctx context.Context, f kqfakestore.Faults) (kqfakestore.Faults, error) {
+	var set kqfakestore.Faults
 	body, err := json.Marshal(f)
 	if err != nil {
 		return set, fmt.Errorf("set faults: %w", err)
@@ -31,8 +31,8 @@
 }
 
 // Counts returns how many calls a stand-in service has received.
-func (c *Client) Counts(ctx context.Context) (kqstandin.Counts, error) {
-	var counts kqstandin.Counts
+func (c *Client) Counts(ctx context.Context) (kqfakestore.Counts, error) {
+	var counts kqfakestore.Counts
 	if err := c.control(ctx, http.MethodGet, "/counts", nil, &counts); err != nil {
 		return counts, fmt.Errorf("read counts: %w", err)
 	}
