--- a/internal/lab/kqchild/child.go
+++ b/internal/lab/kqchild/child.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// Status waits for the process to end and returns nil for exit status 0, otherwise an
+// Wait waits for the process to end and returns nil for exit status 0, otherwise an
 // error.
-func (c *Child) Status() error {
+func (c *Child) Wait() error {
 	<-c.ended
 	return c.status
 }
--- a/internal/lab/kqcut/listener.go
+++ b/internal/lab/kqcut/listener.go
@@ -13,9 +13,9 @@
 		net.Listener
 		bytes *atomic.Int64
 
-		mu    sync.Mutex
-		cut   bool
-		conns map[*conn]struct{}
+		mu     sync.Mutex
+		closed bool
+		conns  map[*conn]struct{}
 	}
 
 	conn struct {
@@ -40,7 +40,7 @@
 	c := &conn{Conn: inner, listener: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.cut {
+	if l.closed {
 		c.reset()
 		return c, nil
 	}
@@ -52,7 +52,7 @@
 func (l *Listener) ResetAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = true
+	l.closed = true
 	_ = l.Close()
 	for c := range l.conns {
 		c.reset()
--- a/internal/lab/kqdemo/caller.go
+++ b/internal/lab/kqdemo/caller.go
@@ -21,7 +21,7 @@
 	answered callResult = iota
 	notRun
 	unknown
-	// lost calls failed with an error although their entry was not killed, or
+	// lost calls failed with an error although their target was not killed, or
 	// got an answer without a result header.
 	lost
 	// crossed calls got an incomplete answer or the answer to another request.
@@ -44,25 +44,25 @@
 		reason     string
 		began      time.Time
 		ended      time.Time
-		// stopping is set if the call ended after the entry's graceful stop began.
+		// stopping is set if the call ended after the graceful stop of the target began.
 		stopping bool
 		// forged is set if the call carried forged internal headers.
 		forged bool
 	}
 
 	caller struct {
-		name      string
-		dep       deployment
-		entryPool *entryPool
-		random    *rand.Rand
-		serial    int
-		records   []record
+		name       string
+		dep        deployment
+		targetPool *targetPool
+		random     *rand.Rand
+		serial     int
+		records    []record
 	}
 )
 
-func newCaller(dep deployment, number int, p *entryPool) *caller {
+func newCaller(dep deployment, number int, p *targetPool) *caller {
 	return &caller{
-		name: fmt.Sprintf("%s-%d", dep.service, number), dep: dep, entryPool: p,
+		name: fmt.Sprintf("%s-%d", dep.service, number), dep: dep, targetPool: p,
 		random: rand.New(rand.NewPCG(uint64(number), uint64(len(dep.service)))),
 	}
 }
@@ -102,17 +102,17 @@
 // been sent, so another node is tried.
 func (c *caller) call(method, path string) {
 	for {
-		entries := c.entryPool.entries()
-		e := entries[c.random.IntN(len(entries))]
-		if c.send(e, method, path, c.random.IntN(4) == 0) {
+		targets := c.targetPool.targets()
+		t := targets[c.random.IntN(len(targets))]
+		if c.send(t, method, path, c.random.IntN(4) == 0) {
 			return
 		}
 	}
 }
 
-// send sends one call to an entry and records its result. It returns false,
+// send sends one call to a target and records its result. It returns false,
 // without a record, if it could not connect.
-func (c *caller) send(e *entry, method, path string, local bool) bool {
+func (c *caller) send(t *target, method, path string, local bool) bool {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -127,24 +127,24 @@
 	if r.forged {
 		setForgedHeaders(&req.Header)
 	}
-	to := e.external
+	to := t.external
 	if local {
-		to = e.local
+		to = t.local
 	}
 	err := to.DoTimeout(req, resp, callTimeout)
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" || errors.Is(err, fasthttp.ErrDialTimeout) {
 		return false
 	}
-	r.stopping, r.ended = e.stopping.Load(), time.Now()
-	r.callResult, r.reason = c.classify(e, r, resp, err)
+	r.stopping, r.ended = t.stopping.Load(), time.Now()
+	r.callResult, r.reason = c.classify(t, r, resp, err)
 	c.records = append(c.records, r)
 	return true
 }
 
-func (c *caller) classify(e *entry, r record, resp *fasthttp.Response, err error) (callResult, string) {
+func (c *caller) classify(t *target, r record, resp *fasthttp.Response, err error) (callResult, string) {
 	switch {
-	case err != nil && e.killed.Load():
+	case err != nil && t.killed.Load():
 		return unknown, "entry died"
 	case err != nil:
 		return lost, err.Error()
--- a/internal/lab/kqdemo/demo.go
+++ b/internal/lab/kqdemo/demo.go
@@ -31,10 +31,10 @@
 
 		state state
 		// version is the last committed configuration version.
-		version   kqname.ConfigVersion
-		runLog    *runLog
-		entryPool *entryPool
-		monitor   *monitor
+		version    kqname.ConfigVersion
+		runLog     *runLog
+		targetPool *targetPool
+		monitor    *monitor
 	}
 
 	// Option configures a Demo.
@@ -46,11 +46,11 @@
 
 // New returns a demo that prints its instructions to out.
 func New(out io.Writer, options ...Option) *Demo {
-	d := &Demo{out: out, progress: io.Discard, started: time.Now(), runLog: newRunLog(), entryPool: newEntryPool()}
+	d := &Demo{out: out, progress: io.Discard, started: time.Now(), runLog: newRunLog(), targetPool: newTargetPool()}
 	for _, o := range options {
 		o(d)
 	}
-	d.monitor = newMonitor(d.entryPool)
+	d.monitor = newMonitor(d.targetPool)
 	return d
 }
 
@@ -111,7 +111,7 @@
 				return fmt.Errorf("start demo: %w", err)
 			}
 			s.Upstream.OnRun(d.runLog.ran)
-			d.entryPool.add(s)
+			d.targetPool.add(s)
 		}
 	}
 	if _, err := d.commit(ctx, "first document"); err != nil {
@@ -119,9 +119,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for _, e := range d.entryPool.entries() {
+	for _, t := range d.targetPool.targets() {
 		for _, dep := range deployments {
-			if err := d.entryPool.awaitAnswer(ctx, e, kqname.Host(dep.service)); err != nil {
+			if err := d.targetPool.awaitAnswer(ctx, t, kqname.Host(dep.service)); err != nil {
 				return fmt.Errorf("start demo: %w", err)
 			}
 		}
--- a/internal/lab/kqdemo/deployment.go
+++ b/internal/lab/kqdemo/deployment.go
@@ -17,15 +17,15 @@
 	domainCount = 4
 	// longWork is the duration of calls to paths with the prefix longPath. That
 	// includes latePath, whose timeout is shorter: its calls cannot finish in time.
-	longWork      = 80 * time.Millisecond
-	longPath      = "/l"
-	latePath      = "/late/"
-	galleryPath   = "/galerie/"
-	rushPath      = "/rush/"
-	lateTimeoutMS = 40
-	rushTimeoutMS = 20
-	coldFor       = time.Second
-	coldWork      = 10 * time.Millisecond
+	longWork       = 80 * time.Millisecond
+	longPath       = "/l"
+	latePath       = "/late/"
+	galleryPath    = "/galerie/"
+	burstPath      = "/rush/"
+	lateTimeoutMS  = 40
+	burstTimeoutMS = 20
+	coldFor        = time.Second
+	coldWork       = 10 * time.Millisecond
 
 	probeHost    kqname.Host    = "probe"
 	probeService kqname.Service = "woodshed"
@@ -132,11 +132,11 @@
 
 func (d deployment) routes() []kqdocument.Route {
 	base := kqdocument.Route{Name: kqname.Route(d.service), Team: d.team, Host: kqname.Host(d.service), PathPrefix: "/", Service: d.service}
-	late, rush, gallery := base, base, base
+	late, burst, gallery := base, base, base
 	late.Name, late.PathPrefix, late.TimeoutMS = base.Name+"-late", latePath, lateTimeoutMS
-	rush.Name, rush.PathPrefix, rush.TimeoutMS = base.Name+"-rush", rushPath, rushTimeoutMS
+	burst.Name, burst.PathPrefix, burst.TimeoutMS = base.Name+"-rush", burstPath, burstTimeoutMS
 	gallery.Name, gallery.PathPrefix = base.Name+"-galerie", galleryPath
-	return []kqdocument.Route{base, late, rush, gallery}
+	return []kqdocument.Route{base, late, burst, gallery}
 }
 
 // probePath returns the path prefix of the n-th probe route.
--- a/internal/lab/kqdemo/faults.go
+++ b/internal/lab/kqdemo/faults.go
@@ -16,7 +16,7 @@
 
 const (
 	outageDuration = 4 * time.Second
-	// downDuration is the time from a kill to the restart, with noticeDelay.
+	// downDuration is the time from a kill to the restart, including noticeDelay.
 	downDuration = 1500 * time.Millisecond
 	// noticeDelay is how long callers still choose a node after its kill began.
 	noticeDelay       = 300 * time.Millisecond
@@ -49,18 +49,18 @@
 
 // drainUpstream drains an upstream and records when it last began a call.
 func (s *script) drainUpstream(context.Context) error {
-	e, err := s.demo.entryPool.at("woodshed-1")
+	t, err := s.demo.targetPool.at("woodshed-1")
 	if err != nil {
 		return err
 	}
 	d := &s.drainedUpstream
-	d.node = e.server.Spec.Node
-	e.server.Upstream.OnRun(func(r kqupstream.Run) {
+	d.node = t.server.Spec.Node
+	t.server.Upstream.OnRun(func(r kqupstream.Run) {
 		d.lastRun.Store(r.At.UnixNano())
 		s.demo.runLog.ran(r)
 	})
 	d.at = time.Now()
-	e.server.Upstream.Drain()
+	t.server.Upstream.Drain()
 	return nil
 }
 
@@ -81,7 +81,7 @@
 	s.outage.from = time.Now()
 	platform.SetFaults(kqfakestore.Faults{Down: true})
 	s.demo.state.probes++
-	_, err := s.demo.commit(ctx, "while the platform is away")
+	_, err := s.demo.commit(ctx, "while the platform is down")
 	s.outage.commitFailed = err != nil
 	s.demo.state.probes--
 	s.replaceTimes, err = s.killAndRestart(ctx, []kqname.Node{"portail-lecteurs-2", "bureau-redaction-2"})
@@ -94,7 +94,7 @@
 	}
 	platform.SetFaults(kqfakestore.Faults{})
 	s.outage.to = time.Now()
-	began, err := s.demo.commit(ctx, "while the platform is away")
+	began, err := s.demo.commit(ctx, "after the platform outage")
 	if err != nil {
 		return err
 	}
@@ -136,23 +136,23 @@
 // killAndRestart kills servers at the same time and restarts them together. It
 // returns how long each took to become ready with the newest version.
 func (s *script) killAndRestart(ctx context.Context, names []kqname.Node) ([]time.Duration, error) {
-	targets := make([]*entry, 0, len(names))
+	targets := make([]*target, 0, len(names))
 	for _, name := range names {
-		e, err := s.demo.entryPool.at(name)
+		t, err := s.demo.targetPool.at(name)
 		if err != nil {
 			return nil, err
 		}
-		targets = append(targets, e)
+		targets = append(targets, t)
 	}
 	var group conc.WaitGroup
 	period := killPeriod{from: time.Now()}
-	for _, e := range targets {
-		e.killed.Store(true)
-		group.Go(e.server.Kill)
+	for _, t := range targets {
+		t.killed.Store(true)
+		group.Go(t.server.Kill)
 	}
 	time.Sleep(noticeDelay)
-	for _, e := range targets {
-		s.demo.entryPool.remove(e)
+	for _, t := range targets {
+		s.demo.targetPool.remove(t)
 	}
 	group.Wait()
 	time.Sleep(downDuration - noticeDelay)
@@ -160,8 +160,8 @@
 	s.killPeriod = append(s.killPeriod, period)
 	errs := make([]error, len(targets))
 	took := make([]time.Duration, len(targets))
-	for i, e := range targets {
-		group.Go(func() { took[i], errs[i] = s.restart(ctx, e) })
+	for i, t := range targets {
+		group.Go(func() { took[i], errs[i] = s.restart(ctx, t) })
 	}
 	group.Wait()
 	return took, errors.Join(errs...)
@@ -169,7 +169,7 @@
 
 // restart replaces a killed server and returns how long the new one took to
 // become ready and to apply the newest version.
-func (s *script) restart(ctx context.Context, old *entry) (time.Duration, error) {
+func (s *script) restart(ctx context.Context, old *target) (time.Duration, error) {
 	began := time.Now()
 	server, err := s.demo.fleet.Restart(old.server)
 	if err != nil {
@@ -188,37 +188,38 @@
 	if now, then := server.Node.Version(), old.server.Node.Version(); now < then {
 		s.addProblem("%s became ready with version %d, older than its version %d before the kill", server.Spec.Node, now, then)
 	}
-	e := s.demo.entryPool.add(server)
-	for !s.demo.monitor.hasProbe(e, s.demo.state.probes) {
+	t := s.demo.targetPool.add(server)
+	for !s.demo.monitor.hasProbe(t, s.demo.state.probes) {
 		if ctx.Err() != nil || time.Since(began) > restartTimeout {
 			return 0, fmt.Errorf("node %s lacks the newest probe route %v after its start", server.Spec.Node, restartTimeout)
 		}
 		time.Sleep(pollInterval)
 	}
 	took := time.Since(began)
-	s.demo.monitor.recordConvergence(e, s.demo.state.probes, took, false)
+	s.demo.monitor.recordConvergence(t, s.demo.state.probes, took, false)
 	return took, nil
 }
 
 // stopNodeUnderLoad stops a node gracefully while callers send long calls to it.
 func (s *script) stopNodeUnderLoad(context.Context) error {
-	e, err := s.demo.entryPool.at("portail-lecteurs-4")
+	t, err := s.demo.targetPool.at("portail-lecteurs-4")
 	if err != nil {
 		return err
 	}
-	s.stopped = e
-	e.stopping.Store(true)
+	s.stopped = t
+	t.stopping.Store(true)
 	var group conc.WaitGroup
 	for i := range callersDuringStop {
 		c := s.caller(deployments[0])
 		group.Go(func() {
-			for c.send(e, "GET", "/long/", i%2 == 0) {
+			// send returns false once the node refuses connections.
+			for c.send(t, "GET", "/long/", i%2 == 0) {
 			}
 		})
 	}
 	time.Sleep(loadBeforeStop)
-	e.server.Stop()
-	s.demo.entryPool.remove(e)
+	t.server.Stop()
+	s.demo.targetPool.remove(t)
 	group.Wait()
 	return nil
 }
@@ -228,7 +229,7 @@
 	var group conc.WaitGroup
 	for range burstCalls {
 		c := s.caller(deployments[0])
-		group.Go(func() { c.call("POST", rushPath) })
+		group.Go(func() { c.call("POST", burstPath) })
 	}
 	group.Wait()
 	return nil
--- a/internal/lab/kqdemo/invalid_version.go
+++ b/internal/lab/kqdemo/invalid_version.go
@@ -42,15 +42,15 @@
 	s.demo.version++
 	until := time.Now().Add(observeInvalidFor)
 	for time.Now().Before(until) {
-		for _, e := range s.demo.entryPool.entries() {
+		for _, t := range s.demo.targetPool.targets() {
 			for _, path := range []string{validPath, danglingPath} {
 				s.invalidVersion.requests++
-				if result, _, _ := e.sendUncounted(probeHost, path); result == "answered" {
-					s.invalidVersion.appliedBy = append(s.invalidVersion.appliedBy, string(e.server.Spec.Node)+path)
+				if result, _, _ := t.sendUncounted(probeHost, path); result == "answered" {
+					s.invalidVersion.appliedBy = append(s.invalidVersion.appliedBy, string(t.server.Spec.Node)+path)
 				}
 			}
-			if !s.demo.monitor.hasProbe(e, s.demo.state.probes) {
-				s.invalidVersion.appliedBy = append(s.invalidVersion.appliedBy, string(e.server.Spec.Node)+" lost its routes")
+			if !s.demo.monitor.hasProbe(t, s.demo.state.probes) {
+				s.invalidVersion.appliedBy = append(s.invalidVersion.appliedBy, string(t.server.Spec.Node)+" lost its routes")
 			}
 		}
 		time.Sleep(pollInterval)
--- a/internal/lab/kqdemo/outcomes.go
+++ b/internal/lab/kqdemo/outcomes.go
@@ -155,11 +155,11 @@
 	return []Outcome{
 		{
 			"no_node_goes_back", len(m.regressions) == 0 && m.checks > 0,
-			fmt.Sprintf("%d looks at nodes' newest routes and versions, %d went back%s", m.checks, len(m.regressions), firstExamples(m.regressions)),
+			fmt.Sprintf("%d checks of nodes' newest routes and versions, %d regressions%s", m.checks, len(m.regressions), firstExamples(m.regressions)),
 		},
 		{
 			"no_route_without_its_service", t.missingRoute == 0,
-			fmt.Sprintf("%d of %d calls met a missing route or resource", t.missingRoute, t.calls.Total),
+			fmt.Sprintf("%d of %d calls failed for a missing route or resource", t.missingRoute, t.calls.Total),
 		},
 		{
 			"no_bad_version_in_part", s.invalidVersion.written && s.invalidVersion.requests > 0 && len(s.invalidVersion.appliedBy) == 0,
@@ -177,7 +177,7 @@
 		},
 		{
 			"not_run_is_true", t.calls.NotRun > 0 && len(t.falseNotRun) == 0,
-			fmt.Sprintf("%d told not_run, %d of them ran%s; without an answer: %v", t.calls.NotRun, len(t.falseNotRun), firstExamples(t.falseNotRun), formatCounts(t.reasons)),
+			fmt.Sprintf("%d reported as not_run, %d of them ran%s; without an answer: %v", t.calls.NotRun, len(t.falseNotRun), firstExamples(t.falseNotRun), formatCounts(t.reasons)),
 		},
 		{
 			"non_idempotent_at_most_once", t.posts > 0 && t.calls.Doubled == 0,
@@ -185,11 +185,11 @@
 		},
 		{
 			"leaving_upstream_gets_no_new_work", !s.drainedUpstream.at.IsZero() && s.drainedUpstream.runDelay() <= maxDrainDelay,
-			fmt.Sprintf("%s began its last call %v after it was told to leave", s.drainedUpstream.node, s.drainedUpstream.runDelay().Round(time.Millisecond)),
+			fmt.Sprintf("%s began its last call %v after its drain began", s.drainedUpstream.node, s.drainedUpstream.runDelay().Round(time.Millisecond)),
 		},
 		{
 			"graceful_shutdown_cuts_nothing", t.stopping > 0 && t.lostStopping == 0,
-			fmt.Sprintf("%d calls in flight or new at a node that stopped, %d cut", t.stopping, t.lostStopping),
+			fmt.Sprintf("%d calls in flight or new at a node that stopped, %d lost", t.stopping, t.lostStopping),
 		},
 		{
 			"accepted_configuration_everywhere",
@@ -210,7 +210,7 @@
 		}
 		part += fmt.Sprintf(", %d of %d calls", newRuns, all)
 		if o.dep.bad && !o.detected.IsZero() {
-			part += fmt.Sprintf(", noticed at %.1f s, last call %.2f s later", o.detected.Sub(o.start).Seconds(), lastNewRun.Sub(o.detected).Seconds())
+			part += fmt.Sprintf(", detected at %.1f s, last call %.2f s later", o.detected.Sub(o.start).Seconds(), lastNewRun.Sub(o.detected).Seconds())
 		}
 		parts = append(parts, part+" ("+o.reason+")")
 	}
@@ -219,11 +219,11 @@
 
 func (s *script) describeConvergence(t tally) string {
 	m := s.demo.monitor
-	text := fmt.Sprintf("%d times on a node, %d too late%s; platform away for %.1f s: commit refused %v, %d of %d calls answered, replaced nodes current after%s; restarted nodes after%s",
+	text := fmt.Sprintf("%d convergence times, %d overdue%s; platform down for %.1f s: commit refused %v, %d of %d calls answered, replaced nodes current after%s; restarted nodes after%s",
 		len(m.convergenceTimes), len(m.overdue), firstExamples(m.overdue), s.outage.to.Sub(s.outage.from).Seconds(), s.outage.commitFailed,
 		t.answered, t.duringOutage, formatSeconds(s.replaceTimes), formatSeconds(s.restartTimes))
 	if len(s.problems) > 0 {
-		text += "; troubles" + firstExamples(s.problems)
+		text += "; problems" + firstExamples(s.problems)
 	}
 	return text
 }
--- a/internal/lab/kqdemo/rollouts.go
+++ b/internal/lab/kqdemo/rollouts.go
@@ -30,12 +30,12 @@
 }
 
 func (s *script) startRollouts(ctx context.Context) error {
-	for _, e := range s.demo.entryPool.entries() {
+	for _, t := range s.demo.targetPool.targets() {
 		for _, dep := range deployments {
-			if dep.service != e.server.Spec.Service {
+			if dep.service != t.server.Spec.Service {
 				continue
 			}
-			if err := s.startNewVersion(e.server, dep); err != nil {
+			if err := s.startNewVersion(t.server, dep); err != nil {
 				return err
 			}
 		}
@@ -59,16 +59,16 @@
 	until := s.demo.state.deadline.Add(rolloutGrace)
 	for ctx.Err() == nil && time.Now().Before(until) && !s.allRolloutsEnded() {
 		var group conc.WaitGroup
-		for _, e := range s.demo.entryPool.entries() {
-			group.Go(func() { s.readRollouts(e) })
+		for _, t := range s.demo.targetPool.targets() {
+			group.Go(func() { s.readRollouts(t) })
 		}
 		group.Wait()
 		time.Sleep(rolloutPollInterval)
 	}
 }
 
-func (s *script) readRollouts(e *entry) {
-	list := e.server.Node.Rollouts()
+func (s *script) readRollouts(t *target) {
+	list := t.server.Node.Rollouts()
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,8 +82,10 @@
 }
 
 func (o *observedRollout) update(status kqtracker.Status, now time.Time) {
-	stopped := status.State == kqtracker.Running && status.Step > 0 && status.Share == 0
-	if o.detected.IsZero() && (stopped || status.State == kqtracker.FinalRollback) {
+	// A running rollout beyond its first step with a share of 0 has stopped sending
+	// calls to the new version.
+	newVersionStopped := status.State == kqtracker.Running && status.Step > 0 && status.Share == 0
+	if o.detected.IsZero() && (newVersionStopped || status.State == kqtracker.FinalRollback) {
 		o.detected = now
 	}
 	if o.ended.IsZero() && (status.State == kqtracker.Done || status.State == kqtracker.FinalRollback) {
@@ -119,11 +121,11 @@
 }
 
 // maxNewShare returns the largest share of its service's calls that the new
-// version began in any second. The seconds are counted from from, and the last
-// one starts before to.
-func (l *runLog) maxNewShare(service kqname.Service, from, to time.Time) float64 {
+// version began in any second. The seconds are counted from start, and the last
+// one starts before end.
+func (l *runLog) maxNewShare(service kqname.Service, start, end time.Time) float64 {
 	most := 0.0
-	for at := from; at.Before(to); at = at.Add(time.Second) {
+	for at := start; at.Before(end); at = at.Add(time.Second) {
 		if all, newRuns := l.countBetween(service, at, at.Add(time.Second)); all > 0 {
 			most = max(most, float64(newRuns)/float64(all))
 		}
--- a/internal/lab/kqdemo/run_log.go
+++ b/internal/lab/kqdemo/run_log.go
@@ -27,7 +27,7 @@
 		runCount map[string]int
 	}
 
-	// ran is one run that began.
+	// ran is one run of a call, recorded when it begins.
 	ran struct {
 		version kqname.UpstreamVersion
 		at      time.Time
--- a/internal/lab/kqdemo/script.go
+++ b/internal/lab/kqdemo/script.go
@@ -38,8 +38,8 @@
 		// current, with the platform available and during its outage.
 		restartTimes, replaceTimes []time.Duration
 		invalidVersion             invalidVersion
-		// stopped is the entry of the node that was stopped gracefully.
-		stopped  *entry
+		// stopped is the target of the node that was stopped gracefully.
+		stopped  *target
 		problems []string
 
 		// controlBytes and platformCalls are the counters at the start of the load
@@ -79,12 +79,12 @@
 		{"change routes while the rollouts run", s.changeRoutes},
 		{"wait for the rollouts", s.awaitRollouts},
 		{"drain an upstream", s.drainUpstream},
-		{"take the platform away", s.injectPlatformOutage},
-		{"lose an answer of the platform", s.loseCommitAnswers},
+		{"make the platform unavailable", s.injectPlatformOutage},
+		{"lose the platform's answers to a commit", s.loseCommitAnswers},
 		{"kill nodes together and start them again", s.killOnePerService},
-		{"write a bad configuration version past all checks", s.writeInvalidVersion},
+		{"write an invalid configuration version without checks", s.writeInvalidVersion},
 		{"stop a node under load", s.stopNodeUnderLoad},
-		{"call more than there are slots", s.sendBurst},
+		{"send more concurrent calls than can run in time", s.sendBurst},
 		{"change a route once more", s.commitProbe},
 	} {
 		if ctx.Err() != nil {
@@ -139,7 +139,7 @@
 func (s *script) caller(dep deployment) *caller {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := newCaller(dep, len(s.callers)+1, s.demo.entryPool)
+	c := newCaller(dep, len(s.callers)+1, s.demo.targetPool)
 	s.callers = append(s.callers, c)
 	return c
 }
@@ -154,9 +154,9 @@
 		}
 		time.Sleep(changeInterval)
 	}
-	for _, e := range s.demo.entryPool.entries() {
-		if _, _, service := e.sendUncounted("storefront", "/stock/billets"); service != "woodshed" {
-			s.addProblem("node %s routes /stock/ to service %q", e.server.Spec.Node, service)
+	for _, t := range s.demo.targetPool.targets() {
+		if _, _, service := t.sendUncounted("storefront", "/stock/billets"); service != "woodshed" {
+			s.addProblem("node %s routes /stock/ to service %q", t.server.Spec.Node, service)
 		}
 	}
 	return nil
--- a/internal/lab/kqdemo/spare.go
+++ b/internal/lab/kqdemo/spare.go
@@ -37,7 +37,7 @@
 			if err != nil {
 				return fmt.Errorf("start spare upstream: %w", err)
 			}
-			// An incomplete drain cuts calls, which are not counted here.
+			// An incomplete drain breaks calls, which are not counted here.
 			group.Go(func() { _ = u.Run(ctx) })
 		}
 		group.Go(func() { callSpare(ctx, client(s.Node.EntryAddress())) })
--- a/internal/lab/kqdemo/entry_pool.go
+++ b/internal/lab/kqdemo/target_pool.go
@@ -21,16 +21,16 @@
 )
 
 type (
-	// entryPool holds the nodes that callers choose from. It is safe for
+	// targetPool holds the nodes that callers choose from. It is safe for
 	// concurrent use.
-	entryPool struct {
+	targetPool struct {
 		mu   sync.RWMutex
-		list []*entry
+		list []*target
 	}
 
-	// entry is one node with clients for its external entry address and for its
+	// target is one node with clients for its external entry address and for its
 	// local address, which the upstream on its server uses.
-	entry struct {
+	target struct {
 		server          *kqfleet.Server
 		external, local *fasthttp.HostClient
 		// killed is set before the server is killed, stopping before it is
@@ -39,57 +39,57 @@
 	}
 )
 
-func newEntryPool() *entryPool { return &entryPool{} }
+func newTargetPool() *targetPool { return &targetPool{} }
 
 // add adds a server to the nodes that callers choose from.
-func (p *entryPool) add(s *kqfleet.Server) *entry {
-	e := &entry{server: s, external: client(s.Node.EntryAddress()), local: client(s.Node.LocalAddress())}
+func (p *targetPool) add(s *kqfleet.Server) *target {
+	t := &target{server: s, external: client(s.Node.EntryAddress()), local: client(s.Node.LocalAddress())}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.list = append(p.list, e)
-	return e
+	p.list = append(p.list, t)
+	return t
 }
 
-// remove removes an entry; calls in flight to it go on.
-func (p *entryPool) remove(e *entry) {
+// remove removes a target; calls in flight to it go on.
+func (p *targetPool) remove(t *target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := make([]*entry, 0, len(p.list))
+	kept := make([]*target, 0, len(p.list))
 	for _, other := range p.list {
-		if other != e {
+		if other != t {
 			kept = append(kept, other)
 		}
 	}
 	p.list = kept
 }
 
-// entries returns the current entries. The list must not be modified.
-func (p *entryPool) entries() []*entry {
+// targets returns the current targets. The list must not be modified.
+func (p *targetPool) targets() []*target {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	return p.list
 }
 
-// at returns the entry of the node with this name.
-func (p *entryPool) at(name kqname.Node) (*entry, error) {
-	for _, e := range p.entries() {
-		if e.server.Spec.Node == name {
-			return e, nil
+// at returns the target with this node name.
+func (p *targetPool) at(name kqname.Node) (*target, error) {
+	for _, t := range p.targets() {
+		if t.server.Spec.Node == name {
+			return t, nil
 		}
 	}
-	return nil, fmt.Errorf("node %s has no entry in the pool", name)
+	return nil, fmt.Errorf("node %s is not in the pool", name)
 }
 
-// awaitAnswer waits until a call to host through e is answered.
-func (p *entryPool) awaitAnswer(ctx context.Context, e *entry, host kqname.Host) error {
+// awaitAnswer waits until a call to host through t is answered.
+func (p *targetPool) awaitAnswer(ctx context.Context, t *target, host kqname.Host) error {
 	for {
-		result, _, _ := e.sendUncounted(host, "/")
+		result, _, _ := t.sendUncounted(host, "/")
 		if result == kqcall.Answered {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("wait for an answer of host %s through node %s: %w", host, e.server.Spec.Node, ctx.Err())
+			return fmt.Errorf("wait for an answer of host %s through node %s: %w", host, t.server.Spec.Node, ctx.Err())
 		case <-time.After(pollInterval):
 		}
 	}
@@ -97,12 +97,12 @@
 
 // sendUncounted sends one call that the report leaves out. It returns the result,
 // its reason and the first word of the body, which is the service's name.
-func (e *entry) sendUncounted(host kqname.Host, path string) (kqcall.Result, kqcall.Reason, string) {
+func (t *target) sendUncounted(host kqname.Host, path string) (kqcall.Result, kqcall.Reason, string) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + string(host) + path)
-	if err := e.external.DoTimeout(req, resp, callTimeout); err != nil {
+	if err := t.external.DoTimeout(req, resp, callTimeout); err != nil {
 		return "", "", ""
 	}
 	var service string
--- a/internal/lab/kqfault/planted.go
+++ b/internal/lab/kqfault/enabled.go
@@ -4,7 +4,7 @@
 
 import "os"
 
-var planted = Kind(os.Getenv(EnvVariable))
+var enabled = Kind(os.Getenv(EnvVariable))
 
 // Enabled reports whether this process runs with the given fault.
-func Enabled(k Kind) bool { return planted == k }
+func Enabled(k Kind) bool { return enabled == k }
--- a/internal/lab/kqfault/kind.go
+++ b/internal/lab/kqfault/kind.go
@@ -1,8 +1,8 @@
 package kqfault
 
 const (
-	// Reload makes a node stop handling the reload signal once it has been told to
-	// stop. The signal's default action then ends the process and its calls.
+	// Reload makes a node stop handling the reload signal once its shutdown
+	// has begun. The signal's default action then ends the process and its calls.
 	Reload Kind = "reload"
 	// Repeat makes a node retry calls that are not idempotent and may have run.
 	Repeat Kind = "repeat"
--- a/internal/lab/kqfleet/stop_test.go
+++ b/internal/lab/kqfleet/stop_test.go
@@ -68,7 +68,9 @@
 	}
 }
 
-// sendCalls sends calls until the node refuses connections.
+// sendCalls sends calls until the node refuses connections. A response with another
+// status than 200 counts as neither answered nor failed, since the node may refuse
+// calls while it stops.
 func sendCalls(ctx context.Context, address kqname.Address, number int, answered, failed *atomic.Int64) {
 	client := &fasthttp.HostClient{
 		Addr: string(address), MaxConns: 1, MaxIdemponentCallAttempts: 1,
--- a/internal/lab/kqnodes/doc.go
+++ b/internal/lab/kqnodes/doc.go
@@ -1,3 +1,3 @@
 // Package kqnodes runs many real nodes on loopback in one process, over an in-memory
-// stand-in for the platform, and measures how configuration reaches them.
+// fake of the platform, and measures how configuration reaches them.
 package kqnodes
--- a/internal/lab/kqnodes/fault.go
+++ b/internal/lab/kqnodes/fault.go
@@ -9,10 +9,11 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 )
 
-// prefetchPause is how long replaced nodes run before their first calls.
-const prefetchPause = time.Second
+// prefetchTime is how long replaced nodes have to prefetch the hosts of their peers, if
+// Plan.Prefetch is set, before they need their first hosts.
+const prefetchTime = time.Second
 
-// injectFault runs the faults that take place apart from the changes.
+// injectFault runs the faults that are not injected while versions are committed.
 func (b *bench) injectFault(ctx context.Context) error {
 	switch b.plan.Fault {
 	case FaultPlatformDown:
@@ -27,6 +28,7 @@
 // platformDown replaces a tenth of the nodes while the platform does not answer. The
 // new nodes know only the addresses of the others as seeds.
 func (b *bench) platformDown(ctx context.Context) error {
+	// Called for its side effect: it records the versions before the fault.
 	b.regressions()
 	b.fleet.platform.SetFaults(kqfakestore.Faults{Down: true})
 	defer b.fleet.platform.SetFaults(kqfakestore.Faults{})
@@ -41,14 +43,14 @@
 		return fmt.Errorf("replace %d nodes while the platform is down: %w", len(numbers), err)
 	}
 	b.run.Replaced, b.run.ReplacedMS = len(numbers), float64(took.Milliseconds())
-	time.Sleep(prefetchPause)
+	time.Sleep(prefetchTime)
 	var replaced []*member
 	for _, m := range b.fleet.members() {
 		if slices.Contains(numbers, m.number) {
 			replaced = append(replaced, m)
 		}
 	}
-	waits, err := b.fleet.requestHosts(ctx, replaced)
+	waits, err := b.fleet.ensureHosts(ctx, replaced)
 	if err != nil {
 		return err
 	}
@@ -56,7 +58,7 @@
 	b.run.FirstCallWait = &wait
 	for _, m := range replaced {
 		sent, received := m.Metrics().ControlBytes()
-		b.run.ReplacedBytes += float64(sent+received) / float64(len(replaced))
+		b.run.BytesPerReplacedNode += float64(sent+received) / float64(len(replaced))
 	}
 	time.Sleep(b.plan.Idle / 2)
 	b.run.VersionRegressions = b.regressions()
@@ -64,7 +66,8 @@
 }
 
 // herdRestart kills every node, commits a version while they are down, and restarts all
-// of them with the platform's rate limits in force.
+// of them with the platform's rate limits in force. The limits stay in force for the
+// changes that are measured afterwards.
 func (b *bench) herdRestart(ctx context.Context) error {
 	numbers := b.fleet.kill(func(int) bool { return true })
 	if _, err := b.commit(ctx); err != nil {
@@ -80,6 +83,6 @@
 		return fmt.Errorf("restart %d nodes: %w", len(numbers), err)
 	}
 	b.run.Replaced, b.run.ReplacedMS = len(numbers), float64(took.Milliseconds())
-	_, err = b.fleet.requestHosts(ctx, b.fleet.members())
+	_, err = b.fleet.ensureHosts(ctx, b.fleet.members())
 	return err
 }
--- a/internal/lab/kqnodes/fleet.go
+++ b/internal/lab/kqnodes/fleet.go
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// kill stops the selected nodes without a goodbye and returns their numbers.
+// kill stops the selected nodes without a graceful leave and returns their numbers.
 func (f *fleet) kill(selected func(number int) bool) []int {
 	f.mu.Lock()
 	var numbers []int
@@ -170,9 +170,9 @@
 	}
 }
 
-// requestHosts makes nodes request a few hosts each, the same ones for all nodes of a
-// service, and returns how long each first request took.
-func (f *fleet) requestHosts(ctx context.Context, nodes []*member) ([]time.Duration, error) {
+// ensureHosts makes nodes fetch a few hosts each, unless they hold them, the same ones for all nodes of a
+// service, and returns how long each EnsureHost took.
+func (f *fleet) ensureHosts(ctx context.Context, nodes []*member) ([]time.Duration, error) {
 	p := pool.NewWithResults[time.Duration]().WithErrors().WithMaxGoroutines(maxParallelStarts)
 	for _, m := range nodes {
 		for j := range hostsPerNode {
@@ -186,7 +186,7 @@
 	}
 	waits, err := p.Wait()
 	if err != nil {
-		return nil, fmt.Errorf("request hosts: %w", err)
+		return nil, fmt.Errorf("ensure hosts: %w", err)
 	}
 	return waits, nil
 }
--- a/internal/lab/kqnodes/measure.go
+++ b/internal/lab/kqnodes/measure.go
@@ -20,7 +20,7 @@
 	// FaultPlatformDown makes the platform unavailable and replaces a tenth of the
 	// nodes during that time.
 	FaultPlatformDown Fault = "platform_down"
-	// FaultHerdRestart kills all nodes and starts them again within a second.
+	// FaultHerdRestart kills all nodes, commits a version and starts them all again.
 	FaultHerdRestart Fault = "herd_restart"
 
 	// minIdle is the shortest time for which an idle fleet is measured: three
@@ -119,8 +119,8 @@
 	return b.run, err
 }
 
-// startFleet starts the fleet, a few nodes first as seeds, and makes its first
-// requests.
+// startFleet starts the fleet, a few nodes first as seeds, and makes nodes fetch
+// their first hosts.
 func (b *bench) startFleet(ctx context.Context, count int) error {
 	began := time.Now()
 	first, rest := split(count, seeds)
@@ -133,7 +133,7 @@
 	if _, err := b.fleet.awaitVersion(ctx, b.version, began, startTimeout); err != nil {
 		return err
 	}
-	_, err := b.fleet.requestHosts(ctx, b.fleet.members())
+	_, err := b.fleet.ensureHosts(ctx, b.fleet.members())
 	return err
 }
 
--- a/internal/lab/kqnodes/result.go
+++ b/internal/lab/kqnodes/result.go
@@ -18,7 +18,7 @@
 	// Run is the measurement of one fleet. Bytes count what was sent and what was
 	// received, including the keys and values exchanged with the platform. Processor
 	// time and memory are those of the whole process divided by the number of nodes, so
-	// they include the stand-in.
+	// they include the fake platform.
 	Run struct {
 		Nodes       int         `json:"nodes"`
 		Changes     int         `json:"changes"`
@@ -36,13 +36,14 @@
 		PlatformPeakWrites  uint64  `json:"platform_peak_writes_per_second"`
 		PlatformRefused     uint64  `json:"platform_refused"`
 		VersionRegressions  int     `json:"versions_fallen"`
-		Replaced            int     `json:"replaced_nodes,omitempty"`
-		ReplacedMS          float64 `json:"replaced_current_ms,omitempty"`
+		// Replaced is the number of nodes replaced or, after herd_restart, restarted.
+		Replaced   int     `json:"replaced_nodes,omitempty"`
+		ReplacedMS float64 `json:"replaced_current_ms,omitempty"`
 		// FirstCallWait is how long the first call to each host waited at replaced
-		// nodes; ReplacedBytes is the average control traffic of a replaced node until
-		// then.
-		FirstCallWait *Convergence `json:"first_call_wait_ms,omitempty"`
-		ReplacedBytes float64      `json:"replaced_control_bytes,omitempty"`
+		// nodes; BytesPerReplacedNode is the average control traffic of a replaced node
+		// until then.
+		FirstCallWait        *Convergence `json:"first_call_wait_ms,omitempty"`
+		BytesPerReplacedNode float64      `json:"replaced_control_bytes,omitempty"`
 	}
 
 	// Convergence holds percentiles of times in milliseconds. For changes, each time is
--- a/internal/lab/kqplayers/rollout.go
+++ b/internal/lab/kqplayers/rollout.go
@@ -20,7 +20,7 @@
 	rollout struct {
 		plan         kqplan.Plan
 		progress     kqprogress.Progress
-		judge        *kqverdict.Evaluator
+		evaluator    *kqverdict.Evaluator
 		lastDecision kqstep.Decision
 		final        kqprogress.Final
 	}
@@ -48,7 +48,7 @@
 		return nil, fmt.Errorf("window_ms %v must be greater than 0", s.WindowMS)
 	}
 	start := time.UnixMilli(0)
-	return &rollout{judge: kqverdict.New(), plan: kqplan.Plan{
+	return &rollout{evaluator: kqverdict.New(), plan: kqplan.Plan{
 		Name: "move", Start: start, Deadline: start.Add(time.Duration(s.WindowMS * float64(time.Millisecond))),
 		Prefer: s.Prefer, SmallShare: s.SmallShare,
 	}}, nil
@@ -63,10 +63,10 @@
 	if r.final != kqprogress.Open {
 		return nil, nil
 	}
-	r.judge.Observe(t.Sample)
+	r.evaluator.Observe(t.Sample)
 	r.plan.Cancelled = t.Cancelled
 	d := kqstep.Decide(r.plan.Start.Add(at), kqstep.Inputs{
-		Plan: r.plan, Progress: r.progress, Finding: r.judge.Finding(),
+		Plan: r.plan, Progress: r.progress, Finding: r.evaluator.Finding(),
 		OldSlots: t.OldSlots, NewSlots: t.NewSlots, ColdSlots: t.ColdSlots,
 	})
 	switch d.Action {
--- a/internal/lab/kqsoak/plan.go
+++ b/internal/lab/kqsoak/plan.go
@@ -32,12 +32,12 @@
 	PauseUpstream Kind = "pause_upstream"
 	// PauseStore suspends the store with SIGSTOP and resumes it after For.
 	PauseStore Kind = "pause_store"
-	// Line applies the proxy's Mode to the connections to a node's address, given by
-	// Role, for a duration of For.
-	Line Kind = "line"
-	// StoreLine applies the proxy's Mode to all connections to the store for a duration
-	// of For.
-	StoreLine Kind = "store_line"
+	// NodeNetwork applies the proxy's Mode to the connections to a node's address, given
+	// by Role, for a duration of For.
+	NodeNetwork Kind = "line"
+	// StoreNetwork applies the proxy's Mode to all connections to the store for a
+	// duration of For.
+	StoreNetwork Kind = "store_line"
 
 	// firstFault gives callers the time to use every route once.
 	firstFault = 500 * time.Millisecond
--- a/internal/lab/kqsoak/unplanned.go
+++ b/internal/lab/kqsoak/unplanned.go
@@ -53,12 +53,12 @@
 	case n < 62:
 		g.add(Fault{At: at, Kind: PauseStore, For: duration})
 	case n < 75:
-		g.add(Fault{At: at, Kind: StoreLine, For: duration, Mode: g.randomMode()})
+		g.add(Fault{At: at, Kind: StoreNetwork, For: duration, Mode: g.randomMode()})
 	case n < 85:
-		g.add(Fault{At: at, Kind: Line, Target: g.randomNode(), Role: RoleControl, For: duration, Mode: g.randomMode()})
+		g.add(Fault{At: at, Kind: NodeNetwork, Target: g.randomNode(), Role: RoleControl, For: duration, Mode: g.randomMode()})
 	default:
 		gateProxies := g.options.gateProxies()
-		g.add(Fault{At: at, Kind: Line, Target: g.options.Nodes - 1 - g.random.IntN(gateProxies), Role: RoleGate, For: duration, Mode: g.randomMode()})
+		g.add(Fault{At: at, Kind: NodeNetwork, Target: g.options.Nodes - 1 - g.random.IntN(gateProxies), Role: RoleGate, For: duration, Mode: g.randomMode()})
 	}
 }
 
--- a/internal/lab/kqsoakcheck/call.go
+++ b/internal/lab/kqsoakcheck/call.go
@@ -14,7 +14,7 @@
 	timeout = "timeout"
 )
 
-// isRefused reports whether the caller was told that the call has not run and will not
+// isRefused reports whether the answer says that the call has not run and will not
 // run. A refusal by the upstream itself has the result "answered".
 func (c *Call) isRefused() bool {
 	return c.AnswerRead && (c.Status == http.StatusServiceUnavailable || c.Status == http.StatusTooManyRequests) && c.Result != answered
--- a/internal/lab/kqsoakcheck/check.go
+++ b/internal/lab/kqsoakcheck/check.go
@@ -9,8 +9,8 @@
 
 const (
 	// Lost is a call whose request was sent completely, but whose connection ended
-	// before a complete answer or which was answered "unknown", while no unplanned
-	// fault could explain it.
+	// before a complete answer or which was answered "unknown" for another reason than
+	// its timeout, while no unplanned fault could explain it.
 	Lost Kind = "LOST"
 	// Twice is a non-idempotent call that ran twice.
 	Twice Kind = "TWICE"
@@ -25,8 +25,8 @@
 	// Ended is a process that exited without being asked to, or not in the way it
 	// should.
 	Ended Kind = "ENDED"
-	// FellBack is a node that went back to an older version of the configuration.
-	FellBack Kind = "FELL_BACK"
+	// VersionRegressed is a node that went back to an older version of the configuration.
+	VersionRegressed Kind = "FELL_BACK"
 	// Exposed is a call that ran at an upstream of a bad version, long after that
 	// upstream had run enough calls for the version to be detected as bad.
 	Exposed Kind = "EXPOSED"
@@ -110,11 +110,12 @@
 		Answered int `json:"answered"`
 		NotRun   int `json:"not_run"`
 		Unknown  int `json:"unknown"`
-		Cut      int `json:"cut"`
+		// Cut counts calls whose answer could not be read to its end.
+		Cut int `json:"cut"`
 		// Excused counts lost calls that an unplanned fault explains.
 		Excused int `json:"excused"`
 		Runs    int `json:"runs"`
-		// Reasons counts unanswered calls by the reason given.
+		// Reasons counts calls by the reason given, if there is one.
 		Reasons map[string]int `json:"reasons"`
 	}
 
@@ -269,9 +270,9 @@
 	}
 }
 
-// Exited records a process that exited without being asked to, or not in the way it
-// should.
-func (ck *Checker) Exited(name, status string, at time.Duration) {
+// RecordWrongExit records a process that exited without being asked to, or not in the
+// way it should, or that did not exit in time.
+func (ck *Checker) RecordWrongExit(name, status string, at time.Duration) {
 	ck.AddViolation(Ended, at, name+" did not exit as expected: "+status)
 }
 
--- a/internal/lab/kqsoakrun/children.go
+++ b/internal/lab/kqsoakrun/children.go
@@ -11,15 +11,15 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqchild"
 )
 
-var errRunOver = errors.New("the run is over")
+var errRunEnded = errors.New("the run has ended")
 
-// start starts a process unless the run is over, since nothing would end the process
+// start starts a process unless the run has ended, since nothing would end the process
 // then.
 func (c *children) start(f func() (*kqchild.Child, error)) (*kqchild.Child, error) {
 	c.Lock()
 	defer c.Unlock()
-	if c.over {
-		return nil, errRunOver
+	if c.closed {
+		return nil, errRunEnded
 	}
 	child, err := f()
 	if err == nil {
@@ -53,7 +53,7 @@
 // end kills every process that still runs, including suspended ones.
 func (c *children) end() {
 	c.Lock()
-	c.over = true
+	c.closed = true
 	var group conc.WaitGroup
 	for child := range c.all {
 		c.wasKilled[child] = true
--- a/internal/lab/kqsoakrun/document.go
+++ b/internal/lab/kqsoakrun/document.go
@@ -26,7 +26,7 @@
 	commitTimeout = 10 * time.Second
 )
 
-// route is a route that callers use.
+// route is a route that callers or the prober use.
 type route struct {
 	host, path string
 	idempotent bool
@@ -46,9 +46,9 @@
 	}
 )
 
-// document returns the fleet's document for a version number. Two versions differ only
-// in the weights of a route whose services are equivalent, and in a probe route for
-// each version, which shows that the version is in force.
+// document returns the fleet's document for a version number. Two versions with the
+// same rollouts differ only in the weights of a route whose services are equivalent, and
+// in a probe route for each version, which shows that the version is in force.
 func document(number int, rollouts []kqdocument.Rollout) kqdocument.Document {
 	d := kqdocument.Document{
 		Teams:    []kqdocument.Team{{Name: team}},
@@ -87,13 +87,13 @@
 	defer cancel()
 	s.versions.number++
 	o, err := kqcommit.New(kqstoreclient.New(s.storeURL)).Commit(ctx, kqcommit.Request{
-		ID: fmt.Sprintf("soak-%d", s.versions.number), Base: s.versions.last, Author: "soak", Reason: "soak",
+		ID: fmt.Sprintf("soak-%d", s.versions.number), Base: s.versions.lastConfigVersion, Author: "soak", Reason: "soak",
 		At: time.Now(), Document: document(s.versions.number, s.versions.rollouts),
 	})
 	if err != nil {
 		return fmt.Errorf("commit version: %w", err)
 	}
-	s.versions.last = o.Version
+	s.versions.lastConfigVersion = o.Version
 	if o.Status == kqcommit.Committed {
 		s.versions.committed = s.versions.number
 	}
--- a/internal/lab/kqsoakrun/faults.go
+++ b/internal/lab/kqsoakrun/faults.go
@@ -11,11 +11,11 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqsoak"
 )
 
-// versionInterval is the pause between two versions of a series.
+// versionInterval is the pause between two versions of commitSeries.
 const versionInterval = 300 * time.Millisecond
 
-// playPlan plays the plan and then checks that the fleet recovers.
-func (s *Soak) playPlan(ctx context.Context, plan kqsoak.Plan) error {
+// runPlan injects the faults of the plan and then checks that the fleet recovers.
+func (s *Soak) runPlan(ctx context.Context, plan kqsoak.Plan) error {
 	began := s.now()
 	var group conc.WaitGroup
 	errs := make(chan error, len(plan))
@@ -24,8 +24,8 @@
 			break
 		}
 		group.Go(func() {
-			if err := s.playFault(ctx, f); err != nil && ctx.Err() == nil {
-				errs <- fmt.Errorf("play %s: %w", f.Kind, err)
+			if err := s.injectFault(ctx, f); err != nil && ctx.Err() == nil {
+				errs <- fmt.Errorf("inject %s: %w", f.Kind, err)
 			}
 		})
 	}
@@ -35,6 +35,7 @@
 		return err
 	default:
 	}
+	// This is also logged if ctx ended before the last fault.
 	s.logEvent(event{Event: "last fault ended"})
 	from := s.now() + recoveryTime
 	if !sleep(ctx, recoveryTime+recoveryWindow) {
@@ -44,22 +45,22 @@
 	return nil
 }
 
-// playFault plays one fault to its end.
-func (s *Soak) playFault(ctx context.Context, f kqsoak.Fault) error {
+// injectFault injects one fault and returns at its end.
+func (s *Soak) injectFault(ctx context.Context, f kqsoak.Fault) error {
 	n := s.nodes[f.Target]
 	s.logEvent(event{Event: "fault", Target: n.name, Fault: &f})
 	switch f.Kind {
 	case kqsoak.Leave:
-		return s.leave(ctx, n, f)
+		return s.restartNode(ctx, n, f)
 	case kqsoak.Drain:
-		return s.drain(ctx, n, f)
+		return s.replaceUpstream(ctx, n, f)
 	case kqsoak.Versions:
 		return s.commitSeries(ctx, f.For)
 	case kqsoak.KillNode, kqsoak.KillUpstream:
 		return s.kill(ctx, n, f)
 	case kqsoak.PauseNode, kqsoak.PauseUpstream, kqsoak.PauseStore:
 		return s.pause(ctx, n, f)
-	case kqsoak.Line, kqsoak.StoreLine:
+	case kqsoak.NodeNetwork, kqsoak.StoreNetwork:
 		return s.disrupt(ctx, n, f)
 	case kqsoak.Rollout:
 		return s.rollout(ctx, n, f)
@@ -76,11 +77,12 @@
 	return nil
 }
 
-// leave stops a node and starts it again.
-func (s *Soak) leave(ctx context.Context, n *node, f kqsoak.Fault) error {
+// restartNode stops a node with SIGTERM and starts it again after f.For.
+func (s *Soak) restartNode(ctx context.Context, n *node, f kqsoak.Fault) error {
 	n.lifecycle.Lock()
 	defer n.lifecycle.Unlock()
 	c := n.process()
+	// A younger process may not have installed its signal handlers.
 	time.Sleep(kqsoak.MinSignalAge - c.Age())
 	if err := c.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -88,7 +90,7 @@
 	select {
 	case <-c.Ended():
 	case <-time.After(exitTimeout):
-		s.checker.Exited(n.name, fmt.Sprintf("still running %v after SIGTERM", exitTimeout), s.now())
+		s.checker.RecordWrongExit(n.name, fmt.Sprintf("still running %v after SIGTERM", exitTimeout), s.now())
 		s.children.kill(c)
 	}
 	if !sleep(ctx, f.For) {
@@ -97,8 +99,9 @@
 	return n.start(f.AfterStart)
 }
 
-// drain stops an upstream and starts another in its place.
-func (s *Soak) drain(ctx context.Context, n *node, f kqsoak.Fault) error {
+// replaceUpstream stops an upstream with SIGTERM and starts another in its place
+// after f.For.
+func (s *Soak) replaceUpstream(ctx context.Context, n *node, f kqsoak.Fault) error {
 	n.upstream.lifecycle.Lock()
 	defer n.upstream.lifecycle.Unlock()
 	c := n.upstream.process()
--- a/internal/lab/kqsoakrun/prober.go
+++ b/internal/lab/kqsoakrun/prober.go
@@ -24,8 +24,8 @@
 	number  int
 }
 
-// probe returns the route that documents have from this version on, until probesKept
-// newer versions exist.
+// probe returns the idempotent route that documents have from this version on,
+// until probesKept newer versions exist.
 func probe(number int) route { return route{probeHost, fmt.Sprintf("/from-%d/", number), true} }
 
 // probe calls nodes on the route of the newest version and on that of the newest
@@ -43,6 +43,8 @@
 		newest := s.versions.committed
 		s.versions.Unlock()
 		for _, number := range []int{newest, known[i].number} {
+			// Half of probesKept leaves a margin for versions that are committed during the
+			// call: a 404 for a route that they drop would count as a regression.
 			if number == 0 || newest-number > probesKept/2 {
 				continue
 			}
@@ -52,7 +54,7 @@
 			case call.Status == http.StatusOK:
 				known[i].number = max(known[i].number, number)
 			case call.Status == http.StatusNotFound && number <= known[i].number:
-				s.checker.AddViolation(kqsoakcheck.FellBack, call.Ended, fmt.Sprintf("%s had version %d but answered 404 on that version's route to call %v", s.nodes[i].name, number, call.WorkID))
+				s.checker.AddViolation(kqsoakcheck.VersionRegressed, call.Ended, fmt.Sprintf("%s had version %d but answered 404 on that version's route to call %v", s.nodes[i].name, number, call.WorkID))
 			}
 		}
 		sleep(ctx, probeInterval)
--- a/internal/lab/kqsoakrun/process.go
+++ b/internal/lab/kqsoakrun/process.go
@@ -22,12 +22,12 @@
 	startTimeout = 20 * time.Second
 	// lastRole is the role of the address that a node prints last.
 	lastRole = "admin"
-	// exitTimeout is longer than the node's settings allow a leave to take.
+	// exitTimeout is longer than the node's settings allow a drain to take.
 	exitTimeout = drainTimeout + 5*time.Second
-	// servesOn is how long a leaving upstream keeps serving, so that a call after its
-	// goodbye would be seen.
-	servesOn = 3 * time.Second
-	slots    = 32
+	// upstreamDrainPeriod is how long a draining upstream keeps serving, so that a call
+	// after its goodbye would be seen.
+	upstreamDrainPeriod = 3 * time.Second
+	slots               = 32
 )
 
 var errNotStarted = errors.New("process did not start")
@@ -89,10 +89,10 @@
 }
 
 // watch waits for a started process to exit. It records a wrong exit unless the process
-// was asked to end and then exited with status 0 or was killed by a fault.
+// was sent SIGTERM or SIGKILL and then exited with status 0 or was killed by a fault.
 func (s *Soak) watch(name string, c *kqchild.Child) {
 	s.group.Go(func() {
-		err := c.Status()
+		err := c.Wait()
 		s.children.remove(c)
 		status := "status 0"
 		if err != nil {
@@ -100,7 +100,7 @@
 		}
 		s.logEvent(event{Event: "ended", Target: name, Text: status})
 		if !c.EndRequested() || err != nil && !s.wasKilled(c) {
-			s.checker.Exited(name, status, s.now())
+			s.checker.RecordWrongExit(name, status, s.now())
 		}
 	})
 }
@@ -162,9 +162,9 @@
 	case <-up:
 	case <-c.Ended():
 		n.soak.children.remove(c)
-		status := fmt.Sprint(c.Status())
+		status := fmt.Sprint(c.Wait())
 		if !c.EndRequested() {
-			n.soak.checker.Exited(n.name, status+" during its start", n.soak.now())
+			n.soak.checker.RecordWrongExit(n.name, status+" during its start", n.soak.now())
 		}
 		return fmt.Errorf("%s: %w: %s", n.name, errNotStarted, status)
 	case <-time.After(startTimeout):
@@ -219,7 +219,7 @@
 	up := make(chan struct{})
 	c, err := n.soak.launch(name, append([]string{
 		"upstream", "--service", string(n.service()), "--node", n.address("local"), "--slots", fmt.Sprint(slots),
-		"--tell", "--serves-on", servesOn.String(),
+		"--tell", "--serves-on", upstreamDrainPeriod.String(),
 	}, extra...), func(line string) { n.handleEvent(name, line, up) })
 	if err != nil {
 		return nil, err
@@ -230,7 +230,7 @@
 	case <-up:
 		return c, nil
 	case <-c.Ended():
-		return nil, fmt.Errorf("%s: %w", name, errors.Join(errNotStarted, c.Status()))
+		return nil, fmt.Errorf("%s: %w", name, errors.Join(errNotStarted, c.Wait()))
 	case <-time.After(startTimeout):
 		return nil, fmt.Errorf("%s: %w", name, errNotStarted)
 	}
@@ -247,9 +247,9 @@
 	case kqupstream.Listening:
 		close(up)
 	case kqupstream.Begun:
-		n.soak.checker.Began(e.Work, name, n.number, at)
+		n.soak.checker.Began(e.WorkID, name, n.number, at)
 	case kqupstream.Ended:
-		n.soak.checker.RunEnded(e.Work, name, at)
+		n.soak.checker.RunEnded(e.WorkID, name, at)
 	case kqupstream.Goodbye:
 		n.soak.checker.Goodbye(name, at)
 		n.soak.logEvent(event{Event: "goodbye", Target: name})
--- a/internal/lab/kqsoakrun/settings.go
+++ b/internal/lab/kqsoakrun/settings.go
@@ -62,7 +62,8 @@
 	return nil
 }
 
-// seeds returns the control addresses of two other nodes.
+// seeds returns the control addresses of those of the first three nodes that have
+// started, without n.
 func (s *Soak) seeds(n *node) string {
 	text := ""
 	for _, other := range s.nodes[:min(len(s.nodes), 3)] {
--- a/internal/lab/kqsoakrun/soak.go
+++ b/internal/lab/kqsoakrun/soak.go
@@ -39,7 +39,7 @@
 	postViolationTime = time.Second
 )
 
-// ErrViolated is returned if the run ended with violations.
+// ErrViolated is returned if the run ended with violations and without another error.
 var ErrViolated = errors.New("the run ended with violations")
 
 type (
@@ -54,14 +54,14 @@
 
 		storeURL string
 		store    *kqchild.Child
-		// storeProxy is the proxy through which nodes reach the store, nil if the plan
-		// has only planned work.
+		// storeProxy is the proxy through which nodes reach the store, nil if
+		// Options.PlannedOnly is set.
 		storeProxy *faultProxy
 		nodes      []*node
 		children   children
 		versions   versions
 		timeline   timeline
-		// group holds the goroutines that watch processes and play the plan.
+		// group holds the goroutines that watch processes and run the plan.
 		group conc.WaitGroup
 	}
 
@@ -71,8 +71,9 @@
 		// committed.
 		number, committed int
 
-		last     kqname.ConfigVersion
-		rollouts []kqdocument.Rollout
+		// lastConfigVersion is the base of the next commit.
+		lastConfigVersion kqname.ConfigVersion
+		rollouts          []kqdocument.Rollout
 	}
 
 	timeline struct {
@@ -85,7 +86,8 @@
 		sync.Mutex
 		all       map[*kqchild.Child]bool
 		wasKilled map[*kqchild.Child]bool
-		over      bool
+		// closed is set once no more processes may be started.
+		closed bool
 	}
 
 	// event is a line of the timeline.
@@ -112,9 +114,9 @@
 	}
 )
 
-// New returns a run of a plan. It runs this executable for all processes; their output,
-// the timeline and the report are written to the folder. command is the command line
-// that repeats the run.
+// New returns a run with the given options. It runs this executable for all processes;
+// their output, the timeline and the report are written to the folder. command is the
+// command line that repeats the run.
 func New(o kqsoak.Options, folder, command string) (*Soak, error) {
 	program, err := os.Executable()
 	if err != nil {
@@ -139,8 +141,8 @@
 	return s, nil
 }
 
-// Run starts the fleet, plays the plan and ends all processes that it started. The
-// error is ErrViolated if there were violations.
+// Run starts the fleet, runs the plan and ends all processes that it started. The error
+// is ErrViolated if there were violations and nothing else failed.
 func (s *Soak) Run(ctx context.Context) (Report, error) {
 	defer func() { _ = s.timeline.file.Close() }()
 	plan := kqsoak.Generate(s.options)
@@ -148,7 +150,7 @@
 	for _, f := range plan {
 		r.Faults[f.Kind]++
 	}
-	err := s.play(ctx, plan, &r)
+	err := s.runFleet(ctx, plan, &r)
 	s.children.end()
 	s.closeProxies()
 	s.group.Wait()
@@ -166,7 +168,7 @@
 	return r, err
 }
 
-func (s *Soak) play(ctx context.Context, plan kqsoak.Plan, r *Report) error {
+func (s *Soak) runFleet(ctx context.Context, plan kqsoak.Plan, r *Report) error {
 	if err := s.start(ctx); err != nil {
 		return err
 	}
@@ -186,7 +188,7 @@
 	violated := make(chan struct{})
 	callers.Go(func() { s.watchViolations(ctx, violated) })
 	done := make(chan error, 1)
-	s.group.Go(func() { done <- s.playPlan(ctx, plan) })
+	s.group.Go(func() { done <- s.runPlan(ctx, plan) })
 	var err error
 	select {
 	case <-violated:
@@ -196,6 +198,8 @@
 	r.Processes, r.MemoryMB = s.children.memory()
 	stop()
 	callers.Wait()
+	// Upstreams report runs with a delay; the checker allows 300 ms (runReportDelay)
+	// before it evaluates an unanswered call.
 	time.Sleep(2 * postViolationTime / 3)
 	s.checker.EvaluatePending(s.now())
 	return errors.Join(err, context.Cause(outer))
--- a/internal/lab/kqsoakrun/unplanned.go
+++ b/internal/lab/kqsoakrun/unplanned.go
@@ -121,7 +121,7 @@
 // connections excuses no lost call.
 func (s *Soak) disrupt(ctx context.Context, n *node, f kqsoak.Fault) error {
 	fp := s.storeProxy
-	if f.Kind == kqsoak.Line {
+	if f.Kind == kqsoak.NodeNetwork {
 		fp = n.proxies[f.Role]
 		ended := s.checker.Disruption(n.number, s.now())
 		defer func() { ended(s.now()) }()
--- a/internal/lab/kqsurvey/record.go
+++ b/internal/lab/kqsurvey/record.go
@@ -44,11 +44,11 @@
 
 // Record simulates one rollout of a kind and writes it as a trace with its final
 // outcome. It reports whether the rollout ended as it should: a good version done,
-// a bad one taken back.
+// a bad one rolled back.
 func Record(out io.Writer, kind kqworld.Kind, seed, index uint64, prefer kqdocument.Preference) (bool, error) {
 	w := kqworld.New(kind, seed, index)
 	start := time.UnixMilli(0)
-	t := &trial{world: w, judge: kqverdict.New(), detectableAt: -1, plan: kqplan.Plan{
+	t := &trial{world: w, evaluator: kqverdict.New(), detectableAt: -1, plan: kqplan.Plan{
 		Name: "move", Start: start, Deadline: start.Add(w.Window), Prefer: prefer, SmallShare: 0.05,
 	}}
 	e := json.NewEncoder(out)
@@ -56,7 +56,7 @@
 	end := outcome{State: "running"}
 	for at := 0; err == nil && at < int(w.Window/tick) && end.State == "running"; at++ {
 		s := w.Tick(at, kqstep.Share(t.plan, t.progress.Step), t.progress.Step <= kqstep.SmallShareStep)
-		t.judge.Observe(s.Sample)
+		t.evaluator.Observe(s.Sample)
 		d := t.decide(start.Add(time.Duration(at+1) * tick))
 		input := kqtick.Tick{Sample: s.Sample}
 		input.OldSlots, input.NewSlots, input.ColdSlots = w.Slots(at)
--- a/internal/lab/kqsurvey/trial.go
+++ b/internal/lab/kqsurvey/trial.go
@@ -30,17 +30,17 @@
 		// badSeconds and badCalls count the ticks and calls of the bad version
 		// after the oracle has detected the regression.
 		badSeconds, badCalls float64
-		// at is the last second in which a version that was taken back could get
+		// at is the last second in which a version that was rolled back could get
 		// calls, or for the oracle the second of its detection; -1 if there was none.
 		at int
 	}
 
 	// trial is the state of one simulated rollout.
 	trial struct {
-		world    *kqworld.World
-		plan     kqplan.Plan
-		progress kqprogress.Progress
-		judge    *kqverdict.Evaluator
+		world     *kqworld.World
+		plan      kqplan.Plan
+		progress  kqprogress.Progress
+		evaluator *kqverdict.Evaluator
 		// logLikelihoodRatio is the oracle's evidence so far. detectableAt is the
 		// tick in which it reached threshold, -1 before.
 		logLikelihoodRatio float64
@@ -51,11 +51,11 @@
 
 // simulate runs one rollout with kumquatgw's decisions and, on the same calls, the
 // oracle that knows the true distributions. Calls continue after the rollout is
-// taken back, for the oracle only.
+// rolled back, for the oracle only.
 func simulate(w *kqworld.World, prefer kqdocument.Preference) (actual, oracle result) {
 	start := time.Unix(0, 0)
 	t := &trial{
-		world: w, judge: kqverdict.New(), detectableAt: -1, threshold: detectionThreshold(prefer),
+		world: w, evaluator: kqverdict.New(), detectableAt: -1, threshold: detectionThreshold(prefer),
 		plan: kqplan.Plan{Name: "move", Start: start, Deadline: start.Add(w.Window), Prefer: prefer, SmallShare: 0.05},
 	}
 	actual = result{kind: w.Kind, at: -1}
@@ -72,7 +72,7 @@
 		if ended {
 			continue
 		}
-		t.judge.Observe(s.Sample)
+		t.evaluator.Observe(s.Sample)
 		switch d := t.decide(start.Add(time.Duration(at+1) * tick)); d.Action {
 		case kqstep.Rollback:
 			ended, drainedAt, actual.at = true, at+propagationTicks, at+propagationTicks
@@ -92,7 +92,7 @@
 }
 
 func (t *trial) decide(now time.Time) kqstep.Decision {
-	s := kqstep.Inputs{Plan: t.plan, Progress: t.progress, Finding: t.judge.Finding()}
+	s := kqstep.Inputs{Plan: t.plan, Progress: t.progress, Finding: t.evaluator.Finding()}
 	s.OldSlots, s.NewSlots, s.ColdSlots = t.world.Slots(int(now.Sub(t.plan.Start)/tick) - 1)
 	return kqstep.Decide(now, s)
 }
@@ -111,7 +111,7 @@
 }
 
 // recordBadTick records a bad version's traffic in one tick. For a version that is
-// never taken back, this continues until the deadline.
+// never rolled back, this continues until the deadline.
 func (r *result) recordBadTick(t *trial, at int, s kqworld.TickResult) {
 	if !s.Bad {
 		return
--- a/internal/lab/kqupstream/event.go
+++ b/internal/lab/kqupstream/event.go
@@ -23,11 +23,11 @@
 	// Kind identifies a type of event.
 	Kind string
 
-	// Event is an event in the life cycle of an upstream. Work is set only for runs.
+	// Event is an event in the life cycle of an upstream. WorkID is set only for runs.
 	Event struct {
-		Kind Kind      `json:"step"`
-		Work string    `json:"work,omitempty"`
-		At   time.Time `json:"at"`
+		Kind   Kind      `json:"step"`
+		WorkID string    `json:"work,omitempty"`
+		At     time.Time `json:"at"`
 	}
 
 	// Option configures an Upstream.
@@ -40,15 +40,17 @@
 
 // WithDrainPeriod sets how long a leaving upstream keeps serving, counted from its first
 // goodbye announcement.
-func WithDrainPeriod(d time.Duration) Option { return func(u *Upstream) { u.servesOn = d } }
+func WithDrainPeriod(d time.Duration) Option { return func(u *Upstream) { u.drainPeriod = d } }
 
-func (u *Upstream) emit(k Kind, work string) { u.onEvent(Event{Kind: k, Work: work, At: time.Now()}) }
+func (u *Upstream) emit(k Kind, workID string) {
+	u.onEvent(Event{Kind: k, WorkID: workID, At: time.Now()})
+}
 
-// leave announces the goodbye, and repeats it until servesOn is over: a node that
+// leave announces the goodbye, and repeats it until drainPeriod is over: a node that
 // starts in the meantime has not received it.
 func (u *Upstream) leave() {
 	u.draining.Store(true)
-	end, acknowledged := time.Now().Add(u.servesOn), false
+	end, acknowledged := time.Now().Add(u.drainPeriod), false
 	for {
 		if u.announce() && !acknowledged {
 			acknowledged = true
--- a/internal/lab/kqupstream/upstream.go
+++ b/internal/lab/kqupstream/upstream.go
@@ -29,12 +29,12 @@
 	// largest limit that settings allow for nodes.
 	maxBody       = 64 << 20
 	announceEvery = 500 * time.Millisecond
-	// defaultServesOn is how long an upstream keeps serving from its first goodbye
+	// defaultDrainPeriod is how long an upstream keeps serving from its first goodbye
 	// announcement; the users' upstreams do so for two seconds or more after the
 	// acknowledgement. A call that the gate admitted just before the goodbye is written
 	// a moment after it. If the upstream closed its connections at once, that call
-	// would be cut whatever the node does.
-	defaultServesOn = 300 * time.Millisecond
+	// would be lost whatever the node does.
+	defaultDrainPeriod = 300 * time.Millisecond
 )
 
 type (
@@ -64,6 +64,7 @@
 
 	// Run is one run of a call, recorded when it begins.
 	Run struct {
+		// Work is the work id of the call.
 		Work    string
 		Service kqname.Service
 		Version kqname.UpstreamVersion
@@ -73,7 +74,7 @@
 	// Upstream is a fake upstream. It is safe for concurrent use.
 	Upstream struct {
 		announcement kqlocal.Announcement
-		servesOn     time.Duration
+		drainPeriod  time.Duration
 		onEvent      func(Event)
 		node         kqname.Address
 		server       *fasthttp.Server
@@ -107,7 +108,7 @@
 	}
 	u := &Upstream{
 		announcement: kqlocal.Announcement{Service: service, Version: version, Address: kqname.Address(l.Addr().String()), Slots: slots},
-		servesOn:     defaultServesOn,
+		drainPeriod:  defaultDrainPeriod,
 		onEvent:      func(Event) {},
 		node:         node,
 		listener:     kqcut.New(l, new(atomic.Int64)),
@@ -190,22 +191,22 @@
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	work := string(ctx.Request.Header.Peek(HeaderWorkID))
+	workID := string(ctx.Request.Header.Peek(HeaderWorkID))
 	u.mu.Lock()
-	u.runs[work]++
+	u.runs[workID]++
 	u.mu.Unlock()
 	if f := u.onRun.Load(); f != nil {
-		(*f)(Run{Work: work, Service: u.announcement.Service, Version: u.announcement.Version, At: time.Now()})
+		(*f)(Run{Work: workID, Service: u.announcement.Service, Version: u.announcement.Version, At: time.Now()})
 	}
-	u.emit(Begun, work)
-	defer u.emit(Ended, work)
+	u.emit(Begun, workID)
+	defer u.emit(Ended, workID)
 	time.Sleep(u.duration(b, running, ctx))
-	ctx.Response.Header.Set(HeaderWorkID, work)
+	ctx.Response.Header.Set(HeaderWorkID, workID)
 	if bytes.HasPrefix(ctx.Path(), []byte(b.FailPath)) && rand.Float64() < b.FailShare {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
 	}
-	fmt.Fprintf(ctx, "%s %s %s\n", u.announcement.Service, u.announcement.Version, work)
+	fmt.Fprintf(ctx, "%s %s %s\n", u.announcement.Service, u.announcement.Version, workID)
 }
 
 func (u *Upstream) duration(b Behaviour, running int64, ctx *fasthttp.RequestCtx) time.Duration {
--- a/internal/lab/kqworld/world.go
+++ b/internal/lab/kqworld/world.go
@@ -166,7 +166,7 @@
 	}
 	totalRate := w.rate * (1 + 0.2*math.Sin(2*math.Pi*float64(at)/1800))
 	if next.alive > 0 && serving < float64(w.Servers) {
-		// Burst selects nodes among the live upstreams only.
+		// Distribution selects nodes among the live upstreams only.
 		next.alive = 1
 	}
 	next.rate = totalRate * b.Within * b.Duty
