--- a/internal/security/kqauthority/authority.go
+++ b/internal/security/kqauthority/authority.go
@@ -36,13 +36,14 @@
 var (
 	// ErrPEM is returned if a file is not a PEM block of the expected type, or a key
 	// does not belong to its certificate.
-	ErrPEM = errors.New("not a PEM block of the expected type")
-	// ErrName is returned if a node's name is not valid.
+	ErrPEM = errors.New("PEM block is missing, of the wrong type or mismatched")
+	// ErrName is returned if a node's name is not valid by kqname.Valid.
 	ErrName = errors.New("node's name is not a plain name")
 )
 
 type (
-	// Authority signs the certificates of nodes.
+	// Authority is the fleet's certificate authority (CA), which signs the
+	// certificates of nodes.
 	Authority struct {
 		certificate *x509.Certificate
 		key         *ecdsa.PrivateKey
@@ -64,9 +65,9 @@
 	}
 )
 
-// New creates an authority that is valid for the given time from now.
-func New(now time.Time, valid time.Duration) (*Authority, error) {
-	template, err := newTemplate(now, valid, "kumquatgw fleet")
+// New creates an authority whose certificate expires after the lifetime.
+func New(now time.Time, lifetime time.Duration) (*Authority, error) {
+	template, err := newTemplate(now, lifetime, "kumquatgw fleet")
 	if err != nil {
 		return nil, err
 	}
@@ -110,13 +111,13 @@
 // Pair returns the authority's own certificate and key.
 func (a *Authority) Pair() Pair { return a.pair }
 
-// Issue generates a key for a node and signs a certificate for it that is valid for
-// both client and server authentication.
-func (a *Authority) Issue(s Subject, now time.Time, valid time.Duration) (Pair, error) {
+// Issue generates a key for a node and signs a certificate for both client and
+// server authentication that expires after the lifetime.
+func (a *Authority) Issue(s Subject, now time.Time, lifetime time.Duration) (Pair, error) {
 	if !kqname.Valid(s.Node) {
 		return Pair{}, fmt.Errorf("issue certificate for %q: %w", s.Node, ErrName)
 	}
-	template, err := newTemplate(now, valid, string(s.Node))
+	template, err := newTemplate(now, lifetime, string(s.Node))
 	if err != nil {
 		return Pair{}, err
 	}
@@ -142,18 +143,18 @@
 }
 
 // newTemplate returns an unsigned certificate with a random serial number.
-func newTemplate(now time.Time, valid time.Duration, name string) (*x509.Certificate, error) {
+func newTemplate(now time.Time, lifetime time.Duration, name string) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		return nil, fmt.Errorf("generate serial number: %w", err)
 	}
 	return &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: name},
-		NotBefore: now.Add(-backdate), NotAfter: now.Add(valid),
+		NotBefore: now.Add(-backdate), NotAfter: now.Add(lifetime),
 	}, nil
 }
 
-// sign signs the template with the signer's key and returns it with its own key.
+// sign signs a certificate for key with the signer's key and returns it with key.
 func sign(template, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) (Pair, error) {
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer)
 	if err != nil {
--- a/internal/security/kqidentity/identity.go
+++ b/internal/security/kqidentity/identity.go
@@ -22,7 +22,7 @@
 var (
 	// ErrForeign is returned if a peer's certificate is missing, is not signed by the
 	// fleet's CA, has expired, or names no node.
-	ErrForeign = errors.New("certificate is not of this fleet")
+	ErrForeign = errors.New("certificate is missing or not valid in this fleet")
 	// ErrFiles is returned if the files are unreadable or do not belong together, or
 	// the certificate is for another node.
 	ErrFiles = errors.New("certificate files are not usable")
@@ -37,11 +37,11 @@
 	// Identity authenticates a node to others and verifies the certificates of
 	// others. It is safe for concurrent use.
 	Identity struct {
-		node      kqname.Node
-		files     Files
-		loaded    atomic.Pointer[loaded]
-		reloader  *kqreload.Reloader
-		onRefused func(error)
+		node        kqname.Node
+		files       Files
+		credentials atomic.Pointer[credentials]
+		reloader    *kqreload.Reloader
+		onRefused   func(error)
 	}
 
 	// Option configures an Identity.
@@ -52,14 +52,14 @@
 		onRefused func(error)
 	}
 
-	// gateConn closes without sending TLS's close_notify alert. A gate detects by
-	// the end of a connection that the caller has disconnected. The alert would be
-	// unread data before that end and hide it, and the upstream would continue a
-	// call whose answer nobody reads.
+	// gateConn closes without sending TLS's close_notify alert. While a call runs, a
+	// gate looks for the end of the TCP stream to detect that the caller has
+	// disconnected. The alert would be unread data before that end and hide it, and
+	// the upstream would continue a call whose answer nobody reads.
 	gateConn struct{ *tls.Conn }
 
-	// loaded holds the content of the files after the last successful load.
-	loaded struct {
+	// credentials holds the content of the files after the last successful load.
+	credentials struct {
 		certificate *tls.Certificate
 		pool        *x509.CertPool
 	}
@@ -70,7 +70,9 @@
 	return func(cfg *options) { cfg.reload = append(cfg.reload, o...) }
 }
 
-// WithRefusalHandler sets a function that is called with the reason for each refused peer.
+// WithRefusalHandler sets a function that is called with the error of each
+// handshake that fails in Accept, and with the reason for each other peer whose
+// certificate is refused.
 func WithRefusalHandler(f func(error)) Option { return func(cfg *options) { cfg.onRefused = f } }
 
 // New loads the identity of a node. The certificate must name that node.
@@ -92,14 +94,14 @@
 func (i *Identity) Run(ctx context.Context) { i.reloader.Run(ctx) }
 
 // Expires returns when the certificate in use expires.
-func (i *Identity) Expires() time.Time { return i.loaded.Load().certificate.Leaf.NotAfter }
+func (i *Identity) Expires() time.Time { return i.credentials.Load().certificate.Leaf.NotAfter }
 
 // PublicTLSConfig returns the TLS configuration for connections from operators, who
 // authenticate by token and not by certificate.
 func (i *Identity) PublicTLSConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12, NextProtos: []string{"http/1.1"},
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return i.loaded.Load().certificate, nil },
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return i.credentials.Load().certificate, nil },
 	}
 }
 
@@ -109,7 +111,7 @@
 		// VerifyConnection also refuses connections without a certificate. Unlike
 		// tls.RequireAnyClientCert, it reports them to onRefused.
 		MinVersion: tls.VersionTLS13, ClientAuth: tls.RequestClientCert,
-		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return i.loaded.Load().certificate, nil },
+		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return i.credentials.Load().certificate, nil },
 		VerifyConnection: i.verify(x509.ExtKeyUsageClientAuth),
 	}
 }
@@ -190,8 +192,10 @@
 func (i *Identity) clientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, InsecureSkipVerify: true,
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return i.loaded.Load().certificate, nil },
-		VerifyConnection:     i.verify(x509.ExtKeyUsageServerAuth),
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+			return i.credentials.Load().certificate, nil
+		},
+		VerifyConnection: i.verify(x509.ExtKeyUsageServerAuth),
 	}
 }
 
@@ -206,7 +210,7 @@
 				intermediates.AddCert(c)
 			}
 			_, err = s.PeerCertificates[0].Verify(x509.VerifyOptions{
-				Roots: i.loaded.Load().pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{usage},
+				Roots: i.credentials.Load().pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{usage},
 			})
 		}
 		if err != nil {
@@ -241,6 +245,6 @@
 	if _, err := certificate.Leaf.Verify(x509.VerifyOptions{Roots: pool}); err != nil {
 		return fmt.Errorf("verify own certificate: %w", errors.Join(ErrFiles, err))
 	}
-	i.loaded.Store(&loaded{certificate: &certificate, pool: pool})
+	i.credentials.Store(&credentials{certificate: &certificate, pool: pool})
 	return nil
 }
--- a/internal/security/kqoperator/operator.go
+++ b/internal/security/kqoperator/operator.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// Admin operators may change everything.
+	// Admin is the role of operators who may change everything.
 	Admin Role = "admin"
-	// Member operators may change what their team owns.
+	// Member is the role of operators who may change what their team owns.
 	Member Role = "member"
 
 	noTeam        = "-"
@@ -30,12 +30,13 @@
 )
 
 var (
-	// ErrToken is returned if no operator has the token.
+	// ErrToken is returned if a token is malformed or no operator has it.
 	ErrToken = errors.New("token is not known")
-	// ErrLine is returned if a line of the token file is malformed.
-	ErrLine = errors.New("line is not NAME ROLE TEAM HASH")
+	// ErrLine is returned if a line of the token file does not have the form
+	// "NAME ROLE TEAM HASH" or has an invalid value.
+	ErrLine = errors.New("malformed line, want NAME ROLE TEAM HASH")
 	// ErrOperator is returned if an operator's name is invalid, or its role and team
-	// do not go together.
+	// contradict each other.
 	ErrOperator = errors.New("invalid operator")
 )
 
--- a/internal/security/kqreload/reload.go
+++ b/internal/security/kqreload/reload.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// poll calls load if the files differ from those of the last successful load. Since
-// a certificate and its key are written one after the other, a poll between the two
-// fails to load them, and the next poll retries.
+// poll calls load if the files differ from those of the last successful load. A
+// poll can see only some of the files replaced, such as a certificate without its
+// new key; load then fails, and the next poll retries.
 func (r *Reloader) poll() error {
 	sum, err := r.sum()
 	if err != nil {
@@ -73,7 +73,7 @@
 		return nil
 	}
 	if err := r.load(); err != nil {
-		return fmt.Errorf("reload: %w", err)
+		return fmt.Errorf("load files: %w", err)
 	}
 	r.loadedSum = sum
 	return nil
--- a/internal/security/kqthrottle/throttle.go
+++ b/internal/security/kqthrottle/throttle.go
@@ -11,15 +11,16 @@
 	// burst is the number of failures without a wait, for a person who pastes the
 	// wrong token.
 	burst = 10
-	// refillInterval is the time after which one more failure is allowed. Tokens
-	// have 256 random bits, so guessing is hopeless at any rate; the limit keeps a
-	// broken script from filling the logs and the audit log.
+	// refillInterval is the time after which one more failure is allowed.
+	// Operators' tokens have 256 random bits, so guessing one is infeasible even
+	// without a limit; the limit keeps a broken script from filling the logs and the
+	// audit log.
 	refillInterval = 6 * time.Second
 	// maxSources is the number of sources kept; it bounds the memory.
 	maxSources = 4096
 )
 
-// Throttle holds a token bucket of failures for each source. It is safe for
+// Throttle holds a rate limiter of failures for each source. It is safe for
 // concurrent use.
 type Throttle struct {
 	mu      sync.Mutex
@@ -55,7 +56,7 @@
 }
 
 // evict makes room for another source if there are maxSources. It removes all sources
-// whose buckets are full again; if none is, it removes an arbitrary one, which at
+// that may again fail burst times; if none is, it removes an arbitrary one, which at
 // worst allows that source a new burst.
 func (t *Throttle) evict(now time.Time) {
 	if len(t.sources) < maxSources {
