--- a/internal/store/kqfakestore/count.go
+++ b/internal/store/kqfakestore/count.go
@@ -15,11 +15,14 @@
 	Writes  uint64 `json:"writes"`
 	Watches uint64 `json:"watches"`
 	Refused uint64 `json:"refused"`
-	// PeakReads and PeakWrites are the highest numbers of calls within one second.
+	// PeakReads and PeakWrites are the highest numbers of calls in one second of the
+	// clock.
 	PeakReads  uint64 `json:"peak_reads"`
 	PeakWrites uint64 `json:"peak_writes"`
 
-	second                    int64
+	// currentSecond is the second of the latest call, and secondReads and secondWrites
+	// are the calls in it.
+	currentSecond             int64
 	secondReads, secondWrites uint64
 }
 
@@ -30,10 +33,10 @@
 	return s.counts
 }
 
-// begin applies the delay of the fault Slow, counts the call and refuses it under the
-// faults Down, MaxReads and MaxWrites. If it returns nil, it has expired leases and
-// holds the lock.
-func (s *Fake) begin(ctx context.Context, count func(*Fake) bool) error {
+// admit applies the delay of the fault Slow, counts the call and refuses it under the
+// faults Down, MaxReads and MaxWrites. If it returns nil, it has deleted expired
+// leases and holds the lock, which the caller must release.
+func (s *Fake) admit(ctx context.Context, count func(*Fake) bool) error {
 	if slow := s.Faults().Slow; slow > 0 {
 		select {
 		case <-ctx.Done():
@@ -43,8 +46,8 @@
 	}
 	s.mu.Lock()
 	now := s.now()
-	if second := now.Unix(); second != s.counts.second {
-		s.counts.second, s.counts.secondReads, s.counts.secondWrites = second, 0, 0
+	if currentSecond := now.Unix(); currentSecond != s.counts.currentSecond {
+		s.counts.currentSecond, s.counts.secondReads, s.counts.secondWrites = currentSecond, 0, 0
 	}
 	allowed := count(s)
 	if s.faults.Down || !allowed {
@@ -56,7 +59,7 @@
 		}
 		return kqstore.ErrRateLimited
 	}
-	s.lapse(func(l lease) bool { return !now.Before(l.expires) })
+	s.expireLeases(func(l lease) bool { return !now.Before(l.expires) })
 	return nil
 }
 
--- a/internal/store/kqfakestore/fake.go
+++ b/internal/store/kqfakestore/fake.go
@@ -41,7 +41,7 @@
 		// SilentWatch keeps watches waiting although their key has changed.
 		SilentWatch bool `json:"silent_watch"`
 		// StaleReads makes reads and watches return the value of each key before
-		// its last write.
+		// its last write; a key that was written once reads as absent.
 		StaleReads bool `json:"stale_reads"`
 		// LapseLeases expires every lease once, when the faults are set, as if its
 		// holder had been paused for longer than its ttl.
@@ -52,7 +52,7 @@
 		MaxWrites int `json:"max_writes"`
 	}
 
-	// Option configures a Standin.
+	// Option configures a Fake.
 	Option func(*Fake)
 
 	deletion struct {
@@ -71,7 +71,7 @@
 // WithNow sets the clock; the default is time.Now.
 func WithNow(now func() time.Time) Option { return func(s *Fake) { s.now = now } }
 
-// New returns an empty stand-in without faults.
+// New returns an empty store without faults.
 func New(options ...Option) *Fake {
 	s := &Fake{
 		entries: make(map[string]record),
@@ -90,7 +90,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f.LapseLeases {
-		s.lapse(func(lease) bool { return true })
+		s.expireLeases(func(lease) bool { return true })
 		f.LapseLeases = false
 	}
 	s.faults = f
@@ -106,7 +106,7 @@
 
 // Get implements kqstore.Store.
 func (s *Fake) Get(ctx context.Context, key string) (kqstore.Entry, error) {
-	if err := s.begin(ctx, (*Fake).countRead); err != nil {
+	if err := s.admit(ctx, (*Fake).countRead); err != nil {
 		return kqstore.Entry{}, fmt.Errorf("get %s: %w", key, err)
 	}
 	defer s.mu.Unlock()
@@ -119,7 +119,7 @@
 
 // Put implements kqstore.Store.
 func (s *Fake) Put(ctx context.Context, key string, value []byte, lease kqstore.Lease) (kqstore.Revision, error) {
-	if err := s.begin(ctx, (*Fake).countWrite); err != nil {
+	if err := s.admit(ctx, (*Fake).countWrite); err != nil {
 		return 0, fmt.Errorf("put %s: %w", key, err)
 	}
 	defer s.mu.Unlock()
@@ -128,7 +128,7 @@
 
 // Swap implements kqstore.Store.
 func (s *Fake) Swap(ctx context.Context, key string, expected kqstore.Revision, value []byte, lease kqstore.Lease) (kqstore.Revision, error) {
-	if err := s.begin(ctx, (*Fake).countWrite); err != nil {
+	if err := s.admit(ctx, (*Fake).countWrite); err != nil {
 		return 0, fmt.Errorf("swap %s: %w", key, err)
 	}
 	defer s.mu.Unlock()
@@ -140,7 +140,7 @@
 
 // Delete implements kqstore.Store.
 func (s *Fake) Delete(ctx context.Context, key string, expected kqstore.Revision) error {
-	if err := s.begin(ctx, (*Fake).countWrite); err != nil {
+	if err := s.admit(ctx, (*Fake).countWrite); err != nil {
 		return fmt.Errorf("delete %s: %w", key, err)
 	}
 	defer s.mu.Unlock()
@@ -164,9 +164,10 @@
 	defer timeout.Stop()
 	count := (*Fake).countWatch
 	for {
-		if err := s.begin(ctx, count); err != nil {
+		if err := s.admit(ctx, count); err != nil {
 			return kqstore.Entry{}, fmt.Errorf("watch %s: %w", key, err)
 		}
+		// The call is counted once, not each time that it is woken.
 		count = func(*Fake) bool { return true }
 		e, ok := s.read(key)
 		silent := s.faults.SilentWatch
@@ -201,15 +202,15 @@
 }
 
 // write stores a value under the next revision and wakes the watches.
-func (s *Fake) write(key string, value []byte, name kqstore.Lease) (kqstore.Revision, error) {
+func (s *Fake) write(key string, value []byte, id kqstore.Lease) (kqstore.Revision, error) {
 	if len(value) > kqstore.MaxValueBytes {
 		return 0, fmt.Errorf("write %s of %d bytes: %w", key, len(value), kqstore.ErrTooLarge)
 	}
-	if _, ok := s.leases[name]; name != kqstore.NoLease && !ok {
-		return 0, fmt.Errorf("write %s under %s: %w", key, name, kqstore.ErrLeaseLapsed)
+	if _, ok := s.leases[id]; id != kqstore.NoLease && !ok {
+		return 0, fmt.Errorf("write %s under %s: %w", key, id, kqstore.ErrLeaseLapsed)
 	}
 	s.revision++
-	next := record{entry: kqstore.Entry{Key: key, Value: slices.Clone(value), Revision: s.revision}, lease: name}
+	next := record{entry: kqstore.Entry{Key: key, Value: slices.Clone(value), Revision: s.revision}, lease: id}
 	if old, ok := s.entries[key]; ok {
 		next.previous = &old.entry
 	}
@@ -219,11 +220,11 @@
 }
 
 // writeResult returns the result of a write that has taken effect: nil, or an error
-// under the fault LoseAnswers.
+// under the fault LoseResponses.
 func (s *Fake) writeResult() error {
 	if s.faults.LoseResponses > 0 {
 		s.faults.LoseResponses--
-		return fmt.Errorf("answer lost by injected fault: %w", kqstore.ErrUnavailable)
+		return fmt.Errorf("response lost by injected fault: %w", kqstore.ErrUnavailable)
 	}
 	return nil
 }
--- a/internal/store/kqfakestore/lease.go
+++ b/internal/store/kqfakestore/lease.go
@@ -16,43 +16,44 @@
 
 // Grant implements kqstore.Store.
 func (s *Fake) Grant(ctx context.Context, ttl time.Duration) (kqstore.Lease, error) {
-	if err := s.begin(ctx, (*Fake).countWrite); err != nil {
+	if err := s.admit(ctx, (*Fake).countWrite); err != nil {
 		return "", fmt.Errorf("grant lease: %w", err)
 	}
 	defer s.mu.Unlock()
 	s.revision++
-	name := kqstore.Lease(fmt.Sprintf("lease-%d", s.revision))
-	s.leases[name] = lease{ttl: ttl, expires: s.now().Add(ttl)}
+	id := kqstore.Lease(fmt.Sprintf("lease-%d", s.revision))
+	s.leases[id] = lease{ttl: ttl, expires: s.now().Add(ttl)}
 	if err := s.writeResult(); err != nil {
 		return "", err
 	}
-	return name, nil
+	return id, nil
 }
 
 // Renew implements kqstore.Store.
-func (s *Fake) Renew(ctx context.Context, name kqstore.Lease) error {
-	if err := s.begin(ctx, (*Fake).countWrite); err != nil {
-		return fmt.Errorf("renew %s: %w", name, err)
+func (s *Fake) Renew(ctx context.Context, id kqstore.Lease) error {
+	if err := s.admit(ctx, (*Fake).countWrite); err != nil {
+		return fmt.Errorf("renew %s: %w", id, err)
 	}
 	defer s.mu.Unlock()
-	l, ok := s.leases[name]
+	l, ok := s.leases[id]
 	if !ok {
-		return fmt.Errorf("renew %s: %w", name, kqstore.ErrLeaseLapsed)
+		return fmt.Errorf("renew %s: %w", id, kqstore.ErrLeaseLapsed)
 	}
 	l.expires = s.now().Add(l.ttl)
-	s.leases[name] = l
+	s.leases[id] = l
 	return s.writeResult()
 }
 
-// lapse deletes the leases for which expired returns true, together with their keys.
-func (s *Fake) lapse(expired func(lease) bool) {
-	for name, l := range s.leases {
+// expireLeases deletes the leases for which expired returns true, together with their
+// keys.
+func (s *Fake) expireLeases(expired func(lease) bool) {
+	for id, l := range s.leases {
 		if !expired(l) {
 			continue
 		}
-		delete(s.leases, name)
+		delete(s.leases, id)
 		for key, r := range s.entries {
-			if r.lease == name {
+			if r.lease == id {
 				delete(s.entries, key)
 				s.revision++
 				s.deleted = append(s.deleted, deletion{key, s.revision})
--- a/internal/store/kqfakestore/list.go
+++ b/internal/store/kqfakestore/list.go
@@ -11,7 +11,8 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
-// Compact drops the history: Follow from an older revision returns ErrCompacted.
+// Compact drops the record of deletions: Follow from an older revision returns
+// ErrCompacted.
 func (s *Fake) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,7 +21,7 @@
 
 // List implements kqstore.Lister.
 func (s *Fake) List(ctx context.Context, prefix string) (kqstore.Listing, error) {
-	if err := s.begin(ctx, (*Fake).countRead); err != nil {
+	if err := s.admit(ctx, (*Fake).countRead); err != nil {
 		return kqstore.Listing{}, fmt.Errorf("list %s: %w", prefix, err)
 	}
 	defer s.mu.Unlock()
@@ -33,9 +34,10 @@
 	defer timeout.Stop()
 	count := (*Fake).countWatch
 	for {
-		if err := s.begin(ctx, count); err != nil {
+		if err := s.admit(ctx, count); err != nil {
 			return kqstore.Listing{}, fmt.Errorf("follow %s: %w", prefix, err)
 		}
+		// The call is counted once, not each time that it is woken.
 		count = func(*Fake) bool { return true }
 		compacted, silent, changed := after < s.compactedAt, s.faults.SilentWatch, s.changed
 		l := s.changesSince(prefix, after)
--- a/internal/store/kqfakestore/serve.go
+++ b/internal/store/kqfakestore/serve.go
@@ -14,13 +14,15 @@
 const (
 	maxRequestBytes = 2*kqstore.MaxValueBytes + 4096
 	// maxWait bounds the wait of a watch, as on the platform: a longer one would
-	// occupy a connection through several outages.
+	// occupy a connection through several outages. It also bounds the ttl of a lease.
 	maxWait = 5 * time.Minute
 )
 
 type (
-	// Call is the JSON body of POST /v1/VERB. Each verb uses only some of the fields.
-	Call struct {
+	// Operation is the JSON body of POST /v1/VERB. Each verb uses only some of the
+	// fields. Expected is the expected revision, or that after which a watch waits for
+	// a change. WaitMS is the wait of a watch or the ttl of a lease.
+	Operation struct {
 		Key      string           `json:"key,omitempty"`
 		Value    []byte           `json:"value,omitempty"`
 		Expected kqstore.Revision `json:"expected,omitempty"`
@@ -28,9 +30,9 @@
 		WaitMS   int64            `json:"wait_ms,omitempty"`
 	}
 
-	// Answer is the JSON body of every answer to a Call. Error is empty or one of
-	// not_found, conflict, lease_lapsed, too_large, rate_limited and unavailable.
-	Answer struct {
+	// Result is the JSON body of every response to an Operation. Error is empty or a
+	// key of Errors; clients read it and not the HTTP status.
+	Result struct {
 		Entry    kqstore.Entry    `json:"entry,omitzero"`
 		Revision kqstore.Revision `json:"revision,omitempty"`
 		Lease    kqstore.Lease    `json:"lease,omitempty"`
@@ -38,7 +40,8 @@
 	}
 )
 
-// Errors maps the error codes in an Answer to the errors of kqstore.
+// Errors maps the error codes in a Result to the errors of kqstore.Store.
+// ErrCompacted has no code, since only Follow returns it, which is not served.
 var Errors = map[string]error{
 	"not_found":    kqstore.ErrNotFound,
 	"conflict":     kqstore.ErrConflict,
@@ -48,8 +51,8 @@
 	"unavailable":  kqstore.ErrUnavailable,
 }
 
-// Handler serves the stand-in as JSON over HTTP: POST /v1/{get,put,swap,delete,
-// grant,renew,watch}, GET and PUT /faults, and GET /counts.
+// Handler serves kqstore.Store as JSON over HTTP, but not kqstore.Lister: POST
+// /v1/{get,put,swap,delete,grant,renew,watch}, GET and PUT /faults, and GET /counts.
 func (s *Fake) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/{verb}", s.serveVerb)
@@ -71,15 +74,15 @@
 }
 
 func (s *Fake) serveVerb(w http.ResponseWriter, r *http.Request) {
-	var c Call
+	var c Operation
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&c)
 	var over *http.MaxBytesError
 	if errors.As(err, &over) {
-		reply(w, http.StatusRequestEntityTooLarge, Answer{Error: "too_large"})
+		reply(w, http.StatusRequestEntityTooLarge, Result{Error: "too_large"})
 		return
 	}
 	if err != nil {
-		http.Error(w, "read call: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "read operation: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	a, err := s.serve(r.Context(), r.PathValue("verb"), c)
@@ -89,16 +92,15 @@
 	}
 	for name, known := range Errors {
 		if errors.Is(err, known) {
-			reply(w, http.StatusConflict, Answer{Error: name})
+			reply(w, http.StatusConflict, Result{Error: name})
 			return
 		}
 	}
 	http.Error(w, err.Error(), http.StatusBadRequest)
 }
 
-// serve runs one call. WaitMS is the wait of a watch or the ttl of a lease, at most
-// maxWait.
-func (s *Fake) serve(ctx context.Context, verb string, c Call) (a Answer, err error) {
+// serve runs one operation. A wait or ttl over maxWait is cut to maxWait.
+func (s *Fake) serve(ctx context.Context, verb string, c Operation) (a Result, err error) {
 	wait := min(time.Duration(max(c.WaitMS, 0))*time.Millisecond, maxWait)
 	switch verb {
 	case "get":
--- a/internal/store/kqstore/store.go
+++ b/internal/store/kqstore/store.go
@@ -21,7 +21,8 @@
 	// sentinels, and carry no stack trace.
 	namespace = errorx.NewNamespace("kqstore").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-	// ErrNotFound is returned if the key does not exist.
+	// ErrNotFound is returned if the key does not exist, or if nothing changed while
+	// Watch or Follow waited.
 	ErrNotFound = namespace.NewType("not_found", errorx.NotFound()).New("key not found")
 	// ErrConflict is returned if the key's revision is not the expected one.
 	ErrConflict = namespace.NewType("conflict").New("revision conflict")
@@ -29,19 +30,20 @@
 	ErrLeaseLapsed = namespace.NewType("lease_lapsed").New("lease lapsed")
 	// ErrTooLarge is returned if the value exceeds MaxValueBytes.
 	ErrTooLarge = namespace.NewType("too_large").New("value is too large")
-	// ErrUnavailable is returned if the service did not answer. A write that fails
-	// with it may or may not have taken effect.
+	// ErrUnavailable is returned if the store gave no usable answer: there was none,
+	// it could not be read, or its error code is unknown. A write that fails with it
+	// may or may not have taken effect.
 	ErrUnavailable = namespace.NewType("unavailable", errorx.Temporary()).New("platform unavailable")
 	// ErrCompacted is returned if the changes after a revision are no longer kept, so
 	// that the keys must be listed again.
 	ErrCompacted = namespace.NewType("compacted", errorx.Temporary()).New("history has been compacted")
-	// ErrRateLimited is returned if the service refused the call because of its rate
+	// ErrRateLimited is returned if the store refused the call because of its rate
 	// limit.
 	ErrRateLimited = namespace.NewType("rate_limited", errorx.Temporary()).New("platform rate limit exceeded")
 )
 
 type (
-	// Revision numbers the writes to the service; a key's revision is that of its
+	// Revision numbers the writes to the store; a key's revision is that of its
 	// last write.
 	Revision uint64
 
@@ -75,8 +77,9 @@
 		Follow(ctx context.Context, prefix string, after Revision, wait time.Duration) (Listing, error)
 	}
 
-	// Store provides the operations of the service on single keys and leases. Each
-	// call, a waiting watch included, counts against the service's rate limits.
+	// Store provides the operations of the platform's key-value service on single
+	// keys and leases. Each call, a waiting watch included, counts against the
+	// service's rate limits.
 	Store interface {
 		// Get returns a key's entry, or ErrNotFound.
 		Get(ctx context.Context, key string) (Entry, error)
--- a/internal/store/kqstoreclient/client.go
+++ b/internal/store/kqstoreclient/client.go
@@ -15,7 +15,8 @@
 const defaultTimeout = 2 * time.Second
 
 type (
-	// Client implements kqstore.Store over HTTP. It is safe for concurrent use.
+	// Client implements kqstore.Store over HTTP by the protocol of kqfakestore. It
+	// is safe for concurrent use.
 	Client struct {
 		url     string
 		http    *http.Client
@@ -40,53 +41,53 @@
 
 // Get implements kqstore.Store.
 func (c *Client) Get(ctx context.Context, key string) (kqstore.Entry, error) {
-	a, err := c.call(ctx, "get", kqfakestore.Call{Key: key}, 0)
+	a, err := c.request(ctx, "get", kqfakestore.Operation{Key: key}, 0)
 	return a.Entry, err
 }
 
 // Put implements kqstore.Store.
 func (c *Client) Put(ctx context.Context, key string, value []byte, lease kqstore.Lease) (kqstore.Revision, error) {
-	a, err := c.call(ctx, "put", kqfakestore.Call{Key: key, Value: value, Lease: lease}, 0)
+	a, err := c.request(ctx, "put", kqfakestore.Operation{Key: key, Value: value, Lease: lease}, 0)
 	return a.Revision, err
 }
 
 // Swap implements kqstore.Store.
 func (c *Client) Swap(ctx context.Context, key string, expected kqstore.Revision, value []byte, lease kqstore.Lease) (kqstore.Revision, error) {
-	a, err := c.call(ctx, "swap", kqfakestore.Call{Key: key, Expected: expected, Value: value, Lease: lease}, 0)
+	a, err := c.request(ctx, "swap", kqfakestore.Operation{Key: key, Expected: expected, Value: value, Lease: lease}, 0)
 	return a.Revision, err
 }
 
 // Delete implements kqstore.Store.
 func (c *Client) Delete(ctx context.Context, key string, expected kqstore.Revision) error {
-	_, err := c.call(ctx, "delete", kqfakestore.Call{Key: key, Expected: expected}, 0)
+	_, err := c.request(ctx, "delete", kqfakestore.Operation{Key: key, Expected: expected}, 0)
 	return err
 }
 
 // Grant implements kqstore.Store.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (kqstore.Lease, error) {
-	a, err := c.call(ctx, "grant", kqfakestore.Call{WaitMS: ttl.Milliseconds()}, 0)
+	a, err := c.request(ctx, "grant", kqfakestore.Operation{WaitMS: ttl.Milliseconds()}, 0)
 	return a.Lease, err
 }
 
 // Renew implements kqstore.Store.
 func (c *Client) Renew(ctx context.Context, lease kqstore.Lease) error {
-	_, err := c.call(ctx, "renew", kqfakestore.Call{Lease: lease}, 0)
+	_, err := c.request(ctx, "renew", kqfakestore.Operation{Lease: lease}, 0)
 	return err
 }
 
 // Watch implements kqstore.Store.
 func (c *Client) Watch(ctx context.Context, key string, after kqstore.Revision, wait time.Duration) (kqstore.Entry, error) {
-	a, err := c.call(ctx, "watch", kqfakestore.Call{Key: key, Expected: after, WaitMS: wait.Milliseconds()}, wait)
+	a, err := c.request(ctx, "watch", kqfakestore.Operation{Key: key, Expected: after, WaitMS: wait.Milliseconds()}, wait)
 	return a.Entry, err
 }
 
-// call posts one operation and decodes its answer. An unreachable service, and an
+// request posts one operation and decodes its result. An unreachable service, and an
 // answer that cannot be read or has an unknown error code, give ErrUnavailable.
-func (c *Client) call(ctx context.Context, verb string, call kqfakestore.Call, wait time.Duration) (kqfakestore.Answer, error) {
-	var a kqfakestore.Answer
+func (c *Client) request(ctx context.Context, verb string, request kqfakestore.Operation, wait time.Duration) (kqfakestore.Result, error) {
+	var a kqfakestore.Result
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+wait)
 	defer cancel()
-	body, err := json.Marshal(call)
+	body, err := json.Marshal(request)
 	if err != nil {
 		return a, fmt.Errorf("encode %s request: %w", verb, err)
 	}
@@ -96,11 +97,11 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return a, fmt.Errorf("%s %s: %w: %w", verb, call.Key, kqstore.ErrUnavailable, err)
+		return a, fmt.Errorf("%s %s: %w: %w", verb, request.Key, kqstore.ErrUnavailable, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
-		return a, fmt.Errorf("%s %s, status %d: %w: %w", verb, call.Key, resp.StatusCode, kqstore.ErrUnavailable, err)
+		return a, fmt.Errorf("%s %s, status %d: %w: %w", verb, request.Key, resp.StatusCode, kqstore.ErrUnavailable, err)
 	}
 	if a.Error == "" {
 		return a, nil
@@ -109,5 +110,5 @@
 	if !ok {
 		cause = kqstore.ErrUnavailable
 	}
-	return a, fmt.Errorf("%s %s: %w", verb, call.Key, cause)
+	return a, fmt.Errorf("%s %s: %w", verb, request.Key, cause)
 }
--- a/internal/store/kqstoreclient/contract_test.go
+++ b/internal/store/kqstoreclient/contract_test.go
@@ -17,41 +17,41 @@
 
 const longWait = 20 * time.Second
 
-// fixture is a store under test with the in-memory service behind it and the
-// service's clock.
+// fixture is a store under test with the fake store behind it and the fake's
+// clock.
 type fixture struct {
 	kqstore.Store
-	standin *kqfakestore.Fake
-	mu      sync.Mutex
-	now     time.Time
+	fake *kqfakestore.Fake
+	mu   sync.Mutex
+	now  time.Time
 }
 
-func (b *fixture) clock() time.Time {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.now
+func (fx *fixture) clock() time.Time {
+	fx.mu.Lock()
+	defer fx.mu.Unlock()
+	return fx.now
 }
 
-// advance moves the service's clock forward.
-func (b *fixture) advance(d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.now = b.now.Add(d)
+// advance moves the fake store's clock forward.
+func (fx *fixture) advance(d time.Duration) {
+	fx.mu.Lock()
+	defer fx.mu.Unlock()
+	fx.now = fx.now.Add(d)
 }
 
-// forBoth runs a test against the in-memory service directly and over HTTP.
-func forBoth(t *testing.T, f func(t *testing.T, b *fixture)) {
+// forBoth runs a test against the fake store directly and over HTTP.
+func forBoth(t *testing.T, f func(t *testing.T, fx *fixture)) {
 	for _, name := range []string{"memory", "http"} {
 		t.Run(name, func(t *testing.T) {
-			b := &fixture{now: time.Unix(1000, 0)}
-			b.standin = kqfakestore.New(kqfakestore.WithNow(b.clock))
-			b.Store = b.standin
+			fx := &fixture{now: time.Unix(1000, 0)}
+			fx.fake = kqfakestore.New(kqfakestore.WithNow(fx.clock))
+			fx.Store = fx.fake
 			if name == "http" {
-				server := httptest.NewServer(b.standin.Handler())
+				server := httptest.NewServer(fx.fake.Handler())
 				t.Cleanup(server.Close)
-				b.Store = kqstoreclient.New(server.URL, kqstoreclient.WithTimeout(longWait))
+				fx.Store = kqstoreclient.New(server.URL, kqstoreclient.WithTimeout(longWait))
 			}
-			f(t, b)
+			f(t, fx)
 		})
 	}
 }
@@ -74,25 +74,25 @@
 }
 
 func TestOperations(t *testing.T) {
-	forBoth(t, func(t *testing.T, b *fixture) {
+	forBoth(t, func(t *testing.T, fx *fixture) {
 		ctx := t.Context()
-		_, err := b.Get(ctx, "a")
+		_, err := fx.Get(ctx, "a")
 		checkError(t, "get of a missing key", err, kqstore.ErrNotFound)
-		first := must[kqstore.Revision](t)(b.Swap(ctx, "a", kqstore.Absent, []byte("1"), kqstore.NoLease))
-		_, err = b.Swap(ctx, "a", kqstore.Absent, []byte("2"), kqstore.NoLease)
+		first := must[kqstore.Revision](t)(fx.Swap(ctx, "a", kqstore.Absent, []byte("1"), kqstore.NoLease))
+		_, err = fx.Swap(ctx, "a", kqstore.Absent, []byte("2"), kqstore.NoLease)
 		checkError(t, "swap of an existing key that should be absent", err, kqstore.ErrConflict)
-		second := must[kqstore.Revision](t)(b.Put(ctx, "a", []byte("2"), kqstore.NoLease))
-		if e := must[kqstore.Entry](t)(b.Get(ctx, "a")); string(e.Value) != "2" || e.Revision != second || second <= first {
+		second := must[kqstore.Revision](t)(fx.Put(ctx, "a", []byte("2"), kqstore.NoLease))
+		if e := must[kqstore.Entry](t)(fx.Get(ctx, "a")); string(e.Value) != "2" || e.Revision != second || second <= first {
 			t.Errorf("entry %+v after writes at revisions %d and %d, want value 2 at the second", e, first, second)
 		}
-		checkError(t, "delete at an old revision", b.Delete(ctx, "a", first), kqstore.ErrConflict)
-		checkError(t, "delete", b.Delete(ctx, "a", second), nil)
-		checkError(t, "delete again", b.Delete(ctx, "a", second), kqstore.ErrNotFound)
+		checkError(t, "delete at an old revision", fx.Delete(ctx, "a", first), kqstore.ErrConflict)
+		checkError(t, "delete", fx.Delete(ctx, "a", second), nil)
+		checkError(t, "delete again", fx.Delete(ctx, "a", second), kqstore.ErrNotFound)
 		for _, size := range []int{kqstore.MaxValueBytes + 1, 3 * kqstore.MaxValueBytes} {
-			_, err = b.Put(ctx, "a", make([]byte, size), kqstore.NoLease)
+			_, err = fx.Put(ctx, "a", make([]byte, size), kqstore.NoLease)
 			checkError(t, "put of a value over the limit", err, kqstore.ErrTooLarge)
 		}
-		must[kqstore.Revision](t)(b.Put(ctx, "a", make([]byte, kqstore.MaxValueBytes), kqstore.NoLease))
+		must[kqstore.Revision](t)(fx.Put(ctx, "a", make([]byte, kqstore.MaxValueBytes), kqstore.NoLease))
 	})
 }
 
@@ -100,23 +100,23 @@
 // a pause or was dropped by the platform. Its keys must be deleted and free for others,
 // and its next renewal or write must fail with ErrLeaseLapsed.
 func TestHolderLearnsThatItsLeaseLapsed(t *testing.T) {
-	forBoth(t, func(t *testing.T, b *fixture) {
+	forBoth(t, func(t *testing.T, fx *fixture) {
 		ctx := t.Context()
 		for name, lapse := range map[string]func(){
-			"paused":  func() { b.advance(11 * time.Second) },
-			"dropped": func() { b.standin.SetFaults(kqfakestore.Faults{LapseLeases: true}) },
+			"paused":  func() { fx.advance(11 * time.Second) },
+			"dropped": func() { fx.fake.SetFaults(kqfakestore.Faults{LapseLeases: true}) },
 		} {
-			lease := must[kqstore.Lease](t)(b.Grant(ctx, 10*time.Second))
-			must[kqstore.Revision](t)(b.Swap(ctx, name, kqstore.Absent, nil, lease))
-			b.advance(9 * time.Second)
-			checkError(t, "renewal in time", b.Renew(ctx, lease), nil)
-			b.advance(9 * time.Second)
-			must[kqstore.Entry](t)(b.Get(ctx, name))
+			lease := must[kqstore.Lease](t)(fx.Grant(ctx, 10*time.Second))
+			must[kqstore.Revision](t)(fx.Swap(ctx, name, kqstore.Absent, nil, lease))
+			fx.advance(9 * time.Second)
+			checkError(t, "renewal in time", fx.Renew(ctx, lease), nil)
+			fx.advance(9 * time.Second)
+			must[kqstore.Entry](t)(fx.Get(ctx, name))
 			lapse()
-			checkError(t, name+": late renewal", b.Renew(ctx, lease), kqstore.ErrLeaseLapsed)
-			_, err := b.Put(ctx, name, nil, lease)
+			checkError(t, name+": late renewal", fx.Renew(ctx, lease), kqstore.ErrLeaseLapsed)
+			_, err := fx.Put(ctx, name, nil, lease)
 			checkError(t, name+": put under the lapsed lease", err, kqstore.ErrLeaseLapsed)
-			must[kqstore.Revision](t)(b.Swap(ctx, name, kqstore.Absent, nil, kqstore.NoLease))
+			must[kqstore.Revision](t)(fx.Swap(ctx, name, kqstore.Absent, nil, kqstore.NoLease))
 		}
 	})
 }
@@ -124,32 +124,33 @@
 // Checks the error of each injected fault: an outage, a rate limit, a slow service, and
 // the lost answer of a write, which must still have taken effect.
 func TestCallFaults(t *testing.T) {
-	forBoth(t, func(t *testing.T, b *fixture) {
+	forBoth(t, func(t *testing.T, fx *fixture) {
 		ctx := t.Context()
-		revision := must[kqstore.Revision](t)(b.Put(ctx, "a", []byte("1"), kqstore.NoLease))
-		b.standin.SetFaults(kqfakestore.Faults{Down: true})
-		_, err := b.Get(ctx, "a")
+		revision := must[kqstore.Revision](t)(fx.Put(ctx, "a", []byte("1"), kqstore.NoLease))
+		fx.fake.SetFaults(kqfakestore.Faults{Down: true})
+		_, err := fx.Get(ctx, "a")
 		checkError(t, "down", err, kqstore.ErrUnavailable)
-		b.standin.SetFaults(kqfakestore.Faults{LoseResponses: 1})
-		_, err = b.Swap(ctx, "a", revision, []byte("2"), kqstore.NoLease)
+		fx.fake.SetFaults(kqfakestore.Faults{LoseResponses: 1})
+		_, err = fx.Swap(ctx, "a", revision, []byte("2"), kqstore.NoLease)
 		checkError(t, "lost answer", err, kqstore.ErrUnavailable)
-		if e := must[kqstore.Entry](t)(b.Get(ctx, "a")); string(e.Value) != "2" {
+		if e := must[kqstore.Entry](t)(fx.Get(ctx, "a")); string(e.Value) != "2" {
 			t.Errorf("after a write whose answer was lost the value is %q, want 2", e.Value)
 		}
-		b.standin.SetFaults(kqfakestore.Faults{StaleReads: true})
-		if e := must[kqstore.Entry](t)(b.Get(ctx, "a")); string(e.Value) != "1" {
+		fx.fake.SetFaults(kqfakestore.Faults{StaleReads: true})
+		if e := must[kqstore.Entry](t)(fx.Get(ctx, "a")); string(e.Value) != "1" {
 			t.Errorf("a stale read returned %q, want the previous value 1", e.Value)
 		}
-		b.advance(time.Second)
-		b.standin.SetFaults(kqfakestore.Faults{MaxReads: 1})
-		_, err = b.Get(ctx, "a")
+		// The reads so far do not count against MaxReads in a new second.
+		fx.advance(time.Second)
+		fx.fake.SetFaults(kqfakestore.Faults{MaxReads: 1})
+		_, err = fx.Get(ctx, "a")
 		checkError(t, "first read", err, nil)
-		_, err = b.Get(ctx, "a")
+		_, err = fx.Get(ctx, "a")
 		checkError(t, "second read", err, kqstore.ErrRateLimited)
-		b.standin.SetFaults(kqfakestore.Faults{Slow: time.Minute})
+		fx.fake.SetFaults(kqfakestore.Faults{Slow: time.Minute})
 		brief, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
 		defer cancel()
-		if _, err = b.Get(brief, "a"); err == nil {
+		if _, err = fx.Get(brief, "a"); err == nil {
 			t.Error("a call to a slow service succeeded before its delay")
 		}
 	})
@@ -158,23 +159,23 @@
 // Checks that a watch returns after a write to its key, counts as one call however long
 // it waits, and does not return under the fault SilentWatch.
 func TestWatch(t *testing.T) {
-	forBoth(t, func(t *testing.T, b *fixture) {
+	forBoth(t, func(t *testing.T, fx *fixture) {
 		ctx := t.Context()
-		revision := must[kqstore.Revision](t)(b.Put(ctx, "a", []byte("1"), kqstore.NoLease))
+		revision := must[kqstore.Revision](t)(fx.Put(ctx, "a", []byte("1"), kqstore.NoLease))
 		seen := make(chan kqstore.Entry, 1)
 		go func() {
-			e, err := b.Watch(ctx, "a", revision, longWait)
+			e, err := fx.Watch(ctx, "a", revision, longWait)
 			if err == nil {
 				seen <- e
 			}
 		}()
-		for b.standin.Counts().Watches == 0 {
+		for fx.fake.Counts().Watches == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		for range 5 {
-			must[kqstore.Revision](t)(b.Put(ctx, "other", nil, kqstore.NoLease))
+			must[kqstore.Revision](t)(fx.Put(ctx, "other", nil, kqstore.NoLease))
 		}
-		last := must[kqstore.Revision](t)(b.Put(ctx, "a", []byte("2"), kqstore.NoLease))
+		last := must[kqstore.Revision](t)(fx.Put(ctx, "a", []byte("2"), kqstore.NoLease))
 		select {
 		case e := <-seen:
 			if string(e.Value) != "2" {
@@ -183,12 +184,12 @@
 		case <-time.After(longWait):
 			t.Fatal("the watch did not return after the write")
 		}
-		if c := b.standin.Counts(); c.Watches != 1 || c.Reads != 1 || c.Writes != 7 {
+		if c := fx.fake.Counts(); c.Watches != 1 || c.Reads != 1 || c.Writes != 7 {
 			t.Errorf("counts %+v, want 1 watch, which is the only read, and 7 writes", c)
 		}
-		b.standin.SetFaults(kqfakestore.Faults{SilentWatch: true})
-		must[kqstore.Revision](t)(b.Put(ctx, "a", []byte("3"), kqstore.NoLease))
-		_, err := b.Watch(ctx, "a", last, 10*time.Millisecond)
+		fx.fake.SetFaults(kqfakestore.Faults{SilentWatch: true})
+		must[kqstore.Revision](t)(fx.Put(ctx, "a", []byte("3"), kqstore.NoLease))
+		_, err := fx.Watch(ctx, "a", last, 10*time.Millisecond)
 		checkError(t, "silent watch", err, kqstore.ErrNotFound)
 	})
 }
@@ -196,9 +197,9 @@
 // Guards against a misspelled fault in a request: if unknown fields were ignored, the
 // request would switch all faults off. It must be refused and change nothing.
 func TestMistypedFaultChangesNothing(t *testing.T) {
-	b := kqfakestore.New()
-	b.SetFaults(kqfakestore.Faults{Down: true})
-	server := httptest.NewServer(b.Handler())
+	fx := kqfakestore.New()
+	fx.SetFaults(kqfakestore.Faults{Down: true})
+	server := httptest.NewServer(fx.Handler())
 	defer server.Close()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodPut, server.URL+"/faults", strings.NewReader(`{"dwon":false}`))
 	if err != nil {
@@ -209,7 +210,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = a.Body.Close() }()
-	if a.StatusCode != http.StatusBadRequest || !b.Faults().Down {
-		t.Errorf("status %d, faults %+v, want 400 and only Down", a.StatusCode, b.Faults())
+	if a.StatusCode != http.StatusBadRequest || !fx.Faults().Down {
+		t.Errorf("status %d, faults %+v, want 400 and only Down", a.StatusCode, fx.Faults())
 	}
 }
--- a/internal/store/kqstoreclient/doc.go
+++ b/internal/store/kqstoreclient/doc.go
@@ -1,3 +1,3 @@
-// Package kqstoreclient is a client of the platform's key-value service, which
-// speaks JSON over HTTP.
+// Package kqstoreclient is a client of the fake key-value service in kqfakestore,
+// which speaks JSON over HTTP.
 package kqstoreclient
--- a/internal/store/kqstoreclient/fault.go
+++ b/internal/store/kqstoreclient/fault.go
@@ -12,11 +12,11 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 )
 
-const maxAnswer = 64 << 10
+const maxResponseBytes = 64 << 10
 
-var errRefused = errors.New("stand-in refused the request")
+var errRefused = errors.New("fake store refused the request")
 
-// SetFaults replaces the injected faults of a stand-in service and returns those in
+// SetFaults replaces the injected faults of a fake store and returns those in
 // force.
 func (c *Client) SetFaults(ctx context.Context, f kqfakestore.Faults) (kqfakestore.Faults, error) {
 	var set kqfakestore.Faults
@@ -24,23 +24,23 @@
 	if err != nil {
 		return set, fmt.Errorf("set faults: %w", err)
 	}
-	if err := c.control(ctx, http.MethodPut, "/faults", body, &set); err != nil {
+	if err := c.testRequest(ctx, http.MethodPut, "/faults", body, &set); err != nil {
 		return set, fmt.Errorf("set faults: %w", err)
 	}
 	return set, nil
 }
 
-// Counts returns how many calls a stand-in service has received.
+// Counts returns how many calls a fake store has received.
 func (c *Client) Counts(ctx context.Context) (kqfakestore.Counts, error) {
 	var counts kqfakestore.Counts
-	if err := c.control(ctx, http.MethodGet, "/counts", nil, &counts); err != nil {
+	if err := c.testRequest(ctx, http.MethodGet, "/counts", nil, &counts); err != nil {
 		return counts, fmt.Errorf("read counts: %w", err)
 	}
 	return counts, nil
 }
 
-// control sends a request to the control interface of a stand-in service.
-func (c *Client) control(ctx context.Context, method, path string, body []byte, into any) error {
+// testRequest sends a request to the faults or counts of a fake store.
+func (c *Client) testRequest(ctx context.Context, method, path string, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.url+path, bytes.NewReader(body))
@@ -49,18 +49,18 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return fmt.Errorf("call stand-in: %w", err)
+		return fmt.Errorf("call fake store: %w", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return fmt.Errorf("read answer: %w", err)
+		return fmt.Errorf("read response: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("%w with status %d: %s", errRefused, resp.StatusCode, bytes.TrimSpace(data))
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return fmt.Errorf("read answer: %w", err)
+		return fmt.Errorf("read response: %w", err)
 	}
 	return nil
 }
