--- a/internal/peer/kqbroadcast/direct.go
+++ b/internal/peer/kqbroadcast/direct.go
@@ -8,47 +8,47 @@
 )
 
 // SendDirect sends a message to the given nodes only, which do not forward it. It does
-// not wait for them. A node with a message of Send still in flight is skipped and
+// not wait for them. A node with a message of SendDirect still in flight is skipped and
 // the drop is counted, so a slow peer holds at most one message in memory here;
-// the next message replaces the dropped one.
-func (s *Broadcaster) SendDirect(ctx context.Context, t Topic, payload []byte, to []kqname.Address) {
-	m := message{From: s.self, Topic: t, Payload: payload}
+// callers must send messages of which a later one makes a dropped one obsolete.
+func (b *Broadcaster) SendDirect(ctx context.Context, t Topic, payload []byte, to []kqname.Address) {
+	m := message{From: b.self, Topic: t, Payload: payload}
 	for _, address := range to {
-		if !s.tryAcquire(address) {
-			s.onDrop()
+		if !b.tryAcquire(address) {
+			b.onDrop()
 			continue
 		}
-		s.sending.Go(func() {
-			defer s.release(address)
+		b.sending.Go(func() {
+			defer b.release(address)
 			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), sendTimeout)
 			defer cancel()
-			_, _ = kqrpc.Call[message, empty](ctx, s.client, address, methodDirect, m)
+			_, _ = kqrpc.Call[message, empty](ctx, b.client, address, methodDirect, m)
 		})
 	}
 }
 
 // tryAcquire marks a peer as busy and reports whether it was free.
-func (s *Broadcaster) tryAcquire(to kqname.Address) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.busy[to] {
+func (b *Broadcaster) tryAcquire(to kqname.Address) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.busy[to] {
 		return false
 	}
-	s.busy[to] = true
+	b.busy[to] = true
 	return true
 }
 
-func (s *Broadcaster) release(to kqname.Address) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.busy, to)
+func (b *Broadcaster) release(to kqname.Address) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	delete(b.busy, to)
 }
 
 // deliver passes a message to the local receivers of its topic.
-func (s *Broadcaster) deliver(m message) {
-	s.mu.Lock()
-	receivers := s.receivers[m.Topic]
-	s.mu.Unlock()
+func (b *Broadcaster) deliver(m message) {
+	b.mu.Lock()
+	receivers := b.receivers[m.Topic]
+	b.mu.Unlock()
 	for _, r := range receivers {
 		r(m.From, m.Payload)
 	}
--- a/internal/peer/kqbroadcast/direct_test.go
+++ b/internal/peer/kqbroadcast/direct_test.go
@@ -18,9 +18,9 @@
 
 type (
 	peer struct {
-		spreader *kqbroadcast.Broadcaster
-		address  kqname.Address
-		received chan string
+		broadcaster *kqbroadcast.Broadcaster
+		address     kqname.Address
+		received    chan string
 	}
 
 	// neighbours is an overlay with a fixed list of neighbours.
@@ -37,12 +37,12 @@
 	}
 	server, client := kqrpc.NewServer(nil), kqrpc.NewClient(name, nil)
 	p := &peer{address: kqname.Address(l.Addr().String()), received: make(chan string, 100)}
-	p.spreader = kqbroadcast.New(server, client, name, overlay, func() {})
-	p.spreader.Subscribe(topic, func(_ kqname.Node, payload []byte) { p.received <- string(payload) })
+	p.broadcaster = kqbroadcast.New(server, client, name, overlay, func() {})
+	p.broadcaster.Subscribe(topic, func(_ kqname.Node, payload []byte) { p.received <- string(payload) })
 	ctx, stop := context.WithCancel(context.Background())
 	var group conc.WaitGroup
 	group.Go(func() { _ = server.Serve(ctx, l) })
-	group.Go(func() { p.spreader.Run(ctx) })
+	group.Go(func() { p.broadcaster.Run(ctx) })
 	t.Cleanup(func() {
 		client.Close()
 		stop()
@@ -54,17 +54,17 @@
 // Guards against the flooding of direct messages. Gates send rollout evidence to the few
 // nodes that evaluate it; if these forwarded it, each rollout would exhaust every node's
 // control budget and configuration would arrive late.
-func TestSendReachesOnlyTheGivenNodes(t *testing.T) {
+func TestSendDirectReachesOnlyTheGivenNodes(t *testing.T) {
 	overlay := &neighbours{}
 	a, b, c := start(t, "a", overlay), start(t, "b", overlay), start(t, "c", overlay)
 	for _, p := range []*peer{b, c} {
 		overlay.list = append(overlay.list, kqmember.Member{Control: p.address})
 	}
-	a.spreader.SendDirect(t.Context(), topic, []byte("evidence"), []kqname.Address{b.address})
+	a.broadcaster.SendDirect(t.Context(), topic, []byte("evidence"), []kqname.Address{b.address})
 	if got := next(t, b); got != "evidence" {
 		t.Fatalf("the given node received %q, want evidence", got)
 	}
-	a.spreader.Publish(t.Context(), topic, []byte("progress"))
+	a.broadcaster.Publish(t.Context(), topic, []byte("progress"))
 	for _, p := range []*peer{b, c} {
 		if got := next(t, p); got != "progress" {
 			t.Errorf("received %q, want progress: only the given node may receive a direct message", got)
--- a/internal/peer/kqbroadcast/flood.go
+++ b/internal/peer/kqbroadcast/flood.go
@@ -16,44 +16,44 @@
 const maxBatchBytes = 256 << 10
 
 // Run forwards queued messages to the neighbours until ctx ends.
-func (s *Broadcaster) Run(ctx context.Context) {
-	defer s.sending.Wait()
+func (b *Broadcaster) Run(ctx context.Context) {
+	defer b.sending.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.wake:
+		case <-b.wake:
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(batchDelay):
 		}
-		for batch := s.batch(); len(batch) > 0; batch = s.batch() {
-			kqsupervisor.From(ctx).RunRecovered("spread", func() { s.flood(ctx, batch) })
+		for nextBatch := b.nextBatch(); len(nextBatch) > 0; nextBatch = b.nextBatch() {
+			kqsupervisor.From(ctx).RunRecovered("spread", func() { b.flood(ctx, nextBatch) })
 		}
 	}
 }
 
-// batch dequeues the next messages from the queue: at least one if there is
-// any, and otherwise as many as fit in maxBatchBytes.
-func (s *Broadcaster) batch() []message {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// nextBatch removes and returns the next messages of the queue: as many as fit in
+// maxBatchBytes, and at least one unless the queue is empty.
+func (b *Broadcaster) nextBatch() []message {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	size, n := 0, 0
-	for n < len(s.queue) && (n == 0 || size+len(s.queue[n].Payload) <= maxBatchBytes) {
-		size += len(s.queue[n].Payload)
+	for n < len(b.queue) && (n == 0 || size+len(b.queue[n].Payload) <= maxBatchBytes) {
+		size += len(b.queue[n].Payload)
 		n++
 	}
-	batch := slices.Clone(s.queue[:n])
-	s.queue = slices.Delete(s.queue, 0, n)
-	s.queuedBytes -= size
-	return batch
+	nextBatch := slices.Clone(b.queue[:n])
+	b.queue = slices.Delete(b.queue, 0, n)
+	b.queuedBytes -= size
+	return nextBatch
 }
 
 // flood offers a batch to all neighbours and waits until each has answered or
 // sendTimeout has passed.
-func (s *Broadcaster) flood(ctx context.Context, batch []message) {
+func (b *Broadcaster) flood(ctx context.Context, batch []message) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	var ids offer
@@ -62,15 +62,15 @@
 	}
 	var group conc.WaitGroup
 	defer group.Wait()
-	for _, to := range s.overlay.Neighbours() {
-		group.Go(func() { s.sendTo(ctx, to.Control, ids, batch) })
+	for _, to := range b.overlay.Neighbours() {
+		group.Go(func() { b.sendTo(ctx, to.Control, ids, batch) })
 	}
 }
 
 // sendTo offers the ids of a batch to a peer and sends the messages that it lacks.
 // Failures are ignored: the peer's other neighbours offer it the same messages.
-func (s *Broadcaster) sendTo(ctx context.Context, to kqname.Address, ids offer, batch []message) {
-	missing, err := kqrpc.Call[offer, offer](ctx, s.client, to, methodOffer, ids)
+func (b *Broadcaster) sendTo(ctx context.Context, to kqname.Address, ids offer, batch []message) {
+	missing, err := kqrpc.Call[offer, offer](ctx, b.client, to, methodOffer, ids)
 	if err != nil || len(missing.IDs) == 0 {
 		return
 	}
@@ -80,5 +80,5 @@
 			d.Messages = append(d.Messages, m)
 		}
 	}
-	_, _ = kqrpc.Call[delivery, empty](ctx, s.client, to, methodDeliver, d)
+	_, _ = kqrpc.Call[delivery, empty](ctx, b.client, to, methodDeliver, d)
 }
--- a/internal/peer/kqbudget/budget.go
+++ b/internal/peer/kqbudget/budget.go
@@ -6,8 +6,8 @@
 	"golang.org/x/time/rate"
 )
 
-// burstSeconds is the size of the burst in seconds of the sustained rate: a change
-// or a restarted neighbour may use up what idle times have saved.
+// burstSeconds is the size of the burst in seconds of the sustained rate: after
+// an idle time, a change or a restarted neighbour may cause that much traffic at once.
 const burstSeconds = 30
 
 type (
@@ -17,8 +17,9 @@
 		Received(bytes int)
 	}
 
-	// Budget is a token bucket that charges every byte sent and delays bulk traffic
-	// while it is empty. Heartbeats and announcements are charged but never delayed:
+	// Budget is a token bucket that charges sent bytes, at most one burst at a time,
+	// and tells senders of bulk traffic how long to wait while it is empty.
+	// Heartbeats and announcements are charged but do not wait:
 	// they are small, and without them peers would declare this node dead. It is
 	// safe for concurrent use.
 	Budget struct {
@@ -34,7 +35,7 @@
 	return &Budget{next: next, limiter: rate.NewLimiter(rate.Limit(perSecond), perSecond*burstSeconds), onLimited: onLimited}
 }
 
-// Sent charges sent bytes; it may overdraw the budget.
+// Sent charges sent bytes, at most one burst; it may overdraw the budget.
 func (b *Budget) Sent(bytes int) {
 	b.next.Sent(bytes)
 	if bytes > 0 {
@@ -47,6 +48,7 @@
 func (b *Budget) Received(bytes int) { b.next.Received(bytes) }
 
 // Delay returns 0 if bulk traffic may be sent now, and otherwise how long to wait.
+// It charges nothing.
 func (b *Budget) Delay(now time.Time) time.Duration {
 	tokens := b.limiter.TokensAt(now)
 	if tokens > 0 {
--- a/internal/peer/kqdeparture/departure.go
+++ b/internal/peer/kqdeparture/departure.go
@@ -28,19 +28,20 @@
 	// they have announced it.
 	retention = time.Minute
 	// maxDepartures bounds the departures that are kept: enough for 550 servers that
-	// all leave at once, and those that replace them.
+	// all leave at once and whose replacements also leave within the retention.
 	maxDepartures = 2000
-	// quorum is how many peers must hold a departure while the store does not: two
+	// minPeers is how many peers must hold a departure while the store does not: two
 	// peers are seldom lost together with the node that sent it.
-	quorum = 2
+	minPeers = 2
 	// maxPeers is how many peers are contacted.
 	maxPeers = 4
 	// replicateTimeout bounds the wait before the acknowledgement; an upstream gives
 	// up on one that takes a second.
 	replicateTimeout = 600 * time.Millisecond
 	// learnTimeout bounds how long a starting node uses no upstream while neither
-	// the store nor enough peers answer. A node that cannot reach any of them serves
-	// only its own callers.
+	// the store nor enough peers answer. A node that can reach none of them gets no
+	// calls from them either and serves only its own callers, so it may continue
+	// without knowing the departures.
 	learnTimeout = 1500 * time.Millisecond
 	learnPause   = 50 * time.Millisecond
 	// storeRetryPause is the pause before a failed write to the store is retried.
@@ -56,7 +57,8 @@
 	}
 
 	// Departure records that an upstream instance leaves. It covers every process of
-	// the instance that started at Born or before.
+	// the instance that started at StartedMS, in milliseconds of the upstream's clock,
+	// or before.
 	Departure struct {
 		Instance  kqname.Instance `cbor:"1,keyasint"`
 		StartedMS int64           `cbor:"2,keyasint"`
@@ -95,16 +97,17 @@
 	return d
 }
 
-// Replicate records a departure and replicates it. It returns when the store or a quorum
-// of peers holds it, or after replicateTimeout; the write to the store continues in
-// the background. A departure that is already known is not sent again.
-func (d *Departures) Replicate(ctx context.Context, one Departure) {
-	if !d.add([]Departure{one}, time.Now()) {
+// Replicate records a departure and replicates it. It returns when the store or
+// minPeers peers hold it, or after replicateTimeout; the write to the store continues
+// in the background. A departure that is already known, or for which the set has no
+// room, is not sent.
+func (d *Departures) Replicate(ctx context.Context, departure Departure) {
+	if !d.add([]Departure{departure}, time.Now()) {
 		return
 	}
 	stored := make(chan struct{}, 1)
 	background := context.WithoutCancel(ctx)
-	d.group.Go(func() { d.persist(background, one, stored) })
+	d.group.Go(func() { d.persist(background, departure, stored) })
 	waitCtx, cancel := context.WithTimeout(ctx, replicateTimeout)
 	defer cancel()
 	peers := d.peers()
@@ -113,12 +116,12 @@
 		d.group.Go(func() {
 			callCtx, stop := context.WithTimeout(background, replicateTimeout)
 			defer stop()
-			if _, err := kqrpc.Call[departureList, empty](callCtx, d.client, to, methodReplicate, departureList{[]Departure{one}}); err == nil {
+			if _, err := kqrpc.Call[departureList, empty](callCtx, d.client, to, methodReplicate, departureList{[]Departure{departure}}); err == nil {
 				acknowledged <- struct{}{}
 			}
 		})
 	}
-	for n := 0; n < quorum; {
+	for n := 0; n < minPeers; {
 		select {
 		case <-acknowledged:
 			n++
@@ -132,11 +135,11 @@
 
 // persist writes a departure to the store and retries until it succeeds or half of
 // the retention has passed. A departure that only peers hold would be lost with them.
-func (d *Departures) persist(ctx context.Context, one Departure, stored chan<- struct{}) {
+func (d *Departures) persist(ctx context.Context, departure Departure, stored chan<- struct{}) {
 	ctx, cancel := context.WithTimeout(ctx, retention/2)
 	defer cancel()
 	for ctx.Err() == nil {
-		if d.write(ctx, one) == nil {
+		if d.write(ctx, departure) == nil {
 			stored <- struct{}{}
 			return
 		}
@@ -145,7 +148,7 @@
 }
 
 // Learn reads the departures that the store and the peers hold. It returns all known
-// departures when a quorum of peers has answered, when the store and one peer have,
+// departures when minPeers peers have answered, when the store and one peer have,
 // or after learnTimeout.
 func (d *Departures) Learn(ctx context.Context) []Departure {
 	ctx, cancel := context.WithTimeout(ctx, learnTimeout)
@@ -155,7 +158,7 @@
 	for ctx.Err() == nil {
 		storeRead = storeRead || d.readStore(ctx) == nil
 		d.fetch(ctx, answered)
-		if len(answered) >= quorum || storeRead && len(answered) > 0 {
+		if len(answered) >= minPeers || storeRead && len(answered) > 0 {
 			break
 		}
 		kqsleep.For(ctx, learnPause)
@@ -164,12 +167,12 @@
 }
 
 // write stores a departure once, under a lease of the length of the retention.
-func (d *Departures) write(ctx context.Context, one Departure) error {
+func (d *Departures) write(ctx context.Context, departure Departure) error {
 	lease, err := d.store.Grant(ctx, retention)
 	if err != nil {
 		return fmt.Errorf("store departure: %w", err)
 	}
-	if _, err := d.store.Put(ctx, keyOf(one), []byte(one.Instance), lease); err != nil {
+	if _, err := d.store.Put(ctx, keyOf(departure), []byte(departure.Instance), lease); err != nil {
 		return fmt.Errorf("store departure: %w", err)
 	}
 	return nil
@@ -185,8 +188,8 @@
 	}
 	var found []Departure
 	for _, e := range l.Entries {
-		if one, err := parse(e.Key); err == nil {
-			found = append(found, one)
+		if departure, err := parse(e.Key); err == nil {
+			found = append(found, departure)
 		}
 	}
 	d.add(found, time.Now())
@@ -210,9 +213,9 @@
 	}
 }
 
-// peers returns the addresses of the first maxPeers live peers by name. The choice
-// is the same while the members are, so that a restarted node asks the peers that
-// hold its departures.
+// peers returns the addresses of the first maxPeers live peers by name. As long
+// as the membership does not change, the choice is the same, so that a restarted node
+// asks the peers that hold its departures.
 func (d *Departures) peers() []kqname.Address {
 	var list []kqname.Address
 	self := d.table.Self().Node
@@ -224,19 +227,20 @@
 	return list
 }
 
-// add records departures, drops expired ones, and reports whether any was new.
+// add records departures, drops expired ones, and reports whether any was new and
+// fit within maxDepartures.
 func (d *Departures) add(list []Departure, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for one, at := range d.known {
+	for departure, at := range d.known {
 		if now.Sub(at) > retention {
-			delete(d.known, one)
+			delete(d.known, departure)
 		}
 	}
 	added := false
-	for _, one := range list {
-		if _, ok := d.known[one]; !ok && len(d.known) < maxDepartures {
-			d.known[one] = now
+	for _, departure := range list {
+		if _, ok := d.known[departure]; !ok && len(d.known) < maxDepartures {
+			d.known[departure] = now
 			added = true
 		}
 	}
@@ -248,9 +252,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var list []Departure
-	for one, at := range d.known {
+	for departure, at := range d.known {
 		if now.Sub(at) <= retention {
-			list = append(list, one)
+			list = append(list, departure)
 		}
 	}
 	return list
@@ -264,9 +268,9 @@
 
 // parse returns the departure that a store key stands for.
 func parse(key string) (Departure, error) {
-	name, born, _ := strings.Cut(strings.TrimPrefix(key, prefix), "/")
+	name, started, _ := strings.Cut(strings.TrimPrefix(key, prefix), "/")
 	instance, err := base32.StdEncoding.WithPadding(base32.NoPadding).DecodeString(name)
-	n, parseErr := strconv.ParseInt(born, 10, 64)
+	n, parseErr := strconv.ParseInt(started, 10, 64)
 	if err = errors.Join(err, parseErr); err != nil {
 		return Departure{}, fmt.Errorf("parse departure key %q: %w", key, err)
 	}
--- a/internal/peer/kqdiscovery/discovery.go
+++ b/internal/peer/kqdiscovery/discovery.go
@@ -84,9 +84,9 @@
 // Run maintains the entry and looks up peers until ctx ends.
 func (r *Register) Run(ctx context.Context) {
 	var group conc.WaitGroup
-	keeper := kqsupervisor.From(ctx)
-	group.Go(func() { keeper.RunWithRestart(ctx, "register", func() { r.maintainEntry(ctx) }) })
-	group.Go(func() { keeper.RunWithRestart(ctx, "look", func() { r.lookUpPeers(ctx) }) })
+	supervisor := kqsupervisor.From(ctx)
+	group.Go(func() { supervisor.RunWithRestart(ctx, "register", func() { r.maintainEntry(ctx) }) })
+	group.Go(func() { supervisor.RunWithRestart(ctx, "look", func() { r.lookUpPeers(ctx) }) })
 	group.Wait()
 }
 
--- a/internal/peer/kqmember/member.go
+++ b/internal/peer/kqmember/member.go
@@ -49,13 +49,14 @@
 		State       State                `cbor:"7,keyasint"`
 		HeldVersion kqname.ConfigVersion `cbor:"8,keyasint"`
 		Upstreams   []Upstream           `cbor:"9,keyasint,omitempty"`
-		// Reader reports whether the node watches the platform for the others.
+		// Reader reports whether the node reads the platform's service for the others.
 		Reader bool `cbor:"10,keyasint,omitempty"`
 		// Service is the configured service of the node's local upstream; it is set
 		// also while no upstream runs.
 		Service kqname.Service `cbor:"11,keyasint,omitempty"`
-		// LinkMbits is the bandwidth of the server's link in Mbit/s, and Cores the share of
-		// cores that the node may use. Both come from its settings; 0 means not set.
+		// LinkMbits is the bandwidth of the server's link in Mbit/s, and CoreShare
+		// the share of cores that the node may use. Both come from its settings; 0
+		// means not set.
 		LinkMbits float64 `cbor:"12,keyasint,omitempty"`
 		CoreShare float64 `cbor:"13,keyasint,omitempty"`
 		// Process identifies the node's process by its start time, in milliseconds
@@ -80,7 +81,7 @@
 		members    map[kqname.Node]Member
 		candidates map[kqname.Service][]Candidate
 		liveCount  int
-		// deadSince is when Forget first saw each dead member.
+		// deadSince is when PruneDead first saw each dead member.
 		deadSince map[kqname.Node]time.Time
 		// pruned holds the incarnations of dead members that were dropped. Without
 		// it, peers that still hold such a record would add it again forever.
@@ -109,8 +110,9 @@
 	return t
 }
 
-// OnChange registers f to be called with each changed record, this node's own
-// included. It must be called before the table is shared; f must not block.
+// OnChange registers f to be called with each record that Update, Merge or Declare
+// has changed, this node's own included. It must be called before the table is shared;
+// f must not block.
 func (t *Table) OnChange(f func(Member)) { t.subscribers = append(t.subscribers, f) }
 
 // Self returns the node's own record.
@@ -188,7 +190,8 @@
 }
 
 // Declare merges a record that this node derived from its own failure detector
-// and reports whether the table changed. Unlike Merge, it accepts a death at once.
+// and reports whether the table changed. Unlike Merge, it can turn a member that is
+// alive here into a dead one of the same incarnation.
 func (t *Table) Declare(m Member) bool {
 	t.mu.Lock()
 	merged, changed := t.merge(m)
@@ -246,7 +249,7 @@
 	}
 }
 
-// set stores a record and updates the summary. Only set and Forget may change
+// set stores a record and updates the summary. Only set and PruneDead may change
 // members.
 func (t *Table) set(m Member) {
 	if old, ok := t.members[m.Node]; ok {
--- a/internal/peer/kqmember/member_test.go
+++ b/internal/peer/kqmember/member_test.go
@@ -80,8 +80,8 @@
 }
 
 // Guards against tables that grow with every replaced server. The record of a dead node
-// is dropped after a day, but peers that learned of the death later still send it; it
-// must not be added again unless it has a new incarnation.
+// is dropped after some time, but peers that learned of the death later still send it;
+// it must not be added again unless it has a new incarnation.
 func TestPrunedDeadMembersStayPruned(t *testing.T) {
 	table := kqmember.NewTable(member(1, 1, kqmember.Alive))
 	table.Merge(member(2, 1, kqmember.Dead))
--- a/internal/peer/kqmember/summary.go
+++ b/internal/peer/kqmember/summary.go
@@ -41,7 +41,7 @@
 	return t.summary
 }
 
-// toggle adds a record to the hashes, or removes it if it was added. Dead members
+// toggle adds a record to the hashes, or removes it if it was added before. Dead members
 // are left out, since nodes drop them at different times.
 func (s *Summary) toggle(m Member) {
 	if m.State == Dead {
--- a/internal/peer/kqmembersync/flood.go
+++ b/internal/peer/kqmembersync/flood.go
@@ -23,10 +23,11 @@
 )
 
 type (
-	// updates holds changed records. The receiver does not forward Quiet ones.
+	// updates holds changed records. The receiver forwards them unless NoForward
+	// is set.
 	updates struct {
-		Members []kqmember.Member `cbor:"1,keyasint"`
-		Quiet   bool              `cbor:"2,keyasint,omitempty"`
+		Members   []kqmember.Member `cbor:"1,keyasint"`
+		NoForward bool              `cbor:"2,keyasint,omitempty"`
 	}
 
 	empty struct{}
@@ -34,55 +35,56 @@
 
 // mergeUpdates merges a peer's records and queues those that changed this table, so
 // that every record crosses each link about once and the flood ends by itself.
-func (e *Synchronizer) mergeUpdates(_ context.Context, _ kqname.Node, q updates) (empty, error) {
+func (s *Synchronizer) mergeUpdates(_ context.Context, _ kqname.Node, q updates) (empty, error) {
 	for _, m := range q.Members {
-		if !e.table.Merge(m) || q.Quiet {
+		if !s.table.Merge(m) || q.NoForward {
 			continue
 		}
-		if now, ok := e.table.Find(m.Node); ok {
-			e.enqueue(now)
+		if current, ok := s.table.Find(m.Node); ok {
+			s.enqueue(current)
 		}
 	}
 	return empty{}, nil
 }
 
 // enqueue queues a record for the flood, replacing an older one of the same node.
-// If the queue is full, the record is dropped and left to comparisons.
-func (e *Synchronizer) enqueue(m kqmember.Member) {
-	e.mu.Lock()
-	if _, ok := e.queue[m.Node]; ok || len(e.queue) < maxQueue {
-		e.queue[m.Node] = m
+// If the queue is full, the record is dropped, and a later comparison of tables
+// repairs it.
+func (s *Synchronizer) enqueue(m kqmember.Member) {
+	s.mu.Lock()
+	if _, ok := s.queue[m.Node]; ok || len(s.queue) < maxQueue {
+		s.queue[m.Node] = m
 	}
-	e.mu.Unlock()
+	s.mu.Unlock()
 	select {
-	case e.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
 // dequeue removes and returns at most limit queued records.
-func (e *Synchronizer) dequeue(limit int) []kqmember.Member {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+func (s *Synchronizer) dequeue(limit int) []kqmember.Member {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var batch []kqmember.Member
-	for n, m := range e.queue {
+	for n, m := range s.queue {
 		if len(batch) == limit {
 			break
 		}
 		batch = append(batch, m)
-		delete(e.queue, n)
+		delete(s.queue, n)
 	}
 	return batch
 }
 
 // floodQueue sends queued records to the neighbours in batches, within the budget,
 // until ctx ends.
-func (e *Synchronizer) floodQueue(ctx context.Context) {
+func (s *Synchronizer) floodQueue(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.wake:
+		case <-s.wake:
 		}
 		wait := batchDelay
 		for {
@@ -91,14 +93,14 @@
 				return
 			case <-time.After(wait):
 			}
-			if wait = e.budget.Delay(time.Now()); wait > 0 {
+			if wait = s.budget.Delay(time.Now()); wait > 0 {
 				continue
 			}
-			batch := e.dequeue(maxBatch)
+			batch := s.dequeue(maxBatch)
 			if len(batch) == 0 {
 				break
 			}
-			e.send(ctx, batch)
+			s.send(ctx, batch)
 			wait = batchDelay
 		}
 	}
@@ -106,7 +108,7 @@
 
 // send sends a batch to all neighbours and waits until each has answered or
 // callTimeout has passed.
-func (e *Synchronizer) send(ctx context.Context, batch []kqmember.Member) {
+func (s *Synchronizer) send(ctx context.Context, batch []kqmember.Member) {
 	if len(batch) == 0 {
 		return
 	}
@@ -114,10 +116,10 @@
 	defer cancel()
 	var group conc.WaitGroup
 	defer group.Wait()
-	for _, to := range e.overlay.Neighbours() {
+	for _, to := range s.overlay.Neighbours() {
 		group.Go(func() {
-			// The error is ignored: a comparison repairs what a peer has missed.
-			_, _ = kqrpc.Call[updates, empty](ctx, e.client, to.Control, methodUpdates, updates{Members: batch})
+			// The error is ignored: a later comparison of tables repairs what a peer has missed.
+			_, _ = kqrpc.Call[updates, empty](ctx, s.client, to.Control, methodUpdates, updates{Members: batch})
 		})
 	}
 }
--- a/internal/peer/kqmembersync/heartbeat.go
+++ b/internal/peer/kqmembersync/heartbeat.go
@@ -23,9 +23,11 @@
 		Incarnation uint64               `cbor:"1,keyasint"`
 		Records     uint64               `cbor:"2,keyasint"`
 		Newest      kqname.ConfigVersion `cbor:"3,keyasint"`
-		Config      kqname.ConfigVersion `cbor:"4,keyasint"`
+		HeldVersion kqname.ConfigVersion `cbor:"4,keyasint"`
 	}
 
+	// heartbeatAnswer holds the receiver's own heartbeat. VersionHolders is the hash of
+	// the versions that the members of its table hold.
 	heartbeatAnswer struct {
 		heartbeat
 		Node           kqname.Node `cbor:"5,keyasint"`
@@ -53,103 +55,103 @@
 
 // sendHeartbeat sends a heartbeat in its own goroutine, so that a peer that hangs
 // does not delay others. It does nothing while one to the same peer is in flight.
-func (e *Synchronizer) sendHeartbeat(ctx context.Context, to kqname.Address) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if to == "" || e.busy[to] || ctx.Err() != nil {
+func (s *Synchronizer) sendHeartbeat(ctx context.Context, to kqname.Address) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if to == "" || s.busy[to] || ctx.Err() != nil {
 		return
 	}
-	e.busy[to] = true
-	e.group.Go(func() {
+	s.busy[to] = true
+	s.group.Go(func() {
 		defer func() {
-			e.mu.Lock()
-			delete(e.busy, to)
-			e.mu.Unlock()
+			s.mu.Lock()
+			delete(s.busy, to)
+			s.mu.Unlock()
 		}()
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		kqsupervisor.From(ctx).RunRecovered("heartbeat", func() { e.heartbeat(ctx, to) })
+		kqsupervisor.From(ctx).RunRecovered("heartbeat", func() { s.heartbeat(ctx, to) })
 	})
 }
 
 // heartbeat sends a heartbeat, records the answer, and compares tables if
 // either node does not know the other or the hashes differ.
-func (e *Synchronizer) heartbeat(ctx context.Context, to kqname.Address) {
-	summary := e.table.Summary()
-	a, err := kqrpc.Call[heartbeat, heartbeatAnswer](ctx, e.client, to, methodHeartbeat, e.ownHeartbeat(summary))
-	if err != nil || a.Node == e.table.Self().Node {
+func (s *Synchronizer) heartbeat(ctx context.Context, to kqname.Address) {
+	summary := s.table.Summary()
+	a, err := kqrpc.Call[heartbeat, heartbeatAnswer](ctx, s.client, to, methodHeartbeat, s.ownHeartbeat(summary))
+	if err != nil || a.Node == s.table.Self().Node {
 		return
 	}
-	e.recordHeartbeat(a.Node, a.heartbeat, to)
-	e.versions.PeerAnswered(a.Node, a.Newest)
-	_, known := e.table.Find(a.Node)
+	s.recordHeartbeat(a.Node, a.heartbeat, to)
+	s.versions.PeerAnswered(a.Node, a.Newest)
+	_, known := s.table.Find(a.Node)
 	if a.Unknown || !known {
-		e.compare(ctx, to)
+		s.compare(ctx, to)
 		return
 	}
-	if (a.Records != summary.Hash() || a.VersionHolders != summary.VersionHolders) && e.mayCompare(time.Now()) {
-		e.compare(ctx, to)
+	if (a.Records != summary.Hash() || a.VersionHolders != summary.VersionHolders) && s.mayCompare(time.Now()) {
+		s.compare(ctx, to)
 	}
 }
 
-func (e *Synchronizer) ownHeartbeat(s kqmember.Summary) heartbeat {
-	self := e.table.Self()
-	return heartbeat{Incarnation: self.Incarnation, Records: s.Hash(), Newest: e.versions.Newest(), Config: self.HeldVersion}
+func (s *Synchronizer) ownHeartbeat(summary kqmember.Summary) heartbeat {
+	self := s.table.Self()
+	return heartbeat{Incarnation: self.Incarnation, Records: summary.Hash(), Newest: s.versions.Newest(), HeldVersion: self.HeldVersion}
 }
 
-func (e *Synchronizer) answerHeartbeat(_ context.Context, from kqname.Node, q heartbeat) (heartbeatAnswer, error) {
-	m, ok := e.table.Find(from)
+func (s *Synchronizer) answerHeartbeat(_ context.Context, from kqname.Node, q heartbeat) (heartbeatAnswer, error) {
+	m, ok := s.table.Find(from)
 	if ok {
-		e.recordHeartbeat(from, q, m.Control)
+		s.recordHeartbeat(from, q, m.Control)
 	}
-	summary := e.table.Summary()
+	summary := s.table.Summary()
 	return heartbeatAnswer{
-		heartbeat: e.ownHeartbeat(summary), Node: e.table.Self().Node, VersionHolders: summary.VersionHolders,
+		heartbeat: s.ownHeartbeat(summary), Node: s.table.Self().Node, VersionHolders: summary.VersionHolders,
 		Unknown: !ok || m.Incarnation != q.Incarnation || m.State == kqmember.Suspect || m.State == kqmember.Dead,
 	}, nil
 }
 
 // recordHeartbeat passes a peer's heartbeat to the failure detector, the table and
 // the configuration versions.
-func (e *Synchronizer) recordHeartbeat(n kqname.Node, b heartbeat, at kqname.Address) {
-	e.mu.Lock()
-	e.detector.RecordHeartbeat(n, time.Now())
-	e.mu.Unlock()
-	e.table.SetHeldVersion(n, b.Config)
-	e.versions.VersionSeen(b.Newest, at)
+func (s *Synchronizer) recordHeartbeat(n kqname.Node, b heartbeat, at kqname.Address) {
+	s.mu.Lock()
+	s.detector.RecordHeartbeat(n, time.Now())
+	s.mu.Unlock()
+	s.table.SetHeldVersion(n, b.HeldVersion)
+	s.versions.VersionSeen(b.Newest, at)
 }
 
 // mayCompare limits this node to one comparison per reconcileBeats heartbeats and
 // to its budget. Right after a change all tables differ until the flood has reached
 // them, so comparing more often would only cost traffic.
-func (e *Synchronizer) mayCompare(now time.Time) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if now.Sub(e.lastCompared) < reconcileBeats*e.interval || e.budget.Delay(now) > 0 {
+func (s *Synchronizer) mayCompare(now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if now.Sub(s.lastCompared) < reconcileBeats*s.interval || s.budget.Delay(now) > 0 {
 		return false
 	}
-	e.lastCompared = now
+	s.lastCompared = now
 	return true
 }
 
 // compare merges this table and a peer's so that both hold the newer records. The
 // records received are not flooded, since other nodes compare too.
-func (e *Synchronizer) compare(ctx context.Context, to kqname.Address) {
-	own := e.table.Summary()
-	a, err := kqrpc.Call[comparison, comparisonAnswer](ctx, e.client, to, methodCompare, comparison{Records: own.Records[:], VersionHolders: e.table.VersionHolders()})
+func (s *Synchronizer) compare(ctx context.Context, to kqname.Address) {
+	own := s.table.Summary()
+	a, err := kqrpc.Call[comparison, comparisonAnswer](ctx, s.client, to, methodCompare, comparison{Records: own.Records[:], VersionHolders: s.table.VersionHolders()})
 	if err != nil || a.Busy > 0 {
 		return
 	}
-	wasAlone := len(e.table.Members()) == 1
+	wasAlone := len(s.table.Members()) == 1
 	theirs := make(map[kqname.Node]kqmember.Member, len(a.Members))
 	for _, m := range a.Members {
 		theirs[m.Node] = m
-		e.table.Merge(m)
+		s.table.Merge(m)
 	}
-	e.table.MergeVersionHolders(a.VersionHolders)
+	s.table.MergeVersionHolders(a.VersionHolders)
 	if wasAlone && len(theirs) > 1 {
 		select {
-		case e.beatNow <- struct{}{}:
+		case s.beatNow <- struct{}{}:
 		default:
 		}
 	}
@@ -158,23 +160,23 @@
 		differs[b] = true
 	}
 	var newer []kqmember.Member
-	for _, m := range e.table.RecordsInBuckets(func(b int) bool { return differs[b] }) {
+	for _, m := range s.table.RecordsInBuckets(func(b int) bool { return differs[b] }) {
 		if t, ok := theirs[m.Node]; !ok || m.Incarnation > t.Incarnation || m.Incarnation == t.Incarnation && m.State > t.State {
 			newer = append(newer, m)
 		}
 	}
 	if len(newer) > 0 {
 		// The error is ignored: the next comparison repeats what is lost.
-		_, _ = kqrpc.Call[updates, empty](ctx, e.client, to, methodUpdates, updates{Members: newer, Quiet: true})
+		_, _ = kqrpc.Call[updates, empty](ctx, s.client, to, methodUpdates, updates{Members: newer, NoForward: true})
 	}
 }
 
-func (e *Synchronizer) answerCompare(_ context.Context, _ kqname.Node, q comparison) (comparisonAnswer, error) {
-	if wait := e.budget.Delay(time.Now()); wait > 0 {
+func (s *Synchronizer) answerCompare(_ context.Context, _ kqname.Node, q comparison) (comparisonAnswer, error) {
+	if wait := s.budget.Delay(time.Now()); wait > 0 {
 		return comparisonAnswer{Busy: wait.Milliseconds() + 1}, nil
 	}
-	e.table.MergeVersionHolders(q.VersionHolders)
-	own := e.table.Summary()
+	s.table.MergeVersionHolders(q.VersionHolders)
+	own := s.table.Summary()
 	var a comparisonAnswer
 	differs := make(map[int]bool)
 	for i, h := range own.Records {
@@ -183,7 +185,7 @@
 			differs[i] = true
 		}
 	}
-	a.Members = e.table.RecordsInBuckets(func(b int) bool { return differs[b] })
-	a.VersionHolders = e.table.VersionHolders()
+	a.Members = s.table.RecordsInBuckets(func(b int) bool { return differs[b] })
+	a.VersionHolders = s.table.VersionHolders()
 	return a, nil
 }
--- a/internal/peer/kqrpc/client.go
+++ b/internal/peer/kqrpc/client.go
@@ -24,7 +24,7 @@
 		guard ClientGuard
 
 		mu    sync.Mutex
-		links map[kqname.Address]*link
+		conns map[kqname.Address]*peerConn
 	}
 
 	// Dialer opens a connection to a peer.
@@ -37,10 +37,11 @@
 	// ClientOption configures a Client.
 	ClientOption func(*Client)
 
-	link struct {
+	// peerConn is the connection to one peer; conn is nil until it is opened.
+	peerConn struct {
 		// lock is held during a request, since a drpc connection carries one at a
-		// time. It is a channel and not a mutex so that a caller that waits for a
-		// slow request can give up at its own deadline.
+		// time. It is a channel and not a mutex so that a goroutine that waits for
+		// a slow request can give up at its own deadline.
 		lock     chan struct{}
 		conn     *drpcconn.Conn
 		lastUsed time.Time
@@ -55,7 +56,7 @@
 
 // NewClient returns a client that sends requests as the node self; meter may be nil.
 func NewClient(self kqname.Node, meter Meter, options ...ClientOption) *Client {
-	c := &Client{self: self, meter: meter, links: make(map[kqname.Address]*link), dial: dialTCP}
+	c := &Client{self: self, meter: meter, conns: make(map[kqname.Address]*peerConn), dial: dialTCP}
 	for _, o := range options {
 		o(c)
 	}
@@ -65,35 +66,35 @@
 // Call sends a request to a method of a peer and waits for the answer. If that
 // fails, it closes the connection: on a reused one, a late answer could be taken
 // for the answer to the next request.
-func Call[Q, A any](ctx context.Context, c *Client, to kqname.Address, method string, q Q) (A, error) {
-	var a A
-	l := c.link(to)
+func Call[Req, Resp any](ctx context.Context, c *Client, to kqname.Address, method string, request Req) (Resp, error) {
+	var response Resp
+	p := c.peerConn(to)
 	select {
-	case l.lock <- struct{}{}:
+	case p.lock <- struct{}{}:
 	case <-ctx.Done():
-		return a, fmt.Errorf("wait for an earlier request to %s: %w", to, ctx.Err())
+		return response, fmt.Errorf("wait for an earlier request to %s: %w", to, ctx.Err())
 	}
-	defer func() { <-l.lock }()
-	l.lastUsed = time.Now()
-	if err := c.connect(ctx, l, to); err != nil {
-		return a, fmt.Errorf("connect to %s: %w", to, err)
+	defer func() { <-p.lock }()
+	p.lastUsed = time.Now()
+	if err := c.connect(ctx, p, to); err != nil {
+		return response, fmt.Errorf("connect to %s: %w", to, err)
 	}
-	if err := l.conn.Invoke(ctx, method, codec{}, &envelope[Q]{From: c.self, Body: q}, &a); err != nil {
-		_ = l.conn.Close()
-		l.conn = nil
-		return a, fmt.Errorf("call %s at %s: %w", method, to, err)
+	if err := p.conn.Invoke(ctx, method, codec{}, &envelope[Req]{From: c.self, Body: request}, &response); err != nil {
+		_ = p.conn.Close()
+		p.conn = nil
+		return response, fmt.Errorf("call %s at %s: %w", method, to, err)
 	}
-	return a, nil
+	return response, nil
 }
 
 // Disconnect closes and removes the connection to a peer.
 func (c *Client) Disconnect(to kqname.Address) {
 	c.mu.Lock()
-	l, ok := c.links[to]
-	delete(c.links, to)
+	p, ok := c.conns[to]
+	delete(c.conns, to)
 	c.mu.Unlock()
 	if ok {
-		l.close()
+		p.close()
 	}
 }
 
@@ -102,54 +103,53 @@
 // connection to each node of the fleet.
 func (c *Client) CloseIdle(before time.Time) {
 	c.mu.Lock()
-	var idle []*link
-	for to, l := range c.links {
+	var idle []*peerConn
+	for to, p := range c.conns {
 		select {
-		case l.lock <- struct{}{}:
-			if l.lastUsed.Before(before) {
-				delete(c.links, to)
-				idle = append(idle, l)
+		case p.lock <- struct{}{}:
+			if p.lastUsed.Before(before) {
+				delete(c.conns, to)
+				idle = append(idle, p)
 			}
-			<-l.lock
+			<-p.lock
 		default:
 		}
 	}
 	c.mu.Unlock()
-	for _, l := range idle {
-		l.close()
+	for _, p := range idle {
+		p.close()
 	}
 }
 
 // Close closes every connection.
 func (c *Client) Close() {
 	c.mu.Lock()
-	links := c.links
-	c.links = make(map[kqname.Address]*link)
+	conns := c.conns
+	c.conns = make(map[kqname.Address]*peerConn)
 	c.mu.Unlock()
-	for _, l := range links {
-		l.close()
+	for _, p := range conns {
+		p.close()
 	}
 }
 
-// link returns the link to a peer, without connecting it.
-func (c *Client) link(to kqname.Address) *link {
+// peerConn returns the connection to a peer, without opening it.
+func (c *Client) peerConn(to kqname.Address) *peerConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l, ok := c.links[to]
+	p, ok := c.conns[to]
 	if !ok {
-		l = &link{lock: make(chan struct{}, 1)}
-		c.links[to] = l
+		p = &peerConn{lock: make(chan struct{}, 1)}
+		c.conns[to] = p
 	}
-	return l
+	return p
 }
 
-// connect opens the link's connection unless it is open; the caller holds the
-// link's lock.
-func (c *Client) connect(ctx context.Context, l *link, to kqname.Address) error {
-	if l.conn != nil {
+// connect opens a connection to a peer unless it is open. p.lock must be held.
+func (c *Client) connect(ctx context.Context, p *peerConn, to kqname.Address) error {
+	if p.conn != nil {
 		select {
-		case <-l.conn.Closed():
-			l.conn = nil
+		case <-p.conn.Closed():
+			p.conn = nil
 		default:
 			return nil
 		}
@@ -167,16 +167,16 @@
 			return err
 		}
 	}
-	l.conn = drpcconn.NewWithOptions(secured, drpcconn.Options{Manager: managerOptions()})
+	p.conn = drpcconn.NewWithOptions(secured, drpcconn.Options{Manager: managerOptions()})
 	return nil
 }
 
-func (l *link) close() {
-	l.lock <- struct{}{}
-	defer func() { <-l.lock }()
-	if l.conn != nil {
-		_ = l.conn.Close()
-		l.conn = nil
+func (p *peerConn) close() {
+	p.lock <- struct{}{}
+	defer func() { <-p.lock }()
+	if p.conn != nil {
+		_ = p.conn.Close()
+		p.conn = nil
 	}
 }
 
--- a/internal/peer/kqrpc/codec.go
+++ b/internal/peer/kqrpc/codec.go
@@ -19,9 +19,7 @@
 const minCompressBytes = 512
 
 // windowBytes is the size of the compression window; it bounds the memory of each
-// compressor. There is one compressor per processor: with a single one, senders
-// would queue for it, and when many records change at once they would wait longer
-// than their timeouts.
+// encoder.
 const windowBytes = 64 << 10
 
 var (
@@ -68,6 +66,9 @@
 	return nil
 }
 
+// mustCompressor returns a compressor with one encoder per processor: with a single
+// one, senders would queue for it, and when many records change at once they would
+// wait longer than their timeouts.
 func mustCompressor() *zstd.Encoder {
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(runtime.GOMAXPROCS(0)),
 		zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(windowBytes), zstd.WithEncoderCRC(false))
--- a/internal/peer/kqrpc/server.go
+++ b/internal/peer/kqrpc/server.go
@@ -90,22 +90,22 @@
 // Handle registers f as the handler of a method. Requests and answers are encoded
 // as CBOR. from is the sender as the request names it; with a guard it is checked
 // against the authenticated node.
-func Handle[Q, A any](s *Server, name string, f func(ctx context.Context, from kqname.Node, q Q) (A, error)) {
+func Handle[Req, Resp any](s *Server, name string, f func(ctx context.Context, from kqname.Node, request Req) (Resp, error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.methods[name] = func(stream drpc.Stream) error {
-		var q envelope[Q]
-		if err := stream.MsgRecv(&q, codec{}); err != nil {
+		var request envelope[Req]
+		if err := stream.MsgRecv(&request, codec{}); err != nil {
 			return fmt.Errorf("receive %s: %w", name, err)
 		}
-		if authenticated, ok := stream.Context().Value(senderKey{}).(kqname.Node); ok && authenticated != q.From {
-			return fmt.Errorf("%s from %q, authenticated as %q: %w", name, q.From, authenticated, ErrSender)
+		if authenticated, ok := stream.Context().Value(senderKey{}).(kqname.Node); ok && authenticated != request.From {
+			return fmt.Errorf("%s from %q, authenticated as %q: %w", name, request.From, authenticated, ErrSender)
 		}
-		a, err := f(stream.Context(), q.From, q.Body)
+		response, err := f(stream.Context(), request.From, request.Body)
 		if err != nil {
 			return fmt.Errorf("answer %s: %w", name, err)
 		}
-		if err := stream.MsgSend(&a, codec{}); err != nil {
+		if err := stream.MsgSend(&response, codec{}); err != nil {
 			return fmt.Errorf("send answer of %s: %w", name, err)
 		}
 		return nil
