--- a/pkg/kqdocument/diff.go
+++ b/pkg/kqdocument/diff.go
@@ -45,18 +45,18 @@
 }
 
 func diff[T any](field string, before, after []T, name func(T) string) []Change {
-	old, current := byName(before, name), byName(after, name)
-	all := maps.Clone(old)
-	maps.Copy(all, current)
+	beforeByName, afterByName := byName(before, name), byName(after, name)
+	all := maps.Clone(beforeByName)
+	maps.Copy(all, afterByName)
 	var changes []Change
 	for _, n := range slices.Sorted(maps.Keys(all)) {
-		a, inOld := old[n]
-		b, inCurrent := current[n]
+		a, inBefore := beforeByName[n]
+		b, inAfter := afterByName[n]
 		c := Change{Kind: Changed, Item: field + "." + n, Before: a, After: b}
 		switch {
-		case !inOld:
+		case !inBefore:
 			c.Kind = Added
-		case !inCurrent:
+		case !inAfter:
 			c.Kind = Removed
 		case reflect.DeepEqual(a, b):
 			continue
@@ -67,8 +67,8 @@
 }
 
 // byName returns the JSON of each item by its name. Items are compared as JSON, since
-// a time may be given in different time zones, and an empty and an absent map mean
-// the same.
+// equal times can differ in memory, and an empty and an absent map mean the same. Equal
+// times in different time zones count as different.
 func byName[T any](items []T, name func(T) string) map[string]json.RawMessage {
 	byName := make(map[string]json.RawMessage, len(items))
 	for _, item := range items {
--- a/pkg/kqdocument/document.go
+++ b/pkg/kqdocument/document.go
@@ -36,7 +36,8 @@
 		Rollouts []Rollout `json:"rollouts,omitempty"`
 	}
 
-	// Team owns services, routes and rollouts within its quotas.
+	// Team owns services, routes and rollouts within its quotas; a quota of 0 sets no
+	// limit.
 	Team struct {
 		Name        kqname.Team `json:"name"`
 		MaxRoutes   int         `json:"max_routes,omitempty" jsonschema:"minimum=0"`
@@ -44,7 +45,7 @@
 	}
 
 	// Policy holds the rules by which rollouts are evaluated. A SmallShare of 0 selects
-	// the default.
+	// the default of 0.05.
 	Policy struct {
 		Name   kqname.Policy `json:"name"`
 		Prefer Preference    `json:"prefer" jsonschema:"enum=finishing,enum=taking_back"`
@@ -79,7 +80,7 @@
 
 	// Route directs matching calls to a service or splits them among several. If
 	// several routes match, the longest path prefix wins, then the most headers, then
-	// a stated method, then the lower name.
+	// a stated method, then the alphabetically first name.
 	Route struct {
 		Name       kqname.Route      `json:"name"`
 		Team       kqname.Team       `json:"team"`
@@ -91,14 +92,14 @@
 		// Parts split the route's calls among services by weight, in place of
 		// Service.
 		Parts []Part `json:"parts,omitempty"`
-		// TimeoutMS is the timeout of one call, in milliseconds; 0 takes the
-		// service's.
+		// TimeoutMS is the timeout of one call, in milliseconds; 0 means the
+		// service's timeout.
 		TimeoutMS int `json:"timeout_ms,omitempty" jsonschema:"minimum=0,maximum=600000"`
 		// Class is the priority of the route's calls under overload; empty means
 		// normal.
 		Class Class `json:"class,omitempty" jsonschema:"enum=critical,enum=normal,enum=background"`
-		// TargetMS is the time, in milliseconds, within which an answer has its full
-		// value; 0 means no target.
+		// TargetMS is the target latency of a call, in milliseconds: a later answer is
+		// worth less. 0 means no target.
 		TargetMS int `json:"target_ms,omitempty" jsonschema:"minimum=0,maximum=600000"`
 		// MaxAttempts is the number of upstreams that one call may be sent to; 0
 		// means 3.
@@ -157,7 +158,7 @@
 }
 
 // Choose selects the service for one call by the weights of the parts; random is a
-// random number in [0, 1).
+// random number in [0, 1). Without parts it returns Service.
 func (r Route) Choose(random float64) kqname.Service {
 	total := 0.0
 	for _, p := range r.Parts {
--- a/pkg/kqdocument/schema.go
+++ b/pkg/kqdocument/schema.go
@@ -2,8 +2,9 @@
 
 import _ "embed"
 
-// schema is generated from the types and comments of this package by a test, which
-// otherwise checks that it is up to date.
+// schema is generated from the types and comments of this package by
+// TestSchemaMatchesTheTypes with -update; without the flag, the test checks that it is
+// up to date.
 //
 //go:embed document.schema.json
 var schema []byte
--- a/pkg/kqdocument/validate_rollout.go
+++ b/pkg/kqdocument/validate_rollout.go
@@ -20,21 +20,21 @@
 	latest   = time.Date(2200, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-func (c *checker) checkRollout(at string, r Rollout) {
-	c.reportIf(!kqname.Valid(r.From), at+".from", "is not a plain name")
-	c.reportIf(!kqname.Valid(r.To), at+".to", "is not a plain name")
-	c.reportIf(r.From == r.To, at+".to", "is the same version as from")
-	c.checkTime(at+".start", r.Start)
-	c.checkTime(at+".deadline", r.Deadline)
-	c.reportIf(!r.Deadline.After(r.Start), at+".deadline", "must be after start")
-	c.reportIf(r.Deadline.Sub(r.Start) > maxRollout, at+".deadline", "is more than 90 days after start")
+func (c *checker) checkRollout(path string, r Rollout) {
+	c.reportIf(!kqname.Valid(r.From), path+".from", "is not a plain name")
+	c.reportIf(!kqname.Valid(r.To), path+".to", "is not a plain name")
+	c.reportIf(r.From == r.To, path+".to", "is the same version as from")
+	c.checkTime(path+".start", r.Start)
+	c.checkTime(path+".deadline", r.Deadline)
+	c.reportIf(!r.Deadline.After(r.Start), path+".deadline", "must be after start")
+	c.reportIf(r.Deadline.Sub(r.Start) > maxRollout, path+".deadline", "is more than 90 days after start")
 }
 
 // checkDurationRollout checks a rollout that is given by its duration.
-func (c *checker) checkDurationRollout(at string, r Rollout) {
-	c.reportIf(!kqname.Valid(r.To), at+".to", "is not a plain name")
-	c.reportIf(r.From != "" || !r.Start.IsZero() || !r.Deadline.IsZero(), at+".duration_ms", "stands beside from, start or deadline")
-	c.reportIf(r.DurationMS < 0 || time.Duration(r.DurationMS)*time.Millisecond > maxRollout, at+".duration_ms", "must be from 0 to 90 days")
+func (c *checker) checkDurationRollout(path string, r Rollout) {
+	c.reportIf(!kqname.Valid(r.To), path+".to", "is not a plain name")
+	c.reportIf(r.From != "" || !r.Start.IsZero() || !r.Deadline.IsZero(), path+".duration_ms", "stands beside from, start or deadline")
+	c.reportIf(r.DurationMS < 0 || time.Duration(r.DurationMS)*time.Millisecond > maxRollout, path+".duration_ms", "must be from 0 to 90 days")
 }
 
 func (c *checker) checkTime(path string, t time.Time) {
@@ -45,7 +45,8 @@
 // refuses rollouts that overlap, since each would count the other's traffic as that of
 // its own old version and decide wrongly. It also refuses a rollout from a version
 // that cannot be serving at its start, since there would be nothing to compare the new
-// version with. Cancelled rollouts do not overlap others.
+// version with. Cancelled rollouts do not overlap others. Rollouts that are given by
+// a duration are not checked, since they have no start.
 func (c *checker) checkSequence(rollouts []Rollout, services map[kqname.Service]Service) {
 	order := make([]int, len(rollouts))
 	for i := range order {
@@ -61,26 +62,26 @@
 		if r.DurationMS > 0 {
 			continue
 		}
-		at := fmt.Sprintf("rollouts[%d]", i)
+		path := fmt.Sprintf("rollouts[%d]", i)
 		if s, ok := services[r.Service]; ok {
-			c.checkFrom(at, r, s, served[r.Service])
+			c.checkFrom(path, r, s, served[r.Service])
 		}
 		if r.Cancelled {
 			continue
 		}
 		if j, ok := last[r.Service]; ok && r.Start.Before(rollouts[j].Deadline) {
-			c.reportIf(true, at+".start", fmt.Sprintf("is before the deadline of %q of the same service", rollouts[j].Name))
+			c.reportIf(true, path+".start", fmt.Sprintf("is before the deadline of %q of the same service", rollouts[j].Name))
 		}
 		last[r.Service] = i
 		served[r.Service] = append(served[r.Service], r.From, r.To)
 	}
 }
 
-func (c *checker) checkFrom(at string, r Rollout, s Service, served []kqname.UpstreamVersion) {
+func (c *checker) checkFrom(path string, r Rollout, s Service, served []kqname.UpstreamVersion) {
 	if s.Version == "" {
-		c.reportIf(true, at+".service", "states no version, so the new version would serve before the start")
+		c.reportIf(true, path+".service", "states no version, so the new version would serve before the start")
 		return
 	}
-	c.reportIf(r.From != s.Version && !slices.Contains(served, r.From), at+".from",
+	c.reportIf(r.From != s.Version && !slices.Contains(served, r.From), path+".from",
 		fmt.Sprintf("is neither its service's version %q nor one of an earlier rollout", string(s.Version)))
 }
--- a/pkg/kqdocument/validate_route.go
+++ b/pkg/kqdocument/validate_route.go
@@ -16,10 +16,10 @@
 	maxHeaders     = 8
 	maxHeaderName  = 64
 	maxHeaderValue = 256
-	// reservedHeaders is the prefix of kumquatgw's own headers.
-	reservedHeaders = "kq-"
-	maxWeight       = 1000000
-	maxAttempts     = 16
+	// reservedHeaderPrefix is the prefix of kumquatgw's own headers.
+	reservedHeaderPrefix = "kq-"
+	maxWeight            = 1000000
+	maxAttempts          = 16
 
 	// tokenSymbols are allowed in a header's name besides letters and digits
 	// (RFC 9110, section 5.6.2).
@@ -27,6 +27,8 @@
 )
 
 var (
+	// methods are the methods that a route may match; CONNECT and TRACE are not among
+	// them.
 	methods = []string{
 		"", http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 		http.MethodPatch, http.MethodDelete, http.MethodOptions,
@@ -47,7 +49,7 @@
 		field := fmt.Sprintf("%s.headers[%.64q]", at, name)
 		folded := strings.ToLower(name)
 		c.reportIf(!isToken(name), field, "is not a header's name")
-		c.reportIf(strings.HasPrefix(folded, reservedHeaders), field, "is a header of the system's own, which callers cannot set")
+		c.reportIf(strings.HasPrefix(folded, reservedHeaderPrefix), field, "is a header of the system's own, which callers cannot set")
 		c.reportIf(seen[folded], field, "stands twice, in two cases")
 		c.reportIf(!isValidHeaderValue(r.Headers[name]), field, fmt.Sprintf("must have a value of 1 to %d visible characters", maxHeaderValue))
 		seen[folded] = true
@@ -84,7 +86,7 @@
 }
 
 // checkDuplicates refuses two routes that match the same calls: only the one with the
-// lower name would ever be used, and the other would have no effect.
+// alphabetically first name would ever be used, and the other would have no effect.
 func (c *checker) checkDuplicates(routes []Route) {
 	seen := make(map[string]kqname.Route, len(routes))
 	for i, r := range routes {
--- a/pkg/kqdocument/validate_test.go
+++ b/pkg/kqdocument/validate_test.go
@@ -35,7 +35,7 @@
 	if problems := kqdocument.Validate(validDocument()); len(problems) > 0 {
 		t.Fatalf("the valid document has problems: %v", problems)
 	}
-	far := time.Date(12026, 1, 1, 0, 0, 0, 0, time.UTC)
+	farFuture := time.Date(12026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for want, corrupt := range map[string]func(*kqdocument.Document){
 		"teams[0].name":                 func(d *kqdocument.Document) { d.Teams[0].Name = kqname.Team(strings.Repeat("x", 65)) },
 		"teams[0].max_routes":           func(d *kqdocument.Document) { d.Teams[0].MaxRoutes = 1 },
@@ -60,7 +60,7 @@
 		"rollouts[0].to":                func(d *kqdocument.Document) { d.Rollouts[0].To = "v1" },
 		"rollouts[0].policy":            func(d *kqdocument.Document) { d.Rollouts[0].Policy = "none" },
 		"rollouts[0].start":             func(d *kqdocument.Document) { d.Rollouts[0].Start = time.Time{} },
-		"rollouts[1].deadline":          func(d *kqdocument.Document) { d.Rollouts[1].Deadline = far },
+		"rollouts[1].deadline":          func(d *kqdocument.Document) { d.Rollouts[1].Deadline = farFuture },
 		"rollouts[1].start":             func(d *kqdocument.Document) { d.Rollouts[1].Start = d.Rollouts[0].Start.Add(time.Minute) },
 		"rollouts[0].service":           func(d *kqdocument.Document) { d.Services[0].Version = "" },
 	} {
--- a/pkg/kqname/name.go
+++ b/pkg/kqname/name.go
@@ -32,7 +32,8 @@
 	// Caller identifies the sender of calls for fair sharing. It is a service name
 	// for calls from inside the fleet, and a key or an address for calls from outside.
 	Caller string
-	// ConfigVersion numbers the committed documents from 1; it never decreases.
+	// ConfigVersion numbers the committed documents from 1; it never decreases. 0 means
+	// none.
 	ConfigVersion uint64
 )
 
