--- a/internal/security/kqthrottle/throttle.go
+++ b/internal/security/kqthrottle/throttle.go
@@ -20,8 +20,8 @@
 	maxSources = 4096
 )
 
-// Throttle holds a rate limiter of failures for each source. It is safe for
-// concurrent use.
+// Throttle holds a rate limiter of failures for each source, which is the IP address
+// that attempts come from. It is safe for concurrent use.
 type Throttle struct {
 	mu      sync.Mutex
 	sources map[string]*rate.Limiter
--- a/pkg/kqdocument/document.go
+++ b/pkg/kqdocument/document.go
@@ -158,7 +158,8 @@
 }
 
 // Choose selects the service for one call by the weights of the parts; random is a
-// random number in [0, 1). Without parts it returns Service.
+// random number in [0, 1). It returns Service if there are no parts, and also if
+// rounding leaves a remainder, although Service is then empty.
 func (r Route) Choose(random float64) kqname.Service {
 	total := 0.0
 	for _, p := range r.Parts {
--- a/pkg/kqdocument/validate.go
+++ b/pkg/kqdocument/validate.go
@@ -37,8 +37,8 @@
 func (p Problem) Error() string { return p.Path + ": " + p.Message }
 
 // Validate returns all problems of the document, grouped by kind of check and within
-// each in the order of the document's items. The result depends only on
-// the document, so that it is the same on all nodes.
+// each in the order of the document's items. The result depends only on the document,
+// so that it is the same on all nodes.
 func Validate(d Document) []Problem {
 	c := &checker{}
 	c.checkCount("teams", len(d.Teams), maxTeams)
--- a/pkg/kqname/name.go
+++ b/pkg/kqname/name.go
@@ -25,7 +25,8 @@
 	Policy string
 	// Team names a group of operators that owns services.
 	Team string
-	// Instance distinguishes an upstream from others that used the same address.
+	// Instance distinguishes an upstream from others that used the same address. It
+	// can have several processes, one after the other.
 	Instance string
 	// Address is a TCP address in the form "ip:port".
 	Address string
