--- a/internal/peer/kqbroadcast/spreader.go
+++ b/internal/peer/kqbroadcast/broadcaster.go
@@ -22,7 +22,8 @@
 	// batchDelay is how long a message waits so that others can share its frame.
 	batchDelay = 20 * time.Millisecond
 	// seenIDs is the number of recent message ids kept to drop duplicates that
-	// arrive over several links; it bounds their memory at 64 KB. At 500 messages a
+	// arrive over several links; the ring of ids takes 64 KB, and the set of the same
+	// ids comes on top. At 500 messages a
 	// second an id is kept for 16 s, and a message crosses the fleet in under 1 s.
 	seenIDs = 8192
 	// maxQueueBytes bounds the total payload size of the messages to be forwarded.
@@ -61,13 +62,14 @@
 		queue       []message
 		queuedBytes int
 		wake        chan struct{}
-		// busy holds the peers to which a message of Send is in flight.
+		// busy holds the peers to which a message of SendDirect is in flight.
 		busy    map[kqname.Address]bool
 		sending conc.WaitGroup
 	}
 
 	messageID uint64
 
+	// message is a published or direct message. The ID of a direct one is 0.
 	message struct {
 		ID      messageID   `cbor:"1,keyasint"`
 		From    kqname.Node `cbor:"2,keyasint"`
@@ -86,79 +88,79 @@
 	empty struct{}
 )
 
-// New returns a spreader that registers its methods on server and sends through
+// New returns a broadcaster that registers its methods on server and sends through
 // client. It calls onDrop for each message that it does not forward because the
-// queue is full, and for each peer that Send skips.
+// queue is full, and for each peer that SendDirect skips.
 func New(server *kqrpc.Server, client *kqrpc.Client, self kqname.Node, overlay Overlay, onDrop func()) *Broadcaster {
-	s := &Broadcaster{
+	b := &Broadcaster{
 		client: client, self: self, overlay: overlay, onDrop: onDrop, receivers: make(map[Topic][]Receiver),
 		seen: make(map[messageID]bool), recent: make([]messageID, seenIDs), wake: make(chan struct{}, 1),
 		busy: make(map[kqname.Address]bool),
 	}
 	kqrpc.Handle(server, methodOffer, func(_ context.Context, _ kqname.Node, q offer) (offer, error) {
-		return s.missingIDs(q), nil
+		return b.missingIDs(q), nil
 	})
 	kqrpc.Handle(server, methodDeliver, func(_ context.Context, _ kqname.Node, q delivery) (empty, error) {
 		for _, m := range q.Messages {
-			s.accept(m)
+			b.accept(m)
 		}
 		return empty{}, nil
 	})
 	kqrpc.Handle(server, methodDirect, func(_ context.Context, _ kqname.Node, m message) (empty, error) {
-		s.deliver(m)
+		b.deliver(m)
 		return empty{}, nil
 	})
-	return s
+	return b
 }
 
 // Subscribe registers r to be called with each message of a topic, including
 // those that this node publishes.
-func (s *Broadcaster) Subscribe(t Topic, r Receiver) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.receivers[t] = append(s.receivers[t], r)
+func (b *Broadcaster) Subscribe(t Topic, r Receiver) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.receivers[t] = append(b.receivers[t], r)
 }
 
 // Publish delivers a message to the local receivers and queues it for flooding to
 // all other nodes. It does not wait for them.
-func (s *Broadcaster) Publish(_ context.Context, t Topic, payload []byte) {
-	s.accept(message{ID: messageID(rand.Uint64()), From: s.self, Topic: t, Payload: payload})
+func (b *Broadcaster) Publish(_ context.Context, t Topic, payload []byte) {
+	b.accept(message{ID: messageID(rand.Uint64()), From: b.self, Topic: t, Payload: payload})
 }
 
 // accept delivers a message to the local receivers and queues it for the
 // neighbours, unless it was accepted before.
-func (s *Broadcaster) accept(m message) {
-	s.mu.Lock()
-	if s.seen[m.ID] {
-		s.mu.Unlock()
+func (b *Broadcaster) accept(m message) {
+	b.mu.Lock()
+	if b.seen[m.ID] {
+		b.mu.Unlock()
 		return
 	}
-	delete(s.seen, s.recent[s.next])
-	s.seen[m.ID], s.recent[s.next] = true, m.ID
-	s.next = (s.next + 1) % seenIDs
-	fits := s.queuedBytes+len(m.Payload) <= maxQueueBytes
+	delete(b.seen, b.recent[b.next])
+	b.seen[m.ID], b.recent[b.next] = true, m.ID
+	b.next = (b.next + 1) % seenIDs
+	fits := b.queuedBytes+len(m.Payload) <= maxQueueBytes
 	if fits {
-		s.queue = append(s.queue, m)
-		s.queuedBytes += len(m.Payload)
+		b.queue = append(b.queue, m)
+		b.queuedBytes += len(m.Payload)
 	}
-	s.mu.Unlock()
+	b.mu.Unlock()
 	if !fits {
-		s.onDrop()
+		b.onDrop()
 	}
-	s.deliver(m)
+	b.deliver(m)
 	select {
-	case s.wake <- struct{}{}:
+	case b.wake <- struct{}{}:
 	default:
 	}
 }
 
 // missingIDs returns the offered ids that this node has not seen.
-func (s *Broadcaster) missingIDs(q offer) offer {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (b *Broadcaster) missingIDs(q offer) offer {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	var missing offer
 	for _, id := range q.IDs {
-		if !s.seen[id] {
+		if !b.seen[id] {
 			missing.IDs = append(missing.IDs, id)
 		}
 	}
--- a/internal/peer/kqdiscovery/register.go
+++ b/internal/peer/kqdiscovery/discovery.go
@@ -18,8 +18,8 @@
 const (
 	prefix = "kumquatgw/nodes/"
 	// TTL is the lease time of an entry. It only has to exceed the time of a node's
-	// restart. The entry of a dead node costs a starting node one address that does
-	// not answer.
+	// restart. The entry of a dead node does little harm: a starting node contacts one
+	// address that does not answer.
 	TTL           = 20 * time.Second
 	renewInterval = TTL / 3
 	// retryPause is the mean pause after a failed call. Entries whose leases lapsed
@@ -28,11 +28,11 @@
 	// firstLookupJitter bounds the random delay of a node's first lookup, so that
 	// the nodes of a restarted fleet do not all look up in the same millisecond.
 	firstLookupJitter = 50 * time.Millisecond
-	// aloneInterval is the mean pause between lookups of a node without peers.
+	// isolatedInterval is the mean pause between lookups of a node without peers.
 	// lookupInterval is that of other nodes: within it, two parts of a fleet that
 	// were started separately find each other.
-	aloneInterval  = 300 * time.Millisecond
-	lookupInterval = 15 * time.Second
+	isolatedInterval = 300 * time.Millisecond
+	lookupInterval   = 15 * time.Second
 	// intervalPerPeer is added to lookupInterval for each peer, so that all nodes
 	// together do about one lookup per second, whatever the size of the fleet.
 	intervalPerPeer = time.Second
@@ -41,7 +41,7 @@
 )
 
 type (
-	// Store is the part of the store that a register uses.
+	// Store is the part of the store that node discovery uses.
 	Store interface {
 		Put(ctx context.Context, key string, value []byte, lease kqstore.Lease) (kqstore.Revision, error)
 		Grant(ctx context.Context, ttl time.Duration) (kqstore.Lease, error)
@@ -55,7 +55,7 @@
 		node    kqname.Node
 		control kqname.Address
 		// known returns the number of live peers and whether the address is one of
-		// theirs.
+		// theirs. An empty address is passed for the number alone.
 		known   func(kqname.Address) (peers int, known bool)
 		contact func(context.Context, kqname.Address)
 		onError func(error)
@@ -64,7 +64,7 @@
 	}
 )
 
-// New returns a register for the node at a control address. It calls contact with
+// New returns the Register of the node at a control address. It calls contact with
 // addresses in the store that are not known, and onError with each failed call.
 func New(store Store, node kqname.Node, control kqname.Address,
 	known func(kqname.Address) (int, bool), contact func(context.Context, kqname.Address), onError func(error),
@@ -84,9 +84,9 @@
 // Run maintains the entry and looks up peers until ctx ends.
 func (r *Register) Run(ctx context.Context) {
 	var group conc.WaitGroup
-	keeper := kqsupervisor.From(ctx)
-	group.Go(func() { keeper.RunWithRestart(ctx, "register", func() { r.maintainEntry(ctx) }) })
-	group.Go(func() { keeper.RunWithRestart(ctx, "look", func() { r.lookUpPeers(ctx) }) })
+	supervisor := kqsupervisor.From(ctx)
+	group.Go(func() { supervisor.RunWithRestart(ctx, "register", func() { r.maintainEntry(ctx) }) })
+	group.Go(func() { supervisor.RunWithRestart(ctx, "look", func() { r.lookUpPeers(ctx) }) })
 	group.Wait()
 }
 
@@ -111,7 +111,7 @@
 	}
 }
 
-// awaitRenewal waits until the next renewal is due or Wake is called.
+// awaitRenewal waits until the next renewal is due or RenewNow is called.
 func (r *Register) awaitRenewal(ctx context.Context) {
 	timer := time.NewTimer(renewInterval)
 	defer timer.Stop()
@@ -175,7 +175,7 @@
 	peers, _ := r.known("")
 	interval := lookupInterval + time.Duration(peers)*intervalPerPeer
 	if peers == 0 {
-		interval = aloneInterval
+		interval = isolatedInterval
 	}
 	kqsleep.For(ctx, interval/2+rand.N(interval))
 }
--- a/internal/peer/kqmembersync/exchange.go
+++ b/internal/peer/kqmembersync/synchronizer.go
@@ -79,7 +79,7 @@
 	}
 )
 
-// New returns an exchanger that registers its methods on server and sends through
+// New returns a synchronizer that registers its methods on server and sends through
 // client, with a heartbeat to each neighbour per interval. Contacts are addresses
 // that get heartbeats while every known peer is dead or none is known, and one of them
 // from time to time later on, so that two parts of a fleet that dropped each other
@@ -87,7 +87,7 @@
 func New(server *kqrpc.Server, client *kqrpc.Client, table *kqmember.Table, overlay *kqoverlay.Overlay,
 	versions Versions, budget Budget, contacts []kqname.Address, interval time.Duration,
 ) *Synchronizer {
-	e := &Synchronizer{
+	s := &Synchronizer{
 		client: client, table: table, overlay: overlay, versions: versions, budget: budget, interval: interval,
 		contacts: contacts, detector: kqdetector.New(interval), busy: make(map[kqname.Address]bool),
 		queue: make(map[kqname.Node]kqmember.Member), wake: make(chan struct{}, 1), beatNow: make(chan struct{}, 1),
@@ -95,117 +95,117 @@
 	self := table.Self().Node
 	table.OnChange(func(m kqmember.Member) {
 		if m.Node == self {
-			e.enqueue(m)
+			s.enqueue(m)
 		}
 	})
-	kqrpc.Handle(server, methodHeartbeat, e.answerHeartbeat)
-	kqrpc.Handle(server, methodCompare, e.answerCompare)
-	kqrpc.Handle(server, methodUpdates, e.mergeUpdates)
-	return e
+	kqrpc.Handle(server, methodHeartbeat, s.answerHeartbeat)
+	kqrpc.Handle(server, methodCompare, s.answerCompare)
+	kqrpc.Handle(server, methodUpdates, s.mergeUpdates)
+	return s
 }
 
 // Run sends heartbeats and floods changed records until ctx ends.
-func (e *Synchronizer) Run(ctx context.Context) {
-	defer e.group.Wait()
-	keeper := kqsupervisor.From(ctx)
-	e.group.Go(func() { keeper.RunWithRestart(ctx, "news", func() { e.floodQueue(ctx) }) })
-	ticker := time.NewTicker(e.interval)
+func (s *Synchronizer) Run(ctx context.Context) {
+	defer s.group.Wait()
+	supervisor := kqsupervisor.From(ctx)
+	s.group.Go(func() { supervisor.RunWithRestart(ctx, "news", func() { s.floodQueue(ctx) }) })
+	ticker := time.NewTicker(s.interval)
 	defer ticker.Stop()
 	for beat := 0; ; beat++ {
-		keeper.RunRecovered("heartbeat", func() { e.tick(ctx, beat, time.Now()) })
+		supervisor.RunRecovered("heartbeat", func() { s.tick(ctx, beat, time.Now()) })
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-e.beatNow:
+		case <-s.beatNow:
 		}
 	}
 }
 
 // Probe sends a heartbeat to an address outside the table, such as that of a
 // node found through the store.
-func (e *Synchronizer) Probe(ctx context.Context, to kqname.Address) {
-	if to != e.table.Self().Control {
-		e.sendHeartbeat(ctx, to)
+func (s *Synchronizer) Probe(ctx context.Context, to kqname.Address) {
+	if to != s.table.Self().Control {
+		s.sendHeartbeat(ctx, to)
 	}
 }
 
 // FlushUpdates sends all queued records to the neighbours at once, and returns when
 // each has received them or has failed. A leaving node uses it, since it cannot
 // wait for the next flood.
-func (e *Synchronizer) FlushUpdates(ctx context.Context) { e.send(ctx, e.dequeue(maxQueue)) }
+func (s *Synchronizer) FlushUpdates(ctx context.Context) { s.send(ctx, s.dequeue(maxQueue)) }
 
 // tick sends the heartbeats that are due on a beat: to all neighbours, to a random
 // member that is not dead or, without one, to all contacts, and to the members to be
 // probed. It also prunes dead members and closes idle connections.
-func (e *Synchronizer) tick(ctx context.Context, beat int, now time.Time) {
-	neighbours := e.overlay.Neighbours()
-	e.detectFailures(neighbours, now)
+func (s *Synchronizer) tick(ctx context.Context, beat int, now time.Time) {
+	neighbours := s.overlay.Neighbours()
+	s.detectFailures(neighbours, now)
 	for _, m := range neighbours {
-		e.sendHeartbeat(ctx, m.Control)
+		s.sendHeartbeat(ctx, m.Control)
 	}
-	if to, ok := e.randomAddress(func(m kqmember.Member) bool { return m.State != kqmember.Dead }); ok {
-		e.sendHeartbeat(ctx, to)
+	if to, ok := s.randomAddress(func(m kqmember.Member) bool { return m.State != kqmember.Dead }); ok {
+		s.sendHeartbeat(ctx, to)
 	} else {
-		for _, to := range e.contacts {
-			e.sendHeartbeat(ctx, to)
+		for _, to := range s.contacts {
+			s.sendHeartbeat(ctx, to)
 		}
 	}
 	if beat%probeBeats == probeBeats-1 {
-		for _, m := range e.overlay.Lost() {
-			e.sendHeartbeat(ctx, m.Control)
+		for _, m := range s.overlay.Lost() {
+			s.sendHeartbeat(ctx, m.Control)
 		}
 	}
 	if beat%randomProbeBeats == randomProbeBeats-1 {
-		if to, ok := e.randomAddress(func(m kqmember.Member) bool { return m.State == kqmember.Dead }); ok {
-			e.sendHeartbeat(ctx, to)
+		if to, ok := s.randomAddress(func(m kqmember.Member) bool { return m.State == kqmember.Dead }); ok {
+			s.sendHeartbeat(ctx, to)
 		}
-		if len(e.contacts) > 0 {
-			e.sendHeartbeat(ctx, e.contacts[rand.IntN(len(e.contacts))])
+		if len(s.contacts) > 0 {
+			s.sendHeartbeat(ctx, s.contacts[rand.IntN(len(s.contacts))])
 		}
-		e.table.PruneDead(now.Add(-deadRetention), now)
+		s.table.PruneDead(now.Add(-deadRetention), now)
 	}
-	e.client.CloseIdle(now.Add(-idleBeats * e.interval))
+	s.client.CloseIdle(now.Add(-idleBeats * s.interval))
 }
 
 // detectFailures declares members suspect or dead by their missed heartbeats, and
 // queues the changed records. A leaving member is declared dead without suspicion.
-func (e *Synchronizer) detectFailures(neighbours []kqmember.Member, now time.Time) {
+func (s *Synchronizer) detectFailures(neighbours []kqmember.Member, now time.Time) {
 	var watched, suspects []kqname.Node
 	for _, m := range neighbours {
 		watched = append(watched, m.Node)
 	}
-	for _, m := range e.table.Members() {
+	for _, m := range s.table.Members() {
 		if m.State == kqmember.Suspect {
 			suspects = append(suspects, m.Node)
 		}
 	}
-	e.mu.Lock()
-	e.detector.SetWatched(watched, now)
-	e.detector.SetSuspects(suspects, now)
-	verdicts := e.detector.Check(now)
-	e.mu.Unlock()
-	for _, v := range verdicts {
-		m, ok := e.table.Find(v.Node)
+	s.mu.Lock()
+	s.detector.SetWatched(watched, now)
+	s.detector.SetSuspects(suspects, now)
+	changes := s.detector.Check(now)
+	s.mu.Unlock()
+	for _, c := range changes {
+		m, ok := s.table.Find(c.Node)
 		if !ok {
 			continue
 		}
 		m.State = kqmember.Suspect
-		if old, _ := e.table.Find(v.Node); v.Status == kqdetector.Dead || old.State == kqmember.Leaving {
+		if old, _ := s.table.Find(c.Node); c.Status == kqdetector.Dead || old.State == kqmember.Leaving {
 			m.State = kqmember.Dead
 		}
-		if e.table.Declare(m) {
-			e.enqueue(m)
+		if s.table.Declare(m) {
+			s.enqueue(m)
 		}
 	}
 }
 
 // randomAddress returns the control address of a random other member that matches,
 // and false if there is none.
-func (e *Synchronizer) randomAddress(matches func(kqmember.Member) bool) (kqname.Address, bool) {
-	self := e.table.Self().Node
+func (s *Synchronizer) randomAddress(matches func(kqmember.Member) bool) (kqname.Address, bool) {
+	self := s.table.Self().Node
 	var list []kqname.Address
-	for _, m := range e.table.Members() {
+	for _, m := range s.table.Members() {
 		if m.Node != self && matches(m) {
 			list = append(list, m.Control)
 		}
--- a/pkg/kqname/name.go
+++ b/pkg/kqname/name.go
@@ -25,14 +25,16 @@
 	Policy string
 	// Team names a group of operators that owns services.
 	Team string
-	// Instance distinguishes an upstream from others that used the same address.
+	// Instance distinguishes an upstream from others that used the same address. It
+	// can have several processes, one after the other.
 	Instance string
 	// Address is a TCP address in the form "ip:port".
 	Address string
 	// Caller identifies the sender of calls for fair sharing. It is a service name
 	// for calls from inside the fleet, and a key or an address for calls from outside.
 	Caller string
-	// ConfigVersion numbers the committed documents from 1; it never decreases.
+	// ConfigVersion numbers the committed documents from 1; it never decreases. 0 means
+	// none.
 	ConfigVersion uint64
 )
 
