--- a/internal/run/kqcommand/node.go
+++ b/internal/run/kqcommand/node.go
@@ -33,8 +33,8 @@
 		// or drains.
 		signals := make(chan os.Signal, 8)
 		signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, os.Interrupt)
-		// Without this the first write after the reader of the log has gone would end
-		// the process. Now the write fails, and the line is counted as dropped.
+		// Without this the first write after the log collector has gone would end the
+		// process. Now the write fails, and the line is counted as dropped.
 		signal.Ignore(syscall.SIGPIPE)
 		if stopsHandlingReload {
 			context.AfterFunc(ctx, func() { signal.Reset(syscall.SIGHUP) })
--- a/internal/run/kqexplain/explain.go
+++ b/internal/run/kqexplain/explain.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// ErrNotFound is returned if no log has a line of the request.
+// ErrNotFound is returned if no log has a line of the call.
 var ErrNotFound = errors.New("no log line of this request")
 
-// Explain describes the handling of a request and of the calls that it caused, one
+// Explain describes the handling of a call and of the calls that it caused, one
 // sentence per string in order of time. The last one states the cause of the
 // outcome.
 func (l *Log) Explain(id string) ([]string, error) {
-	lines := l.requestLines(id)
+	lines := l.callLines(id)
 	if len(lines) == 0 {
 		return nil, fmt.Errorf("explain %q: %w; successes are sampled, and lines over the rate limit of their reason are suppressed", id, ErrNotFound)
 	}
@@ -39,29 +39,29 @@
 	switch one.Event {
 	case "gated":
 		text := fmt.Sprintf("%s gate: %s, %s, %d of %d slots in use, %d waiting, queued for %.0f ms, at the upstream for %.0f ms, %.0f ms left.",
-			at, one.ID, outcomeText(one.Result, one.Reason, one.Status), one.Running, one.Slots, one.Waiting, one.Waited, one.Took, one.Left)
+			at, one.ID, outcomeText(one.Result, one.Reason, one.Status), one.Running, one.Slots, one.Waiting, one.Waited, one.Took, one.TimeLeft)
 		return []string{text}
 	case "ended":
 		list := []string{fmt.Sprintf("%s entry: %s matched route %q of service %s by version %d%s.", at, one.ID, one.Route, one.Service, one.Version, l.entryKnowledge(one))}
 		for i, t := range one.Tries {
 			text := fmt.Sprintf("  attempt %d to %s with %.0f ms left (load reported %.0f ms before: %d running, %d waiting, %d slots; %d in flight from this entry): %s after %.0f ms",
-				i+1, t.To, t.Left, t.Age, t.Running, t.Waiting, t.Slots, t.Sent, outcomeText(t.Result, t.Reason, t.Status), t.Took)
+				i+1, t.To, t.TimeLeft, t.LoadAge, t.Running, t.Waiting, t.Slots, t.InFlight, outcomeText(t.Result, t.Reason, t.Status), t.Took)
 			if t.Ejected {
 				text += "; upstream ejected"
 			}
-			if t.Again {
+			if t.Resent {
 				text += "; retried on another upstream"
 			}
 			list = append(list, text+".")
 		}
-		return append(list, fmt.Sprintf("  ended: %s after %.0f ms%s.", outcomeText(one.Result, one.Reason, one.Status), one.Took, retryAdvice(one.Retry)))
+		return append(list, fmt.Sprintf("  ended: %s after %.0f ms%s.", outcomeText(one.Result, one.Reason, one.Status), one.Took, retryAdvice(one.RetryAfter)))
 	default:
 		return []string{fmt.Sprintf("%s %s: %s", at, one.Part, one.Text)}
 	}
 }
 
 // entryKnowledge describes, from earlier log lines, what the entry's node knew when
-// the request arrived: how long its configuration had been in force, whether the
+// the call arrived: how long its configuration had been in force, whether the
 // store was unreachable, and the states of the upstreams' nodes.
 func (l *Log) entryKnowledge(one line) string {
 	began := one.Time.Add(-time.Duration(one.Took * float64(time.Millisecond)))
@@ -83,7 +83,7 @@
 	return " (" + strings.Join(list, ", ") + ")"
 }
 
-// cause describes why the request ended as it did.
+// cause describes why the call ended as it did.
 func (l *Log) cause(end line, lines []line) string {
 	var last attempt
 	if n := len(end.Tries); n > 0 {
@@ -117,7 +117,7 @@
 }
 
 // answeredCause describes the cause of an answer: none unless its status is an
-// error, else a failed call that the request caused, or the upstream itself.
+// error, else a failed call that the call caused, or the upstream itself.
 func (l *Log) answeredCause(end line, last attempt, lines []line) string {
 	if end.Status < 500 {
 		return "none; the request was answered."
@@ -131,7 +131,7 @@
 }
 
 // laterMemberState describes the state that the entry's node recorded for another
-// node up to 5 s after the request ended, unless that node was alive.
+// node up to 5 s after the call ended, unless that node was alive.
 func (l *Log) laterMemberState(end line, node string) string {
 	const window = 5 * time.Second
 	m, ok := l.lastLine(end.Node, end.Time.Add(window), func(o line) bool { return o.Event == "member" && o.Member == node })
@@ -142,7 +142,7 @@
 }
 
 // unavailableMembers describes how many members the entry's node did not know as
-// alive when the request ended.
+// alive when the call ended.
 func (l *Log) unavailableMembers(end line) string {
 	states := make(map[string]string)
 	for _, one := range l.lines {
@@ -167,7 +167,7 @@
 	switch {
 	case len(end.Tries) > 1:
 		return fmt.Sprintf("%d upstreams were tried", len(end.Tries))
-	case end.Left <= 0:
+	case end.TimeLeft <= 0:
 		return "no time was left for a retry"
 	default:
 		return "it was not safe to retry, or the retry budget was used up"
@@ -186,7 +186,7 @@
 	return text
 }
 
-// retryAdvice describes the time after which the caller was told to retry.
+// retryAdvice describes the Retry-After that the caller got.
 func retryAdvice(ms float64) string {
 	if ms == 0 {
 		return ""
--- a/internal/run/kqexplain/explain_test.go
+++ b/internal/run/kqexplain/explain_test.go
@@ -8,7 +8,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/run/kqexplain"
 )
 
-// recorded holds the log lines of three requests, r1 to r3, on nodes a to c, and three
+// recorded holds the log lines of three calls, r1 to r3, on nodes a to c, and three
 // lines that must be skipped: an empty one, one of another program, and a truncated
 // one.
 const recorded = `
@@ -32,7 +32,7 @@
 	return &l
 }
 
-// For a refused, a failed and a disconnected request, the logs alone must show an
+// For a refused, a failed and a disconnected call, the logs alone must show an
 // on-call engineer the cause.
 func TestExplainStatesCause(t *testing.T) {
 	for id, want := range map[string][]string{
--- a/internal/run/kqexplain/read.go
+++ b/internal/run/kqexplain/read.go
@@ -35,14 +35,14 @@
 		Reason string    `json:"reason"`
 		Status int       `json:"status"`
 
-		Route   string    `json:"route"`
-		Service string    `json:"service"`
-		Class   string    `json:"class"`
-		Version uint64    `json:"version"`
-		Took    float64   `json:"took_ms"`
-		Left    float64   `json:"left_ms"`
-		Retry   float64   `json:"retry_after_ms"`
-		Tries   []attempt `json:"tries"`
+		Route      string    `json:"route"`
+		Service    string    `json:"service"`
+		Class      string    `json:"class"`
+		Version    uint64    `json:"version"`
+		Took       float64   `json:"took_ms"`
+		TimeLeft   float64   `json:"left_ms"`
+		RetryAfter float64   `json:"retry_after_ms"`
+		Tries      []attempt `json:"tries"`
 
 		Instance string  `json:"instance"`
 		Running  int     `json:"running"`
@@ -58,19 +58,19 @@
 
 	// attempt is one attempt to send a call to an upstream, as the entry logged it.
 	attempt struct {
-		To      string  `json:"to"`
-		Result  string  `json:"result"`
-		Reason  string  `json:"reason"`
-		Status  int     `json:"status"`
-		Sent    int     `json:"sent"`
-		Running int     `json:"running"`
-		Waiting int     `json:"waiting"`
-		Slots   int     `json:"slots"`
-		Age     float64 `json:"load_age_ms"`
-		Left    float64 `json:"left_ms"`
-		Took    float64 `json:"took_ms"`
-		Again   bool    `json:"again"`
-		Ejected bool    `json:"ejected"`
+		To       string  `json:"to"`
+		Result   string  `json:"result"`
+		Reason   string  `json:"reason"`
+		Status   int     `json:"status"`
+		InFlight int     `json:"sent"`
+		Running  int     `json:"running"`
+		Waiting  int     `json:"waiting"`
+		Slots    int     `json:"slots"`
+		LoadAge  float64 `json:"load_age_ms"`
+		TimeLeft float64 `json:"left_ms"`
+		Took     float64 `json:"took_ms"`
+		Resent   bool    `json:"again"`
+		Ejected  bool    `json:"ejected"`
 	}
 )
 
@@ -85,12 +85,12 @@
 	for scanner.Scan() {
 		// Log collectors may put a prefix before the JSON object.
 		start := bytes.IndexByte(scanner.Bytes(), '{')
-		var one line
-		if start < 0 || json.Unmarshal(scanner.Bytes()[start:], &one) != nil || one.Time.IsZero() || one.Node == "" {
+		var parsed line
+		if start < 0 || json.Unmarshal(scanner.Bytes()[start:], &parsed) != nil || parsed.Time.IsZero() || parsed.Node == "" {
 			l.skipped[name]++
 			continue
 		}
-		l.lines = append(l.lines, one)
+		l.lines = append(l.lines, parsed)
 	}
 	if err := scanner.Err(); err != nil {
 		return fmt.Errorf("read %s: %w", name, err)
@@ -108,9 +108,9 @@
 	return list
 }
 
-// requestLines returns the lines of a request and of the calls that it caused, in
+// callLines returns the lines of a call and of the calls that it caused, in
 // order of time. The id of a caused call is that of its cause, a dot and a suffix.
-func (l *Log) requestLines(id string) []line {
+func (l *Log) callLines(id string) []line {
 	var list []line
 	for _, one := range l.lines {
 		if one.ID == id || strings.HasPrefix(one.ID, id+".") {
@@ -121,17 +121,17 @@
 	return list
 }
 
-// lastLine returns the last line of a node, no later than before, that fits
-// accepts, and whether there is one. Lines from before the node's last restart do
+// lastLine returns the last line of a node, no later than before, for which
+// matches returns true, and whether there is one. Lines from before the node's last restart do
 // not count.
-func (l *Log) lastLine(node string, before time.Time, fits func(line) bool) (line, bool) {
+func (l *Log) lastLine(node string, before time.Time, matches func(line) bool) (line, bool) {
 	var best, started line
 	for _, one := range l.lines {
 		switch {
 		case one.Node != node || one.Time.After(before):
 		case one.Event == "started" && !one.Time.Before(started.Time):
 			started = one
-		case fits(one) && !one.Time.Before(best.Time):
+		case matches(one) && !one.Time.Before(best.Time):
 			best = one
 		}
 	}
--- a/internal/run/kqlog/async.go
+++ b/internal/run/kqlog/async.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// maxQueuedLines is how many lines wait for a slow reader of the output: a few
+	// maxQueuedLines is how many lines wait for a slow log collector: a few
 	// seconds' worth at the default rates of [log], and under 1 MB.
 	maxQueuedLines = 2048
-	// flushTimeout bounds how long Close waits for the reader of the output.
+	// flushTimeout bounds how long Close waits for the log collector.
 	flushTimeout = 200 * time.Millisecond
 )
 
 // AsyncWriter writes log lines to an output in the background, so that an output
-// whose reader stalls or is gone does not block the calls that log. Lines that do
+// whose log collector stalls or is gone does not block the calls that log. Lines that do
 // not fit into the queue are dropped and counted. It is safe for concurrent use.
 type AsyncWriter struct {
 	lines   chan []byte
--- a/internal/run/kqlog/async_test.go
+++ b/internal/run/kqlog/async_test.go
@@ -25,7 +25,7 @@
 
 // A log collector that hangs stops reading the program's output. Calls that log
 // must not block; lines that exceed the queue are counted, and the others are
-// written once the reader resumes.
+// written once the log collector resumes.
 func TestStalledOutputBlocksNoLogger(t *testing.T) {
 	out := &stalledWriter{release: make(chan struct{})}
 	a := kqlog.NewAsyncWriter(out)
@@ -50,7 +50,7 @@
 	}
 }
 
-// The reader of the output has closed it, so each write to it fails. Loggers must
+// The log collector has closed the output, so each write to it fails. Loggers must
 // not block or see an error, and each line is counted as dropped.
 func TestClosedOutputIsNoError(t *testing.T) {
 	r, w := io.Pipe()
--- a/internal/run/kqmetric/metric.go
+++ b/internal/run/kqmetric/metric.go
@@ -20,8 +20,8 @@
 	gateCalls                *prometheus.CounterVec
 	configRefused            *prometheus.CounterVec
 	platformFailed           prometheus.Counter
-	budgetBound              *prometheus.CounterVec
-	spreadDropped            prometheus.Counter
+	budgetExceeded           *prometheus.CounterVec
+	broadcastDropped         prometheus.Counter
 	suppressedLines          prometheus.Counter
 	panics                   *prometheus.CounterVec
 	stageSeconds             *prometheus.HistogramVec
@@ -49,10 +49,10 @@
 		platformFailed: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "kumquatgw_platform_failures_total", Help: "Calls to the platform's service that failed.",
 		}),
-		budgetBound: prometheus.NewCounterVec(prometheus.CounterOpts{
+		budgetExceeded: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kumquatgw_control_budget_bound_total", Help: "Times that a control budget held something back, by budget.",
 		}, []string{"budget"}),
-		spreadDropped: prometheus.NewCounter(prometheus.CounterOpts{
+		broadcastDropped: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "kumquatgw_spread_dropped_total", Help: "Messages to all nodes that there was no room to pass on.",
 		}),
 		version: prometheus.NewGauge(prometheus.GaugeOpts{
@@ -75,7 +75,7 @@
 		Name: "kumquatgw_panics_total", Help: "Panics that were caught, by the part that panicked.",
 	}, []string{"part"})
 	m.registry.MustRegister(m.panics, m.suppressedLines, m.storeCalls, m.stageSeconds)
-	m.registry.MustRegister(m.calls, m.retries, m.gateCalls, m.configRefused, m.platformFailed, m.budgetBound, m.spreadDropped, m.version,
+	m.registry.MustRegister(m.calls, m.retries, m.gateCalls, m.configRefused, m.platformFailed, m.budgetExceeded, m.broadcastDropped, m.version,
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "kumquatgw_control_sent_bytes_total", Help: "Bytes of control traffic sent to peers.",
 		}, func() float64 { return float64(m.sentBytes.Load()) }),
@@ -105,11 +105,11 @@
 
 // BudgetExceeded counts one time that a control budget was exceeded: "send" delayed
 // bulk traffic, or "memory" evicted a host's configuration.
-func (m *Metrics) BudgetExceeded(budget string) { m.budgetBound.WithLabelValues(budget).Inc() }
+func (m *Metrics) BudgetExceeded(budget string) { m.budgetExceeded.WithLabelValues(budget).Inc() }
 
-// SpreadDropped counts a broadcast message that was dropped: the forwarding queue
+// BroadcastDropped counts a broadcast message that was dropped: the forwarding queue
 // was full, or the receiver was still busy with the one before.
-func (m *Metrics) SpreadDropped() { m.spreadDropped.Inc() }
+func (m *Metrics) BroadcastDropped() { m.broadcastDropped.Inc() }
 
 // CountStoreCall counts a call to the store by kind and status; both come from the
 // adapter's small fixed sets. Status 0 means that no answer came.
--- a/internal/run/kqmetric/security.go
+++ b/internal/run/kqmetric/security.go
@@ -9,11 +9,11 @@
 // Security holds the metrics of certificates and operators: refused connections
 // and requests, reloads that failed, and committed changes.
 type Security struct {
-	peerRefused  prometheus.Counter
-	reloadFailed *prometheus.CounterVec
-	adminRefused *prometheus.CounterVec
-	adminDone    *prometheus.CounterVec
-	forged       prometheus.Counter
+	peerRefused    prometheus.Counter
+	reloadFailed   *prometheus.CounterVec
+	adminRefused   *prometheus.CounterVec
+	adminCommitted *prometheus.CounterVec
+	forged         prometheus.Counter
 }
 
 // NewSecurity registers the security metrics. expires returns the expiry of the
@@ -29,14 +29,14 @@
 		adminRefused: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kumquatgw_admin_refused_total", Help: "Operators' requests refused, by reason.",
 		}, []string{"reason"}),
-		adminDone: prometheus.NewCounterVec(prometheus.CounterOpts{
+		adminCommitted: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kumquatgw_admin_changes_total", Help: "Operators' changes committed, by the way they came.",
 		}, []string{"way"}),
 		forged: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "kumquatgw_forged_headers_total", Help: "Calls from outside that carried internal headers; these were removed.",
 		}),
 	}
-	registry.MustRegister(s.peerRefused, s.reloadFailed, s.adminRefused, s.adminDone, s.forged,
+	registry.MustRegister(s.peerRefused, s.reloadFailed, s.adminRefused, s.adminCommitted, s.forged,
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "kumquatgw_certificate_expiry_timestamp_seconds", Help: "When the certificate in use lapses, in seconds since 1970; 0 without TLS.",
 		}, func() float64 {
@@ -62,4 +62,4 @@
 func (s *Security) AdminRefused(reason string) { s.adminRefused.WithLabelValues(reason).Inc() }
 
 // AdminCommitted counts a committed operator's change; way is how it was requested.
-func (s *Security) AdminCommitted(way string) { s.adminDone.WithLabelValues(way).Inc() }
+func (s *Security) AdminCommitted(way string) { s.adminCommitted.WithLabelValues(way).Inc() }
--- a/internal/run/kqnode/body.go
+++ b/internal/run/kqnode/body.go
@@ -15,11 +15,11 @@
 	// four of the largest bodies.
 	defaultBodyMemory = 256 << 20
 	// bodyMemoryDivisor leaves a quarter of the memory to bodies: what the HTTP library
-	// has read and is not garbage-collected yet takes as much again, and the process
-	// needs the rest.
+	// has read and is not garbage-collected yet may take as much as the bodies
+	// themselves, and the process needs the rest.
 	bodyMemoryDivisor = 4
-	// entryBodyWait is how long a caller's body waits for memory: about the time that
-	// it takes to send one on.
+	// entryBodyWait is how long a caller's body waits for memory: about the time of
+	// forwarding one body.
 	entryBodyWait = 250 * time.Millisecond
 	// noMemoryRetryAfter is the Retry-After of a call refused for lack of body memory.
 	noMemoryRetryAfter = time.Second
@@ -40,16 +40,15 @@
 	}
 }
 
-// connectionMemoryEighths is the part of the memory, in eighths, that bodies and
-// connections' buffers may take together; the program itself and uncollected garbage
-// take the rest.
-const connectionMemoryEighths = 5
+// callMemoryEighths is the part of the memory, in eighths, that bodies and connections'
+// buffers may take together; the program itself and uncollected garbage take the rest.
+const callMemoryEighths = 5
 
-// newBodyBound returns the bound on the memory that callers' bodies may take.
-func (n *Node) newBodyBound() *kqbody.Limiter {
+// newBodyLimiter returns the limiter of the memory for callers' bodies and connections.
+func (n *Node) newBodyLimiter() *kqbody.Limiter {
 	var options []kqbody.Option
 	if memory := n.settings.Node.Memory; memory > 0 {
-		options = append(options, kqbody.WithConnections(memory/8*connectionMemoryEighths, n.callConnections))
+		options = append(options, kqbody.WithConnections(memory/8*callMemoryEighths, n.callConnections))
 	}
 	return kqbody.New(bodyMemory(n.settings), options...)
 }
@@ -59,8 +58,9 @@
 	return n.openConnections(RoleEntry) + n.openConnections(RoleLocal) + n.openConnections(RoleGate)
 }
 
-// reserveBody reserves memory for a request's body before it is read, or limits the
-// body to rejectedBodyLimit. A gate waits much longer than an entry: the calling node
+// reserveBody reserves memory for a request's body before it is read. Without memory it
+// limits the body to rejectedBodyLimit; a body declared larger than MaxBody is left to the
+// server's own limit, which rejects it. A gate waits much longer than an entry: the calling node
 // holds the body meanwhile, and a refusal while it sends would leave the call's outcome
 // unknown.
 func (n *Node) reserveBody(wait time.Duration) func(*fasthttp.RequestHeader) fasthttp.RequestConfig {
--- a/internal/run/kqnode/config.go
+++ b/internal/run/kqnode/config.go
@@ -86,7 +86,7 @@
 		}
 	}
 	n.exchange = kqmembersync.New(n.peers, n.client, n.table, overlay, d, n.budget, n.seedAddresses(), n.settings.Member.Heartbeat)
-	n.spreader = kqbroadcast.New(n.peers, n.client, n.settings.Node.Name, overlay, n.metrics.SpreadDropped)
+	n.broadcaster = kqbroadcast.New(n.peers, n.client, n.settings.Node.Name, overlay, n.metrics.BroadcastDropped)
 	reader := kqreader.New(n.store, n.table, watcher, c.StartSpread, n.exchange.Probe, n.setReader, platformFailed)
 	n.distribution = distribution{distributor: d, reader: reader, watcher: watcher, fetcher: fetcher, direct: direct}
 	if n.adapter.Lister != nil {
@@ -134,7 +134,7 @@
 func (n *Node) replicaOptions(direct bool) []kqreplica.Option {
 	options := []kqreplica.Option{
 		kqreplica.WithMemoryBudget(n.settings.Member.MemoryBudget, func() { n.metrics.BudgetExceeded("memory") }),
-		kqreplica.WithOnRefused(n.metrics.ConfigRefused), kqreplica.WithKeeper(n.keeper),
+		kqreplica.WithOnRefused(n.metrics.ConfigRefused), kqreplica.WithKeeper(n.supervisor),
 		kqreplica.WithOnChange(func(s *kqsnapshot.Snapshot) {
 			n.metrics.SetVersion(s.Version())
 			n.table.SetHeldVersion(n.settings.Node.Name, s.Version())
@@ -202,7 +202,7 @@
 
 func (n *Node) runConfig(ctx context.Context, supervise func(part string, f func())) {
 	supervise("exchange", func() { n.exchange.Run(ctx) })
-	supervise("spread", func() { n.spreader.Run(ctx) })
+	supervise("spread", func() { n.broadcaster.Run(ctx) })
 	if n.distribution.register != nil {
 		supervise("register", func() { n.distribution.register.Run(ctx) })
 	}
--- a/internal/run/kqnode/distribution_test.go
+++ b/internal/run/kqnode/distribution_test.go
@@ -46,12 +46,13 @@
 type fleetNode struct {
 	*kqnode.Node
 	region kqname.Region
-	kill   context.CancelCauseFunc
-	done   chan struct{}
+	// stop ends the node: at once with ErrKilled, else with a drain.
+	stop context.CancelCauseFunc
+	done chan struct{}
 }
 
-// partitionableStore is the platform's store, unavailable to its region while partitioned
-// returns true.
+// partitionableStore is the platform's store, whose Get, Watch and Renew fail while
+// partitioned returns true. Other methods still reach the store.
 type partitionableStore struct {
 	kqstore.Store
 	partitioned func() bool
@@ -86,14 +87,14 @@
 	f.commit()
 	t.Cleanup(func() {
 		for _, n := range f.nodes {
-			n.kill(kqnode.ErrKilled)
+			n.stop(kqnode.ErrKilled)
 		}
 		f.group.Wait()
 	})
 	for i := range nodes {
 		f.start(i, nil)
 	}
-	f.await("all nodes see each other and have version 1", func() bool { return f.allAtVersion(1) && f.allAlive(nodes) })
+	f.await("all nodes see each other and have version 1", func() bool { return f.allReached(1) && f.allAlive(nodes) })
 	return f
 }
 
@@ -117,8 +118,8 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	ctx, kill := context.WithCancelCause(context.Background())
-	r := &fleetNode{Node: n, region: region, kill: kill, done: make(chan struct{})}
+	ctx, stop := context.WithCancelCause(context.Background())
+	r := &fleetNode{Node: n, region: region, stop: stop, done: make(chan struct{})}
 	f.mu.Lock()
 	f.regions[n.ControlAddress()] = region
 	f.mu.Unlock()
@@ -145,7 +146,8 @@
 	return &partitionableConn{Conn: conn, partitioned: func() bool { return across && f.partitioned.Load() }}, nil
 }
 
-// partitionableConn is a connection whose writes fail while partitioned returns true.
+// partitionableConn is a connection that its next write closes while partitioned returns
+// true; until then reads still work.
 type partitionableConn struct {
 	net.Conn
 	partitioned func() bool
@@ -184,7 +186,8 @@
 	}
 }
 
-// hasReader reports whether a failure domain has a reader.
+// hasReader reports whether a node of the failure domain holds a lease to read versions
+// from the platform for the other nodes.
 func (f *regionalFleet) hasReader(d kqname.Domain) bool {
 	for slot := range kqlease.ReadersPerDomain {
 		if _, err := f.platform.Get(f.t.Context(), kqreader.SlotKey(d, slot)); err == nil {
@@ -194,7 +197,8 @@
 	return false
 }
 
-func (f *regionalFleet) allAtVersion(v kqname.ConfigVersion) bool {
+// allReached reports whether every node has version v or a later one.
+func (f *regionalFleet) allReached(v kqname.ConfigVersion) bool {
 	for _, n := range f.nodes {
 		if n.Version() < v {
 			return false
@@ -229,9 +233,9 @@
 // region's own upstreams out of service, and the newest version must be in force everywhere.
 func TestRegionsRejoinAfterPartition(t *testing.T) {
 	f := newRegionalFleet(t, 8)
-	// A region has no reader for about a second after its start, and learns of changes only
-	// through one.
-	f.await("each region has a reader", func() bool { return f.hasReader("region-0-a") && f.hasReader("region-1-a") })
+	// A failure domain, here one in each region, has no reader for about a second after its
+	// start, and learns of changes only through one.
+	f.await("each failure domain has a reader", func() bool { return f.hasReader("region-0-a") && f.hasReader("region-1-a") })
 	f.partitioned.Store(true)
 	f.commit()
 	f.await("each region considers the other's nodes dead", func() bool {
@@ -256,7 +260,7 @@
 				}
 			}
 		}
-		return f.allAtVersion(2) && f.allAlive(8)
+		return f.allReached(2) && f.allAlive(8)
 	})
 }
 
@@ -265,10 +269,10 @@
 func TestReplacedNodesGetTheVersionFromPeers(t *testing.T) {
 	f := newRegionalFleet(t, 6)
 	f.commit()
-	f.await("version 2 everywhere", func() bool { return f.allAtVersion(2) })
+	f.await("version 2 everywhere", func() bool { return f.allReached(2) })
 	f.platform.SetFaults(kqfakestore.Faults{Down: true})
 	gone := f.nodes[5]
-	gone.kill(kqnode.ErrKilled)
+	gone.stop(kqnode.ErrKilled)
 	<-gone.done
 	f.nodes = f.nodes[:5]
 	fresh := f.start(5, nil)
@@ -277,7 +281,7 @@
 		t.Fatalf("the replaced node has version %d, want 2", v)
 	}
 	f.await("all nodes see the replaced node", func() bool { return f.allAlive(6) })
-	if !f.allAtVersion(2) {
+	if !f.allReached(2) {
 		t.Fatal("a node went back to an older version")
 	}
 }
@@ -289,7 +293,7 @@
 	for range 3 {
 		f.platform.SetFaults(kqfakestore.Faults{LapseLeases: true})
 		f.commit()
-		f.await("the change is in force", func() bool { return f.allAtVersion(f.version) })
+		f.await("the change is in force", func() bool { return f.allReached(f.version) })
 	}
 	f.await("each domain has its readers again", func() bool {
 		readers := make(map[kqname.Domain]int)
@@ -307,7 +311,7 @@
 func TestLeavingNodeIsKnownEverywhere(t *testing.T) {
 	f := newRegionalFleet(t, 8)
 	leaver := f.nodes[3]
-	leaver.kill(context.Canceled)
+	leaver.stop(context.Canceled)
 	<-leaver.done
 	f.nodes = append(f.nodes[:3:3], f.nodes[4:]...)
 	f.await("no node sees the departed node as alive", func() bool { return f.allAlive(7) })
--- a/internal/run/kqnode/leave.go
+++ b/internal/run/kqnode/leave.go
@@ -20,12 +20,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), n.drainTimeout())
 	defer cancel()
 	// A panic in one step must not keep the calls in flight from finishing.
-	n.keeper.RunRecovered("leave", func() { n.divertTraffic(ctx) })
+	n.supervisor.RunRecovered("leave", func() { n.divertTraffic(ctx) })
 	var err error
-	n.keeper.RunRecovered("leave", func() { err = n.drainCalls(ctx) })
+	n.supervisor.RunRecovered("leave", func() { err = n.drainCalls(ctx) })
 	n.logLeaveStep("no calls are taken")
-	n.keeper.RunRecovered("leave", n.announceDead)
-	n.keeper.RunRecovered("leave", func() { n.distribution.reader.Close(ctx) })
+	n.supervisor.RunRecovered("leave", n.announceDead)
+	n.supervisor.RunRecovered("leave", func() { n.distribution.reader.Close(ctx) })
 	return errors.Join(err, n.shutdownAdmin(ctx))
 }
 
--- a/internal/run/kqnode/node.go
+++ b/internal/run/kqnode/node.go
@@ -86,7 +86,7 @@
 		table                *kqmember.Table
 		peers                *kqrpc.Server
 		client               *kqrpc.Client
-		spreader             *kqbroadcast.Broadcaster
+		broadcaster          *kqbroadcast.Broadcaster
 		exchange             *kqmembersync.Synchronizer
 		replica              *kqreplica.Replica
 		budget               *kqbudget.Budget
@@ -108,7 +108,7 @@
 		adapter              Adapter
 		pendingAnnouncements pendingAnnouncements
 		recorder             *kqrecord.Recorder
-		keeper               *kqsupervisor.Supervisor
+		supervisor           *kqsupervisor.Supervisor
 		bodies               *kqbody.Limiter
 		storeUnavailable     atomic.Bool
 		recentEvents         kqevents.History
@@ -167,8 +167,8 @@
 	}
 	n.logger = n.logger.WithNode(string(settings.Node.Name))
 	n.log = n.logger.Part("node")
-	n.keeper = kqsupervisor.New(n.recordPanic)
-	n.bodies = n.newBodyBound()
+	n.supervisor = kqsupervisor.New(n.recordPanic)
+	n.bodies = n.newBodyLimiter()
 	if err := n.listen(); err != nil {
 		n.listeners.close()
 		return nil, fmt.Errorf("start node %s: %w", settings.Node.Name, err)
@@ -209,11 +209,11 @@
 func (n *Node) Run(ctx context.Context) error {
 	n.log.WithFields(logrus.Fields{"event": "started", "settings": n.settings.NonDefaults()}).Infof("Started as %s in %s.", n.settings.Node.Name, n.settings.Node.Domain)
 	n.recentEvents.Add("started", n.started)
-	background, stop := context.WithCancel(n.keeper.With(context.Background()))
+	background, stop := context.WithCancel(n.supervisor.With(context.Background()))
 	defer stop()
 	var group conc.WaitGroup
 	supervise := func(part string, f func()) {
-		group.Go(func() { n.keeper.RunWithRestart(background, part, f) })
+		group.Go(func() { n.supervisor.RunWithRestart(background, part, f) })
 	}
 	n.runConfig(background, supervise)
 	supervise("sweep", func() { runEvery(background, sweepPeriod, n.sweep) })
@@ -231,7 +231,7 @@
 		group.Go(func() {
 			// A listener that panics is not restarted; the node drains and stops.
 			err := errListenerPanicked
-			n.keeper.RunRecovered("listener", func() { err = f() })
+			n.supervisor.RunRecovered("listener", func() { err = f() })
 			if err != nil {
 				failed <- err
 			}
--- a/internal/run/kqnode/panic.go
+++ b/internal/run/kqnode/panic.go
@@ -23,7 +23,7 @@
 
 // RunWithRestart runs a part of the program until it returns, and restarts it after a panic.
 func (n *Node) RunWithRestart(ctx context.Context, part string, f func()) {
-	n.keeper.RunWithRestart(ctx, part, f)
+	n.supervisor.RunWithRestart(ctx, part, f)
 }
 
 // recoverPanics limits a panic to the request that caused it. The HTTP library does not
@@ -32,7 +32,7 @@
 	return func(ctx *fasthttp.RequestCtx) {
 		n.bodies.MarkRead(&ctx.Request.Header)
 		defer n.bodies.ReleaseRequest(&ctx.Request.Header)
-		if n.keeper.RunRecovered("request", func() { handler(ctx) }) {
+		if n.supervisor.RunRecovered("request", func() { handler(ctx) }) {
 			return
 		}
 		o := kqcall.UnknownOutcome(kqcall.Panicked)
--- a/internal/run/kqnode/recent_events.go
+++ b/internal/run/kqnode/recent_events.go
@@ -29,7 +29,7 @@
 )
 
 // Signalled logs a signal sent to the process. Without the line, a process ended by a
-// signal cannot be told from one that ended by itself.
+// signal cannot be distinguished from one that ended by itself.
 func (n *Node) Signalled(s os.Signal) {
 	n.logEvent(logrus.Fields{"event": "signal", "signal": s.String(), "leaving": n.leaving.Load()}, fmt.Sprintf("Signal %v.", s))
 }
--- a/internal/run/kqnode/rollout.go
+++ b/internal/run/kqnode/rollout.go
@@ -34,9 +34,9 @@
 
 type (
 	rollouts struct {
-		node  *Node
-		board *kqtracker.Tracker
-		owner *kqowner.Owner
+		node    *Node
+		tracker *kqtracker.Tracker
+		owner   *kqowner.Owner
 
 		// progressSentAt is when this node last published a plan's progress; only tick
 		// uses it.
@@ -54,29 +54,29 @@
 // and publish.
 func (n *Node) newRollouts() *rollouts {
 	self := kqledger.Source{Node: n.settings.Node.Name, Boot: uint64(n.started.UnixNano())}
-	r := &rollouts{node: n, board: kqtracker.New(self, n.table), progressSentAt: make(map[kqplan.ID]time.Time), reportedStates: make(map[kqplan.ID]kqtracker.State), oldVersionDrains: newOldVersionDrains()}
-	r.owner = kqowner.New(n.settings.Node.Name, n.store, r.board)
+	r := &rollouts{node: n, tracker: kqtracker.New(self, n.table), progressSentAt: make(map[kqplan.ID]time.Time), reportedStates: make(map[kqplan.ID]kqtracker.State), oldVersionDrains: newOldVersionDrains()}
+	r.owner = kqowner.New(n.settings.Node.Name, n.store, r.tracker)
 	n.metrics.Registry().MustRegister(r.stateGauge())
-	n.spreader.Subscribe(topicEvidence, r.handleEvidence)
-	n.spreader.Subscribe(topicProgress, r.handleProgress)
-	n.spreader.Subscribe(topicWorking, r.handleWorking)
+	n.broadcaster.Subscribe(topicEvidence, r.handleEvidence)
+	n.broadcaster.Subscribe(topicProgress, r.handleProgress)
+	n.broadcaster.Subscribe(topicWorking, r.handleWorking)
 	return r
 }
 
 // Rollouts returns the rollouts of the services that the node holds, and the last
 // statuses that the owners of other rollouts published.
 func (n *Node) Rollouts() []kqtracker.Status {
-	return n.rollouts.relayed.mergeInto(n.rollouts.board.Statuses(time.Now()))
+	return n.rollouts.relayed.mergeInto(n.rollouts.tracker.Statuses(time.Now()))
 }
 
 // Split implements kqentry.Splitter.
 func (r *rollouts) Split(s kqresource.Service, _ *kqcall.Call) kqpick.Target {
-	return r.board.Split(s, time.Now(), globalRandom{})
+	return r.tracker.Split(s, time.Now(), globalRandom{})
 }
 
 // Refuses implements kqgate.Guard.
 func (r *rollouts) Refuses(s kqname.Service, v kqname.UpstreamVersion) bool {
-	return r.board.Refuses(s, v)
+	return r.tracker.Refuses(s, v)
 }
 
 // Observe implements kqgate.Observer.
@@ -87,10 +87,10 @@
 			started, warm = u.Started, u.WarmFrom
 		}
 	}
-	r.board.Observe(o, started, warm)
+	r.tracker.Observe(o, started, warm)
 }
 
-func (r *rollouts) adoptConfig(s *kqsnapshot.Snapshot) { r.board.Update(s.Services(), time.Now()) }
+func (r *rollouts) adoptConfig(s *kqsnapshot.Snapshot) { r.tracker.Update(s.Services(), time.Now()) }
 
 func (r *rollouts) run(ctx context.Context, supervise func(part string, f func())) {
 	supervise("rollout", func() { runEvery(ctx, rolloutTick, r.tick) })
@@ -99,20 +99,20 @@
 
 // tick weighs the evidence for each plan, and steps the plans that this node owns.
 func (r *rollouts) tick(now time.Time) {
-	for _, v := range r.board.Views(now) {
+	for _, v := range r.tracker.Views(now) {
 		id := v.Plan.ID
 		if r.collectsEvidence(v) {
-			r.board.Evaluate(id, now)
+			r.tracker.Evaluate(id, now)
 		}
-		if report, ok := r.board.Report(id, now); ok {
+		if report, ok := r.tracker.Report(id, now); ok {
 			r.report(v, evidenceMessage{id, report})
 		}
 		owner := r.mayStep(v, now)
 		if owner {
-			r.board.Step(id, now)
-			r.board.SetOwner(id, r.node.settings.Node.Name, now)
+			r.tracker.Step(id, now)
+			r.tracker.SetOwner(id, r.node.settings.Node.Name, now)
 		}
-		text, changed := r.board.Event(id)
+		text, changed := r.tracker.Event(id)
 		if changed {
 			r.node.logger.Part("rollout").WithFields(r.decisionFields(id, now)).Info(text)
 		}
@@ -130,7 +130,7 @@
 // decisionFields returns the log fields with the inputs of a plan's decisions, as far as
 // this node knows them.
 func (r *rollouts) decisionFields(id kqplan.ID, now time.Time) logrus.Fields {
-	s, _ := r.board.Status(id, now)
+	s, _ := r.tracker.Status(id, now)
 	return logrus.Fields{
 		"rollout": s.Rollout, "step": s.Step, "owner": s.Owner,
 		"old_calls": s.Evidence.OldCalls, "old_failed": s.Evidence.OldFailed,
@@ -187,7 +187,7 @@
 // releaseLeases gives up the rollouts that this node owns, so that other nodes can
 // continue them at once.
 func (r *rollouts) releaseLeases(ctx context.Context) {
-	for _, v := range r.board.Views(time.Now()) {
+	for _, v := range r.tracker.Views(time.Now()) {
 		if err := r.owner.Release(ctx, v.Plan.ID); err != nil {
 			r.node.logger.Part("rollout").WithError(err).Info("Lease was not released; it will expire.")
 		}
@@ -200,7 +200,7 @@
 	if r.node.leaving.Load() {
 		return
 	}
-	for _, v := range r.board.Views(now) {
+	for _, v := range r.tracker.Views(now) {
 		rank := r.rank(v.Plan.Service)
 		available := now.Sub(v.OwnerSeen) >= kqowner.LeaseTTL || v.Owner == r.node.settings.Node.Name || r.hasLeft(v.Owner)
 		candidate := rank >= 0 && available && now.Sub(v.KnownSince) >= time.Duration(min(rank, 20))*rolloutTick*3
--- a/internal/run/kqnode/rollout_drain.go
+++ b/internal/run/kqnode/rollout_drain.go
@@ -98,7 +98,7 @@
 	if cbor.Unmarshal(payload, &m) != nil {
 		return
 	}
-	if _, known := r.board.Progress(m.Plan); known {
+	if _, known := r.tracker.Progress(m.Plan); known {
 		r.oldVersionDrains.markWorking(m.Plan, time.Now())
 	}
 }
--- a/internal/run/kqnode/rollout_fault_test.go
+++ b/internal/run/kqnode/rollout_fault_test.go
@@ -81,7 +81,7 @@
 	f.startLoad()
 	f.awaitAll("the small share of traffic", func(s *kqfleet.Server) bool { return rolloutShare(s) > 0 })
 	f.Platform.SetFaults(kqfakestore.Faults{Down: true})
-	for _, s := range f.next {
+	for _, s := range f.newVersion {
 		s.Upstream.SetBehaviour(kqupstream.Behaviour{Work: 2 * time.Millisecond, FailShare: 0.7})
 	}
 	f.awaitAll("no share of traffic", func(s *kqfleet.Server) bool { return rolloutShare(s) == 0 })
@@ -90,7 +90,7 @@
 			t.Errorf("%s reports %q before it is stored", s.Spec.Node, list[0].State)
 		}
 	}
-	before := upstreamRuns(f.next)
+	before := upstreamRuns(f.newVersion)
 	again := f.Servers()[0]
 	again.Stop()
 	fresh, err := f.Restart(again)
@@ -101,7 +101,7 @@
 		list := fresh.Node.Rollouts()
 		return len(list) == 1 && strings.HasPrefix(list[0].Why, "no traffic any more")
 	})
-	if after := upstreamRuns(f.next); after != before {
+	if after := upstreamRuns(f.newVersion); after != before {
 		t.Errorf("a version without a share of the traffic ran %d more calls", after-before)
 	}
 	f.Platform.SetFaults(kqfakestore.Faults{})
@@ -117,7 +117,7 @@
 	f.commit(0, rolloutPlan(time.Now(), 12*time.Second))
 	f.startLoad()
 	f.awaitAll("a larger share of traffic", func(s *kqfleet.Server) bool { return rolloutShare(s) > 0.2 })
-	for _, s := range f.next {
+	for _, s := range f.newVersion {
 		s.Upstream.Drain()
 	}
 	f.Servers()[2].Upstream.Drain()
--- a/internal/run/kqnode/rollout_message.go
+++ b/internal/run/kqnode/rollout_message.go
@@ -66,13 +66,13 @@
 )
 
 func (r *rollouts) publishProgress(id kqplan.ID, owner bool, now time.Time) {
-	p, ok := r.board.Progress(id)
+	p, ok := r.tracker.Progress(id)
 	if !ok {
 		return
 	}
 	m := progressMessage{Plan: id, Progress: p, Owner: owner}
 	if owner {
-		if s, ok := r.board.Status(id, now); ok {
+		if s, ok := r.tracker.Status(id, now); ok {
 			m.Status = &s
 		}
 	}
@@ -104,13 +104,13 @@
 			to = append(to, n.Control)
 		}
 	}
-	r.node.spreader.SendDirect(context.Background(), topic, payload, to)
+	r.node.broadcaster.SendDirect(context.Background(), topic, payload, to)
 }
 
 func (r *rollouts) handleEvidence(_ kqname.Node, payload []byte) {
 	var m evidenceMessage
 	if cbor.Unmarshal(payload, &m) == nil {
-		r.board.Merge(m.Plan, m.Report)
+		r.tracker.Merge(m.Plan, m.Report)
 	}
 }
 
@@ -126,15 +126,15 @@
 		r.relayed.store(*m.Status)
 	}
 	if m.Owner {
-		r.board.SetOwner(m.Plan, from, now)
+		r.tracker.SetOwner(m.Plan, from, now)
 	}
-	if _, stale := r.board.Join(m.Plan, m.Progress); stale {
+	if _, stale := r.tracker.Join(m.Plan, m.Progress); stale {
 		r.answerStale(m.Plan, now)
 	}
 }
 
 func (r *rollouts) answerStale(id kqplan.ID, now time.Time) {
-	s, ok := r.board.Status(id, now)
+	s, ok := r.tracker.Status(id, now)
 	if rank := r.rank(s.Service); !ok || rank < 0 || rank >= answeringNodes {
 		return
 	}
@@ -152,7 +152,7 @@
 		r.node.logger.Part("rollout").WithError(err).Warn("Cannot encode a message.")
 		return
 	}
-	r.node.spreader.Publish(context.Background(), topic, payload)
+	r.node.broadcaster.Publish(context.Background(), topic, payload)
 }
 
 func (l *statusRelay) store(s kqtracker.Status) {
@@ -189,7 +189,7 @@
 // Collect implements prometheus.Collector.
 func (g *stateGauge) Collect(out chan<- prometheus.Metric) {
 	counts := make(map[kqtracker.State]int)
-	for _, s := range g.rollouts.board.Statuses(time.Now()) {
+	for _, s := range g.rollouts.tracker.Statuses(time.Now()) {
 		counts[s.State]++
 	}
 	for _, state := range []kqtracker.State{kqtracker.Pending, kqtracker.Running, kqtracker.Done, kqtracker.FinalRollback} {
--- a/internal/run/kqnode/rollout_test.go
+++ b/internal/run/kqnode/rollout_test.go
@@ -26,14 +26,14 @@
 type rolloutFleet struct {
 	*kqfleet.Fleet
 	t *testing.T
-	// next holds the servers of the new version.
-	next   []*kqfleet.Server
-	failed atomic.Int64
-	// killed is a server that the test killed; await ignores it.
+	// newVersion holds the servers of the new version.
+	newVersion []*kqfleet.Server
+	failed     atomic.Int64
+	// killed is a server that the test killed; await and awaitEnd ignore it.
 	killed *kqfleet.Server
 }
 
-func newRolloutFleet(t *testing.T, v2 kqupstream.Behaviour) *rolloutFleet {
+func newRolloutFleet(t *testing.T, newBehaviour kqupstream.Behaviour) *rolloutFleet {
 	t.Helper()
 	f := &rolloutFleet{Fleet: kqfleet.New(), t: t}
 	t.Cleanup(func() { _ = f.Close() })
@@ -43,14 +43,14 @@
 			Behaviour: kqupstream.Behaviour{Work: 2 * time.Millisecond}, Admin: i == 0,
 		}
 		if i >= 3 {
-			spec.Version, spec.Behaviour = "v2", v2
+			spec.Version, spec.Behaviour = "v2", newBehaviour
 		}
 		s, err := f.Start(spec)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if i >= 3 {
-			f.next = append(f.next, s)
+			f.newVersion = append(f.newVersion, s)
 		}
 	}
 	return f
@@ -160,11 +160,12 @@
 	if n := f.failed.Load(); n > 0 {
 		t.Errorf("%d calls failed during the rollout of a healthy version", n)
 	}
-	old, next := upstreamRuns(f.Servers()[:3]), upstreamRuns(f.next)
-	for end := time.Now().Add(rolloutTimeout); upstreamRuns(f.next) < next+100 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	// Both are the numbers of calls run so far.
+	oldVersion, newVersion := upstreamRuns(f.Servers()[:3]), upstreamRuns(f.newVersion)
+	for end := time.Now().Add(rolloutTimeout); upstreamRuns(f.newVersion) < newVersion+100 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 	}
 	// Calls in flight when the rollout was done may still arrive.
-	if more := upstreamRuns(f.Servers()[:3]) - old; more > 10 {
+	if more := upstreamRuns(f.Servers()[:3]) - oldVersion; more > 10 {
 		t.Errorf("the old version ran %d calls after the rollout was done", more)
 	}
 }
--- a/internal/run/kqrecord/record.go
+++ b/internal/run/kqrecord/record.go
@@ -32,6 +32,7 @@
 	// Counter counts suppressed lines and observes the durations of calls' stages.
 	Counter interface {
 		LineSuppressed(reason string)
+		// Took observes the duration of a stage: "call", "queue" or "upstream".
 		Took(stage string, d time.Duration)
 	}
 
@@ -58,11 +59,12 @@
 	r.linesPerReason.Store(int64(linesPerReason))
 }
 
-// Ended implements kqentry.Recorder: it logs a call that ended at the entry.
+// Ended implements kqentry.Recorder: it logs a call that ended at the entry. A call that
+// was answered without a failure on its first attempt is a routine success.
 func (r *Recorder) Ended(e kqentry.Record, now time.Time) {
 	r.counter.Took("call", now.Sub(e.Call.Arrived))
-	ordinary := e.Outcome.Result == kqcall.Answered && e.Status < minFailureStatus && len(e.Tries) == 1
-	if !r.shouldLog(e.Call.ID, "call "+string(e.Outcome.Reason), ordinary, now) {
+	routine := e.Outcome.Result == kqcall.Answered && e.Status < minFailureStatus && len(e.Tries) == 1
+	if !r.shouldLog(e.Call.ID, "call "+string(e.Outcome.Reason), routine, now) {
 		return
 	}
 	c := e.Call
@@ -91,8 +93,8 @@
 	if g.Took > 0 {
 		r.counter.Took("upstream", g.Took)
 	}
-	ordinary := g.Outcome.Result == kqcall.Answered && g.Status < minFailureStatus
-	if !r.shouldLog(g.Call.ID, "gate "+string(g.Outcome.Reason), ordinary, now) {
+	routine := g.Outcome.Result == kqcall.Answered && g.Status < minFailureStatus
+	if !r.shouldLog(g.Call.ID, "gate "+string(g.Outcome.Reason), routine, now) {
 		return
 	}
 	fields := logrus.Fields{
@@ -104,14 +106,15 @@
 	if g.Outcome.Reason != kqcall.NoReason {
 		fields["reason"] = g.Outcome.Reason
 	}
-	r.gateLog.WithFields(fields).Info("Call left the gate.")
+	r.gateLog.WithFields(fields).Info("Call ended at the gate.")
 }
 
-// shouldLog reports whether to write a call's line. Ordinary successes are sampled,
+// shouldLog reports whether to write a call's line. Routine successes are sampled,
 // other calls are limited to linesPerReason a second. The first such call of a
-// later second logs how many lines of its reason were suppressed.
-func (r *Recorder) shouldLog(id kqcall.ID, reason string, ordinary bool, now time.Time) bool {
-	if ordinary {
+// later second logs, in the call log for gate lines too, how many lines of its reason were
+// suppressed.
+func (r *Recorder) shouldLog(id kqcall.ID, reason string, routine bool, now time.Time) bool {
+	if routine {
 		sampleEvery := r.sampleEvery.Load()
 		return sampleEvery > 0 && xxhash.Sum64String(string(id))%uint64(sampleEvery) == 0
 	}
--- a/internal/run/kqsettings/combinations.go
+++ b/internal/run/kqsettings/combinations.go
@@ -9,8 +9,8 @@
 )
 
 // checkCombinations reports settings that are valid alone but not together.
-// Settings with an error of their own are skipped: they still hold their
-// default, which the file does not state.
+// Settings that are missing or invalid by themselves are skipped: they still
+// hold their default, which the file does not state.
 func (r *fileReader) checkCombinations(s Settings) {
 	if s.Member.UpstreamTTL < 2*s.Member.Heartbeat {
 		r.addPairError("member", "upstream_ttl", "heartbeat", "must be at least twice heartbeat, or upstreams may expire and reappear")
@@ -80,7 +80,7 @@
 }
 
 // addPairError records an error of two settings together, unless one of them
-// has an error of its own.
+// is missing or invalid by itself.
 func (r *fileReader) addPairError(section, key, other, message string) {
 	if !r.invalid[section+"."+key] && !r.invalid[section+"."+other] {
 		r.addError(section, key, "%s", message)
--- a/internal/run/kqsettings/read.go
+++ b/internal/run/kqsettings/read.go
@@ -16,8 +16,8 @@
 type fileReader struct {
 	file string
 	errs []error
-	// invalid holds, by "section.key", whether a setting's own value is missing
-	// or invalid.
+	// invalid holds, by "section.key", whether a setting's value is missing or
+	// invalid by itself, regardless of its combination with others.
 	invalid map[string]bool
 }
 
@@ -57,7 +57,8 @@
 	return s, nil
 }
 
-// Example returns an INI file that sets every key to its default.
+// Example returns an INI file that sets every key to its default, and
+// required keys, which have none, to "example".
 func Example() string {
 	s := Default()
 	var b strings.Builder
