--- a/internal/admin/kqadmin/admin.go
+++ b/internal/admin/kqadmin/admin.go
@@ -71,21 +71,21 @@
 		Log       *logrus.Entry
 	}
 
-	// AdminServer is the admin server.
+	// AdminServer serves the console, the API, metrics and health checks of a node.
 	AdminServer struct {
 		app      *fiber.App
 		api      *kqapi.API
 		console  *kqconsole.Console
 		history  *kqrollouthistory.History
 		rollouts func() []kqtracker.Status
-		// shuttingDown is set when the shutdown is about to expire reads.
-		shuttingDown atomic.Bool
+		// expiringReads is set when a shutdown expires the reads of incomplete requests.
+		expiringReads atomic.Bool
 
 		mu       sync.Mutex
 		listener *kqlinger.Listener
 	}
 
-	// Option configures an Admin.
+	// Option configures an AdminServer.
 	Option func(*options)
 
 	options struct {
@@ -169,7 +169,7 @@
 // refuseIncomplete expires the reads of incomplete requests and waits, up to
 // refusalTimeout, until their connections are closed.
 func (a *AdminServer) refuseIncomplete() {
-	a.shuttingDown.Store(true)
+	a.expiringReads.Store(true)
 	a.mu.Lock()
 	listener := a.listener
 	a.mu.Unlock()
@@ -199,8 +199,8 @@
 	a.console.Register(a.app)
 }
 
-// setSecurityHeaders makes browsers refuse framing, scripts, MIME type sniffing
-// and referrers, against attacks through an operator's browser.
+// setSecurityHeaders makes browsers refuse framing, scripts and MIME type sniffing
+// and send no referrer, against attacks through an operator's browser.
 func setSecurityHeaders(c *fiber.Ctx) error {
 	c.Set("X-Content-Type-Options", "nosniff")
 	c.Set("X-Frame-Options", "DENY")
@@ -213,8 +213,8 @@
 // rejected for their size or slowness, or whose handler returned an error.
 func (a *AdminServer) handleError(c *fiber.Ctx, err error) error {
 	code := codeOf(err)
-	if code == kqproblem.TooSlow && a.shuttingDown.Load() {
-		code = kqproblem.Leaving
+	if code == kqproblem.TooSlow && a.expiringReads.Load() {
+		code = kqproblem.ShuttingDown
 	}
 	return a.api.Refuse(c, kqproblem.New(code, err.Error()))
 }
--- a/internal/admin/kqadmin/api_test.go
+++ b/internal/admin/kqadmin/api_test.go
@@ -43,7 +43,7 @@
 		{"route to a missing service", "mika", "PUT", "/v1/routes/sale", strings.Replace(newRoute, `"service":"store"`, `"service":"gone"`, 1), 422, kqproblem.Invalid, "/item/service"},
 		{"removal of a service that a route uses", "ana", "DELETE", "/v1/services/store", "", 422, kqproblem.Invalid, "/document/routes/1/service"},
 		{"more routes than the quota", "mika", "PUT", "/v1/document", `{"base":1,"document":` + overQuotaDocument() + `}`, 422, kqproblem.Quota, "/document/teams/0/max_routes"},
-		{"stale version", "mika", "PUT", "/v1/routes/sale", strings.Replace(newRoute, "{", `{"base":0,`, 1), 409, kqproblem.Stale, ""},
+		{"stale version", "mika", "PUT", "/v1/routes/sale", strings.Replace(newRoute, "{", `{"base":0,`, 1), 409, kqproblem.StaleVersion, ""},
 		{"malformed JSON", "mika", "PUT", "/v1/routes/sale", `{"item":`, 400, kqproblem.Malformed, ""},
 		{"unknown field", "mika", "PUT", "/v1/routes/sale", strings.Replace(newRoute, "path_prefix", "path_perfix", 1), 400, kqproblem.Malformed, ""},
 		{"document without base", "ana", "PUT", "/v1/document", `{"document":{}}`, 400, kqproblem.Malformed, ""},
--- a/internal/admin/kqadmin/console_test.go
+++ b/internal/admin/kqadmin/console_test.go
@@ -63,8 +63,8 @@
 	return a.StatusCode, string(body)
 }
 
-// changeForm returns the hidden fields of the page's change form, with the fields
-// of more added.
+// changeForm returns the hidden fields that follow the start of the page's change form,
+// with the fields of more added or replaced.
 func changeForm(page string, more url.Values) url.Values {
 	_, page, _ = strings.Cut(page, `/change"`)
 	all := url.Values{}
@@ -155,7 +155,7 @@
 	b := newBrowser(t, s, "ana")
 	_, page := b.get("/teams/new")
 	forged := changeForm(page, url.Values{"f_name": {"thieves"}, "action": {"commit"}, "csrf": {"guess"}})
-	if status, _ := b.post("/teams/change", forged); status != 403 || s.counter.refusedCount(kqproblem.NoCSRF) != 1 {
+	if status, _ := b.post("/teams/change", forged); status != 403 || s.counter.refusedCount(kqproblem.CSRFCheckFailed) != 1 {
 		t.Errorf("form with a wrong CSRF token: status %d, want 403 counted once", status)
 	}
 	fatou := newBrowser(t, s, "fatou")
--- a/internal/admin/kqadmin/harness_test.go
+++ b/internal/admin/kqadmin/harness_test.go
@@ -160,19 +160,19 @@
 	return name
 }
 
-// request sends a request as the named operator and returns the status and the
-// decoded JSON body. A name without a token is sent as the token itself; ""
-// sends none.
-func (s *server) request(operator, method, path, body string) (int, map[string]any) {
+// request sends a request and returns the status and the decoded JSON body.
+// operatorOrToken is the name of an operator, whose token is sent, or else the token
+// itself; "" sends none.
+func (s *server) request(operatorOrToken, method, path, body string) (int, map[string]any) {
 	s.t.Helper()
 	q, err := http.NewRequestWithContext(s.t.Context(), method, s.url+path, bytes.NewBufferString(body))
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if token, ok := s.tokens[operator]; ok {
+	if token, ok := s.tokens[operatorOrToken]; ok {
 		q.Header.Set("Authorization", "Bearer "+token)
-	} else if operator != "" {
-		q.Header.Set("Authorization", "Bearer "+operator)
+	} else if operatorOrToken != "" {
+		q.Header.Set("Authorization", "Bearer "+operatorOrToken)
 	}
 	a, err := http.DefaultClient.Do(q)
 	if err != nil {
--- a/internal/admin/kqaudit/audit.go
+++ b/internal/admin/kqaudit/audit.go
@@ -16,17 +16,19 @@
 const maxRecords = 500
 
 type (
-	// Record is one attempted change. It never contains a token.
+	// Record is one attempted change, or one request or login that was refused. It never
+	// contains a token.
 	Record struct {
-		At       time.Time            `json:"at"`
-		Operator string               `json:"operator,omitempty"`
-		Team     kqname.Team          `json:"team,omitempty"`
-		Source   string               `json:"source"`
-		Way      string               `json:"way"`
-		What     string               `json:"what"`
-		Request  string               `json:"request_id,omitempty"`
-		Reason   string               `json:"reason,omitempty"`
-		Version  kqname.ConfigVersion `json:"version,omitempty"`
+		At       time.Time   `json:"at"`
+		Operator string      `json:"operator,omitempty"`
+		Team     kqname.Team `json:"team,omitempty"`
+		Source   string      `json:"source"`
+		// Way is "api" or "console", and What the attempted action.
+		Way     string               `json:"way"`
+		What    string               `json:"what"`
+		Request string               `json:"request_id,omitempty"`
+		Reason  string               `json:"reason,omitempty"`
+		Version kqname.ConfigVersion `json:"version,omitempty"`
 		// Refused is the code of the refusal, "" for accepted changes.
 		Refused kqproblem.Code `json:"refused,omitempty"`
 	}
@@ -43,7 +45,7 @@
 // New returns an empty audit log that also writes each record to log.
 func New(log *logrus.Entry) *Audit { return &Audit{log: log} }
 
-// Add records an attempted change.
+// Add adds a record and logs it.
 func (a *Audit) Add(r Record) {
 	entry := a.log.WithFields(logrus.Fields{
 		"operator": r.Operator, "source": r.Source, "way": r.Way, "request_id": r.Request, "reason": r.Reason,
@@ -62,7 +64,7 @@
 }
 
 // Records returns the records that the operator may see, newest first: all for
-// admins, their own team's for members.
+// admins, those of operators of the same team for members.
 func (a *Audit) Records(o kqoperator.Operator) []Record {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/admin/kqchange/change.go
+++ b/internal/admin/kqchange/change.go
@@ -87,7 +87,7 @@
 	return &Changer{committer: committer, audit: audit, counter: counter}
 }
 
-// Submit checks and commits a change. Unless the problem is Unsettled, a refused
+// Submit checks and commits a change. Unless the problem is OutcomeUnknown, a refused
 // request has changed nothing.
 func (c *Changer) Submit(ctx context.Context, q Request, now time.Time) (Result, *kqproblem.Problem) {
 	if q.ID == "" {
@@ -169,7 +169,7 @@
 // staleProblem returns the refusal of an edit based on an old version, with the
 // changes committed since.
 func (c *Changer) staleProblem(ctx context.Context, base kqname.ConfigVersion, current kqdocument.Document, version kqname.ConfigVersion) *kqproblem.Problem {
-	p := kqproblem.New(kqproblem.Stale, fmt.Sprintf("version %d was edited, version %d is in force", base, version))
+	p := kqproblem.New(kqproblem.StaleVersion, fmt.Sprintf("version %d was edited, version %d is in force", base, version))
 	p.Version = version
 	if old, err := c.committer.DocumentAt(ctx, base); err == nil {
 		p.Difference = kqdocument.Diff(old, current)
@@ -215,11 +215,11 @@
 		result.Version, result.Committed = outcome.Version, true
 		return result, nil
 	case kqcommit.Conflict:
-		p := kqproblem.New(kqproblem.Stale, fmt.Sprintf("version %d came first", outcome.Version))
+		p := kqproblem.New(kqproblem.StaleVersion, fmt.Sprintf("version %d came first", outcome.Version))
 		p.Version, p.Difference = outcome.Version, outcome.Difference
 		return Result{}, p
 	default:
-		p := kqproblem.New(kqproblem.Unsettled, "ask again with the same request id")
+		p := kqproblem.New(kqproblem.OutcomeUnknown, "ask again with the same request id")
 		p.RetryAfter = retryDelay
 		return Result{}, p
 	}
--- a/internal/admin/kqchange/kind.go
+++ b/internal/admin/kqchange/kind.go
@@ -51,11 +51,11 @@
 		New() any
 		// List returns all items.
 		List(d kqdocument.Document) any
-		// Get returns one item, or ErrNoItem.
+		// Get returns one item, or ErrItemNotFound.
 		Get(d kqdocument.Document, name string) (any, error)
 		// Put replaces or adds the item with that name and returns its index.
 		Put(d kqdocument.Document, name string, data []byte) (kqdocument.Document, int, error)
-		// Delete removes an item, or returns ErrNoItem.
+		// Delete removes an item, or returns ErrItemNotFound.
 		Delete(d kqdocument.Document, name string) (kqdocument.Document, error)
 		// NameAt returns the name of the item at index, or "" if out of range.
 		NameAt(d kqdocument.Document, index int) string
--- a/internal/admin/kqconsole/change.go
+++ b/internal/admin/kqconsole/change.go
@@ -36,8 +36,8 @@
 		Inputs    []input
 		// Other holds the errors that belong to no field of the form.
 		Other []kqproblem.Field
-		// Theirs holds the changes since the form was opened and Mine those of
-		// this form; both are set after a conflict.
+		// Theirs holds the changes that others committed since the form was opened
+		// and Mine those of this form; both are set after a conflict.
 		Theirs, Mine []difference
 		Conflict     bool
 	}
@@ -47,7 +47,8 @@
 		field
 		Value, Fault string
 		Options      []string
-		Fixed        bool
+		// Fixed makes the input read-only.
+		Fixed bool
 	}
 )
 
@@ -65,13 +66,13 @@
 	}})
 }
 
-// create shows an empty form for a new item.
-func (c *Console) create(req request, kind string) error {
+// showNew shows an empty form for a new item.
+func (c *Console) showNew(req request, kind string) error {
 	return c.formPage(req, kind, "", map[string]string{"path_prefix": "/"})
 }
 
-// edit shows the form of an existing item.
-func (c *Console) edit(req request, kind string) error {
+// showEdit shows the form of an existing item.
+func (c *Console) showEdit(req request, kind string) error {
 	d, _, err := c.parts.Committer.Document(req.UserContext())
 	if err != nil {
 		return c.refuse(req, kqproblem.New(kqproblem.PlatformDown, err.Error()))
@@ -129,14 +130,16 @@
 		s.fillInputs(d, req, values, nil)
 		return c.showForm(req, fiber.StatusOK, s)
 	}
-	edit, faults := s.edit(values)
-	if s.Name == "" && len(faults) == 0 {
+	edit, fieldErrors := s.edit(values)
+	// A commit skips this check, since a retry of a commit that succeeded would find its
+	// own item. If the name was taken after the review, the commit's base is stale.
+	if s.Name == "" && len(fieldErrors) == 0 {
 		if _, err := kqchange.Kinds[kind].Get(d, values["name"]); err == nil && action != actionCommit {
-			faults = map[string]string{"name": "is taken; open that " + s.Form.One + " to change it"}
+			fieldErrors = map[string]string{"name": "is taken; open that " + s.Form.One + " to change it"}
 		}
 	}
-	s.fillInputs(d, req, values, faults)
-	if len(faults) > 0 {
+	s.fillInputs(d, req, values, fieldErrors)
+	if len(fieldErrors) > 0 {
 		c.parts.Counter.AdminRefused(string(kqproblem.Invalid))
 		return c.showForm(req, fiber.StatusUnprocessableEntity, s)
 	}
@@ -167,13 +170,13 @@
 		}
 	}
 	switch p.Code {
-	case kqproblem.Stale:
+	case kqproblem.StaleVersion:
 		s.Conflict, s.Theirs = true, differences(p.Difference)
 		if next, err := edit.Apply(d); err == nil {
 			s.Mine = differences(kqdocument.Diff(d, next))
 		}
 		s.Base, s.RequestID = max(version, p.Version), uuid.NewString()
-	case kqproblem.Unsettled, kqproblem.PlatformDown:
+	case kqproblem.OutcomeUnknown, kqproblem.PlatformDown:
 		// Keep the request ID for a retry: it is committed at most once.
 	default:
 		s.RequestID = uuid.NewString()
@@ -196,14 +199,14 @@
 	if name == "" {
 		name = strings.TrimSpace(values["name"])
 	}
-	data, faults := s.Form.parseItem(values)
-	return kqchange.Put(kind, s.Form.Kind, name, data), faults
+	data, fieldErrors := s.Form.parseItem(values)
+	return kqchange.Put(kind, s.Form.Kind, name, data), fieldErrors
 }
 
 // fillInputs sets the form's inputs from values and error texts by field name.
-func (s *formPage) fillInputs(d kqdocument.Document, req request, values, faults map[string]string) {
+func (s *formPage) fillInputs(d kqdocument.Document, req request, values, fieldErrors map[string]string) {
 	for _, f := range s.Form.Fields {
-		i := input{field: f, Value: values[f.Name], Fault: faults[f.Name], Fixed: f.Name == "name" && s.Name != ""}
+		i := input{field: f, Value: values[f.Name], Fault: fieldErrors[f.Name], Fixed: f.Name == "name" && s.Name != ""}
 		if f.options != nil {
 			i.Options = f.options(d, req.operator)
 		}
--- a/internal/admin/kqconsole/console.go
+++ b/internal/admin/kqconsole/console.go
@@ -45,6 +45,7 @@
 	// make the same changes, and the rollout history for the plots.
 	Parts struct {
 		kqapi.Parts
+		// History holds the samples of the rollouts, not the configuration versions.
 		History *kqrollouthistory.History
 	}
 
@@ -115,8 +116,8 @@
 	app.Get("/audit", c.requireSession(c.audit))
 	for kind := range forms {
 		app.Get("/"+kind, c.requireSession(func(req request) error { return c.list(req, kind) }))
-		app.Get("/"+kind+"/new", c.requireSession(func(req request) error { return c.create(req, kind) }))
-		app.Get("/"+kind+"/edit/:name", c.requireSession(func(req request) error { return c.edit(req, kind) }))
+		app.Get("/"+kind+"/new", c.requireSession(func(req request) error { return c.showNew(req, kind) }))
+		app.Get("/"+kind+"/edit/:name", c.requireSession(func(req request) error { return c.showEdit(req, kind) }))
 		app.Post("/"+kind+"/change", c.requireSession(func(req request) error { return c.change(req, kind) }))
 	}
 }
@@ -135,7 +136,7 @@
 		req := request{Ctx: q, session: session, operator: operator, now: now}
 		if q.Method() == fiber.MethodPost && (!isSameOrigin(q) ||
 			subtle.ConstantTimeCompare([]byte(q.FormValue(csrfField)), []byte(session.CSRF)) != 1) {
-			return c.refuse(req, kqproblem.New(kqproblem.NoCSRF, "open the page again and send the form from there"))
+			return c.refuse(req, kqproblem.New(kqproblem.CSRFCheckFailed, "open the page again and send the form from there"))
 		}
 		return handle(req)
 	}
@@ -147,7 +148,7 @@
 
 func (c *Console) login(q *fiber.Ctx) error {
 	now := c.parts.Now()
-	problem := kqproblem.New(kqproblem.NoCSRF, "the form came from another site")
+	problem := kqproblem.New(kqproblem.CSRFCheckFailed, "the form came from another site")
 	if isSameOrigin(q) {
 		var session kqauth.Session
 		session, problem = c.parts.Auth.StartSession(strings.TrimSpace(q.FormValue("token")), q.IP(), now)
@@ -160,6 +161,7 @@
 		}
 	}
 	c.parts.Counter.AdminRefused(string(problem.Code))
+	// Throttled logins are not recorded: their rate would evict all other records.
 	if problem.Code != kqproblem.TooManyFailures {
 		c.parts.Audit.Add(kqaudit.Record{At: now, Source: q.IP(), Way: "console", What: "log in", Refused: problem.Code})
 	}
--- a/internal/admin/kqconsole/form.go
+++ b/internal/admin/kqconsole/form.go
@@ -228,21 +228,21 @@
 // parseItem converts the submitted values into an item's JSON. It also returns
 // the error texts of invalid fields by field name.
 func (f form) parseItem(values map[string]string) (json.RawMessage, map[string]string) {
-	all, faults := make(map[string]any), make(map[string]string)
+	all, fieldErrors := make(map[string]any), make(map[string]string)
 	for _, field := range f.Fields {
 		value, ok, err := field.value(values[field.Name])
 		switch {
 		case err != nil:
-			faults[field.Name] = strings.TrimSuffix(err.Error(), ": "+errInvalidValue.Error())
+			fieldErrors[field.Name] = strings.TrimSuffix(err.Error(), ": "+errInvalidValue.Error())
 		case !ok && field.Required:
-			faults[field.Name] = "must be filled in"
+			fieldErrors[field.Name] = "must be filled in"
 		case ok:
 			all[field.Name] = value
 		}
 	}
 	data, err := json.Marshal(all)
 	if err != nil {
-		faults["name"] = err.Error()
+		fieldErrors["name"] = err.Error()
 	}
-	return data, faults
+	return data, fieldErrors
 }
--- a/internal/admin/kqconsole/view.go
+++ b/internal/admin/kqconsole/view.go
@@ -32,7 +32,7 @@
 }
 
 // rolloutViews returns the running rollouts, then the pending and the ended ones,
-// each with the latest start first.
+// each with the latest start first: the status list is ordered by start.
 func (c *Console) rolloutViews() []rolloutView {
 	list := c.parts.Rollouts()
 	slices.Reverse(list)
@@ -70,6 +70,7 @@
 	return c.show(req, fiber.StatusOK, "node", page{Title: "Node " + name, Active: "fleet", Data: r})
 }
 
+// moves shows the status of all rollouts.
 func (c *Console) moves(req request) error {
 	return c.show(req, fiber.StatusOK, "moves", page{Title: "Moves", Active: "moves", Refresh: refreshSeconds, Data: c.rolloutViews()})
 }
--- a/internal/admin/kqproblem/problem.go
+++ b/internal/admin/kqproblem/problem.go
@@ -22,9 +22,9 @@
 	// Forbidden means that the operator's role or team does not permit the
 	// change, or that it affects items of another team.
 	Forbidden Code = "forbidden"
-	// NoCSRF means that a form came from another site or without the CSRF token
+	// CSRFCheckFailed means that a form came from another site or without the CSRF token
 	// of its session.
-	NoCSRF Code = "no_csrf"
+	CSRFCheckFailed Code = "no_csrf"
 	// Malformed means that the body or a parameter cannot be parsed.
 	Malformed Code = "malformed"
 	// TooLarge means that the body or the document exceeds its size limit.
@@ -33,9 +33,9 @@
 	HeadersTooLarge Code = "headers_too_large"
 	// TooSlow means that the request was not received within the read timeout.
 	TooSlow Code = "too_slow"
-	// Leaving means that the node shut down before the whole request had
+	// ShuttingDown means that the node shut down before the whole request had
 	// arrived; nothing was changed.
-	Leaving Code = "leaving"
+	ShuttingDown Code = "leaving"
 	// NotFound means that no operation or item has this path or name.
 	NotFound Code = "not_found"
 	// BadMethod means that the path does not support the method.
@@ -44,14 +44,14 @@
 	Invalid Code = "invalid_document"
 	// Quota means that the change would exceed a team's quota.
 	Quota Code = "over_quota"
-	// Stale means that the base version is no longer in force; Difference holds
+	// StaleVersion means that the base version is no longer in force; Difference holds
 	// the changes since.
-	Stale Code = "stale_version"
+	StaleVersion Code = "stale_version"
 	// Reused means that the request ID was already used with other content.
 	Reused Code = "request_id_reused"
-	// Unsettled means that the commit's outcome is not known yet; a retry must
+	// OutcomeUnknown means that the commit's outcome is not known yet; a retry must
 	// use the same request ID.
-	Unsettled Code = "unsettled"
+	OutcomeUnknown Code = "unsettled"
 	// PlatformDown means that the platform's key-value service is unavailable.
 	PlatformDown Code = "platform_unavailable"
 	// Internal means a bug or an unexpected error in this program.
@@ -94,19 +94,19 @@
 	BadToken:        {http.StatusUnauthorized, "The token is not known"},
 	TooManyFailures: {http.StatusTooManyRequests, "Too many requests without a good token"},
 	Forbidden:       {http.StatusForbidden, "Not allowed for this operator"},
-	NoCSRF:          {http.StatusForbidden, "The form is not of this session"},
+	CSRFCheckFailed: {http.StatusForbidden, "The form is not of this session"},
 	Malformed:       {http.StatusBadRequest, "The request cannot be read"},
 	TooLarge:        {http.StatusRequestEntityTooLarge, "The body is too large"},
 	HeadersTooLarge: {http.StatusRequestHeaderFieldsTooLarge, "The headers are too large"},
 	TooSlow:         {http.StatusRequestTimeout, "The request came too slowly"},
-	Leaving:         {http.StatusServiceUnavailable, "The node is leaving"},
+	ShuttingDown:    {http.StatusServiceUnavailable, "The node is leaving"},
 	NotFound:        {http.StatusNotFound, "There is no such thing"},
 	BadMethod:       {http.StatusMethodNotAllowed, "The path does not take this method"},
 	Invalid:         {http.StatusUnprocessableEntity, "The document has problems"},
 	Quota:           {http.StatusUnprocessableEntity, "A team is over its quota"},
-	Stale:           {http.StatusConflict, "The version that was edited is no longer in force"},
+	StaleVersion:    {http.StatusConflict, "The version that was edited is no longer in force"},
 	Reused:          {http.StatusConflict, "The request id was used with other content"},
-	Unsettled:       {http.StatusServiceUnavailable, "It is not known yet whether the change took effect"},
+	OutcomeUnknown:  {http.StatusServiceUnavailable, "It is not known yet whether the change took effect"},
 	PlatformDown:    {http.StatusServiceUnavailable, "The platform's service did not answer"},
 	Internal:        {http.StatusInternalServerError, "A fault of this program"},
 }
--- a/internal/admin/kqview/report.go
+++ b/internal/admin/kqview/report.go
@@ -24,7 +24,8 @@
 		Since   time.Time `json:"since" cbor:"3,keyasint"`
 		Started time.Time `json:"started" cbor:"4,keyasint"`
 		Ready   bool      `json:"ready" cbor:"5,keyasint"`
-		// Counts holds the refusals, losses and failures since the node started.
+		// Counts holds the nonzero counters of refusals, failed calls and other
+		// failures since the node started.
 		Counts []Count `json:"counts" cbor:"6,keyasint"`
 	}
 
--- a/internal/admin/kqview/view.go
+++ b/internal/admin/kqview/view.go
@@ -45,24 +45,27 @@
 
 	// Member is one node of the fleet.
 	Member struct {
-		Node      kqname.Node          `json:"node"`
-		Domain    kqname.Domain        `json:"domain"`
-		Region    kqname.Region        `json:"region"`
-		State     string               `json:"state"`
-		Control   kqname.Address       `json:"control"`
-		Version   kqname.ConfigVersion `json:"version"`
+		Node    kqname.Node          `json:"node"`
+		Domain  kqname.Domain        `json:"domain"`
+		Region  kqname.Region        `json:"region"`
+		State   string               `json:"state"`
+		Control kqname.Address       `json:"control"`
+		Version kqname.ConfigVersion `json:"version"`
+		// Behind is how many versions the node is behind the fleet's newest.
 		Behind    kqname.ConfigVersion `json:"behind"`
 		Upstreams []Upstream           `json:"upstreams"`
 	}
 
-	// Fleet lists every node known to one node.
+	// Fleet lists every node known to one node. Version is the newest version that any of
+	// them has applied.
 	Fleet struct {
 		Version kqname.ConfigVersion `json:"version"`
 		Ready   bool                 `json:"ready"`
 		Members []Member             `json:"members"`
 	}
 
-	// Convergence reports how many nodes have applied the version in force.
+	// Convergence reports how many nodes have applied the version in force: Have counts
+	// those that have, and Behind lists the others.
 	Convergence struct {
 		Version  kqname.ConfigVersion `json:"version"`
 		At       time.Time            `json:"at"`
@@ -175,8 +178,8 @@
 	return list, nil
 }
 
-// Platform sends one request to the platform's service and measures it from
-// began with since.
+// Platform sends one request to the platform's service and measures how
+// long it took: since returns the time elapsed since began.
 func (v *View) Platform(ctx context.Context, began time.Time, since func(time.Time) time.Duration) Platform {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
