--- a/internal/decide/kqallowance/allowance.go
+++ b/internal/decide/kqallowance/allowance.go
@@ -27,9 +27,9 @@
 	a.tokens = min(a.tokens+usedShare*a.bound.Ratio, a.maxTokens(nodes))
 }
 
-// RecordRepeat counts a call that is repeated because its calling call was retried; the bound
-// counts it as a retry. It cannot be refused, so the balance may become negative and later
-// retries compensate.
+// RecordRepeat counts a call that is repeated because its calling call was retried; the
+// bound counts it as a retry. It cannot be refused, so the balance may become negative
+// and later retries compensate.
 func (a *Allowance) RecordRepeat(nodes int) {
 	a.tokens = max(a.tokens-1, -a.maxTokens(nodes))
 }
--- a/internal/decide/kqcallerretry/return.go
+++ b/internal/decide/kqcallerretry/callerretry.go
@@ -10,8 +10,8 @@
 	// Key is a hash of a caller and its request.
 	Key uint64
 
-	// RetryTracker remembers the unsuccessful calls of one node. It is not safe for concurrent
-	// use.
+	// RetryTracker remembers the unsuccessful calls of one node. It is not safe for
+	// concurrent use.
 	RetryTracker struct {
 		pending map[Key][]call
 		// order holds the keys of all remembered calls, oldest first, including some that
@@ -26,11 +26,11 @@
 	}
 )
 
-// New returns an empty Returns.
+// New returns a RetryTracker without calls.
 func New() *RetryTracker { return &RetryTracker{pending: make(map[Key][]call)} }
 
-// RecordFailure remembers a call that ended without a successful answer. Its caller made the
-// first attempt at first and waits until until.
+// RecordFailure remembers a call that ended without a successful answer. Its caller made
+// the first attempt at first and waits until until.
 func (r *RetryTracker) RecordFailure(k Key, first, until time.Time) {
 	for len(r.order) >= maxCalls {
 		r.removeOldest(r.order[0])
@@ -40,8 +40,8 @@
 	r.order = append(r.order, k)
 }
 
-// FirstAttempt returns the time of the first attempt of a call that arrives now: now, unless it
-// is a retry.
+// FirstAttempt returns the time of the first attempt of a call that arrives now: now,
+// unless it is a retry.
 func (r *RetryTracker) FirstAttempt(k Key, now time.Time) time.Time {
 	for {
 		a, ok := r.removeOldest(k)
--- a/internal/decide/kqcallerretry/doc.go
+++ b/internal/decide/kqcallerretry/doc.go
@@ -1,5 +1,5 @@
-// Package kqcallerretry recognizes retries by callers after a refusal or failure, and when the
-// caller made its first attempt.
+// Package kqcallerretry recognizes retries by callers after a refusal or failure, and
+// when the caller made its first attempt.
 //
 // Load pattern: overload, retry storm. Each attempt of a caller is a call of its own. If a
 // retry counts as a new call, it has the route's whole target before it again: it is
--- a/internal/decide/kqdetector/suspicion.go
+++ b/internal/decide/kqdetector/detector.go
@@ -23,7 +23,7 @@
 )
 
 type (
-	// Status is the suspected state of a member.
+	// Status is the state, Suspect or Dead, of a member that does not answer.
 	Status string
 
 	// Change is a change of a member's state.
@@ -38,12 +38,12 @@
 	// intermediate state Suspect, one lost packet or paused node would take a healthy
 	// upstream out of service. Without the correction for its own pauses, a node that
 	// resumes, or whose clock jumps ahead, would declare all others dead at once and
-	// spread that.
+	// broadcast that.
 	Detector struct {
 		interval                           time.Duration
 		missedHeartbeats, refuteHeartbeats int
 		checkedAt                          time.Time
-		lastHeard                          map[kqname.Node]time.Time
+		lastSeen                           map[kqname.Node]time.Time
 		suspectedAt                        map[kqname.Node]time.Time
 	}
 )
@@ -52,27 +52,27 @@
 func New(interval time.Duration) *Detector {
 	return &Detector{
 		interval: interval, missedHeartbeats: defaultMissedHeartbeats, refuteHeartbeats: defaultRefuteHeartbeats,
-		lastHeard: make(map[kqname.Node]time.Time), suspectedAt: make(map[kqname.Node]time.Time),
+		lastSeen: make(map[kqname.Node]time.Time), suspectedAt: make(map[kqname.Node]time.Time),
 	}
 }
 
 // RecordHeartbeat records a heartbeat or any other message of a member.
 func (d *Detector) RecordHeartbeat(n kqname.Node, now time.Time) {
-	if _, ok := d.lastHeard[n]; ok {
-		d.lastHeard[n] = now
+	if _, ok := d.lastSeen[n]; ok {
+		d.lastSeen[n] = now
 	}
 }
 
 // SetWatched sets the members that are sent heartbeats and so expected to answer.
 func (d *Detector) SetWatched(nodes []kqname.Node, now time.Time) {
-	for n := range d.lastHeard {
+	for n := range d.lastSeen {
 		if !slices.Contains(nodes, n) {
-			delete(d.lastHeard, n)
+			delete(d.lastSeen, n)
 		}
 	}
 	for _, n := range nodes {
-		if _, ok := d.lastHeard[n]; !ok {
-			d.lastHeard[n] = now
+		if _, ok := d.lastSeen[n]; !ok {
+			d.lastSeen[n] = now
 		}
 	}
 }
@@ -104,10 +104,10 @@
 	for n, at := range d.suspectedAt {
 		if now.Sub(at) > time.Duration(d.refuteHeartbeats)*d.interval {
 			changes = append(changes, Change{n, Dead})
-			delete(d.lastHeard, n)
+			delete(d.lastSeen, n)
 		}
 	}
-	for n, at := range d.lastHeard {
+	for n, at := range d.lastSeen {
 		if _, already := d.suspectedAt[n]; !already && now.Sub(at) > time.Duration(d.missedHeartbeats)*d.interval {
 			changes = append(changes, Change{n, Suspect})
 		}
@@ -116,9 +116,10 @@
 	return changes
 }
 
+// shiftTimes moves all recorded times by the length of a pause.
 func (d *Detector) shiftTimes(pause time.Duration) {
-	for n, at := range d.lastHeard {
-		d.lastHeard[n] = at.Add(pause)
+	for n, at := range d.lastSeen {
+		d.lastSeen[n] = at.Add(pause)
 	}
 	for n, at := range d.suspectedAt {
 		d.suspectedAt[n] = at.Add(pause)
--- a/internal/decide/kqeject/eject.go
+++ b/internal/decide/kqeject/eject.go
@@ -12,8 +12,8 @@
 	// seldom fails five in a row.
 	rateWindow     = 16
 	maxFailureRate = 0.3
-	// minEjection and maxEjection bound the ejection time. 1/capDivisor is the largest share
-	// of a service's upstreams that is ejected at a time.
+	// minEjection and maxEjection bound the ejection time. 1/capDivisor is the largest
+	// share of a service's upstreams that is ejected at a time.
 	minEjection = 2 * time.Second
 	maxEjection = 30 * time.Second
 	capDivisor  = 3
--- a/internal/decide/kqfailrate/doc.go
+++ b/internal/decide/kqfailrate/doc.go
@@ -3,6 +3,6 @@
 // Load pattern: in a large fleet, an upstream that fails part of its calls while its
 // health check passes. Each of 90 entries sends it only a few calls in the seconds for
 // which it fails, too few to detect this, so that together they keep sending it its full
-// share. Its gate sees the calls of all entries, and reports the share of failures with
-// each answer, along with the load.
+// share. Its gate sees the calls of all entries, and reports the failure rate with each
+// answer, along with the load.
 package kqfailrate
--- a/internal/decide/kqfailrate/failing.go
+++ b/internal/decide/kqfailrate/failrate.go
@@ -10,7 +10,8 @@
 	windowCalls = 32
 	// halfLife is the time without calls in which the failure rate falls by half.
 	halfLife = 3 * time.Second
-	// minRate is the failure rate below which 0 is reported: less than two failures in 32 calls.
+	// minRate is the failure rate below which 0 is reported: less than two failures in 32
+	// calls.
 	minRate = 0.05
 )
 
--- a/internal/decide/kqfair/estimate.go
+++ b/internal/decide/kqfair/estimate.go
@@ -42,8 +42,8 @@
 	return oldest
 }
 
-// SinceLastPrompt returns the time since the caller's calls last had almost no wait, also if
-// it has sent none since, or 0 if the caller has no flow.
+// SinceLastPrompt returns the time since the caller's calls last had almost no wait, also
+// if it has sent none since, or 0 if the caller has no flow.
 func (q *Queue) SinceLastPrompt(caller kqname.Caller, now time.Time) time.Duration {
 	f := &q.flows[q.flowIndex(caller)]
 	if f.owner != caller {
--- a/internal/decide/kqfair/fair.go
+++ b/internal/decide/kqfair/fair.go
@@ -70,8 +70,9 @@
 		startTag time.Duration
 		// queuedWork is the expected work of the flow's waiting calls.
 		queuedWork time.Duration
-		// prompt is the time at which a call of the flow last ran at once or completed a streak of
-		// promptStreak calls with almost no wait, or when the owner got the flow.
+		// prompt is the time at which a call of the flow last ran at once or completed a
+		// streak of promptStreak calls with almost no wait, or when the owner got the
+		// flow.
 		prompt time.Time
 		// streak counts the latest consecutive calls with almost no wait.
 		streak int
--- a/internal/decide/kqlease/lease.go
+++ b/internal/decide/kqlease/lease.go
@@ -23,12 +23,12 @@
 	// and slow answers.
 	margin = TTL / 4
 	// rankDelay delays members of lower rank, so that the first one acquires the slot
-	// before the others look.
-	rankDelay    = 2 * time.Second
-	lookInterval = 2 * time.Second
-	// maxLookers is how many members of a domain look for a vacant slot. It makes the load
-	// on the platform independent of the domain's size.
-	maxLookers = 3
+	// before the others try.
+	rankDelay       = 2 * time.Second
+	acquireInterval = 2 * time.Second
+	// maxCandidates is how many members of a domain try to acquire a vacant slot. It
+	// makes the load on the platform independent of the domain's size.
+	maxCandidates = 3
 )
 
 type (
@@ -56,7 +56,7 @@
 		renewedAt   time.Time
 		requestedAt time.Time
 		vacantSince time.Time
-		lookedAt    time.Time
+		triedAt     time.Time
 	}
 )
 
@@ -65,17 +65,17 @@
 	if h.held {
 		return h.nextHeld(now)
 	}
-	if s.Readers >= ReadersPerDomain || s.Rank >= maxLookers {
+	if s.Readers >= ReadersPerDomain || s.Rank >= maxCandidates {
 		h.vacantSince = time.Time{}
 		return Wait
 	}
 	if h.vacantSince.IsZero() {
 		h.vacantSince = now
 	}
-	if now.Sub(h.vacantSince) < time.Duration(s.Rank)*rankDelay || now.Sub(h.lookedAt) < lookInterval {
+	if now.Sub(h.vacantSince) < time.Duration(s.Rank)*rankDelay || now.Sub(h.triedAt) < acquireInterval {
 		return Wait
 	}
-	h.lookedAt = now
+	h.triedAt = now
 	return Acquire
 }
 
@@ -94,9 +94,9 @@
 // Holds reports whether the lease is held.
 func (h *Holder) Holds() bool { return h.held }
 
-// RecordRenewal records that the platform granted or renewed the lease in answer to a request
-// sent at the given time. The lease lasts at least TTL from then.
+// RecordRenewal records that the platform granted or renewed the lease in answer to a
+// request sent at the given time. The lease lasts at least TTL from then.
 func (h *Holder) RecordRenewal(sent time.Time) { h.held, h.renewedAt, h.requestedAt = true, sent, sent }
 
 // RecordLoss records that the lease was lost or given up.
-func (h *Holder) RecordLoss() { *h = Holder{lookedAt: h.lookedAt} }
+func (h *Holder) RecordLoss() { *h = Holder{triedAt: h.triedAt} }
--- a/internal/decide/kqlease/lease_test.go
+++ b/internal/decide/kqlease/lease_test.go
@@ -12,7 +12,7 @@
 func TestHolderRenewsAndGivesUpByLocalClock(t *testing.T) {
 	var h kqlease.Holder
 	if step := h.Next(kqlease.Situation{}, start); step != kqlease.Acquire {
-		t.Fatalf("next step with a vacant slot is %s, want look", step)
+		t.Fatalf("next step with a vacant slot is %s, want Acquire", step)
 	}
 	h.RecordRenewal(start)
 	for _, c := range []struct {
@@ -32,19 +32,19 @@
 	}
 }
 
-// Both readers of a domain of 80 servers die together. If every server looked for a free
-// slot, the load on the platform would grow with the fleet.
-func TestOnlyFirstMembersLookAtVacantSlot(t *testing.T) {
-	looks := 0
+// Both readers of a domain of 80 servers die together. If every server tried to acquire
+// a free slot, the load on the platform would grow with the fleet.
+func TestOnlyFirstMembersTryVacantSlot(t *testing.T) {
+	attempts := 0
 	for rank := range 80 {
 		var h kqlease.Holder
 		for at := time.Duration(0); at < 3*time.Second; at += 100 * time.Millisecond {
 			if h.Next(kqlease.Situation{Rank: rank}, start.Add(at)) == kqlease.Acquire {
-				looks++
+				attempts++
 			}
 		}
 	}
-	if looks == 0 || looks > 4 {
-		t.Fatalf("%d looks in 3 s, want 1 to 4", looks)
+	if attempts == 0 || attempts > 4 {
+		t.Fatalf("%d attempts in 3 s, want 1 to 4", attempts)
 	}
 }
--- a/internal/decide/kqpick/peer.go
+++ b/internal/decide/kqpick/peer.go
@@ -24,7 +24,8 @@
 	routeLoads routeLoads
 }
 
-// LastReport returns the upstream's last reported load and its age, both zero if there is none.
+// LastReport returns the upstream's last reported load and its age, both zero if there is
+// none.
 func (peer *Peer) LastReport(now time.Time) (kqcall.Load, time.Duration) {
 	if peer.reportedAt.IsZero() {
 		return peer.load, 0
@@ -49,8 +50,8 @@
 }
 
 // localBest returns the best sampled upstream of the own failure domain if its expected
-// time is below target.Ample, else nil. A faster upstream in another domain would gain
-// nothing then, while its responses would cross between domains.
+// time is below target.ComfortableLatency, else nil. A faster upstream in another domain
+// would gain nothing then, while its responses would cross between domains.
 func (p *Pool) localBest(list []*Peer, target Target, now time.Time, random *rand.Rand) *Peer {
 	local := 0
 	for i, peer := range list {
@@ -155,7 +156,7 @@
 }
 
 // coldSlowdown returns how many times slower the upstream is expected to be while it is
-// cold. Warm is the announced end of its cold start; without one, the slowdown falls
+// cold. WarmFrom is the announced end of its cold start; without one, the slowdown falls
 // linearly over coldDuration.
 func (peer *Peer) coldSlowdown(now time.Time) float64 {
 	if !peer.WarmFrom.IsZero() {
--- a/internal/decide/kqpick/pick_test.go
+++ b/internal/decide/kqpick/pick_test.go
@@ -98,15 +98,15 @@
 // The local upstream is a little slower than one in another failure domain, but well
 // within the target. It must be preferred, so that large answers do not cross between
 // domains, unless it is too slow for the route.
-func TestLocalUpstreamIsPreferredWithinAmpleTime(t *testing.T) {
+func TestLocalUpstreamIsPreferredWithinComfortableLatency(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 3))
 	p := newPool(now, []kqname.Domain{"here", "there"}, 100*time.Millisecond, 60*time.Millisecond)
-	for ample, want := range map[time.Duration]kqname.Node{160 * time.Millisecond: "0", 50 * time.Millisecond: "1"} {
-		o := p.Pick(kqpick.Target{ComfortableLatency: ample}, nil, now, random)
+	for latency, want := range map[time.Duration]kqname.Node{160 * time.Millisecond: "0", 50 * time.Millisecond: "1"} {
+		o := p.Pick(kqpick.Target{ComfortableLatency: latency}, nil, now, random)
 		p.Done(o, kqcall.OK(), false, nil, now)
 		if o.Node != want {
-			t.Errorf("ample time %s: went to %s, want %s", ample, o.Node, want)
+			t.Errorf("comfortable latency %s: went to %s, want %s", latency, o.Node, want)
 		}
 	}
 }
--- a/internal/decide/kqpick/route_test.go
+++ b/internal/decide/kqpick/route_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// The local upstream mostly answers lookups of 20 ms; the route's calls take 350 ms there,
-// and wait as long. Judged by its lookups, it would get all calls of its failure domain
-// until it refuses them, while others have free slots.
+// The local upstream mostly answers lookups of 20 ms; the route's calls take 350 ms
+// there, and wait as long. Estimated from its lookups, it would get all calls of its
+// failure domain until it refuses them, while others have free slots.
 func TestLocalUpstreamIsEstimatedByRoute(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 6))
--- a/internal/decide/kqpick/simulation_test.go
+++ b/internal/decide/kqpick/simulation_test.go
@@ -16,7 +16,8 @@
 
 type (
 	// simulation simulates entries of one failure domain that choose among its upstreams,
-	// each by the reports that come with its own answers. took holds the callers' latencies.
+	// each by the reports that come with its own answers. took holds the callers'
+	// latencies.
 	simulation struct {
 		now       time.Time
 		random    *rand.Rand
--- a/internal/decide/kqpick/target.go
+++ b/internal/decide/kqpick/target.go
@@ -26,11 +26,11 @@
 	// Fallback is the version used after the target has refused a call or has no upstream
 	// for it; empty means none.
 	Fallback kqname.UpstreamVersion
-	// ExcludedVersions lists excluded versions. FallbackNot lists those excluded by the target that is
-	// used instead of Fallback.
+	// ExcludedVersions are the versions that the call must not go to, and
+	// FallbackExcludedVersions those that its fallback target excludes.
 	ExcludedVersions, FallbackExcludedVersions []kqname.UpstreamVersion
-	// ComfortableLatency is the expected time up to which an upstream of the own failure domain is
-	// preferred to all others; 0 means none.
+	// ComfortableLatency is the expected time up to which an upstream of the own failure
+	// domain is preferred to all others; 0 means none.
 	ComfortableLatency time.Duration
 	// Route is the route of the call; empty if upstreams report no routes.
 	Route kqname.Route
@@ -55,10 +55,11 @@
 	return (t.Version == "" || c.Version == t.Version) && (t.Nodes == nil || t.Nodes[c.Node]) && !slices.Contains(t.ExcludedVersions, c.Version)
 }
 
-// ComfortableLatency returns the expected time within which a local upstream is preferred, for calls
-// with the given target. It is less for nested calls: the calling call holds a slot of its
-// upstream while it waits, so when slots are short, extra milliseconds delay other
-// callers, and a local queue is reason enough to use another domain.
+// ComfortableLatency returns the expected time within which a local upstream is
+// preferred, for calls with the given target. It is less for nested calls: the calling
+// call holds a slot of its upstream while it waits, so when slots are short, extra
+// milliseconds delay other callers, and a local queue is reason enough to use another
+// domain.
 func ComfortableLatency(target time.Duration, nested bool) time.Duration {
 	if nested {
 		return time.Duration(nestedComfortableShare * float64(target))
--- a/internal/decide/kqpick/usage.go
+++ b/internal/decide/kqpick/usage.go
@@ -7,12 +7,12 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// HasFreeSlot reports whether an upstream that the target allows, and whose node has not been
-// tried, probably has a free slot. An outdated report counts as a free slot, since an
-// attempt is cheap compared with refusing a call that could be served. If the service is
-// saturated, it does not: in a service with many upstreams each entry rarely gets a report
-// of each, so every call would be offered to one gate after another, with its body, until
-// the servers' links are full and even calls that have a slot are late.
+// HasFreeSlot reports whether an upstream that the target allows, and whose node has not
+// been tried, probably has a free slot. An outdated report counts as a free slot, since
+// an attempt is cheap compared with refusing a call that could be served. If the service
+// is saturated, it does not: in a service with many upstreams each entry rarely gets a
+// report of each, so every call would be offered to one gate after another, with its
+// body, until the servers' links are full and even calls that have a slot are late.
 func (p *Pool) HasFreeSlot(target Target, tried []kqname.Node, now time.Time) bool {
 	saturated := p.utilization(now) >= saturatedUtilization
 	for _, peer := range p.peers {
@@ -23,8 +23,8 @@
 	return false
 }
 
-// LeastWork returns the least reported work of the route's calls at any upstream that is not
-// ejected, or 0 if none is known.
+// LeastWork returns the least reported work of the route's calls at any upstream that is
+// not ejected, or 0 if none is known.
 func (p *Pool) LeastWork(route kqname.Route) time.Duration {
 	least := time.Duration(0)
 	for _, peer := range p.peers {
--- a/internal/decide/kqretry/retry.go
+++ b/internal/decide/kqretry/retry.go
@@ -3,8 +3,9 @@
 import "github.com/kumquatgw/kumquatgw/internal/call/kqcall"
 
 const (
-	// loadRetryRatio and churnRetryRatio are the retries that a call earns for refusals for
-	// load and for the failures that may be retried at any depth. maxTokens bounds each balance.
+	// loadRetryRatio and churnRetryRatio are the retries that a call earns for refusals
+	// for load and for the failures that may be retried at any depth. maxTokens bounds
+	// each balance.
 	loadRetryRatio  = 1.0 / 20
 	churnRetryRatio = 1.0 / 300
 	maxTokens       = 10
--- a/internal/decide/kqshed/shed.go
+++ b/internal/decide/kqshed/shed.go
@@ -34,8 +34,8 @@
 // New returns a Shedder without data.
 func New() *Shedder { return &Shedder{} }
 
-// ShouldShed counts a call of the class and reports whether to refuse it. late is set if the
-// call can no longer meet its target.
+// ShouldShed counts a call of the class and reports whether to refuse it. late is set if
+// the call can no longer meet its target.
 func (s *Shedder) ShouldShed(c kqdocument.Class, late bool, now time.Time, random *rand.Rand) bool {
 	i := c.Rank()
 	w := &s.classes[i]
--- a/internal/decide/kqslots/queue.go
+++ b/internal/decide/kqslots/queue.go
@@ -15,7 +15,8 @@
 	share := [priorityLevels]float64{nestedWaitShare, criticalWaitShare, normalWaitShare, backgroundWaitShare}[t.priority]
 	allowedWait := s.allowedWait(t, wait, time.Duration(share*float64(left)), now)
 	// A longer wait means that the upstream has become slower since the call was queued.
-	// Where the allowed wait is short, the estimate may be off by the work of several calls.
+	// Where the allowed wait is short, the estimate may be off by the work of several
+	// calls.
 	maxWait := max(2*allowedWait, allowedWait+waitSlackCalls*expected)
 	if t.hasTarget() && !s.checkTargetUnreachable(t, expected, now) {
 		t.startBy = t.Target.Add(-time.Duration(targetMargin * float64(expected)))
@@ -151,13 +152,13 @@
 		if q.Len() == 0 {
 			continue
 		}
-		return ticketOf(q.Pop(nearGiveUp(q, now)))
+		return ticketOf(q.Pop(nearExpiry(q, now)))
 	}
 	return nil
 }
 
-// nearGiveUp reports whether the oldest call has used seven eighths of its maximum wait.
-func nearGiveUp(q *kqfair.Queue, now time.Time) bool {
+// nearExpiry reports whether the oldest call has used seven eighths of its maximum wait.
+func nearExpiry(q *kqfair.Queue, now time.Time) bool {
 	item := q.Oldest()
 	return now.Sub(item.EnqueuedAt) > ticketOf(item).ExpireAt.Sub(item.EnqueuedAt)*7/8
 }
--- a/internal/decide/kqslots/slots.go
+++ b/internal/decide/kqslots/slots.go
@@ -35,8 +35,8 @@
 	// minAllowedWait is the least maximum wait: a few queued calls keep the slots in use
 	// between arrivals.
 	minAllowedWait = 20 * time.Millisecond
-	// unneededWindow is the number of calls over which the share of unneeded slots is averaged;
-	// minUnneededShare is its lower bound in estimates.
+	// unneededWindow is the number of calls over which the share of unneeded slots is
+	// averaged; minUnneededShare is its lower bound in estimates.
 	unneededWindow   = 32
 	minUnneededShare = 0.01
 	// waitWindow is the number of calls over which waits are averaged; maxWaitCorrection
@@ -89,7 +89,7 @@
 		item      kqfair.Item
 		priority  int
 		isLongJob bool
-		// startBy is the latest start that meets the target, while GiveUp ends the wait.
+		// startBy is the latest start that meets the target, while ExpireAt ends the wait.
 		// missesTarget is set once startBy has passed or is expected to pass; such a late
 		// call is still served from slots that no other call needs.
 		startBy      time.Time
--- a/internal/decide/kqwork/estimator.go
+++ b/internal/decide/kqwork/estimator.go
@@ -11,8 +11,8 @@
 	// long.
 	LongFactor = 4
 
-	// maxRoutes bounds the routes that are estimated separately. routeDivisor is the inverse
-	// of a call's weight in its route's estimate.
+	// maxRoutes bounds the routes that are estimated separately. routeDivisor is the
+	// inverse of a call's weight in its route's estimate.
 	maxRoutes    = 256
 	routeDivisor = 8
 	// riseDivisor and fallDivisor divide the steps of the pace towards slower and faster
