--- a/internal/rollout/kqevidence/evidence.go
+++ b/internal/rollout/kqevidence/evidence.go
@@ -15,9 +15,9 @@
 	MaxRoutes = 16
 	// OtherRoutes stands for all routes over MaxRoutes.
 	OtherRoutes kqname.Route = "others"
-	// ColdUpstreams stands for the calls to upstreams that have only just started. They also count
-	// under their own route, but without their latency; here they have it, to distinguish a
-	// far slower version from a cold start.
+	// ColdUpstreams stands for the calls to upstreams that have only just started. They
+	// also count under their own route, but without their latency; here they have it, to
+	// distinguish a far slower version from a cold start.
 	ColdUpstreams kqname.Route = "just started"
 
 	// lowestEdge is the upper edge of the lowest bucket, in seconds. Buckets that grow
--- a/internal/rollout/kqledger/ledger.go
+++ b/internal/rollout/kqledger/ledger.go
@@ -14,8 +14,8 @@
 // one.
 const maxSources = 4096
 
-// lowerQuartile is the quantile by which kqmargin distinguishes a slowdown of all calls from
-// one of some calls.
+// lowerQuartile is the quantile by which kqmargin distinguishes a slowdown of all calls
+// from one of some calls.
 const lowerQuartile = 0.25
 
 type (
--- a/internal/rollout/kqmargin/margin.go
+++ b/internal/rollout/kqmargin/margin.go
@@ -24,7 +24,8 @@
 	// ComparedCalls is how many calls are compared now.
 	ComparedCalls float64
 	// Calls is the number of all calls with a latency since the start of the rollout;
-	// LogSum and LogSquares are the sum and the sum of squares of the logs of the latencies.
+	// LogSum and LogSquares are the sum and the sum of squares of the logs of the
+	// latencies.
 	Calls, LogSum, LogSquares float64
 	// LowerQuartile is the log of their 25th percentile.
 	LowerQuartile float64
@@ -60,8 +61,9 @@
 }
 
 // serverOffsets returns by how much, as a log, each upstream's calls take longer than the
-// mean of all, shrunk by the part that may be chance. It also returns the standard deviation
-// between upstreams without chance, and the variance of an upstream's own calls.
+// mean of all, shrunk by the part that may be chance. It also returns the standard
+// deviation between upstreams without chance, and the variance of an upstream's own
+// calls.
 func serverOffsets(list []Upstream) (shrunk []float64, spread, variance float64) {
 	var all Upstream
 	within := 0.0
--- a/internal/rollout/kqmargin/margin_test.go
+++ b/internal/rollout/kqmargin/margin_test.go
@@ -38,9 +38,9 @@
 	return list
 }
 
-// Guards against a large margin where all servers are alike, since some upstream is always the
-// slowest by chance. With such a margin, a version that is a third slower would be kept until
-// a thousand calls had separated chance from servers.
+// Guards against a large margin where all servers are alike, since some upstream is
+// always the slowest by chance. With such a margin, a version that is a third slower
+// would be kept until a thousand calls had separated chance from servers.
 func TestEqualServersAllowNextToNothing(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	sum := 0.0
--- a/internal/rollout/kqowner/lease.go
+++ b/internal/rollout/kqowner/lease.go
@@ -10,8 +10,8 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
-// maintainLease renews the lease when that is due, or acquires it if candidate and the lease
-// is free.
+// maintainLease renews the lease when that is due, or acquires it if candidate and the
+// lease is free.
 func (o *Owner) maintainLease(ctx context.Context, state *planState, id kqplan.ID, candidate bool, now time.Time) error {
 	if state.lease != kqstore.NoLease {
 		if now.Sub(state.renewedAt) < renewInterval {
--- a/internal/rollout/kqowner/owner.go
+++ b/internal/rollout/kqowner/owner.go
@@ -48,11 +48,11 @@
 	}
 
 	// Owner keeps the leases of the rollouts that this node owns and acquires those that
-	// are free. Work and Holds are safe for concurrent use.
+	// are free. Sync and HoldsLease are safe for concurrent use.
 	Owner struct {
-		self  kqname.Node
-		store Store
-		board ProgressMerger
+		self   kqname.Node
+		store  Store
+		merger ProgressMerger
 
 		mu    sync.Mutex
 		plans map[kqplan.ID]*planState
@@ -62,7 +62,7 @@
 	planState struct {
 		// loaded is set once the stored progress and final state have been read.
 		loaded bool
-		// lastSyncFailed is set if the last call of Work failed for another reason than a
+		// lastSyncFailed is set if the last call of Sync failed for another reason than a
 		// conflict or an expired lease: the platform did not answer, or a stored value
 		// could not be decoded.
 		lastSyncFailed bool
@@ -88,12 +88,12 @@
 )
 
 // New returns an owner without leases.
-func New(self kqname.Node, store Store, board ProgressMerger) *Owner {
-	return &Owner{self: self, store: store, board: board, plans: make(map[kqplan.ID]*planState)}
+func New(self kqname.Node, store Store, merger ProgressMerger) *Owner {
+	return &Owner{self: self, store: store, merger: merger, plans: make(map[kqplan.ID]*planState)}
 }
 
-// HoldsLease reports whether this node holds the plan's lease and may advance it at the time
-// now, and whether the last call of Work for it failed.
+// HoldsLease reports whether this node holds the plan's lease and may advance it at the
+// time now, and whether the last call of Sync for it failed.
 func (o *Owner) HoldsLease(id kqplan.ID, now time.Time) (holds, lastSyncFailed bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -169,7 +169,7 @@
 			return fmt.Errorf("decode progress: %w", err)
 		}
 		state.revision = e.Revision
-		o.board.Join(id, state.saved)
+		o.merger.Join(id, state.saved)
 	}
 	if err := o.loadFinal(ctx, id); err != nil && !errors.Is(err, kqstore.ErrNotFound) {
 		return err
@@ -200,8 +200,9 @@
 	return nil
 }
 
-// storeFinal writes the final state that is due. Only the first record is accepted; an owner
-// that comes second, or whose answer was lost, reads the stored record and merges it.
+// storeFinal writes the final state that is due. Only the first record is accepted; an
+// owner that comes second, or whose answer was lost, reads the stored record and merges
+// it.
 func (o *Owner) storeFinal(ctx context.Context, v kqtracker.PlanSnapshot, now time.Time) error {
 	if v.DueFinal == kqprogress.Open {
 		return nil
@@ -227,6 +228,6 @@
 	if err := cbor.Unmarshal(e.Value, &r); err != nil {
 		return fmt.Errorf("decode final state: %w", err)
 	}
-	o.board.Join(id, kqprogress.Progress{Final: r.Final, Why: r.Why})
+	o.merger.Join(id, kqprogress.Progress{Final: r.Final, Why: r.Why})
 	return nil
 }
--- a/internal/rollout/kqowner/owner_test.go
+++ b/internal/rollout/kqowner/owner_test.go
@@ -26,8 +26,8 @@
 
 	// node is the part of a node that decides on rollouts.
 	node struct {
-		board *kqtracker.Tracker
-		owner *kqowner.Owner
+		tracker *kqtracker.Tracker
+		owner   *kqowner.Owner
 	}
 )
 
@@ -48,42 +48,42 @@
 }
 
 func newNode(name kqname.Node, platform *kqfakestore.Fake, all map[kqname.Service]kqresource.Service) *node {
-	b := kqtracker.New(kqledger.Source{Node: name}, upstreams{
+	t := kqtracker.New(kqledger.Source{Node: name}, upstreams{
 		{Upstream: kqmember.Upstream{Service: "shed", Version: "v1", Slots: 6}, Node: "a"},
 		{Upstream: kqmember.Upstream{Service: "shed", Version: "v2", Slots: 6}, Node: "b"},
 	})
-	b.Update(all, start)
-	return &node{board: b, owner: kqowner.New(name, platform, b)}
+	t.Update(all, start)
+	return &node{tracker: t, owner: kqowner.New(name, platform, t)}
 }
 
-// runOnce makes one round of platform calls and, if step is set and the node holds the lease,
-// one decision.
+// runOnce makes one round of platform calls and, if step is set and the node holds the
+// lease, one decision.
 func (n *node) runOnce(now time.Time, step bool) {
-	for _, v := range n.board.Views(now) {
+	for _, v := range n.tracker.Views(now) {
 		// Errors are expected: some tests make the platform unavailable.
 		_ = n.owner.Sync(context.Background(), v, true, now)
 		if holds, _ := n.owner.HoldsLease(v.Plan.ID, now); holds && step {
-			n.board.Step(v.Plan.ID, now)
+			n.tracker.Step(v.Plan.ID, now)
 		}
 	}
 }
 
 func (n *node) states(now time.Time) map[kqname.Rollout]kqtracker.State {
 	states := make(map[kqname.Rollout]kqtracker.State)
-	for _, s := range n.board.Statuses(now) {
+	for _, s := range n.tracker.Statuses(now) {
 		states[s.Rollout] = s.State
 	}
 	return states
 }
 
-func (n *node) view(t *testing.T) kqtracker.PlanSnapshot {
+func (n *node) snapshot(t *testing.T) kqtracker.PlanSnapshot {
 	t.Helper()
-	for _, v := range n.board.Views(start.Add(time.Hour)) {
+	for _, v := range n.tracker.Views(start.Add(time.Hour)) {
 		if v.Plan.Name == "move" {
 			return v
 		}
 	}
-	t.Fatal("the plan is not on the board")
+	t.Fatal("the plan is not in the tracker")
 	return kqtracker.PlanSnapshot{}
 }
 
@@ -100,7 +100,7 @@
 	first, second := newNode("a", p, service(plan("move"))), newNode("b", p, service(plan("move")))
 	first.runOnce(c.now, true)
 	first.runOnce(c.now, true)
-	id := first.view(t).Plan.ID
+	id := first.snapshot(t).Plan.ID
 	if holds, _ := first.owner.HoldsLease(id, c.now); !holds {
 		t.Fatal("the first owner has no lease")
 	}
@@ -112,11 +112,11 @@
 	if holds, _ := second.owner.HoldsLease(id, c.now); !holds {
 		t.Fatal("the second node did not take over")
 	}
-	if step := second.view(t).Progress.Step; step < 1 {
+	if step := second.snapshot(t).Progress.Step; step < 1 {
 		t.Errorf("the successor begins at step %d, want the stored one", step)
 	}
 	// The first resumes and rolls back on its evidence; the second finishes.
-	first.board.Join(id, kqprogress.Progress{RolledBack: true, Why: "errors"})
+	first.tracker.Join(id, kqprogress.Progress{RolledBack: true, Why: "errors"})
 	for range 90 {
 		c.now = c.now.Add(time.Second)
 		second.runOnce(c.now, true)
@@ -125,9 +125,9 @@
 	checkSameFinal(t, c.now, first, second)
 }
 
-// Guards against a second final state after the answer to the write of the first one was lost.
-// An owner that took this for a failure could write the other state, and operators would
-// read "done" and then "taken back".
+// Guards against a second final state after the answer to the write of the first one was
+// lost. An owner that took this for a failure could write the other state, and operators
+// would read "done" and then "taken back".
 func TestAnswerLostAfterTheFinalWrite(t *testing.T) {
 	c := &clock{now: start}
 	p := newPlatform(c)
@@ -137,15 +137,15 @@
 		c.now = c.now.Add(time.Second)
 	}
 	n.runOnce(c.now, false)
-	if n.view(t).DueFinal == kqprogress.Open {
-		for n.view(t).DueFinal == kqprogress.Open && c.now.Before(start.Add(2*time.Minute)) {
+	if n.snapshot(t).DueFinal == kqprogress.Open {
+		for n.snapshot(t).DueFinal == kqprogress.Open && c.now.Before(start.Add(2*time.Minute)) {
 			c.now = c.now.Add(time.Second)
 			n.runOnce(c.now, true)
 		}
 	}
 	p.SetFaults(kqfakestore.Faults{LoseResponses: 4})
 	n.runOnce(c.now, true)
-	n.board.Join(n.view(t).Plan.ID, kqprogress.Progress{RolledBack: true, Why: "errors"})
+	n.tracker.Join(n.snapshot(t).Plan.ID, kqprogress.Progress{RolledBack: true, Why: "errors"})
 	for range 20 {
 		c.now = c.now.Add(time.Second)
 		n.runOnce(c.now, true)
@@ -154,9 +154,9 @@
 	checkSameFinal(t, c.now, n, other)
 }
 
-// Guards against a rollout that is reported as done before its final state is stored, while the
-// platform is unavailable past the deadline. The final state must be stored once, after the
-// outage.
+// Guards against a rollout that is reported as done before its final state is stored,
+// while the platform is unavailable past the deadline. The final state must be stored
+// once, after the outage.
 func TestPlatformDownOverTheDeadline(t *testing.T) {
 	c := &clock{now: start}
 	p := newPlatform(c)
@@ -166,16 +166,16 @@
 		c.now = c.now.Add(time.Second)
 	}
 	p.SetFaults(kqfakestore.Faults{Down: true})
-	id := n.view(t).Plan.ID
+	id := n.snapshot(t).Plan.ID
 	for range 90 {
 		c.now = c.now.Add(time.Second)
 		n.runOnce(c.now, true)
-		n.board.Step(id, c.now)
+		n.tracker.Step(id, c.now)
 	}
 	if s := n.states(c.now)["move"]; s != kqtracker.Running {
 		t.Errorf("while the platform is unavailable the rollout is %q", s)
 	}
-	if step := n.view(t).Progress.Step; step != 4 {
+	if step := n.snapshot(t).Progress.Step; step != 4 {
 		t.Errorf("the rollout stopped at step %d", step)
 	}
 	p.SetFaults(kqfakestore.Faults{})
@@ -202,12 +202,12 @@
 		next := plan("next")
 		next.Start, next.Deadline = start.Add(2*time.Minute), start.Add(3*time.Minute)
 		if !doneFirst {
-			n.board.Update(service(next), c.now)
+			n.tracker.Update(service(next), c.now)
 		}
 		c.now = c.now.Add(3 * time.Second)
 		n.runOnce(c.now, true)
 		other.runOnce(c.now, true)
-		n.board.Update(service(next), c.now)
+		n.tracker.Update(service(next), c.now)
 		for range 20 {
 			c.now = c.now.Add(time.Second)
 			n.runOnce(c.now, true)
@@ -220,8 +220,8 @@
 	}
 }
 
-// Checks that a rollout that an operator cancels while its owner is about to finish it has one
-// final state.
+// Checks that a rollout that an operator cancels while its owner is about to finish it
+// has one final state.
 func TestOperatorCancelsAtTheEnd(t *testing.T) {
 	c := &clock{now: start}
 	p := newPlatform(c)
@@ -232,8 +232,8 @@
 	}
 	cancelled := plan("move")
 	cancelled.Cancelled = true
-	other.board.Update(service(cancelled), c.now)
-	other.board.Step(other.view(t).Plan.ID, c.now)
+	other.tracker.Update(service(cancelled), c.now)
+	other.tracker.Step(other.snapshot(t).Plan.ID, c.now)
 	for range 20 {
 		c.now = c.now.Add(time.Second)
 		other.runOnce(c.now, true)
@@ -242,19 +242,19 @@
 	checkSameFinal(t, c.now, n, other)
 }
 
-// checkSameFinal checks that all nodes have the same final state, and that a stale message does
-// not change it.
+// checkSameFinal checks that all nodes have the same final state, and that a stale
+// message does not change it.
 func checkSameFinal(t *testing.T, now time.Time, nodes ...*node) {
 	t.Helper()
 	first := nodes[0].states(now)["move"]
 	if first != kqtracker.Done && first != kqtracker.FinalRollback {
-		t.Errorf("no final state: %q, %+v", first, nodes[0].view(t))
+		t.Errorf("no final state: %q, %+v", first, nodes[0].snapshot(t))
 	}
 	for _, n := range nodes {
 		if s := n.states(now)["move"]; s != first {
 			t.Errorf("one node has state %q, another %q", first, s)
 		}
-		n.board.Join(n.view(t).Plan.ID, kqprogress.Progress{Step: 4, RolledBack: true, Why: "late"})
+		n.tracker.Join(n.snapshot(t).Plan.ID, kqprogress.Progress{Step: 4, RolledBack: true, Why: "late"})
 		if s := n.states(now)["move"]; s != first {
 			t.Errorf("a stale message changed %q to %q", first, s)
 		}
--- a/internal/rollout/kqplan/plan.go
+++ b/internal/rollout/kqplan/plan.go
@@ -17,8 +17,8 @@
 	defaultSmallShare = 0.05
 	// maxColdStart bounds the time after an upstream's start in which its slowness is
 	// attributed to the cold start, and coldWindowDivisor limits that time to a part of a
-	// short window. Current upstreams are warm after 40 s; a version that is slow for longer
-	// is slow.
+	// short window. Current upstreams are warm after 40 s; a version that is slow for
+	// longer is slow.
 	maxColdStart      = 45 * time.Second
 	coldWindowDivisor = 3
 	// maxOrderMargin leaves time for three calls to a store that takes 0.5 s for each;
@@ -86,12 +86,12 @@
 	return v == p.From
 }
 
-// ColdStart returns how long after an upstream's start its slowness is attributed to the cold
-// start and not to its version.
+// ColdStart returns how long after an upstream's start its slowness is attributed to the
+// cold start and not to its version.
 func (p Plan) ColdStart() time.Duration { return min(p.Window()/coldWindowDivisor, maxColdStart) }
 
 // WarmAt returns the end of an upstream's cold start: warm if the upstream announced it, or
-// else Cold after its start.
+// else ColdStart after its start.
 func (p Plan) WarmAt(started, warm time.Time) time.Time {
 	if !warm.IsZero() {
 		return warm
--- a/internal/rollout/kqprogress/progress.go
+++ b/internal/rollout/kqprogress/progress.go
@@ -27,8 +27,8 @@
 )
 
 // Join returns the least upper bound of a and b. Final states come from one
-// compare-and-swap and so never differ; if they did, TakenBack would win, which keeps the
-// traffic on the old version.
+// compare-and-swap and so never differ; if they did, FinalRollback would win, which keeps
+// the traffic on the old version.
 func Join(a, b Progress) Progress {
 	j := Progress{Step: max(a.Step, b.Step), RolledBack: a.RolledBack || b.RolledBack, Final: joinFinal(a.Final, b.Final)}
 	j.Why = joinReason(j, a, b)
--- a/internal/rollout/kqshare/share.go
+++ b/internal/rollout/kqshare/share.go
@@ -23,8 +23,8 @@
 		Small bool
 		// MayGrow lets the share grow to the new version's part of all slots.
 		MayGrow bool
-		// ExcludedVersions are further versions that must get no calls if From is empty, which
-		// stands for every version but To.
+		// ExcludedVersions are further versions that must get no calls if From is empty,
+		// which stands for every version but To.
 		ExcludedVersions []kqname.UpstreamVersion
 	}
 
@@ -47,18 +47,18 @@
 )
 
 // Split returns the version and the upstreams that one call may go to at the time now.
-func (b Distribution) Split(now time.Time, random Random) kqpick.Target {
+func (d Distribution) Split(now time.Time, random Random) kqpick.Target {
 	phase := time.Duration(now.UnixNano() % int64(period))
-	if b.Within <= 0 || float64(phase) >= b.Duty*float64(period) || random.Float64() >= b.Within {
-		return kqpick.Target{Version: b.From, ExcludedVersions: b.ExcludedVersions}
+	if d.Within <= 0 || float64(phase) >= d.Duty*float64(period) || random.Float64() >= d.Within {
+		return kqpick.Target{Version: d.From, ExcludedVersions: d.ExcludedVersions}
 	}
-	return kqpick.Target{Version: b.To, Nodes: b.Nodes, Fallback: b.From, FallbackExcludedVersions: b.ExcludedVersions}
+	return kqpick.Target{Version: d.To, Nodes: d.Nodes, Fallback: d.From, FallbackExcludedVersions: d.ExcludedVersions}
 }
 
-// Distribution returns the distribution of the share over each second and over upstreams. It is
-// valid until the upstreams change.
+// Distribution returns the distribution of the share over each second and over upstreams.
+// It is valid until the upstreams change.
 func (s Share) Distribution(all []kqmember.Candidate) Distribution {
-	burst := Distribution{From: s.From, To: s.To, Within: s.Fraction, Duty: 1, ExcludedVersions: s.ExcludedFromOld()}
+	toAll := Distribution{From: s.From, To: s.To, Within: s.Fraction, Duty: 1, ExcludedVersions: s.ExcludedFromOld()}
 	oldSlots, newSlots := 0, 0
 	for _, c := range all {
 		switch {
@@ -69,16 +69,16 @@
 		}
 	}
 	if s.MayGrow && newSlots > 0 {
-		burst.Within = max(s.Fraction, float64(newSlots)/float64(newSlots+oldSlots))
-		return burst
+		toAll.Within = max(s.Fraction, float64(newSlots)/float64(newSlots+oldSlots))
+		return toAll
 	}
 	if !s.Small {
 		// When many new upstreams crash, the remaining ones would get more load than
 		// an old one, and be slow through no fault of their version.
 		if newSlots < oldSlots {
-			burst.Within = min(s.Fraction, float64(newSlots)/float64(oldSlots))
+			toAll.Within = min(s.Fraction, float64(newSlots)/float64(oldSlots))
 		}
-		return burst
+		return toAll
 	}
 	newSlots = 0
 	selected := make(map[kqname.Node]bool)
@@ -89,7 +89,7 @@
 		}
 	}
 	if newSlots == 0 || oldSlots == 0 {
-		return burst
+		return toAll
 	}
 	// During the burst, a selected upstream gets the load of an old one, in proportion
 	// to its slots.
@@ -105,8 +105,8 @@
 	return v == s.From
 }
 
-// ExcludedFromOld returns the versions that a call to the old versions must not go to. It is
-// empty if From names the old version.
+// ExcludedFromOld returns the versions that a call to the old versions must not go to. It
+// is empty if From names the old version.
 func (s Share) ExcludedFromOld() []kqname.UpstreamVersion {
 	if s.From != "" {
 		return nil
--- a/internal/rollout/kqshare/share_test.go
+++ b/internal/rollout/kqshare/share_test.go
@@ -26,14 +26,14 @@
 			}
 		}
 		s := kqshare.Share{From: "v1", To: "v2", Fraction: 0.05, Small: true}
-		b := s.Distribution(all)
+		d := s.Distribution(all)
 		random := rand.New(rand.NewPCG(1, 1))
 		const calls, second = 200000, 7
 		next, busiest := 0, 0.0
 		load := make(map[int]int)
 		for i := range calls {
 			now := time.Unix(second, int64(i)*int64(time.Second)/calls)
-			if target := b.Split(now, random); target.Version == "v2" {
+			if target := d.Split(now, random); target.Version == "v2" {
 				next++
 				load[i*20/calls]++
 				if len(target.Nodes) == 0 {
@@ -42,7 +42,7 @@
 			}
 		}
 		for _, n := range load {
-			selected := float64(len(b.Nodes))
+			selected := float64(len(d.Nodes))
 			busiest = max(busiest, float64(n)/selected/(calls/20.0/float64(servers)))
 		}
 		if share := float64(next) / calls; share > 0.0515 {
@@ -63,11 +63,11 @@
 		all = append(all, kqmember.Candidate{Upstream: kqmember.Upstream{Version: v, Slots: 6}, Node: kqname.Node(fmt.Sprint(i))})
 	}
 	s := kqshare.Share{To: "v3", Fraction: 0.65, ExcludedVersions: []kqname.UpstreamVersion{"v2"}, MayGrow: true}
-	b := s.Distribution(all)
+	d := s.Distribution(all)
 	random := rand.New(rand.NewPCG(1, 1))
 	next := 0
 	for range 1000 {
-		target := b.Split(time.Unix(7, 0), random)
+		target := d.Split(time.Unix(7, 0), random)
 		if target.Version == "v3" {
 			next++
 			target = target.Next()
--- a/internal/rollout/kqstep/step_test.go
+++ b/internal/rollout/kqstep/step_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Guards against a rollout that never ends because its service has too few calls in the whole
-// window to evaluate the new version. The policy then decides how it ends.
+// Guards against a rollout that never ends because its service has too few calls in the
+// whole window to evaluate the new version. The policy then decides how it ends.
 func TestRolloutWithTooFewCallsEndsByPolicy(t *testing.T) {
 	few := kqverdict.Finding{Calls: 3}
 	for prefer, want := range map[kqdocument.Preference]kqstep.Action{
@@ -63,9 +63,9 @@
 }
 
 // Guards against the rollback of a good version in an ordered rollout of 12 s after a few
-// failures, as when two of a hundred calls fail because servers restart. It must use the new
-// upstreams within half of the time and end as done in time; otherwise they would stay idle
-// beside overloaded old ones.
+// failures, as when two of a hundred calls fail because servers restart. It must use the
+// new upstreams within half of the time and end as done in time; otherwise they would
+// stay idle beside overloaded old ones.
 func TestGoodVersionIsDoneInTime(t *testing.T) {
 	plan := kqplan.Plan{Duration: 12 * time.Second, Prefer: kqdocument.PreferFinishing, SmallShare: 0.05}.Begin(start)
 	s := kqstep.Inputs{Plan: plan, OldSlots: 36, NewSlots: 60, Finding: kqverdict.Finding{Calls: 133, Total: 1.1, InFavor: -3}}
@@ -79,7 +79,8 @@
 }
 
 // advance applies the decisions for a good version at every tick until end, and reports
-// whether the rollout was done by then. It calls observe with the state before each decision.
+// whether the rollout was done by then. It calls observe with the state before each
+// decision.
 func advance(t *testing.T, s kqstep.Inputs, end time.Time, observe func(now time.Time, s *kqstep.Inputs)) bool {
 	t.Helper()
 	for now := s.Plan.Start; now.Before(end); now = now.Add(tick) {
@@ -106,11 +107,11 @@
 	}
 }
 
-// Guards against the rollback of an ordered rollout on too few calls. The only upstream of
-// the small share crashed in its first calls; when the next step was due, seven calls were
-// known, most of them refused or cut off, and the version was rolled back although its six
-// other upstreams had not had a call. While there is time for more calls, only evidence over
-// the rollback threshold may end the rollout.
+// Guards against the rollback of an ordered rollout on too few calls. The only upstream
+// of the small share crashed in its first calls; when the next step was due, seven calls
+// were known, most of them refused or cut off, and the version was rolled back although
+// its six other upstreams had not had a call. While there is time for more calls, only
+// evidence over the rollback threshold may end the rollout.
 func TestTooFewCallsDoNotCauseRollback(t *testing.T) {
 	plan := kqplan.Plan{Duration: 15 * time.Second}.Begin(start)
 	s := kqstep.Inputs{
@@ -130,10 +131,10 @@
 	}
 }
 
-// Guards against late steps at a service with thirty calls a second, of which the small share
-// gets one or two. A good version waited there for more calls until 7/8 of the time had
-// passed and took all other steps within half a second. It was reported done just in time,
-// and the old upstreams were stopped with calls in flight.
+// Guards against late steps at a service with thirty calls a second, of which the small
+// share gets one or two. A good version waited there for more calls until 7/8 of the time
+// had passed and took all other steps within half a second. It was reported done just in
+// time, and the old upstreams were stopped with calls in flight.
 func TestRolloutOfQuietServiceEndsBeforeDeadline(t *testing.T) {
 	const (
 		callsPerSecond = 30.0
--- a/internal/rollout/kqtracker/capacity_test.go
+++ b/internal/rollout/kqtracker/capacity_test.go
@@ -53,18 +53,18 @@
 }
 
 // Guards against a rollout that ends as done although the traffic does not fit on the new
-// version: two of its six upstreams left, through no fault of the version, while all old ones
-// stayed and were busy. At the deadline it ended as done, since its slots were over a third of
-// the old version's. The old upstreams were stopped, and two thirds of the calls of the lowest
-// class were shed or late from then on, where hardly any had been.
+// version: two of its six upstreams left, through no fault of the version, while all old
+// ones stayed and were busy. At the deadline it ended as done, since its slots were over
+// a third of the old version's. The old upstreams were stopped, and two thirds of the
+// calls of the lowest class were shed or late from then on, where hardly any had been.
 func TestRolloutIsNotDoneIfTrafficDoesNotFit(t *testing.T) {
 	if final, reason := runToEnd(43, 2); final != kqprogress.FinalRollback {
 		t.Errorf("with 43 slots in use and 24 slots of the new version the rollout ended as %q: %s", final, reason)
 	}
 }
 
-// Checks that the same few upstreams are enough for a service with little traffic. A rollback
-// would make a good version miss its deadline for nothing.
+// Checks that the same few upstreams are enough for a service with little traffic. A
+// rollback would make a good version miss its deadline for nothing.
 func TestRolloutIsDoneIfTrafficFitsFewUpstreams(t *testing.T) {
 	if final, reason := runToEnd(15, 2); final != kqprogress.Done {
 		t.Errorf("with 15 slots in use and 24 slots of the new version the rollout ended as %q: %s", final, reason)
--- a/internal/rollout/kqtracker/collecting_test.go
+++ b/internal/rollout/kqtracker/collecting_test.go
@@ -9,22 +9,22 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 )
 
-// Guards against a rollout that ends as done because the node that has just become its owner
-// has not collected any reports yet.
+// Guards against a rollout that ends as done because the node that has just become its
+// owner has not collected any reports yet.
 func TestNewOwnerCollectsBeforeItSteps(t *testing.T) {
 	const window, tick = time.Minute, 600 * time.Millisecond
 	plan := kqdocument.Rollout{Name: "move", Service: "shed", From: "v1", To: "v2", Policy: "first", Start: start, Deadline: start.Add(window)}
-	b := board(service(plan))
-	id := b.Views(start)[0].Plan.ID
-	b.Join(id, kqprogress.Progress{Step: 4})
+	tracker := newTracker(service(plan))
+	id := tracker.Views(start)[0].Plan.ID
+	tracker.Join(id, kqprogress.Progress{Step: 4})
 	now := start.Add(window * 98 / 100)
-	b.Evaluate(id, now)
-	if d := b.Step(id, now); d.Action != kqstep.Hold {
+	tracker.Evaluate(id, now)
+	if d := tracker.Step(id, now); d.Action != kqstep.Hold {
 		t.Errorf("before collecting: %s, %s; want hold", d.Action, d.Why)
 	}
 	now = now.Add(5 * tick)
-	b.Evaluate(id, now)
-	if d := b.Step(id, now); d.Action != kqstep.Done {
+	tracker.Evaluate(id, now)
+	if d := tracker.Step(id, now); d.Action != kqstep.Done {
 		t.Errorf("after collecting: %s, %s; want done", d.Action, d.Why)
 	}
 }
--- a/internal/rollout/kqtracker/failure_test.go
+++ b/internal/rollout/kqtracker/failure_test.go
@@ -42,9 +42,9 @@
 	s := orderedService()
 	f := &fixture{random: rand.New(rand.NewPCG(seed, 1)), now: start}
 	for i := range oldGates + newGates + 1 {
-		b := kqtracker.New(kqledger.Source{Node: kqname.Node(fmt.Sprintf("n%d", i))}, upstreams{})
-		b.Update(map[kqname.Service]kqresource.Service{"shed": s}, start)
-		f.gates = append(f.gates, b)
+		tracker := kqtracker.New(kqledger.Source{Node: kqname.Node(fmt.Sprintf("n%d", i))}, upstreams{})
+		tracker.Update(map[kqname.Service]kqresource.Service{"shed": s}, start)
+		f.gates = append(f.gates, tracker)
 	}
 	last := len(f.gates) - 1
 	f.collector, f.gates = f.gates[last], f.gates[:last]
@@ -83,10 +83,10 @@
 	return p.Why
 }
 
-// Guards against shed calls that count as fast calls. Upstreams of the old version shed half
-// of their calls within a millisecond, while those of the new one answer all. The old version
-// looked three times as fast as it was, and a good version was rolled back as "slower by 2
-// times" at half of the traffic. A call that did not run has no latency.
+// Guards against shed calls that count as fast calls. Upstreams of the old version shed
+// half of their calls within a millisecond, while those of the new one answer all. The
+// old version looked three times as fast as it was, and a good version was rolled back as
+// "slower by 2 times" at half of the traffic. A call that did not run has no latency.
 func TestShedCallsAreNotFastCalls(t *testing.T) {
 	f := newFixture(1)
 	for range 60 {
--- a/internal/rollout/kqtracker/view.go
+++ b/internal/rollout/kqtracker/plan_snapshot.go
@@ -17,11 +17,11 @@
 	Progress kqprogress.Progress
 	// DueFinal is the final state that is due and not yet stored on the platform.
 	DueFinal kqprogress.Final
-	// Why is the reason for Wish.
+	// Why is the reason for the rollback if there was one, else for the last decision.
 	Why string
 	// KnownSince is when this node first received the plan.
 	KnownSince time.Time
-	// Owner is the node that last announced itself as the plan's owner, at Heard.
+	// Owner is the node that last announced itself as the plan's owner, at OwnerSeen.
 	Owner     kqname.Node
 	OwnerSeen time.Time
 	// Removed is set if the plan is no longer in the document.
@@ -29,9 +29,9 @@
 }
 
 // Views returns every plan that has started, was rolled back or was cancelled.
-func (b *Tracker) Views(now time.Time) []PlanSnapshot {
+func (t *Tracker) Views(now time.Time) []PlanSnapshot {
 	var list []PlanSnapshot
-	for _, ps := range b.allPlanStates() {
+	for _, ps := range t.allPlanStates() {
 		ps.mu.Lock()
 		if ps.hasStarted(now) || ps.progress.RolledBack || ps.plan.Cancelled {
 			v := PlanSnapshot{Plan: ps.plan, Progress: ps.progress, KnownSince: ps.knownSince, Owner: ps.owner, OwnerSeen: ps.ownerSeen, Why: ps.lastDecision.Why, Removed: !ps.removedAt.IsZero()}
@@ -50,8 +50,8 @@
 
 // Report returns this gate's own evidence for a plan, at most once a tick. It returns
 // false if there is nothing new.
-func (b *Tracker) Report(id kqplan.ID, now time.Time) (kqledger.Report, bool) {
-	ps, ok := b.planState(id)
+func (t *Tracker) Report(id kqplan.ID, now time.Time) (kqledger.Report, bool) {
+	ps, ok := t.planState(id)
 	if !ok || !ps.beginReport(now) {
 		return kqledger.Report{}, false
 	}
@@ -59,8 +59,8 @@
 }
 
 // Event returns a sentence about the plan's last change, once for each change.
-func (b *Tracker) Event(id kqplan.ID) (string, bool) {
-	ps, ok := b.planState(id)
+func (t *Tracker) Event(id kqplan.ID) (string, bool) {
+	ps, ok := t.planState(id)
 	if !ok {
 		return "", false
 	}
@@ -90,8 +90,8 @@
 }
 
 // Progress returns the progress of a plan.
-func (b *Tracker) Progress(id kqplan.ID) (kqprogress.Progress, bool) {
-	ps, ok := b.planState(id)
+func (t *Tracker) Progress(id kqplan.ID) (kqprogress.Progress, bool) {
+	ps, ok := t.planState(id)
 	if !ok {
 		return kqprogress.Progress{}, false
 	}
--- a/internal/rollout/kqtracker/planstate.go
+++ b/internal/rollout/kqtracker/planstate.go
@@ -66,7 +66,8 @@
 	lastDecision kqstep.Decision
 	// dueFinal is the final state to be stored on the platform.
 	dueFinal kqprogress.Final
-	// lastEvent is the last event that was returned for logging, so that each is logged once.
+	// lastEvent is the last event that was returned for logging, so that each is logged
+	// once.
 	lastEvent string
 
 	// cachedSplit is the split of calls between the versions for cachedKey.
--- a/internal/rollout/kqtracker/status.go
+++ b/internal/rollout/kqtracker/status.go
@@ -62,9 +62,9 @@
 )
 
 // Statuses returns all rollouts on this node, ordered by start and name.
-func (b *Tracker) Statuses(now time.Time) []Status {
+func (t *Tracker) Statuses(now time.Time) []Status {
 	list := []Status{}
-	for _, ps := range b.allPlanStates() {
+	for _, ps := range t.allPlanStates() {
 		list = append(list, ps.status(now))
 	}
 	slices.SortFunc(list, Compare)
@@ -72,8 +72,8 @@
 }
 
 // Status returns a rollout as shown to operators.
-func (b *Tracker) Status(id kqplan.ID, now time.Time) (Status, bool) {
-	ps, ok := b.planState(id)
+func (t *Tracker) Status(id kqplan.ID, now time.Time) (Status, bool) {
+	ps, ok := t.planState(id)
 	if !ok {
 		return Status{}, false
 	}
--- a/internal/rollout/kqtracker/board.go
+++ b/internal/rollout/kqtracker/tracker.go
@@ -49,7 +49,7 @@
 	}
 )
 
-// New returns a board without rollouts.
+// New returns a Tracker without rollouts.
 func New(self kqledger.Source, directory Directory) *Tracker {
 	return &Tracker{
 		self: self, directory: directory,
@@ -59,18 +59,18 @@
 
 // Update applies the services of the current configuration. A plan that was removed
 // from its service, or replaced, is rolled back unless it has ended.
-func (b *Tracker) Update(all map[kqname.Service]kqresource.Service, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) Update(all map[kqname.Service]kqresource.Service, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for name, s := range all {
-		next := service{version: s.Service.Version, rolledBackVersions: maps.Clone(b.services[name].rolledBackVersions)}
+		next := service{version: s.Service.Version, rolledBackVersions: maps.Clone(t.services[name].rolledBackVersions)}
 		for _, p := range kqplan.FromService(s) {
-			next.planStates = append(next.planStates, b.planStateFor(p, now))
+			next.planStates = append(next.planStates, t.planStateFor(p, now))
 		}
 		slices.SortStableFunc(next.planStates, func(x, y *planState) int {
 			return cmp.Or(x.plan.Start.Compare(y.plan.Start), cmp.Compare(x.plan.Name, y.plan.Name))
 		})
-		for _, ps := range b.services[name].planStates {
+		for _, ps := range t.services[name].planStates {
 			if !slices.Contains(next.planStates, ps) {
 				ps.remove(now)
 				next.addRolledBack(ps)
@@ -79,21 +79,21 @@
 		for _, ps := range next.planStates {
 			delete(next.rolledBackVersions, ps.plan.To)
 		}
-		b.services[name] = next
+		t.services[name] = next
 	}
-	for id, ps := range b.planStates {
+	for id, ps := range t.planStates {
 		if ps.isExpired(now) {
-			delete(b.planStates, id)
+			delete(t.planStates, id)
 		}
 	}
 }
 
 // planStateFor returns the state of a plan and creates it if the plan is new.
-func (b *Tracker) planStateFor(p kqplan.Plan, now time.Time) *planState {
-	ps, ok := b.planStates[p.ID]
+func (t *Tracker) planStateFor(p kqplan.Plan, now time.Time) *planState {
+	ps, ok := t.planStates[p.ID]
 	if !ok {
-		ps = newPlanState(p.Begin(now), b.self, now)
-		b.planStates[p.ID] = ps
+		ps = newPlanState(p.Begin(now), t.self, now)
+		t.planStates[p.ID] = ps
 	}
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -138,8 +138,8 @@
 // Evaluate evaluates the evidence collected for a plan. It is only for nodes that receive
 // the reports of all gates: with the reports of its own gate alone, a node has the calls
 // of only one of the two versions.
-func (b *Tracker) Evaluate(id kqplan.ID, now time.Time) {
-	ps, ok := b.planState(id)
+func (t *Tracker) Evaluate(id kqplan.ID, now time.Time) {
+	ps, ok := t.planState(id)
 	if !ok {
 		return
 	}
@@ -151,15 +151,15 @@
 }
 
 // Step decides on a plan's next step and applies the decision.
-func (b *Tracker) Step(id kqplan.ID, now time.Time) kqstep.Decision {
-	ps, ok := b.planState(id)
+func (t *Tracker) Step(id kqplan.ID, now time.Time) kqstep.Decision {
+	ps, ok := t.planState(id)
 	if !ok {
 		return kqstep.Decision{Action: kqstep.Hold, Why: "the plan is not known"}
 	}
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	s := kqstep.Inputs{Plan: ps.plan, Progress: ps.progress, Finding: ps.finding, BusySlots: ps.busySlots}
-	for _, c := range b.directory.Upstreams(ps.plan.Service) {
+	for _, c := range t.directory.Upstreams(ps.plan.Service) {
 		switch {
 		case ps.plan.IsOld(c.Version):
 			s.OldSlots += c.Slots
@@ -182,8 +182,8 @@
 
 // Join merges progress received from a peer or the platform. It reports whether the
 // node's own progress changed and whether the sender's was stale.
-func (b *Tracker) Join(id kqplan.ID, p kqprogress.Progress) (changed, senderStale bool) {
-	ps, ok := b.planState(id)
+func (t *Tracker) Join(id kqplan.ID, p kqprogress.Progress) (changed, senderStale bool) {
+	ps, ok := t.planState(id)
 	if !ok {
 		return false, false
 	}
@@ -199,33 +199,33 @@
 }
 
 // Merge adds another gate's report.
-func (b *Tracker) Merge(id kqplan.ID, r kqledger.Report) {
-	if ps, ok := b.planState(id); ok {
+func (t *Tracker) Merge(id kqplan.ID, r kqledger.Report) {
+	if ps, ok := t.planState(id); ok {
 		ps.ledger.Merge(r)
 	}
 }
 
 // SetOwner records that a node announced itself as the owner of the plan.
-func (b *Tracker) SetOwner(id kqplan.ID, owner kqname.Node, now time.Time) {
-	if ps, ok := b.planState(id); ok {
+func (t *Tracker) SetOwner(id kqplan.ID, owner kqname.Node, now time.Time) {
+	if ps, ok := t.planState(id); ok {
 		ps.mu.Lock()
 		defer ps.mu.Unlock()
 		ps.owner, ps.ownerSeen = owner, now
 	}
 }
 
-func (b *Tracker) planState(id kqplan.ID) (*planState, bool) {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	ps, ok := b.planStates[id]
+func (t *Tracker) planState(id kqplan.ID) (*planState, bool) {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	ps, ok := t.planStates[id]
 	return ps, ok
 }
 
-func (b *Tracker) allPlanStates() []*planState {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	list := make([]*planState, 0, len(b.planStates))
-	for _, ps := range b.planStates {
+func (t *Tracker) allPlanStates() []*planState {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	list := make([]*planState, 0, len(t.planStates))
+	for _, ps := range t.planStates {
 		list = append(list, ps)
 	}
 	return list
--- a/internal/rollout/kqtracker/board_test.go
+++ b/internal/rollout/kqtracker/tracker_test.go
@@ -28,13 +28,13 @@
 	}
 }
 
-func board(s kqresource.Service) *kqtracker.Tracker {
-	b := kqtracker.New(kqledger.Source{Node: "a"}, upstreams{
+func newTracker(s kqresource.Service) *kqtracker.Tracker {
+	tracker := kqtracker.New(kqledger.Source{Node: "a"}, upstreams{
 		{Upstream: kqmember.Upstream{Service: "shed", Version: "v1", Slots: 6}, Node: "a"},
 		{Upstream: kqmember.Upstream{Service: "shed", Version: "v2", Slots: 6}, Node: "b"},
 	})
-	b.Update(map[kqname.Service]kqresource.Service{"shed": s}, start)
-	return b
+	tracker.Update(map[kqname.Service]kqresource.Service{"shed": s}, start)
+	return tracker
 }
 
 // Guards against calls for a version that was rolled back, from entries that do not know of
@@ -42,21 +42,21 @@
 // must not be refused because of the earlier one.
 func TestGateRefusesRolledBackVersion(t *testing.T) {
 	plan := kqdocument.Rollout{Name: "move", Service: "shed", From: "v1", To: "v2", Policy: "first", Start: start, Deadline: start.Add(time.Minute)}
-	b := board(service(plan))
-	id := b.Views(start)[0].Plan.ID
-	b.Join(id, kqprogress.Progress{Step: 4})
-	if b.Refuses("shed", "v2") {
+	tracker := newTracker(service(plan))
+	id := tracker.Views(start)[0].Plan.ID
+	tracker.Join(id, kqprogress.Progress{Step: 4})
+	if tracker.Refuses("shed", "v2") {
 		t.Error("the new version of a running rollout is refused")
 	}
-	b.Join(id, kqprogress.Progress{RolledBack: true, Why: "errors"})
+	tracker.Join(id, kqprogress.Progress{RolledBack: true, Why: "errors"})
 	random := rand.New(rand.NewPCG(1, 1))
-	if target := b.Split(service(plan), start.Add(time.Second), random); !b.Refuses("shed", "v2") || b.Refuses("shed", "v1") || target.Version != "v1" {
+	if target := tracker.Split(service(plan), start.Add(time.Second), random); !tracker.Refuses("shed", "v2") || tracker.Refuses("shed", "v1") || target.Version != "v1" {
 		t.Errorf("after the rollback, calls go to %+v", target)
 	}
 	again := plan
 	again.Name, again.Start, again.Deadline = "again", start.Add(time.Hour), start.Add(2*time.Hour)
-	b.Update(map[kqname.Service]kqresource.Service{"shed": service(plan, again)}, start.Add(time.Hour))
-	if b.Refuses("shed", "v2") {
+	tracker.Update(map[kqname.Service]kqresource.Service{"shed": service(plan, again)}, start.Add(time.Hour))
+	if tracker.Refuses("shed", "v2") {
 		t.Error("the version of a new plan is refused because of the old plan")
 	}
 }
@@ -65,13 +65,13 @@
 // months.
 func TestRemovedPlansAreDeleted(t *testing.T) {
 	plan := kqdocument.Rollout{Name: "move", Service: "shed", From: "v1", To: "v2", Policy: "first", Start: start, Deadline: start.Add(time.Minute)}
-	b := board(service(plan))
-	b.Update(map[kqname.Service]kqresource.Service{"shed": service()}, start.Add(time.Minute))
-	if list := b.Statuses(start.Add(time.Minute)); len(list) != 1 || list[0].Share != 0 {
+	tracker := newTracker(service(plan))
+	tracker.Update(map[kqname.Service]kqresource.Service{"shed": service()}, start.Add(time.Minute))
+	if list := tracker.Statuses(start.Add(time.Minute)); len(list) != 1 || list[0].Share != 0 {
 		t.Errorf("a removed plan must be kept until it is settled: %+v", list)
 	}
-	b.Update(map[kqname.Service]kqresource.Service{"shed": service()}, start.Add(2*time.Hour))
-	if list := b.Statuses(start.Add(2 * time.Hour)); len(list) != 0 {
+	tracker.Update(map[kqname.Service]kqresource.Service{"shed": service()}, start.Add(2*time.Hour))
+	if list := tracker.Statuses(start.Add(2 * time.Hour)); len(list) != 0 {
 		t.Errorf("the removed plan is still listed: %+v", list)
 	}
 }
--- a/internal/rollout/kqtracker/traffic.go
+++ b/internal/rollout/kqtracker/traffic.go
@@ -23,10 +23,10 @@
 const failureStatus = 500
 
 // Split returns the version and the upstreams that a call to a service may go to.
-func (b *Tracker) Split(s kqresource.Service, now time.Time, random kqshare.Random) kqpick.Target {
+func (t *Tracker) Split(s kqresource.Service, now time.Time, random kqshare.Random) kqpick.Target {
 	base := s.Service.Version
-	rolledBackVersions := b.rolledBackVersions(s.Service.Name)
-	for _, ps := range b.planStatesOf(s.Service.Name) {
+	rolledBackVersions := t.rolledBackVersions(s.Service.Name)
+	for _, ps := range t.planStatesOf(s.Service.Name) {
 		ps.mu.Lock()
 		p, from, to := ps.progress, ps.plan.From, ps.plan.To
 		ps.mu.Unlock()
@@ -37,13 +37,13 @@
 			continue
 		}
 		if p.Final == kqprogress.Done {
-			if from != "" || hasUpstream(b.directory.Upstreams(s.Service.Name), to) {
+			if from != "" || hasUpstream(t.directory.Upstreams(s.Service.Name), to) {
 				base = to
 			}
 			continue
 		}
 		if p.MayGetTraffic() {
-			return ps.split(b.directory.Upstreams(s.Service.Name), p.Step, rolledBackVersions).Split(now, random)
+			return ps.split(t.directory.Upstreams(s.Service.Name), p.Step, rolledBackVersions).Split(now, random)
 		}
 		if from == "" {
 			rolledBackVersions = append(rolledBackVersions, to)
@@ -67,17 +67,17 @@
 		k.first = &all[0]
 	}
 	if ps.cachedKey != k {
-		ps.cachedKey, ps.cachedSplit = k, newBurst(kqshare.Share{
+		ps.cachedKey, ps.cachedSplit = k, distributionOf(kqshare.Share{
 			From: ps.plan.From, To: ps.plan.To, Fraction: kqstep.Share(ps.plan, step), Small: step <= kqstep.SmallShareStep, MayGrow: kqstep.MayExceedShare(ps.plan, step), ExcludedVersions: rolledBackVersions,
 		}, all)
 	}
 	return ps.cachedSplit
 }
 
-// newBurst returns the split of calls for a share. A version without upstreams, for example
-// after all of them crashed together, gets no calls: the other version serves until they
-// are back.
-func newBurst(share kqshare.Share, all []kqmember.Candidate) kqshare.Distribution {
+// distributionOf returns the split of calls for a share. A version without upstreams,
+// for example after all of them crashed together, gets no calls: the other version serves
+// until they are back.
+func distributionOf(share kqshare.Share, all []kqmember.Candidate) kqshare.Distribution {
 	old, next := false, false
 	for _, c := range all {
 		old = old || share.IsOld(c.Version)
@@ -95,12 +95,12 @@
 
 // Refuses reports whether the gate must reject calls for a version: it was rolled back,
 // and it is neither the service's version nor in use by another rollout.
-func (b *Tracker) Refuses(name kqname.Service, version kqname.UpstreamVersion) bool {
-	b.mu.RLock()
-	base := b.services[name].version
-	refused := b.services[name].rolledBackVersions[version]
-	b.mu.RUnlock()
-	for _, ps := range b.planStatesOf(name) {
+func (t *Tracker) Refuses(name kqname.Service, version kqname.UpstreamVersion) bool {
+	t.mu.RLock()
+	base := t.services[name].version
+	refused := t.services[name].rolledBackVersions[version]
+	t.mu.RUnlock()
+	for _, ps := range t.planStatesOf(name) {
 		ps.mu.Lock()
 		p, to, from := ps.progress, ps.plan.To, ps.plan.From
 		ps.mu.Unlock()
@@ -117,8 +117,8 @@
 // Observe counts a call that this node's gate sent to its upstream, for every open
 // rollout from or to the call's version. started is when the upstream started, and warm
 // when its cold start ends according to the upstream, or the zero time if it did not say.
-func (b *Tracker) Observe(o kqgate.Observation, started, warm time.Time) {
-	for _, ps := range b.planStatesOf(o.Service) {
+func (t *Tracker) Observe(o kqgate.Observation, started, warm time.Time) {
+	for _, ps := range t.planStatesOf(o.Service) {
 		ps.mu.Lock()
 		open := ps.progress.Open() && !o.Began.Before(ps.plan.Start)
 		old, to, cold := ps.plan.IsOld(o.Version), ps.plan.To, o.Began.Before(ps.plan.WarmAt(started, warm))
@@ -172,19 +172,19 @@
 
 // rolledBackVersions returns the versions of a service whose ordered rollouts were removed
 // without ending as done.
-func (b *Tracker) rolledBackVersions(name kqname.Service) []kqname.UpstreamVersion {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	if len(b.services[name].rolledBackVersions) == 0 {
+func (t *Tracker) rolledBackVersions(name kqname.Service) []kqname.UpstreamVersion {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	if len(t.services[name].rolledBackVersions) == 0 {
 		return nil
 	}
-	return slices.Collect(maps.Keys(b.services[name].rolledBackVersions))
+	return slices.Collect(maps.Keys(t.services[name].rolledBackVersions))
 }
 
-func (b *Tracker) planStatesOf(name kqname.Service) []*planState {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	return b.services[name].planStates
+func (t *Tracker) planStatesOf(name kqname.Service) []*planState {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	return t.services[name].planStates
 }
 
 // isFailure reports whether the upstream failed the call. A caller that disconnects is no
--- a/internal/rollout/kqverdict/baseline.go
+++ b/internal/rollout/kqverdict/baseline.go
@@ -125,7 +125,8 @@
 
 func (r *eventRate) overallRate() float64 { return max(r.events/max(r.calls, 1), minRate) }
 
-// recentRate returns the rate over the last seconds, smoothed by 100 calls at the overall rate.
+// recentRate returns the rate over the last seconds, smoothed by 100 calls at the overall
+// rate.
 func (r *eventRate) recentRate() float64 {
 	const weight = 100
 	return (r.recentEvents + weight*r.overallRate()) / (r.recentCalls + weight)
--- a/internal/rollout/kqverdict/verdict.go
+++ b/internal/rollout/kqverdict/evaluator.go
@@ -62,13 +62,13 @@
 	}
 )
 
-// New returns a judge without evidence.
+// New returns an Evaluator without evidence.
 func New() *Evaluator {
 	return &Evaluator{pooled: newRouteTests(""), cold: newColdTests(), byName: make(map[kqname.Route]*routeTests)}
 }
 
 // Observe adds the calls of both versions in one tick.
-func (j *Evaluator) Observe(s kqevidence.Sample) {
+func (e *Evaluator) Observe(s kqevidence.Sample) {
 	var all kqevidence.Pair
 	var cold kqevidence.Pair
 	for i := range s {
@@ -80,27 +80,27 @@
 		all.Old.Add(&p.Old)
 		all.New.Add(&p.New)
 		all.LogMargin = p.LogMargin
-		j.routeTests(p.Route).observe(p)
+		e.routeTests(p.Route).observe(p)
 	}
-	j.pooled.observe(&all)
+	e.pooled.observe(&all)
 	// All upstreams of the old version may have just started, for example after
 	// they crashed together. Its cold calls are then included in the comparison,
 	// which only makes the new version look better.
 	cold.Old.Add(&all.Old)
-	j.cold.observe(&cold)
-	j.calls += uint64(all.New.Calls)
+	e.cold.observe(&cold)
+	e.calls += uint64(all.New.Calls)
 }
 
 // Finding returns the result of the tests so far.
-func (j *Evaluator) Finding() Finding {
-	f := Finding{Calls: j.calls, InFavor: math.Inf(1)}
-	if len(j.routes) == 0 {
+func (e *Evaluator) Finding() Finding {
+	f := Finding{Calls: e.calls, InFavor: math.Inf(1)}
+	if len(e.routes) == 0 {
 		return f
 	}
 	var total, recent logSum
 	best := math.Inf(-1)
-	for _, r := range j.activeTests() {
-		share := math.Log(j.wealthShare(r) / float64(len(r.tests)))
+	for _, r := range e.activeTests() {
+		share := math.Log(e.wealthShare(r) / float64(len(r.tests)))
 		for _, t := range r.tests {
 			total.add(share + t.total)
 			recent.add(share + t.adjustedRecent())
@@ -109,7 +109,7 @@
 			}
 		}
 	}
-	for _, t := range j.pooled.tests {
+	for _, t := range e.pooled.tests {
 		f.InFavor = min(f.InFavor, -t.total)
 	}
 	f.Total, f.Recent = total.log(), recent.log()
@@ -117,34 +117,34 @@
 }
 
 // wealthShare returns the share of the initial wealth that a route's tests get.
-func (j *Evaluator) wealthShare(r *routeTests) float64 {
+func (e *Evaluator) wealthShare(r *routeTests) float64 {
 	switch {
-	case r == j.cold:
+	case r == e.cold:
 		return coldWealth
-	case len(j.routes) < 2:
+	case len(e.routes) < 2:
 		return 1 - coldWealth
-	case r == j.pooled:
+	case r == e.pooled:
 		return pooledWealth
 	default:
-		return (1 - pooledWealth - coldWealth) / float64(len(j.routes))
+		return (1 - pooledWealth - coldWealth) / float64(len(e.routes))
 	}
 }
 
-func (j *Evaluator) activeTests() []*routeTests {
+func (e *Evaluator) activeTests() []*routeTests {
 	// With a single route the pooled tests cover the same calls, and testing them
 	// twice would only divide the wealth.
-	if len(j.routes) < 2 {
-		return []*routeTests{j.pooled, j.cold}
+	if len(e.routes) < 2 {
+		return []*routeTests{e.pooled, e.cold}
 	}
-	return append([]*routeTests{j.pooled, j.cold}, j.routes...)
+	return append([]*routeTests{e.pooled, e.cold}, e.routes...)
 }
 
-func (j *Evaluator) routeTests(route kqname.Route) *routeTests {
-	r, ok := j.byName[route]
+func (e *Evaluator) routeTests(route kqname.Route) *routeTests {
+	r, ok := e.byName[route]
 	if !ok {
 		r = newRouteTests(route)
-		j.byName[route] = r
-		j.routes = append(j.routes, r)
+		e.byName[route] = r
+		e.routes = append(e.routes, r)
 	}
 	return r
 }
--- a/internal/rollout/kqverdict/route.go
+++ b/internal/rollout/kqverdict/route.go
@@ -17,7 +17,7 @@
 )
 
 // routeTests holds the statistical tests of one route, of all routes together, or of the
-// upstreams that have just started (route kqevidence.Young).
+// upstreams that have just started (route kqevidence.ColdUpstreams).
 type routeTests struct {
 	route    kqname.Route
 	baseline baseline
@@ -37,7 +37,7 @@
 }
 
 // newColdTests returns the test of cold upstreams: those that have just started. Their
-// calls are counted under the pseudo-route kqevidence.Young.
+// calls are counted under the pseudo-route kqevidence.ColdUpstreams.
 func newColdTests() *routeTests {
 	return &routeTests{route: kqevidence.ColdUpstreams, tests: []*sequentialTest{newSlowdownTest("far slower than a cold start", toleratedColdSlowdown, 10)}}
 }
@@ -115,7 +115,8 @@
 	return o
 }
 
-// logMoments are the number of latencies of a cell, and the mean and variance of their logs.
+// logMoments are the number of latencies of a cell, and the mean and variance of their
+// logs.
 type logMoments struct{ calls, mean, variance float64 }
 
 func logMomentsOf(c *kqevidence.Cell) logMoments {
--- a/internal/rollout/kqverdict/sequential.go
+++ b/internal/rollout/kqverdict/sequential.go
@@ -105,11 +105,11 @@
 	}}
 }
 
-// newTailRiseTest tests whether the share of calls over the old version's 99.5th percentile is
-// higher by rise. Where servers differ, a version that is many times slower for only
-// some of its calls, on a fast server, may have the same mean as the old version on a
-// slow one. It shows here, since the percentile includes the old version's calls on slow
-// servers.
+// newTailRiseTest tests whether the share of calls over the old version's 99.5th
+// percentile is higher by rise. Where servers differ, a version that is many times slower
+// for only some of its calls, on a fast server, may have the same mean as the old version
+// on a slow one. It shows here, since the percentile includes the old version's calls on
+// slow servers.
 func newTailRiseTest(metric string, rise float64) *sequentialTest {
 	return &sequentialTest{metric: metric, span: 1, gain: func(o *observation) float64 {
 		return o.slowWithoutMargin.logLikelihoodRatio(
--- a/internal/rollout/kqverdict/slow_server_test.go
+++ b/internal/rollout/kqverdict/slow_server_test.go
@@ -56,13 +56,13 @@
 	oldCount      int
 	next          versionLatency
 	collector     *kqledger.Ledger
-	judge         *kqverdict.Evaluator
+	evaluator     *kqverdict.Evaluator
 }
 
 func newFleet(seed uint64, old, next []float64, v versionLatency) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 1)), serverFactors: append(append([]float64{}, old...), next...),
-		oldCount: len(old), next: v, collector: kqledger.New(kqledger.Source{Node: "collector"}), judge: kqverdict.New(),
+		oldCount: len(old), next: v, collector: kqledger.New(kqledger.Source{Node: "collector"}), evaluator: kqverdict.New(),
 	}
 	for i := range f.serverFactors {
 		f.gates = append(f.gates, kqledger.New(kqledger.Source{Node: kqname.Node(fmt.Sprintf("n%d", i))}))
@@ -89,8 +89,8 @@
 			f.collector.Merge(r)
 		}
 	}
-	f.judge.Observe(f.collector.Take())
-	return f.judge.Finding()
+	f.evaluator.Observe(f.collector.Take())
+	return f.evaluator.Finding()
 }
 
 // runSmallShare simulates the ticks at the small share. It returns the finding on which
@@ -107,12 +107,13 @@
 
 var mixedServers = []float64{1, 1, slowServer, 1, 1, slowServer}
 
-// Guards against the rollback of a good version whose only upstream runs on a slow server,
-// as two of six upstreams of the old version do, where every call takes 2.2 times as long.
-// Compared with all calls of the old version it looked twice as slow, and was rolled back
-// after 33 to 52 calls with apparent certainty. Its upstreams were then stopped although some
-// old ones had left, and half of the service's callers were rejected from then on. Differences
-// between servers, which also exist within the old version, must not count against the new one.
+// Guards against the rollback of a good version whose only upstream runs on a slow
+// server, as two of six upstreams of the old version do, where every call takes 2.2 times
+// as long. Compared with all calls of the old version it looked twice as slow, and was
+// rolled back after 33 to 52 calls with apparent certainty. Its upstreams were then
+// stopped although some old ones had left, and half of the service's callers were
+// rejected from then on. Differences between servers, which also exist within the old
+// version, must not count against the new one.
 func TestGoodVersionOnSlowServerIsKept(t *testing.T) {
 	rollbacks, last := 0, kqverdict.Finding{}
 	for seed := range uint64(runs) {
@@ -126,8 +127,8 @@
 }
 
 // Guards against a far slower version that is mistaken for a slow server: it must be
-// detected on a slow and on a fast server. Its callers would otherwise be slowed down for as
-// long as it has the small share, and more of them at the later steps.
+// detected on a slow and on a fast server. Its callers would otherwise be slowed down for
+// as long as it has the small share, and more of them at the later steps.
 func TestFarSlowerVersionIsDetectedOnAnyServer(t *testing.T) {
 	const maxCalls = 80
 	for name, v := range map[string]versionLatency{"a third of calls 8 times": someSlower(0.36, 8), "all calls 8 times": allSlower(8), "all calls 5 times": allSlower(5)} {
--- a/internal/rollout/kqverdict/unpaired_test.go
+++ b/internal/rollout/kqverdict/unpaired_test.go
@@ -39,17 +39,17 @@
 	for _, failureRate := range []float64{0.4, 0.5, 1} {
 		for seed := range uint64(runs) {
 			random := rand.New(rand.NewPCG(seed, 2))
-			judge := kqverdict.New()
+			evaluator := kqverdict.New()
 			for range 2 * ticksPerSecond {
-				judge.Observe(pair(randomCell(random, callsPerTick, 0.01), kqevidence.Cell{}))
+				evaluator.Observe(pair(randomCell(random, callsPerTick, 0.01), kqevidence.Cell{}))
 			}
 			detected := false
 			for range 3 * ticksPerSecond {
-				judge.Observe(pair(kqevidence.Cell{}, randomCell(random, callsPerTick, failureRate)))
-				detected = detected || kqstep.IsBad(plan, judge.Finding())
+				evaluator.Observe(pair(kqevidence.Cell{}, randomCell(random, callsPerTick, failureRate)))
+				detected = detected || kqstep.IsBad(plan, evaluator.Finding())
 			}
 			if !detected {
-				t.Errorf("failure rate %.0f%%, seed %d: not rolled back, %s", 100*failureRate, seed, kqstep.Describe(judge.Finding()))
+				t.Errorf("failure rate %.0f%%, seed %d: not rolled back, %s", 100*failureRate, seed, kqstep.Describe(evaluator.Finding()))
 			}
 		}
 	}
@@ -61,18 +61,18 @@
 	plan := kqplan.Plan{Duration: 15 * time.Second}
 	for seed := range uint64(runs) {
 		random := rand.New(rand.NewPCG(seed, 3))
-		judge := kqverdict.New()
+		evaluator := kqverdict.New()
 		for range 2 * ticksPerSecond {
-			judge.Observe(pair(randomCell(random, callsPerTick, 0.01), kqevidence.Cell{}))
+			evaluator.Observe(pair(randomCell(random, callsPerTick, 0.01), kqevidence.Cell{}))
 		}
 		for i := range 6 * ticksPerSecond {
 			failureRate := 0.01
 			if i/ticksPerSecond == 2 {
 				failureRate = 0.5
 			}
-			judge.Observe(pair(kqevidence.Cell{}, randomCell(random, callsPerTick, failureRate)))
-			if kqstep.IsBad(plan, judge.Finding()) {
-				t.Fatalf("seed %d: rolled back after %d ticks, %s", seed, i, kqstep.Describe(judge.Finding()))
+			evaluator.Observe(pair(kqevidence.Cell{}, randomCell(random, callsPerTick, failureRate)))
+			if kqstep.IsBad(plan, evaluator.Finding()) {
+				t.Fatalf("seed %d: rolled back after %d ticks, %s", seed, i, kqstep.Describe(evaluator.Finding()))
 			}
 		}
 	}
@@ -88,9 +88,9 @@
 		failureRate float64
 		bad         bool
 	}{{0.5, true}, {0.01, false}, {0.1, false}} {
-		judge := kqverdict.New()
-		judge.Observe(pair(randomCell(random, 300, 0.01), randomCell(random, 200, c.failureRate)))
-		if f := judge.Finding(); kqstep.IsBad(plan, f) != c.bad {
+		evaluator := kqverdict.New()
+		evaluator.Observe(pair(randomCell(random, 300, 0.01), randomCell(random, 200, c.failureRate)))
+		if f := evaluator.Finding(); kqstep.IsBad(plan, f) != c.bad {
 			t.Errorf("%.0f%% of 200 calls failed, and 1%% of 300 of the old version's: %s", 100*c.failureRate, kqstep.Describe(f))
 		}
 	}
@@ -103,13 +103,13 @@
 	random := rand.New(rand.NewPCG(1, 6))
 	worst := kqverdict.Finding{}
 	for range runs {
-		judge := kqverdict.New()
+		evaluator := kqverdict.New()
 		for range 10 {
-			judge.Observe(pair(untimedCell(callsPerTick), untimedCell(1)))
+			evaluator.Observe(pair(untimedCell(callsPerTick), untimedCell(1)))
 		}
 		for range 3 {
-			judge.Observe(pair(randomLatencies(random, callsPerTick), randomLatencies(random, 2)))
-			if f := judge.Finding(); f.Recent > worst.Recent {
+			evaluator.Observe(pair(randomLatencies(random, callsPerTick), randomLatencies(random, 2)))
+			if f := evaluator.Finding(); f.Recent > worst.Recent {
 				worst = f
 			}
 		}
