--- /dev/null
+++ b/internal/call/kqbody/limiter.go
@@ -0,0 +1,249 @@
+package kqbody
+
+import (
+	"math/bits"
+	"sync"
+	"time"
+
+	"github.com/valyala/fasthttp"
+)
+
+const (
+	// maxUncounted is the size, in bytes, up to which bodies are not counted, since the
+	// connection itself takes more.
+	maxUncounted = 4 << 10
+	// maxSmall is the largest size, in bytes, of a small body.
+	maxSmall = 64 << 10
+	// connectionMemory is what an open connection takes beside its body, in bytes:
+	// fasthttp's buffers, the goroutine's stack and the kernel's memory for it.
+	connectionMemory = 32 << 10
+	// smallDivisor and minDivisor: small bodies have 1/smallDivisor of the capacity for
+	// large ones, in addition to it, and may always use 1/minDivisor of their own, however
+	// many connections are open.
+	smallDivisor, minDivisor = 2, 8
+)
+
+const (
+	smallBody class = iota
+	largeBody
+	classes
+)
+
+type (
+	// Limiter divides memory among request bodies. Small and large bodies have separate
+	// capacities, so that small calls need not wait for large ones, and many small
+	// bodies cannot take more than a few large ones may. It is safe for concurrent use.
+	Limiter struct {
+		capacity [classes]int
+		// total limits bodies and connections together, 0 for no limit, and open returns
+		// the number of open connections.
+		total int
+		open  func() int
+
+		mu           sync.Mutex
+		used         [classes]int
+		reservations map[any]reservation
+		// freed is closed and replaced when memory is released.
+		freed chan struct{}
+	}
+
+	// Option configures a Limiter.
+	Option func(*Limiter)
+
+	// class is the capacity that a body counts against, by its size.
+	class int
+
+	// reservation is the memory reserved for one request. Its key is the request's header
+	// or, if that states no length, the connection: the address of either stays the same
+	// from the reading of the request to its end.
+	reservation struct {
+		size int
+		// readDeadline is the latest time at which the request is read whole or abandoned;
+		// zero once it is being served.
+		readDeadline time.Time
+	}
+)
+
+// WithConnections limits bodies and open connections together to total bytes.
+func WithConnections(total int, open func() int) Option {
+	return func(l *Limiter) { l.total, l.open = total, open }
+}
+
+// New returns a Limiter of capacity bytes for large bodies and, in addition, half as many
+// for small ones.
+func New(capacity int, options ...Option) *Limiter {
+	l := &Limiter{
+		capacity: [classes]int{smallBody: capacity / smallDivisor, largeBody: capacity}, open: func() int { return 0 },
+		reservations: make(map[any]reservation), freed: make(chan struct{}),
+	}
+	for _, o := range options {
+		o(l)
+	}
+	return l
+}
+
+// Reserve reserves memory for a request's body and waits at most wait for it. A body
+// larger than the capacity is accepted while no other large one is held, since it would
+// otherwise never be. reading is how long the request may take to be read.
+func (l *Limiter) Reserve(h *fasthttp.RequestHeader, wait, reading time.Duration) bool {
+	size := bodyMemory(h.ContentLength())
+	return size == 0 || l.wait(h, size, reading, wait)
+}
+
+// Grow replaces the connection's reservation by one for the size that its request's body
+// has reached, and waits at most wait for memory. The length of such a body is known only
+// as it arrives; without this limit, callers that state no length could fill the
+// process's memory, and the kernel would kill it with all its calls.
+func (l *Limiter) Grow(connection any, size int, wait time.Duration) bool {
+	size = growingBodyMemory(size)
+	return size == 0 || l.hasReserved(connection, size) || l.wait(connection, size, 0, wait)
+}
+
+// Release releases the memory that a connection's request has reserved with Grow, if any.
+func (l *Limiter) Release(connection any) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.release(connection)
+}
+
+// wait reserves memory, retrying until there is enough or the time is over. With a reading
+// time of 0 the reservation does not expire.
+func (l *Limiter) wait(holder any, size int, reading, wait time.Duration) bool {
+	taken, freed := l.tryReserve(holder, size, reading)
+	if taken || wait <= 0 {
+		return taken
+	}
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	for !taken {
+		select {
+		case <-freed:
+		case <-timer.C:
+			return false
+		}
+		taken, freed = l.tryReserve(holder, size, reading)
+	}
+	return true
+}
+
+func (l *Limiter) hasReserved(holder any, size int) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.reservations[holder].size >= size
+}
+
+// MarkRead marks a request as read: its reservation no longer expires and is held until
+// ReleaseRequest.
+func (l *Limiter) MarkRead(h *fasthttp.RequestHeader) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if s, ok := l.reservations[h]; ok {
+		l.reservations[h] = reservation{size: s.size}
+	}
+}
+
+// ReleaseRequest releases a request's reservation, if it has one.
+func (l *Limiter) ReleaseRequest(h *fasthttp.RequestHeader) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.release(h)
+}
+
+func (l *Limiter) tryReserve(holder any, size int, reading time.Duration) (bool, <-chan struct{}) {
+	now := time.Now()
+	open := l.open()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.fits(holder, size, open) {
+		l.releaseExpired(now)
+		if !l.fits(holder, size, open) {
+			return false, l.freed
+		}
+	}
+	s := reservation{size: size}
+	if reading > 0 {
+		s.readDeadline = now.Add(reading)
+	}
+	if before := l.reservations[holder]; before.size > 0 {
+		l.used[before.class()] -= before.size
+	}
+	l.used[s.class()] += size
+	l.reservations[holder] = s
+	return true, nil
+}
+
+// fits reports whether there is memory for a body of that size in place of the holder's
+// current reservation.
+func (l *Limiter) fits(holder any, size, open int) bool {
+	used := l.used
+	if before := l.reservations[holder]; before.size > 0 {
+		used[before.class()] -= before.size
+	}
+	c := reservation{size: size}.class()
+	alone := c == largeBody && used[largeBody] == 0
+	if used[c]+size > l.capacity[c] && !alone {
+		return false
+	}
+	if l.total == 0 {
+		return true
+	}
+	available := l.total - open*connectionMemory - used[smallBody] - used[largeBody]
+	switch {
+	case size <= available:
+		return true
+	case c == smallBody:
+		return used[c]+size <= l.capacity[c]/minDivisor
+	default:
+		// A body larger than the total is accepted only while connections take little of
+		// it.
+		return alone && size > l.total && open*connectionMemory <= l.total/minDivisor
+	}
+}
+
+// releaseExpired releases the reservations of requests that should have been read by now.
+// fasthttp reports most, but not all, requests that it abandons while reading; those of
+// the others would never be released.
+func (l *Limiter) releaseExpired(now time.Time) {
+	for holder, s := range l.reservations {
+		if !s.readDeadline.IsZero() && now.After(s.readDeadline) {
+			l.release(holder)
+		}
+	}
+}
+
+func (l *Limiter) release(holder any) {
+	s, ok := l.reservations[holder]
+	if !ok {
+		return
+	}
+	delete(l.reservations, holder)
+	l.used[s.class()] -= s.size
+	close(l.freed)
+	l.freed = make(chan struct{})
+}
+
+func (s reservation) class() class {
+	if s.size > maxSmall {
+		return largeBody
+	}
+	return smallBody
+}
+
+// bodyMemory returns the memory that a body takes: fasthttp rounds its buffer up to a power
+// of two.
+func bodyMemory(length int) int {
+	if length <= maxUncounted {
+		return 0
+	}
+	return 1 << bits.Len(uint(length-1))
+}
+
+// growingBodyMemory returns the memory that a body of unknown length takes once size bytes
+// have arrived: fasthttp copies a large one to a buffer of twice the size each time it
+// outgrows the old one.
+func growingBodyMemory(size int) int {
+	if size <= maxSmall {
+		return bodyMemory(size)
+	}
+	return 2 * bodyMemory(size)
+}
--- a/internal/call/kqcall/call.go
+++ b/internal/call/kqcall/call.go
@@ -30,7 +30,8 @@
 	// Overload means that the entry shed the call because the service's gates refused
 	// too many calls before.
 	Overload Reason = "overload"
-	// NotStartedInTime means that the call's deadline passed, or would have passed, before it ran.
+	// NotStartedInTime means that the call's deadline passed, or would have passed,
+	// before it ran.
 	NotStartedInTime Reason = "late"
 	// RolledBack means that the upstream's version was rolled back.
 	RolledBack Reason = "rolled_back"
@@ -89,14 +90,15 @@
 		Running, Waiting, Slots int
 		// Work is how long the upstream's short calls took lately.
 		Work time.Duration
-		// FailureRate is the share of the upstream's last calls that failed, from 0 to 1, as
-		// its gate saw it. It is 0 if the failures may be chance.
+		// FailureRate is the share of the upstream's last calls that failed, from 0 to 1,
+		// as its gate saw it. It is 0 if the failures may be chance.
 		FailureRate float64
-		// Route is the route that Expected and Wait apply to. It is not sent, since the
+		// Route is the route that ExpectedWork and Wait apply to. It is not sent, since the
 		// node that made the call knows it.
 		Route kqname.Route
-		// ExpectedWork is how long the upstream is expected to take for a call of the route,
-		// and Wait is how long such a call would wait for a slot. Each is 0 if unknown.
+		// ExpectedWork is how long the upstream is expected to take for a call of the
+		// route, and Wait is how long such a call would wait for a slot. Each is 0 if
+		// unknown.
 		ExpectedWork, Wait time.Duration
 	}
 
@@ -141,8 +143,8 @@
 		// Cancel ends the call when its caller disconnects; nil if the call cannot be
 		// cancelled.
 		Cancel *Cancel
-		// CheckCaller checks the caller's connection now and cancels the call if it was closed;
-		// nil if the connection cannot be checked.
+		// CheckCaller checks the caller's connection now and cancels the call if it was
+		// closed; nil if the connection cannot be checked.
 		CheckCaller func()
 		// Finish is called once a streamed response has been passed on or cut off; nil
 		// if nothing needs to run then.
--- a/internal/call/kqcall/dialect.go
+++ b/internal/call/kqcall/dialect.go
@@ -14,8 +14,8 @@
 		// Accept reads what a caller's headers say about its call, and removes the
 		// headers that callers must not set.
 		Accept(h *fasthttp.RequestHeader) CallInfo
-		// WriteUpstreamHeaders writes into the request what the upstream needs to know; left is the time
-		// until the deadline.
+		// WriteUpstreamHeaders writes into the request what the upstream needs to know;
+		// left is the time until the deadline.
 		WriteUpstreamHeaders(c *Call, left time.Duration)
 		// IsAnswer reports whether the response is the upstream's answer to this call.
 		IsAnswer(c *Call) bool
--- a/internal/call/kqcall/header.go
+++ b/internal/call/kqcall/header.go
@@ -151,7 +151,8 @@
 	return depth, time.Duration(ms) * time.Millisecond
 }
 
-// WriteUpstreamHeaders replaces the fields meant for the gate by the headers that the upstream gets.
+// WriteUpstreamHeaders replaces the fields meant for the gate by the headers that the
+// upstream gets.
 func (c *Call) WriteUpstreamHeaders(now time.Time) {
 	h := &c.Request.Header
 	h.Del(headerCall)
--- a/internal/call/kqconnection/chunked_body_counter.go
+++ b/internal/call/kqconnection/chunked_body_counter.go
@@ -1,7 +1,7 @@
 package kqconnection
 
-// chunkedBodyCounter counts the data bytes of a chunked body without its framing, since only the
-// data is held in memory: a chunk of one byte takes six on the wire.
+// chunkedBodyCounter counts the data bytes of a chunked body without its framing, since
+// only the data is held in memory: a chunk of one byte takes six on the wire.
 type chunkedBodyCounter struct {
 	state chunkState
 	// size is the part of the current chunk's size that has been parsed, and remaining the
--- a/internal/call/kqconnection/doc.go
+++ b/internal/call/kqconnection/doc.go
@@ -9,5 +9,6 @@
 // and the server can check for another pending request before it closes the connection.
 //
 // Requests behind the current one are read in the meantime, and safe ones are started
-// before it has been answered. fasthttp still gets every request, and its response, in order.
+// before it has been answered. fasthttp still gets every request, and its response, in
+// order.
 package kqconnection
--- a/internal/call/kqconnection/framer.go
+++ b/internal/call/kqconnection/framer.go
@@ -44,8 +44,8 @@
 	unknownLength bool
 }
 
-// consume advances the framing by the beginning of data that belongs to the current request,
-// and returns its length, at least one byte.
+// consume advances the framing by the beginning of data that belongs to the current
+// request, and returns its length, at least one byte.
 func (fr *framer) consume(data []byte) int {
 	if fr.bodyRemaining > 0 {
 		n := min(fr.bodyRemaining, len(data))
--- a/internal/call/kqconnection/listener.go
+++ b/internal/call/kqconnection/listener.go
@@ -14,7 +14,8 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqdisconnect"
 )
 
-// ErrBodyMemoryExhausted is returned when no memory is left for more of a body of unknown length.
+// ErrBodyMemoryExhausted is returned when no memory is left for more of a body of unknown
+// length.
 var ErrBodyMemoryExhausted = errors.New("no memory left for the request body")
 
 type (
@@ -32,8 +33,8 @@
 	// concurrent use.
 	Listener struct {
 		net.Listener
-		// limiter is nil if bodies are not limited; limiterWait is how long a read waits for
-		// memory.
+		// limiter is nil if bodies are not limited; limiterWait is how long a read waits
+		// for memory.
 		limiter     BodyLimiter
 		limiterWait time.Duration
 		// lingering counts closed connections whose remaining input is still being
@@ -42,8 +43,8 @@
 		// pipeliningDisabled is set once no more requests are served before earlier ones
 		// have been answered.
 		pipeliningDisabled atomic.Bool
-		// pipelined is the number of requests that have been started before earlier ones were
-		// answered, and have not become the current request since.
+		// pipelined is the number of requests that have been started before earlier ones
+		// were answered, and have not become the current request since.
 		pipelined atomic.Int64
 
 		mu sync.Mutex
@@ -77,10 +78,11 @@
 	}
 )
 
-// WithBodyLimiter makes bodies of unknown length reserve memory from r as they arrive. A read waits
-// for memory for at most wait, 0 for not at all, and then fails with ErrNoRoom.
-func WithBodyLimiter(r BodyLimiter, wait time.Duration) Option {
-	return func(l *Listener) { l.limiter, l.limiterWait = r, wait }
+// WithBodyLimiter makes bodies of unknown length reserve memory from b as they arrive. A
+// read waits for memory for at most wait, 0 for not at all, and then fails with
+// ErrBodyMemoryExhausted.
+func WithBodyLimiter(b BodyLimiter, wait time.Duration) Option {
+	return func(l *Listener) { l.limiter, l.limiterWait = b, wait }
 }
 
 // New returns a listener over l. Only TCP connections are split into requests; others are
@@ -107,8 +109,8 @@
 	return c, nil
 }
 
-// OpenCount returns the number of open connections. fasthttp's own count is one too low once its
-// listener is closed.
+// OpenCount returns the number of open connections. fasthttp's own count is one too low
+// once its listener is closed.
 func (l *Listener) OpenCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,8 +141,8 @@
 	delete(l.unused, c)
 }
 
-// release removes a closed connection, frees its body's memory and reports whether it was still
-// open.
+// release removes a closed connection, frees its body's memory and reports whether it was
+// still open.
 func (l *Listener) release(c *connection) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -207,8 +209,8 @@
 	return n, nil
 }
 
-// reserveMemory reserves memory for more of a body of unknown length. Input after a refusal is
-// only read to be discarded.
+// reserveMemory reserves memory for more of a body of unknown length. Input after a
+// refusal is only read to be discarded.
 func (c *connection) reserveMemory() bool {
 	if c.listener.limiter == nil || c.memoryRefused {
 		return true
--- a/internal/call/kqconnection/pipeline.go
+++ b/internal/call/kqconnection/pipeline.go
@@ -51,10 +51,10 @@
 	}
 )
 
-// Serve returns a handler that serves a caller's pipelined requests concurrently, by calling
-// next for each, and returns the responses in order. One at a time, each would wait for the
-// one before it:
-// a caller's third request of 200 ms would take 600 ms while upstreams are idle.
+// Serve returns a handler that serves a caller's pipelined requests concurrently, by
+// calling next for each, and returns the responses in order. One at a time, each would
+// wait for the one before it: a caller's third request of 200 ms would take 600 ms while
+// upstreams are idle.
 //
 // Only safe requests without a body are served before earlier ones have been answered. Any
 // other request waits for those before it and delays those behind it. A response closes
@@ -150,10 +150,10 @@
 	}
 }
 
-// takePipelined returns the first pipelined request, which should be the one in ctx, or nil
-// if none has been started. If the two differ, the boundaries between the requests were not found correctly
-// and a caller could get another request's response, so all further requests are served
-// sequentially.
+// takePipelined returns the first pipelined request, which should be the one in ctx, or
+// nil if none has been started. If the two differ, the boundaries between the requests
+// were not found correctly and a caller could get another request's response, so all
+// further requests are served sequentially.
 func (c *connection) takePipelined(ctx *fasthttp.RequestCtx) *pipelined {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,9 +171,9 @@
 	return p
 }
 
-// discardPipelined closes the bodies of the responses that are ready but will not be sent,
-// and marks the other pipelined requests, so that servePipelined closes theirs. The lock must
-// be held.
+// discardPipelined closes the bodies of the responses that are ready but will not be
+// sent, and marks the other pipelined requests, so that servePipelined closes theirs. The
+// lock must be held.
 func (c *connection) discardPipelined() {
 	c.listener.pipelined.Add(-int64(len(c.started)))
 	for _, p := range c.started {
@@ -206,10 +206,10 @@
 	}
 }
 
-// bufferBody buffers a streamed body whole if it has at most maxBufferedBody bytes, else its
-// beginning. If it were not read until the earlier requests have been answered, the call's
-// deadline could pass first: the caller would lose a small response that is already there,
-// and with the connection all responses behind it.
+// bufferBody buffers a streamed body whole if it has at most maxBufferedBody bytes, else
+// its beginning. If it were not read until the earlier requests have been answered, the
+// call's deadline could pass first: the caller would lose a small response that is
+// already there, and with the connection all responses behind it.
 func (p *pipelined) bufferBody() {
 	r := &p.ctx.Response
 	if !r.IsBodyStream() {
--- a/internal/call/kqentry/at_most_once_test.go
+++ b/internal/call/kqentry/at_most_once_test.go
@@ -214,7 +214,7 @@
 
 // Guards against losing orders while a server is taken out of service: its upstream
 // drains, then its node stops. No order may be cut off, lost or run twice, and none may
-// be refused while another server has room for it.
+// be refused while another server has a free slot for it.
 func TestGracefulLeaveCutsNothing(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 3, 4, 3*time.Millisecond)
--- a/internal/call/kqentry/entry.go
+++ b/internal/call/kqentry/entry.go
@@ -69,19 +69,19 @@
 
 	// Entry serves calls. It is safe for concurrent use.
 	Entry struct {
-		self      kqname.Node
-		domain    kqname.Domain
-		config    Configuration
-		directory Directory
-		local     Local
-		splitter  Splitter
-		counter   Counter
-		hangup    *kqdisconnect.Watcher
-		onForged  func()
-		baseline  bool
-		dialect   kqcall.Dialect
-		recorder  Recorder
-		keeper    *kqsupervisor.Supervisor
+		self       kqname.Node
+		domain     kqname.Domain
+		config     Configuration
+		directory  Directory
+		local      Local
+		splitter   Splitter
+		counter    Counter
+		watcher    *kqdisconnect.Watcher
+		onForged   func()
+		baseline   bool
+		dialect    kqcall.Dialect
+		recorder   Recorder
+		supervisor *kqsupervisor.Supervisor
 		// bound is the operators' limit on retries over all nodes, and nodeCount returns
 		// the number of nodes. If nodeCount is nil, only this node's own retry budget
 		// applies.
@@ -115,9 +115,9 @@
 
 	// callState holds what one call needs besides its request, in a single allocation.
 	callState struct {
-		call   kqcall.Call
-		cancel kqcall.Cancel
-		line   kqdisconnect.WatchedCall
+		call    kqcall.Call
+		cancel  kqcall.Cancel
+		watched kqdisconnect.WatchedCall
 		// version and sendAttempts are for the record.
 		version      kqname.ConfigVersion
 		sendAttempts []Try
@@ -156,8 +156,8 @@
 // WithDomain sets the entry's failure domain, whose upstreams it prefers.
 func WithDomain(d kqname.Domain) Option { return func(e *Entry) { e.domain = d } }
 
-// WithHangup sets the watch that detects callers' disconnects.
-func WithHangup(w *kqdisconnect.Watcher) Option { return func(e *Entry) { e.hangup = w } }
+// WithHangup sets the watcher that detects callers' disconnects.
+func WithHangup(w *kqdisconnect.Watcher) Option { return func(e *Entry) { e.watcher = w } }
 
 // WithForged sets a function that runs for each call from outside that carried headers
 // reserved for this project.
@@ -171,9 +171,9 @@
 // headers.
 func WithDialect(d kqcall.Dialect) Option { return func(e *Entry) { e.dialect = d } }
 
-// WithKeeper sets the keeper that recovers panics, so that a panic ends only its own
+// WithKeeper sets the supervisor that recovers panics, so that a panic ends only its own
 // call.
-func WithKeeper(k *kqsupervisor.Supervisor) Option { return func(e *Entry) { e.keeper = k } }
+func WithKeeper(s *kqsupervisor.Supervisor) Option { return func(e *Entry) { e.supervisor = s } }
 
 // WithOrigin sets the service whose upstream runs on this entry's server.
 func WithOrigin(s kqname.Service) Option { return func(e *Entry) { e.origin = s } }
@@ -195,7 +195,7 @@
 func New(self kqname.Node, config Configuration, directory Directory, local Local, options ...Option) *Entry {
 	e := &Entry{
 		self: self, config: config, directory: directory, local: local,
-		splitter: defaultSplitter{}, counter: noopCounter{}, recorder: noopRecorder{}, hangup: kqdisconnect.New(), onForged: func() {}, started: time.Now(), now: time.Now,
+		splitter: defaultSplitter{}, counter: noopCounter{}, recorder: noopRecorder{}, watcher: kqdisconnect.New(), onForged: func() {}, started: time.Now(), now: time.Now,
 		// The random prefix keeps ids unique across nodes and across restarts of a node.
 		idPrefix:         strconv.FormatUint(rand.Uint64(), 36) + "-",
 		returningCallers: newReturningCallers(), nesting: kqnesting.New(),
--- a/internal/call/kqentry/headers_test.go
+++ b/internal/call/kqentry/headers_test.go
@@ -30,7 +30,7 @@
 }
 
 // startHTTPUpstream starts an httpUpstream of the service on a server without a kqupstream
-// fake, and keeps announcing it. It responds with the header HeaderWork of the request,
+// fake, and keeps announcing it. It responds with the header HeaderWorkID of the request,
 // which testFleet.send checks.
 func startHTTPUpstream(t *testing.T, s *kqfleet.Server, service kqname.Service, handler func(w http.ResponseWriter, r *http.Request)) *httpUpstream {
 	t.Helper()
@@ -109,8 +109,9 @@
 		o, err := s.send(http.MethodGet, "warm")
 		return err == nil && o.Reason != kqcall.NoUpstream
 	})
-	// The forged call header holds id, caller, route, service, version, class, flags, remaining
-	// time in microseconds and depth. It lacks the origin and the target that kqcall also writes.
+	// The forged call header holds id, caller, route, service, version, class, flags,
+	// remaining time in microseconds and depth. It lacks the origin and the target that
+	// kqcall also writes.
 	response := exchange(t, s.front.Node.EntryAddress(), "POST /a HTTP/1.1\r\nHost: store\r\nContent-Length: 0\r\n"+
 		"kQ-cAlL: x;someone;store;store;v9;critical;i;r;99000000;0\r\nKq-Depth: 7\r\nkq-version: v9\r\nKq-Anything: 1\r\n\r\n")
 	if response.StatusCode != http.StatusOK || response.Header.Get(kqcall.HeaderResult) != string(kqcall.Answered) ||
--- a/internal/call/kqentry/refusal_test.go
+++ b/internal/call/kqentry/refusal_test.go
@@ -149,7 +149,7 @@
 		}
 	}
 	if refused > 30 {
-		t.Errorf("%d of 300 calls were refused although a gate had room", refused)
+		t.Errorf("%d of 300 calls were refused although a gate had free slots", refused)
 	}
 }
 
--- a/internal/call/kqentry/returning_callers.go
+++ b/internal/call/kqentry/returning_callers.go
@@ -27,7 +27,7 @@
 	}
 )
 
-// newReturningCallers returns an empty memory.
+// newReturningCallers returns a returningCallers without calls.
 func newReturningCallers() returningCallers {
 	var r returningCallers
 	for i := range r.shards {
@@ -50,7 +50,7 @@
 	f.firstTry = s.returningCallers.FirstAttempt(f.callKey, now)
 }
 
-// ended remembers a call without a good answer until its caller's deadline, so that a
+// ended remembers a call without a successful answer until its caller's deadline, so that a
 // retry is recognized. Calls whose callers do not say how long they wait are not
 // remembered.
 func (r *returningCallers) ended(f *callState, o kqcall.Outcome) {
--- a/internal/call/kqentry/serve.go
+++ b/internal/call/kqentry/serve.go
@@ -38,8 +38,8 @@
 // to close the connection.
 func (e *Entry) Drain() { e.draining.Store(true) }
 
-// SinceLastCall returns the time since the last call arrived, or since the entry was created if
-// none has.
+// SinceLastCall returns the time since the last call arrived, or since the entry was
+// created if none has.
 func (e *Entry) SinceLastCall(now time.Time) time.Duration {
 	return now.Sub(e.started) - time.Duration(e.lastArrival.Load())
 }
@@ -54,8 +54,8 @@
 // Close closes the idle connections to other nodes' gates.
 func (e *Entry) Close() { e.gateClients.close() }
 
-// CloseIdleTo closes the idle connections to the gate of a node that is stopping, since that
-// node waits until they are closed.
+// CloseIdleTo closes the idle connections to the gate of a node that is stopping, since
+// that node waits until they are closed.
 func (e *Entry) CloseIdleTo(gate kqname.Address) {
 	if found, ok := e.gateClients.find(gate); ok {
 		found.Close()
@@ -81,7 +81,7 @@
 		Cancel: &f.cancel, Request: &ctx.Request, Response: &ctx.Response,
 	}
 	c := &f.call
-	c.CheckCaller = f.line.CheckCaller
+	c.CheckCaller = f.watched.CheckCaller
 	if c.ID == "" {
 		c.ID = e.newID(sequence)
 	}
@@ -92,12 +92,12 @@
 		c.Caller, c.Depth, c.Repeat = parent.Caller, parent.Depth+1, parent.Repeat
 	}
 	e.returningCallers.started(f, now)
-	e.hangup.Track(&f.line, sequence, ctx.Conn(), &f.cancel, now)
+	e.watcher.Track(&f.watched, sequence, ctx.Conn(), &f.cancel, now)
 	var o kqcall.Outcome
-	if !e.keeper.RunRecovered(component, func() { o = e.handle(f, now) }) {
+	if !e.supervisor.RunRecovered(component, func() { o = e.handle(f, now) }) {
 		o = f.panicOutcome()
 	}
-	e.hangup.Untrack(&f.line)
+	e.watcher.Untrack(&f.watched)
 	if o.Result == kqcall.NotRun {
 		f.extendRetryAfter(&o, e.now())
 	}
@@ -107,7 +107,7 @@
 		e.nesting.MarkStarved(info.ParentID)
 	}
 	c.Answer(o)
-	e.keeper.RunRecovered("record", func() {
+	e.supervisor.RunRecovered("record", func() {
 		e.recorder.Ended(Record{Call: c, Outcome: o, Status: ctx.Response.StatusCode(), Version: f.version, Tries: f.sendAttempts}, e.now())
 	})
 	// Callers of a dialect retry a refused call on a new connection. The old one would
@@ -184,7 +184,7 @@
 		var load kqcall.Load
 		var hasLoad bool
 		f.sent, c.Repeat = true, repeat || sends > 0
-		if !e.keeper.RunRecovered(component, func() { last, load, hasLoad = e.send(c, gate) }) {
+		if !e.supervisor.RunRecovered(component, func() { last, load, hasLoad = e.send(c, gate) }) {
 			last = kqcall.UnknownOutcome(kqcall.Panicked)
 		}
 		f.sent = mayHaveRun > 0 || last.Result != kqcall.NotRun
--- a/internal/call/kqentry/service.go
+++ b/internal/call/kqentry/service.go
@@ -148,8 +148,8 @@
 }
 
 // spendAllowance reports whether the operators' limit permits another attempt, and
-// charges it. A call that only a gate refused has not reached an upstream: it is not charged,
-// and is retried only if that upstream takes no calls at all.
+// charges it. A call that only a gate refused has not reached an upstream: it is not
+// charged, and is retried only if that upstream takes no calls at all.
 func (s *service) spendAllowance(c *kqcall.Call, o kqcall.Outcome) bool {
 	switch {
 	case o.Result == kqcall.NotRun && !reachedUpstream(o):
@@ -186,9 +186,9 @@
 	return status >= failureStatus && status != fasthttp.StatusGatewayTimeout
 }
 
-// recordRefusal counts a call that no gate had room for, once however many gates refused
-// it. If it counted once for each gate, one second at capacity would make the entry shed
-// most calls for many seconds after the gates have room again.
+// recordRefusal counts a call that no gate had a free slot for, once however many gates
+// refused it. If it counted once for each gate, one second at capacity would make the
+// entry shed most calls for many seconds after the gates have free slots again.
 func (s *service) recordRefusal(c *kqcall.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/call/kqgate/gate.go
+++ b/internal/call/kqgate/gate.go
@@ -68,20 +68,20 @@
 
 	// Gate admits calls to local upstreams. It is safe for concurrent use.
 	Gate struct {
-		local    Finder
-		withdraw Withdrawer
-		observer Observer
-		guard    Guard
-		counter  Counter
-		queue    func(slots int, address kqname.Address) queue
-		hangup   *kqdisconnect.Watcher
-		now      func() time.Time
-		dialect  kqcall.Dialect
-		recorder Recorder
-		keeper   *kqsupervisor.Supervisor
-		nesting  *kqnesting.Calls
-		sequence atomic.Uint64
-		draining atomic.Bool
+		local      Finder
+		withdraw   Withdrawer
+		observer   Observer
+		guard      Guard
+		counter    Counter
+		queue      func(slots int, address kqname.Address) queue
+		watcher    *kqdisconnect.Watcher
+		now        func() time.Time
+		dialect    kqcall.Dialect
+		recorder   Recorder
+		supervisor *kqsupervisor.Supervisor
+		nesting    *kqnesting.Calls
+		sequence   atomic.Uint64
+		draining   atomic.Bool
 
 		mu        sync.Mutex
 		upstreams map[upstreamKey]*upstream
@@ -156,9 +156,9 @@
 // WithDialect sets the dialect that upstreams use instead of this project's headers.
 func WithDialect(d kqcall.Dialect) Option { return func(g *Gate) { g.dialect = d } }
 
-// WithKeeper sets the keeper that recovers panics, so that a panic ends only its own
+// WithKeeper sets the supervisor that recovers panics, so that a panic ends only its own
 // call.
-func WithKeeper(k *kqsupervisor.Supervisor) Option { return func(g *Gate) { g.keeper = k } }
+func WithKeeper(s *kqsupervisor.Supervisor) Option { return func(g *Gate) { g.supervisor = s } }
 
 // WithNesting records running calls in c, so that calls made on their behalf are
 // recognized.
@@ -179,13 +179,13 @@
 	return func(g *Gate) { g.queue = func(slots int, _ kqname.Address) queue { return kqfifo.New(slots) } }
 }
 
-// WithHangup sets the watch that detects callers' disconnects.
-func WithHangup(w *kqdisconnect.Watcher) Option { return func(g *Gate) { g.hangup = w } }
+// WithHangup sets the watcher that detects callers' disconnects.
+func WithHangup(w *kqdisconnect.Watcher) Option { return func(g *Gate) { g.watcher = w } }
 
 // New returns a gate to the upstreams that local finds.
 func New(local Finder, options ...Option) *Gate {
 	g := &Gate{
-		local: local, withdraw: noop{}, observer: noop{}, guard: noop{}, counter: noop{}, recorder: noopRecorder{}, now: time.Now, hangup: kqdisconnect.New(),
+		local: local, withdraw: noop{}, observer: noop{}, guard: noop{}, counter: noop{}, recorder: noopRecorder{}, now: time.Now, watcher: kqdisconnect.New(),
 		upstreams: make(map[upstreamKey]*upstream), nesting: kqnesting.New(),
 		queue: func(slots int, address kqname.Address) queue {
 			return kqslots.New(slots, saltOf(address))
@@ -207,11 +207,11 @@
 		return
 	}
 	var cancel kqcall.Cancel
-	var line kqdisconnect.WatchedCall
-	c.Cancel, c.Dialect, c.CheckCaller = &cancel, g.dialect, line.CheckCaller
-	g.hangup.Track(&line, g.sequence.Add(1), ctx.Conn(), &cancel, now)
+	var watched kqdisconnect.WatchedCall
+	c.Cancel, c.Dialect, c.CheckCaller = &cancel, g.dialect, watched.CheckCaller
+	g.watcher.Track(&watched, g.sequence.Add(1), ctx.Conn(), &cancel, now)
 	o, load := g.handle(c, now)
-	g.hangup.Untrack(&line)
+	g.watcher.Untrack(&watched)
 	g.counter.GateCallEnded(o)
 	c.Answer(o)
 	c.WriteStarved()
@@ -271,13 +271,13 @@
 // handle forwards the call and records it.
 func (g *Gate) handle(c *kqcall.Call, now time.Time) (kqcall.Outcome, kqcall.Load) {
 	r := Record{Call: c}
-	if !g.keeper.RunRecovered(component, func() { r.Outcome, r.Load = g.forward(c, &r, now) }) {
+	if !g.supervisor.RunRecovered(component, func() { r.Outcome, r.Load = g.forward(c, &r, now) }) {
 		// A response that the panic left incomplete must not reach the caller.
 		c.Response.Reset()
 		r.Outcome = kqcall.UnknownOutcome(kqcall.Panicked)
 	}
 	r.Status = upstreamStatus(c, r.Outcome)
-	g.keeper.RunRecovered("record", func() { g.recorder.GateCallEnded(r, g.now()) })
+	g.supervisor.RunRecovered("record", func() { g.recorder.GateCallEnded(r, g.now()) })
 	return r.Outcome, r.Load
 }
 
--- a/internal/call/kqlocal/upstreams.go
+++ b/internal/call/kqlocal/upstreams.go
@@ -55,7 +55,7 @@
 		// Cold is for how much longer the upstream is slow after its start.
 		Cold time.Duration `json:"cold,omitempty"`
 		// Gone means that the upstream takes no more work at all. Only Instance and, if
-		// known, Born are set with it.
+		// known, StartedMS are set with it.
 		Gone bool `json:"gone,omitempty"`
 	}
 
--- a/internal/call/kqsend/client.go
+++ b/internal/call/kqsend/client.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// DefaultIdleTimeout is how long an idle connection is kept. Servers keep theirs for longer, so
-	// that the client closes first: a connection that the server closes may already carry a
-	// new request.
+	// DefaultIdleTimeout is how long an idle connection is kept. Servers keep theirs for
+	// longer, so that the client closes first: a connection that the server closes may
+	// already carry a new request.
 	DefaultIdleTimeout = 2 * time.Second
 
 	defaultMaxConnections = 512
@@ -103,11 +103,12 @@
 // could not tell whether it ran.
 func WithSilenceTimeout() Option { return func(c *Client) { c.variesSilenceTimeout = true } }
 
-// WithResponseMatcher sets the function that reports whether a response belongs to the call that was
-// sent, for peers that do not use this mesh's headers.
+// WithResponseMatcher sets the function that reports whether a response belongs to the
+// call that was sent, for peers that do not use this mesh's headers.
 func WithResponseMatcher(f func(*kqcall.Call) bool) Option { return func(c *Client) { c.matches = f } }
 
-// WithIdleTimeout sets how long an idle connection is kept, in place of IdleFor.
+// WithIdleTimeout sets how long an idle connection is kept, in place of
+// DefaultIdleTimeout.
 func WithIdleTimeout(d time.Duration) Option { return func(c *Client) { c.idleTimeout = d } }
 
 // New returns a client that sends to the target.
--- a/internal/call/kqsend/keepalive_test.go
+++ b/internal/call/kqsend/keepalive_test.go
@@ -12,8 +12,8 @@
 
 // Guards against calls that race with the upstream's close of an idle connection, so that
 // their outcome is unknown: an upstream states a short Keep-Alive timeout, and the client
-// keeps the connection for its own, longer idle timeout. Probing the connection just before the call
-// does not help, since it is still open then.
+// keeps the connection for its own, longer idle timeout. Probing the connection just
+// before the call does not help, since it is still open then.
 func TestKeepAliveTimeoutOfUpstreamIsHonored(t *testing.T) {
 	for _, c := range []struct {
 		name, header string
