--- a/internal/config/kqcommit/collect.go
+++ b/internal/config/kqcommit/collect.go
@@ -29,7 +29,7 @@
 		Kept int `json:"kept"`
 	}
 
-	// collection is the state of one run of Collect. Objects in live are in
+	// collection is the state of one run of CollectGarbage. Objects in live are in
 	// use; candidates maps the objects to delete to their revisions.
 	collection struct {
 		committer           *Committer
@@ -47,9 +47,9 @@
 	}
 )
 
-// CollectGarbage is the garbage collection. It deletes objects that are referenced
-// neither by the current root, nor by a root replaced after cutoff, nor by an
-// intent written after cutoff. It returns kqstore.ErrConflict if a commit
+// CollectGarbage deletes objects that are referenced neither by the current root, nor by
+// a root replaced after cutoff, nor by an intent written after cutoff. It returns
+// kqstore.ErrConflict if a commit
 // interfered, with nothing deleted unless that was after the deletions had begun;
 // it can then be called again.
 //
@@ -87,19 +87,19 @@
 	c.markLive(c.root.Digests())
 	replaced := c.root.At
 	for v := c.root.Version; v > 1; v-- {
-		p, err := c.committer.historyRecord(ctx, v-1)
+		h, err := c.committer.historyRecord(ctx, v-1)
 		if err != nil {
 			return err
 		}
-		if p.Trimmed {
+		if h.Trimmed {
 			return nil
 		}
 		if replaced.Before(c.cutoff) {
-			c.expiredRoots = append(c.expiredRoots, p)
+			c.expiredRoots = append(c.expiredRoots, h)
 		} else {
-			c.markLive(p.Root.Digests())
+			c.markLive(h.Root.Digests())
 		}
-		replaced = p.Root.At
+		replaced = h.Root.At
 	}
 	return nil
 }
@@ -122,8 +122,8 @@
 		c.expiredIntents = append(c.expiredIntents, id)
 		c.addCandidates(i.Objects)
 	}
-	for _, p := range c.expiredRoots {
-		c.addCandidates(p.Root.Digests())
+	for _, h := range c.expiredRoots {
+		c.addCandidates(h.Root.Digests())
 	}
 	return nil
 }
@@ -160,7 +160,7 @@
 }
 
 // fenceCommits makes commits in flight fail or write their objects again; see
-// Collect.
+// CollectGarbage.
 func (c *collection) fenceCommits(ctx context.Context) error {
 	if len(c.expiredIntents) == 0 && len(c.expiredRoots) == 0 {
 		return nil
@@ -207,15 +207,15 @@
 // trimmed root.
 func (c *collection) trimRoots(ctx context.Context) error {
 	for i := len(c.expiredRoots) - 1; i >= 0; i-- {
-		p := c.expiredRoots[i]
-		p.Trimmed = true
-		p.Root.Hosts, p.Root.Services, p.Root.Ownership = nil, nil, kqresource.Digest{}
-		data, err := kqresource.Encode(p)
+		h := c.expiredRoots[i]
+		h.Trimmed = true
+		h.Root.Hosts, h.Root.Services, h.Root.Ownership = nil, nil, kqresource.Digest{}
+		data, err := kqresource.Encode(h)
 		if err != nil {
 			return err
 		}
-		if _, err := c.committer.store.Put(ctx, HistoryKey(p.Root.Version), data, kqstore.NoLease); err != nil {
-			return fmt.Errorf("trim version %d: %w", p.Root.Version, err)
+		if _, err := c.committer.store.Put(ctx, HistoryKey(h.Root.Version), data, kqstore.NoLease); err != nil {
+			return fmt.Errorf("trim version %d: %w", h.Root.Version, err)
 		}
 		c.stats.Roots++
 	}
--- a/internal/config/kqcommit/collect_test.go
+++ b/internal/config/kqcommit/collect_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("history %+v, %v", history, err)
 	}
 	if o, err := committer(platform).ResolveOutcome(t.Context(), "first"); err != nil || o.Status != kqcommit.Committed {
-		t.Errorf("settle after collection: %+v, %v", o, err)
+		t.Errorf("outcome after collection: %+v, %v", o, err)
 	}
 }
 
--- a/internal/config/kqcommit/commit.go
+++ b/internal/config/kqcommit/commit.go
@@ -24,7 +24,7 @@
 	// effect; Outcome.Difference holds the changes since the base.
 	Conflict Status = "conflict"
 	// Unknown means that responses were lost and the result could not be
-	// determined; call Settle, or repeat the commit with the same ID.
+	// determined; call ResolveOutcome, or repeat the commit with the same ID.
 	Unknown Status = "unknown"
 
 	objectPrefix = "kumquatgw/object/"
@@ -121,9 +121,9 @@
 // ObjectKey returns the store key of an object.
 func ObjectKey(d kqresource.Digest) string { return objectPrefix + d.String() }
 
-// Commit validates the document and makes it the current version. An error
-// (ErrInvalid, ErrRequest, ErrReused or one of kqstore's) means that this call
-// has committed nothing; otherwise the outcome is final or Unknown.
+// Commit validates the document and makes it the current version. An error (ErrInvalid,
+// ErrInvalidRequest, ErrRequestIDReused or one of kqstore's) means that this call has
+// committed nothing; otherwise the outcome is final or Unknown.
 func (c *Committer) Commit(ctx context.Context, q Request) (Outcome, error) {
 	if err := q.check(); err != nil {
 		return Outcome{RequestID: q.ID}, err
--- a/internal/config/kqcommit/commit_test.go
+++ b/internal/config/kqcommit/commit_test.go
@@ -107,9 +107,9 @@
 }
 
 // The response to the root swap is lost and the platform stays down, so the
-// outcome is unknown. After two later commits by others, Settle and a repeated
+// outcome is unknown. After two later commits by others, ResolveOutcome and a repeated
 // commit must still report the change as committed, with its own version.
-func TestUnknownOutcomeIsSettledAfterLaterCommits(t *testing.T) {
+func TestUnknownOutcomeIsResolvedAfterLaterCommits(t *testing.T) {
 	platform := kqfakestore.New()
 	mustCommit(t, platform, request("first", 0, document("store")))
 	down := false
@@ -134,15 +134,15 @@
 	mustCommit(t, platform, request("other-1", 2, document("store")))
 	mustCommit(t, platform, request("other-2", 3, document("yard")))
 	for name, ask := range map[string]func() (kqcommit.Outcome, error){
-		"settle": func() (kqcommit.Outcome, error) { return committer(platform).ResolveOutcome(t.Context(), "mine") },
-		"commit": func() (kqcommit.Outcome, error) { return committer(platform).Commit(t.Context(), q) },
+		"resolve": func() (kqcommit.Outcome, error) { return committer(platform).ResolveOutcome(t.Context(), "mine") },
+		"commit":  func() (kqcommit.Outcome, error) { return committer(platform).Commit(t.Context(), q) },
 	} {
 		if o, err := ask(); err != nil || o.Status != kqcommit.Committed || o.Version != 2 {
 			t.Errorf("%s: %+v, %v, want committed as 2", name, o, err)
 		}
 	}
 	if _, err := committer(platform).ResolveOutcome(t.Context(), "nobody"); !errors.Is(err, kqcommit.ErrUnknownRequest) {
-		t.Errorf("settle of an unused ID: %v, want ErrNotBegun", err)
+		t.Errorf("outcome of an unused ID: %v, want ErrUnknownRequest", err)
 	}
 }
 
@@ -164,7 +164,7 @@
 	mustCommit(t, platform, request("first", 0, document("store")))
 	for _, base := range []kqname.ConfigVersion{0, 1} {
 		if _, err := committer(platform).Commit(t.Context(), request("first", base, document("yard"))); !errors.Is(err, kqcommit.ErrRequestIDReused) {
-			t.Errorf("base %d: %v, want ErrReused", base, err)
+			t.Errorf("base %d: %v, want ErrRequestIDReused", base, err)
 		}
 	}
 }
--- a/internal/config/kqcommit/history.go
+++ b/internal/config/kqcommit/history.go
@@ -81,8 +81,8 @@
 }
 
 // History returns up to limit versions, from the current one backwards. If a
-// record does not match the parent digest in its successor, it returns ErrChain
-// and the newer records.
+// record does not match the parent digest in its successor, it returns
+// ErrHistoryMismatch and the newer records.
 func (c *Committer) History(ctx context.Context, limit int) ([]HistoryRecord, error) {
 	root, _, err := c.Root(ctx)
 	if err != nil || root.Version == 0 {
@@ -98,14 +98,14 @@
 		if last.Version <= 1 {
 			break
 		}
-		p, err := c.historyRecord(ctx, last.Version-1)
+		h, err := c.historyRecord(ctx, last.Version-1)
 		if err != nil {
 			return list, err
 		}
-		if p.Digest != last.Parent {
-			return list, fmt.Errorf("version %d: %w", p.Root.Version, ErrHistoryMismatch)
+		if h.Digest != last.Parent {
+			return list, fmt.Errorf("version %d: %w", h.Root.Version, ErrHistoryMismatch)
 		}
-		list = append(list, p)
+		list = append(list, h)
 	}
 	return list, nil
 }
@@ -140,28 +140,28 @@
 
 // historyRecord reads the history record of a version and verifies it.
 func (c *Committer) historyRecord(ctx context.Context, v kqname.ConfigVersion) (HistoryRecord, error) {
-	var p HistoryRecord
-	if _, err := c.readValue(ctx, HistoryKey(v), &p); err != nil {
+	var h HistoryRecord
+	if _, err := c.readValue(ctx, HistoryKey(v), &h); err != nil {
 		return HistoryRecord{}, fmt.Errorf("read version %d: %w", v, err)
 	}
-	whole, err := newHistoryRecord(p.Root)
+	whole, err := newHistoryRecord(h.Root)
 	if err != nil {
 		return HistoryRecord{}, fmt.Errorf("read version %d: %w", v, err)
 	}
-	if p.Root.Version != v || !p.Trimmed && whole.Digest != p.Digest {
+	if h.Root.Version != v || !h.Trimmed && whole.Digest != h.Digest {
 		return HistoryRecord{}, fmt.Errorf("read version %d: %w", v, ErrHistoryMismatch)
 	}
-	return p, nil
+	return h, nil
 }
 
 // writeHistory writes the history record of a root. Each commit does so before
 // it replaces the root, so that every version but the current one has a record.
 func (c *Committer) writeHistory(ctx context.Context, root kqresource.Root) error {
-	p, err := newHistoryRecord(root)
+	h, err := newHistoryRecord(root)
 	if err != nil {
 		return fmt.Errorf("write history: %w", err)
 	}
-	data, err := kqresource.Encode(p)
+	data, err := kqresource.Encode(h)
 	if err != nil {
 		return fmt.Errorf("write history: %w", err)
 	}
--- a/internal/config/kqcommit/race_test.go
+++ b/internal/config/kqcommit/race_test.go
@@ -128,8 +128,8 @@
 		t.Fatal(err)
 	}
 	times := make(map[string]int)
-	for _, p := range history {
-		times[p.Root.RequestID]++
+	for _, h := range history {
+		times[h.Root.RequestID]++
 	}
 	for i, o := range outcomes {
 		n := times[fmt.Sprintf("op-%d", i)]
--- a/internal/config/kqcommit/settle.go
+++ b/internal/config/kqcommit/settle.go
@@ -31,8 +31,8 @@
 			return Outcome{}, fmt.Errorf("swap root: %w", err)
 		}
 		responseLost = responseLost || !errors.Is(err, kqstore.ErrConflict)
-		o, settled, err := c.resolveSwap(ctx, a)
-		if settled || err != nil {
+		o, resolved, err := c.resolveSwap(ctx, a)
+		if resolved || err != nil {
 			return o, err
 		}
 	}
@@ -67,7 +67,7 @@
 }
 
 // ResolveOutcome returns the outcome of an earlier commit whose response was lost. It
-// returns ErrNotBegun for an ID that has not been used, and kqstore's errors if
+// returns ErrUnknownRequest for an ID that has not been used, and kqstore's errors if
 // the platform is unavailable; the call can then be retried.
 func (c *Committer) ResolveOutcome(ctx context.Context, id string) (Outcome, error) {
 	known, _, err := c.readIntent(ctx, id)
--- a/internal/config/kqdelta/delta.go
+++ b/internal/config/kqdelta/delta.go
@@ -34,8 +34,9 @@
 }
 
 // Apply returns the newer root and its encoding. digest is that of old. Apply returns
-// ErrWrongBase if the delta was computed from another root, and kqresource.ErrDigest if
-// the result does not have the digest Result, so that no node can hold a mixture of roots.
+// ErrWrongBase if the delta was computed from another root, and
+// kqresource.ErrDigestMismatch if the result does not have the digest Result, so that no
+// node can hold a mixture of roots.
 func (d Delta) Apply(old kqresource.Root, digest kqresource.Digest) (kqresource.Root, []byte, error) {
 	if digest != d.Base {
 		return kqresource.Root{}, nil, fmt.Errorf("apply delta to version %d: %w", d.Changed.Version, ErrWrongBase)
--- a/internal/config/kqdistribute/distribute.go
+++ b/internal/config/kqdistribute/distribute.go
@@ -40,7 +40,7 @@
 		Neighbours() []kqmember.Member
 	}
 
-	// Budget limits bulk transfers. Allow returns how long one must wait, 0 if it
+	// Budget limits bulk transfers. Delay returns how long one must wait, 0 if it
 	// may be sent now.
 	Budget interface {
 		Delay(now time.Time) time.Duration
@@ -104,9 +104,9 @@
 // Run pulls and applies versions until ctx ends.
 func (d *Distributor) Run(ctx context.Context) {
 	defer d.group.Wait()
-	keeper := kqsupervisor.From(ctx)
-	d.group.Go(func() { keeper.RunWithRestart(ctx, "pull", func() { d.pullLoop(ctx) }) })
-	keeper.RunWithRestart(ctx, "apply", func() { d.applyLoop(ctx) })
+	supervisor := kqsupervisor.From(ctx)
+	d.group.Go(func() { supervisor.RunWithRestart(ctx, "pull", func() { d.pullLoop(ctx) }) })
+	supervisor.RunWithRestart(ctx, "apply", func() { d.applyLoop(ctx) })
 }
 
 // Newest returns the highest version whose root this node holds.
--- a/internal/config/kqfetch/fetch.go
+++ b/internal/config/kqfetch/fetch.go
@@ -79,7 +79,7 @@
 		BuiltObjects(wanted []kqresource.Digest) kqresource.Objects
 	}
 
-	// Budget limits bulk transfers. Allow returns how long one must wait, 0 if it
+	// Budget limits bulk transfers. Delay returns how long one must wait, 0 if it
 	// may be sent now.
 	Budget interface {
 		Delay(now time.Time) time.Duration
@@ -147,14 +147,14 @@
 }
 
 // UseBuilder declares that the platform returns all objects of a version in one call, so
-// that objects which no peer has are not read one by one. Objects that m returns are
+// that objects which no peer has are not read one by one. Objects that b returns are
 // neither fetched nor counted against the platform's rate: a node that reads
 // versions for others would otherwise spend its rate on objects which it has, and
 // stay on an old version for seconds while it serves newer ones.
-func (f *Fetcher) UseBuilder(m ObjectBuilder) { f.builder = m }
+func (f *Fetcher) UseBuilder(b ObjectBuilder) { f.builder = b }
 
 // ServeFrom sets the local configuration that is served to peers.
-func (f *Fetcher) ServeFrom(h LocalConfig) { f.local = h }
+func (f *Fetcher) ServeFrom(l LocalConfig) { f.local = l }
 
 // Fetch returns all wanted objects, or those found and an error.
 func (f *Fetcher) Fetch(ctx context.Context, wanted []kqresource.Digest) (kqresource.Objects, error) {
--- a/internal/config/kqfetch/shared_read_test.go
+++ b/internal/config/kqfetch/shared_read_test.go
@@ -16,7 +16,7 @@
 )
 
 // countingPlatform returns all objects in one call and counts the calls. It also
-// serves as the Maker, which has built the objects once they were returned.
+// serves as the ObjectBuilder, which has built the objects once they were returned.
 type countingPlatform struct {
 	objects kqresource.Objects
 	calls   atomic.Int64
--- a/internal/config/kqfollower/follower.go
+++ b/internal/config/kqfollower/follower.go
@@ -121,18 +121,18 @@
 
 // start starts a run of the watcher.
 func (f *Follower) start(ctx context.Context, group *conc.WaitGroup) *run {
-	keeper := kqsupervisor.From(ctx)
+	supervisor := kqsupervisor.From(ctx)
 	runCtx, stop := context.WithCancel(ctx)
-	group.Go(func() { keeper.RunWithRestart(runCtx, "hold", func() { f.onFollow(runCtx, true) }) })
-	group.Go(func() { keeper.RunWithRestart(runCtx, "watch", func() { f.watcher.Run(runCtx) }) })
+	group.Go(func() { supervisor.RunWithRestart(runCtx, "hold", func() { f.onFollow(runCtx, true) }) })
+	group.Go(func() { supervisor.RunWithRestart(runCtx, "watch", func() { f.watcher.Run(runCtx) }) })
 	return &run{stop: stop}
 }
 
-// compareFollowers orders nodes by their suitability to follow: the faster link first, then
-// the larger share of cores, then the lower hash of the name. A follower reads the whole document for each version: some 220 KB for
-// 800 routes, which takes a fifth of a second on a link of 10 Mbit/s that also carries
-// callers' traffic. A follower that cannot keep up keeps its whole domain on old
-// versions.
+// compareFollowers orders nodes by their suitability to follow: the faster link first,
+// then the larger share of cores, then the lower hash of the name. A follower reads the
+// whole document for each version: some 220 KB for 800 routes, which takes a fifth of a
+// second on a link of 10 Mbit/s that also carries callers' traffic. A follower that
+// cannot keep up keeps its whole domain on old versions.
 func compareFollowers(a, b kqmember.Member) int {
 	return cmp.Or(
 		cmp.Compare(b.LinkMbits, a.LinkMbits),
--- a/internal/config/kqorigin/origin.go
+++ b/internal/config/kqorigin/origin.go
@@ -85,9 +85,9 @@
 // Run follows the keys until ctx ends.
 func (o *Origin) Run(ctx context.Context) {
 	var group conc.WaitGroup
-	keeper := kqsupervisor.From(ctx)
-	group.Go(func() { keeper.RunWithRestart(ctx, "watch", func() { o.watchLoop(ctx) }) })
-	group.Go(func() { keeper.RunWithRestart(ctx, "poll", func() { o.pollLoop(ctx) }) })
+	supervisor := kqsupervisor.From(ctx)
+	group.Go(func() { supervisor.RunWithRestart(ctx, "watch", func() { o.watchLoop(ctx) }) })
+	group.Go(func() { supervisor.RunWithRestart(ctx, "poll", func() { o.pollLoop(ctx) }) })
 	group.Wait()
 }
 
@@ -103,8 +103,8 @@
 	return o.BuiltObjects(wanted), nil
 }
 
-// BuiltObjects returns the wanted objects that belong to a recent version. It makes no calls
-// to the store.
+// BuiltObjects returns the wanted objects that belong to a recent version. It makes no
+// calls to the store.
 func (o *Origin) BuiltObjects(wanted []kqresource.Digest) kqresource.Objects {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/config/kqreader/reader.go
+++ b/internal/config/kqreader/reader.go
@@ -21,9 +21,9 @@
 const (
 	slotPrefix   = "kumquatgw/reader/"
 	stepInterval = 200 * time.Millisecond
-	// maxUnknownLooks is how often a node may find that a slot's holder is unknown or
+	// maxUnknownReads is how often a node may find that a slot's holder is unknown or
 	// dead; the next time, it takes the slot over.
-	maxUnknownLooks = 2
+	maxUnknownReads = 2
 	// maxIsolatedDelay bounds the random delay of a node that knows no other member.
 	maxIsolatedDelay = 2 * time.Second
 	closeTimeout     = time.Second
@@ -49,9 +49,9 @@
 		store   Store
 		table   *kqmember.Table
 		watcher Watcher
-		// contact is called with the control address of each slot holder that is
+		// probe is called with the control address of each slot holder that is
 		// unknown or dead.
-		contact func(ctx context.Context, to kqname.Address)
+		probe func(ctx context.Context, to kqname.Address)
 		// onReading is called when this node starts and stops to hold the whole
 		// document for its peers.
 		onReading     func(ctx context.Context, on bool)
@@ -71,7 +71,7 @@
 		key          string
 		revision     kqstore.Revision
 		stopWatch    context.CancelFunc
-		unknownLooks map[string]int
+		unknownReads map[string]int
 		group        conc.WaitGroup
 	}
 )
@@ -79,13 +79,13 @@
 // New returns a Reader. Its first step is delayed at random by up to maxStartDelay, so
 // that nodes which start together do not call the platform all at once.
 func New(store Store, table *kqmember.Table, watcher Watcher, maxStartDelay time.Duration,
-	contact func(context.Context, kqname.Address), onReading func(context.Context, bool), onFailure func(error),
+	probe func(context.Context, kqname.Address), onReading func(context.Context, bool), onFailure func(error),
 ) *Reader {
 	halted := make(chan struct{})
 	return &Reader{
 		halt: sync.OnceFunc(func() { close(halted) }), halted: halted,
-		store: store, table: table, watcher: watcher, maxStartDelay: maxStartDelay, contact: contact, onReading: onReading, onFailure: onFailure,
-		unknownLooks: make(map[string]int), stopWatch: func() {},
+		store: store, table: table, watcher: watcher, maxStartDelay: maxStartDelay, probe: probe, onReading: onReading, onFailure: onFailure,
+		unknownReads: make(map[string]int), stopWatch: func() {},
 	}
 }
 
@@ -151,7 +151,7 @@
 			// orders them instead.
 			kqsleep.For(ctx, rand.N(maxIsolatedDelay))
 		}
-		r.lookForSlot(ctx)
+		r.findSlot(ctx)
 	case kqlease.Renew:
 		if situation.Readers >= kqlease.ReadersPerDomain && r.hasLostSlot(ctx) {
 			r.stopWatching()
@@ -188,9 +188,9 @@
 	return s, known
 }
 
-// lookForSlot reads the slots, from a random one on, and takes the first that is free or
-// whose holder was found unknown or dead more than maxUnknownLooks times.
-func (r *Reader) lookForSlot(ctx context.Context) {
+// findSlot reads the slots, from a random one on, and takes the first that is free or
+// whose holder was found unknown or dead more than maxUnknownReads times.
+func (r *Reader) findSlot(ctx context.Context) {
 	self := r.table.Self()
 	first := rand.IntN(kqlease.ReadersPerDomain)
 	for i := range kqlease.ReadersPerDomain {
@@ -205,11 +205,11 @@
 			r.onFailure(err)
 			return
 		case r.isKnownMember(kqname.Address(e.Value)):
-			delete(r.unknownLooks, key)
+			delete(r.unknownReads, key)
 		default:
-			r.contact(ctx, kqname.Address(e.Value))
-			r.unknownLooks[key+string(e.Value)]++
-			if r.unknownLooks[key+string(e.Value)] > maxUnknownLooks && r.takeSlot(ctx, key, e.Revision) {
+			r.probe(ctx, kqname.Address(e.Value))
+			r.unknownReads[key+string(e.Value)]++
+			if r.unknownReads[key+string(e.Value)] > maxUnknownReads && r.takeSlot(ctx, key, e.Revision) {
 				return
 			}
 		}
@@ -245,13 +245,13 @@
 	}
 	r.holder.RecordRenewal(sent)
 	r.lease, r.key, r.revision = lease, key, revision
-	clear(r.unknownLooks)
+	clear(r.unknownReads)
 	watchCtx, stopWatch := context.WithCancel(ctx)
 	r.stopWatch = stopWatch
 	r.servesPeers = true
-	keeper := kqsupervisor.From(ctx)
-	r.group.Go(func() { keeper.RunWithRestart(ctx, "hold", func() { r.onReading(ctx, true) }) })
-	r.group.Go(func() { keeper.RunWithRestart(watchCtx, "watch", func() { r.watcher.Run(watchCtx) }) })
+	supervisor := kqsupervisor.From(ctx)
+	r.group.Go(func() { supervisor.RunWithRestart(ctx, "hold", func() { r.onReading(ctx, true) }) })
+	r.group.Go(func() { supervisor.RunWithRestart(watchCtx, "watch", func() { r.watcher.Run(watchCtx) }) })
 	return true
 }
 
--- a/internal/config/kqreplica/replica.go
+++ b/internal/config/kqreplica/replica.go
@@ -53,7 +53,7 @@
 		onRefused     func(reason string)
 		onMemoryLimit func()
 		memoryBudget  int
-		keeper        *kqsupervisor.Supervisor
+		supervisor    *kqsupervisor.Supervisor
 		// wholeDocument makes each version fetch all its objects again.
 		wholeDocument bool
 
@@ -88,9 +88,9 @@
 	return func(r *Replica) { r.onChange = append(r.onChange, f) }
 }
 
-// WithKeeper recovers panics of host fetches by k, so that a panic ends only the
+// WithKeeper recovers panics of host fetches by s, so that a panic ends only the
 // fetch.
-func WithKeeper(k *kqsupervisor.Supervisor) Option { return func(r *Replica) { r.keeper = k } }
+func WithKeeper(s *kqsupervisor.Supervisor) Option { return func(r *Replica) { r.supervisor = s } }
 
 // WithOnRefused calls f with the reason for each version that cannot be applied.
 func WithOnRefused(f func(reason string)) Option { return func(r *Replica) { r.onRefused = f } }
@@ -128,7 +128,7 @@
 func (r *Replica) Current() *kqsnapshot.Snapshot { return r.current.Load() }
 
 // ApplyRoot applies a newer root. It ignores an older version, and for the current
-// one calls Fill. If the version is invalid or cannot be fetched, it returns an
+// one calls FetchMissing. If the version is invalid or cannot be fetched, it returns an
 // error and keeps the current version.
 func (r *Replica) ApplyRoot(ctx context.Context, root kqresource.Root) error {
 	if v := r.Current().Version(); root.Version < v {
@@ -194,7 +194,7 @@
 			delete(r.hostFetches, host)
 			close(f.done)
 		}()
-		r.keeper.RunRecovered("fetch", func() { f.err = r.fetchHost(ctx, host, now) })
+		r.supervisor.RunRecovered("fetch", func() { f.err = r.fetchHost(ctx, host, now) })
 	})
 	return f
 }
--- a/internal/config/kqreplica/replica_test.go
+++ b/internal/config/kqreplica/replica_test.go
@@ -139,7 +139,7 @@
 		r := kqreplica.New(s, kqreplica.WithOnRefused(func(string) { refused++ }), kqreplica.WithService("service-0"))
 		var highest kqname.ConfigVersion
 		for range 20 {
-			if rapid.Bool().Draw(t, "offer") {
+			if rapid.Bool().Draw(t, "apply root") {
 				_ = r.ApplyRoot(context.Background(), rapid.SampledFrom(roots).Draw(t, "root"))
 			} else {
 				_, _ = r.EnsureHost(context.Background(), host(rapid.IntRange(0, hosts-1).Draw(t, "host")), time.Unix(1, 0))
--- a/internal/config/kqwatch/watch.go
+++ b/internal/config/kqwatch/watch.go
@@ -57,10 +57,10 @@
 // Run follows the root until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	var group conc.WaitGroup
-	keeper := kqsupervisor.From(ctx)
+	supervisor := kqsupervisor.From(ctx)
 	group.Go(func() {
 		var lastRevision kqstore.Revision
-		keeper.RunWithRestart(ctx, "watch", func() {
+		supervisor.RunWithRestart(ctx, "watch", func() {
 			w.repeat(ctx, 0, func() error {
 				e, err := w.store.Watch(ctx, kqcommit.RootKey, lastRevision, watchWait)
 				if err != nil {
@@ -72,7 +72,7 @@
 		})
 	})
 	group.Go(func() {
-		keeper.RunWithRestart(ctx, "poll", func() {
+		supervisor.RunWithRestart(ctx, "poll", func() {
 			w.repeat(ctx, w.pollInterval, func() error {
 				e, err := w.store.Get(ctx, kqcommit.RootKey)
 				if err != nil {
