--- a/cmd/kumquatgw/connection_limits_test.go
+++ b/cmd/kumquatgw/connection_limits_test.go
@@ -42,8 +42,8 @@
 }
 
 // Checks the response to a caller that half-closes its connection after sending its call.
-// It cannot be distinguished from a caller that disconnected, so its call is cancelled, but it must
-// get a complete response that does not deny that the call ran.
+// It cannot be distinguished from a caller that disconnected, so its call is cancelled,
+// but it must get a complete response that does not deny that the call ran.
 func TestHalfClosedCallerGetsACompleteResponse(t *testing.T) {
 	f := newFleet(t, "", "")
 	conn, err := net.Dial("tcp", f.entry)
--- a/cmd/kumquatgw/fleet_test.go
+++ b/cmd/kumquatgw/fleet_test.go
@@ -111,16 +111,16 @@
 // newTestUpstream starts an upstream that announces itself to a node until the test ends.
 func newTestUpstream(t *testing.T, node string) *testUpstream {
 	t.Helper()
-	w := &testUpstream{runs: make(map[string]int), node: node}
-	w.Server = httptest.NewServer(w)
-	t.Cleanup(w.Close)
+	u := &testUpstream{runs: make(map[string]int), node: node}
+	u.Server = httptest.NewServer(u)
+	t.Cleanup(u.Close)
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
 		ticker := time.NewTicker(100 * time.Millisecond)
 		defer ticker.Stop()
 		for {
-			w.announce()
+			u.announce()
 			select {
 			case <-stop:
 				return
@@ -129,27 +129,27 @@
 		}
 	}()
 	t.Cleanup(func() { close(stop); <-done })
-	return w
+	return u
 }
 
-func (w *testUpstream) announce() {
-	body, err := json.Marshal(kqlocal.Announcement{Service: "store", Version: "v1", Address: kqname.Address(w.Listener.Addr().String()), Slots: 256})
+func (u *testUpstream) announce() {
+	body, err := json.Marshal(kqlocal.Announcement{Service: "store", Version: "v1", Address: kqname.Address(u.Listener.Addr().String()), Slots: 256})
 	if err != nil {
 		return
 	}
 	client := http.Client{Timeout: time.Second}
-	if a, err := client.Post("http://"+w.node+"/kq/announce", "application/json", bytes.NewReader(body)); err == nil {
+	if a, err := client.Post("http://"+u.node+"/kq/announce", "application/json", bytes.NewReader(body)); err == nil {
 		_ = a.Body.Close()
 	}
 }
 
 // ServeHTTP implements http.Handler. The query parameter ms is the processing time, bytes
 // the size of the response, which begins with the call's id and the size of its body.
-func (w *testUpstream) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+func (u *testUpstream) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(callIDHeader)
-	w.mu.Lock()
-	w.runs[id]++
-	w.mu.Unlock()
+	u.mu.Lock()
+	u.runs[id]++
+	u.mu.Unlock()
 	taken, _ := io.Copy(io.Discard, r.Body)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("ms"))
 	time.Sleep(time.Duration(ms) * time.Millisecond)
@@ -166,10 +166,10 @@
 }
 
 // runCount returns how often a call has run.
-func (w *testUpstream) runCount(id string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.runs[id]
+func (u *testUpstream) runCount(id string) int {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.runs[id]
 }
 
 // freeAddress returns a free address with a port outside the kernel's ephemeral range.
--- a/cmd/kumquatgw/fragile_test.go
+++ b/cmd/kumquatgw/fragile_test.go
@@ -37,11 +37,11 @@
 	}
 )
 
-func joinCallPanicAdapter(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
+func connectCallPanicAdapter(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
 	return s, kqstoreclient.New(s.Platform.URL, kqstoreclient.WithTimeout(s.Platform.Timeout)), kqnode.Adapter{Dialect: panickingDialect{}}, nil
 }
 
-func joinStorePanicAdapter(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
+func connectStorePanicAdapter(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
 	store := kqstoreclient.New(s.Platform.URL, kqstoreclient.WithTimeout(s.Platform.Timeout))
 	return s, &panickingStore{Store: store, seen: make(map[string]bool)}, kqnode.Adapter{}, nil
 }
@@ -59,16 +59,16 @@
 }
 
 func (panickingDialect) WriteUpstreamHeaders(c *kqcall.Call, _ time.Duration) {
-	panicAt(&c.Request.Header, "tell")
+	panicAt(&c.Request.Header, "write_headers")
 }
 
 func (panickingDialect) IsAnswer(c *kqcall.Call) bool {
-	panicAt(&c.Request.Header, "belongs")
+	panicAt(&c.Request.Header, "is_answer")
 	return true
 }
 
 func (panickingDialect) ReadVerdict(c *kqcall.Call) kqcall.Verdict {
-	panicAt(&c.Request.Header, "judge")
+	panicAt(&c.Request.Header, "read_verdict")
 	return kqcall.Verdict{}
 }
 
--- a/cmd/kumquatgw/full_upstream_test.go
+++ b/cmd/kumquatgw/full_upstream_test.go
@@ -151,7 +151,8 @@
 	return f, u
 }
 
-// sendCall sends a call and returns the status and body of the response, or 0 and the error.
+// sendCall sends a call and returns the status and body of the response, or 0 and the
+// error.
 func sendCall(entry, method, path, id string) (int, string) {
 	q, err := http.NewRequest(method, "http://"+entry+path, http.NoBody)
 	if err != nil {
--- a/cmd/kumquatgw/log_test.go
+++ b/cmd/kumquatgw/log_test.go
@@ -9,7 +9,7 @@
 )
 
 // Checks that the log shows why a node ended: each signal, each step of the drain and the
-// number of in-flight calls, with a repetition of notable events some time later. Without
+// number of in-flight calls, with a repetition of recent events some time later. Without
 // these lines the cause of calls that were cut during a drain could not be found.
 func TestLogReportsSignalsAndDrainSteps(t *testing.T) {
 	platform := readAfter(t, startCommand(t, "platform", "--listen", "127.0.0.1:0"), "listens on ")
--- a/cmd/kumquatgw/panic_test.go
+++ b/cmd/kumquatgw/panic_test.go
@@ -15,7 +15,7 @@
 func TestCallsOutliveAPanicInOneOfThem(t *testing.T) {
 	m := newMeshWith(t, 500*time.Millisecond, "\nadapter = "+callPanicAdapter)
 	for _, c := range []struct{ step, result string }{
-		{"accept", "unknown"}, {"tell", "unknown"}, {"belongs", "unknown"}, {"judge", "unknown"},
+		{"accept", "unknown"}, {"write_headers", "unknown"}, {"is_answer", "unknown"}, {"read_verdict", "unknown"},
 	} {
 		t.Run(c.step, func(t *testing.T) {
 			answers := m.startCalls(t, 4)
@@ -29,7 +29,7 @@
 			m.back.assertRunning(t)
 		})
 	}
-	if line := m.back.readAfter(t, "event=panic"); !strings.Contains(line, "injected panic in tell") || !strings.Contains(line, "fragile_test.go") {
+	if line := m.back.readAfter(t, "event=panic"); !strings.Contains(line, "injected panic in write_headers") || !strings.Contains(line, "fragile_test.go") {
 		t.Errorf("panic line is %q, want its cause and stack", line)
 	}
 }
@@ -38,7 +38,7 @@
 // after a number of them the upstream would accept no more calls.
 func TestPanicsReleaseSlotsAndConnections(t *testing.T) {
 	m := newMeshWith(t, 10*time.Millisecond, "\nadapter = "+callPanicAdapter)
-	for _, step := range []string{"tell", "belongs", "judge"} {
+	for _, step := range []string{"write_headers", "is_answer", "read_verdict"} {
 		var group sync.WaitGroup
 		for range 8 {
 			group.Go(func() {
