--- a/cmd/kumquatgw/main.go
+++ b/cmd/kumquatgw/main.go
@@ -11,6 +11,6 @@
 )
 
 func main() {
-	command := kqcommand.New(os.Stdout, os.Stderr, kqcommand.WithAdapter(kqplatform.Name, kqplatform.Join))
+	command := kqcommand.New(os.Stdout, os.Stderr, kqcommand.WithAdapter(kqplatform.Name, kqplatform.Connect))
 	os.Exit(command.Run(os.Args[1:]))
 }
