--- a/cmd/kumquatgw/admin_test.go
+++ b/cmd/kumquatgw/admin_test.go
@@ -8,8 +8,8 @@
 )
 
 // Checks the status command over TLS: it works with the fleet's CA and a valid token, and
-// otherwise its error says whether the token or the certificate is at fault. The token
-// is never printed.
+// otherwise its error says whether the token or the certificate is at fault. The valid
+// token is never printed.
 func TestStatusOverTLS(t *testing.T) {
 	folder := t.TempDir()
 	for _, arguments := range [][]string{{"keys", "init", "--folder", folder}, {"keys", "issue", "home", "--folder", folder}} {
@@ -42,7 +42,7 @@
 		want      string
 		fails     bool
 	}{
-		{"right", []string{"--ca", ca, "--token", token}, "NODE", false},
+		{"valid CA and token", []string{"--ca", ca, "--token", token}, "NODE", false},
 		{"wrong token", []string{"--ca", ca, "--token", "kq_wrong"}, "bad_token", true},
 		{"no CA", []string{"--token", token}, "certificate", true},
 	} {
@@ -51,7 +51,7 @@
 			t.Errorf("%s: error %v, want %q in output\n%s", c.name, err, c.want, out)
 		}
 		if strings.Contains(string(out), token) {
-			t.Errorf("%s: the token is printed", c.name)
+			t.Errorf("%s: the valid token is printed", c.name)
 		}
 	}
 }
--- a/cmd/kumquatgw/callers_test.go
+++ b/cmd/kumquatgw/callers_test.go
@@ -47,8 +47,9 @@
 		// node's, unknown ones a 504; unconnected counts failed connects, and crossed the
 		// unread calls that crossed the node's close of the connection.
 		complete, refused, unknown, unconnected, crossed int
-		// lost describes each call that has no correct response.
-		lost []string
+		// failures describes each call without a correct response. A call that ran although
+		// it was refused is also counted in refused.
+		failures []string
 	}
 
 	// callers is a group of callers of one entry.
@@ -68,7 +69,7 @@
 	}
 )
 
-// callers returns a group of callers without members.
+// callers returns an empty group of callers.
 func (f *fleet) callers(entry string) *callers { return &callers{f: f, entry: entry} }
 
 // add starts callers that call until end is called.
@@ -90,7 +91,7 @@
 	for !c.stop.Load() {
 		conn, err := net.DialTimeout("tcp", c.entry, time.Second)
 		if err != nil {
-			c.count(func(t *outcomes) { t.unconnected++ })
+			c.withLock(func(o *outcomes) { o.unconnected++ })
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
@@ -100,7 +101,7 @@
 	}
 }
 
-// refusalBackoff is the delay after a refused call.
+// refusalBackoff is the delay after a response with status 503.
 const refusalBackoff = 10 * time.Millisecond
 
 // runConnection sends calls over one connection and reads their responses.
@@ -204,20 +205,20 @@
 	if a.StatusCode == http.StatusServiceUnavailable {
 		time.Sleep(refusalBackoff)
 	}
-	c.count(func(t *outcomes) {
+	c.withLock(func(o *outcomes) {
 		want := fmt.Sprintf("%s %d ", s.id, m.body)
 		switch {
 		case a.StatusCode == http.StatusOK && strings.HasPrefix(string(body), want):
-			t.complete++
+			o.complete++
 		case a.StatusCode == http.StatusServiceUnavailable || a.StatusCode == http.StatusRequestTimeout:
 			if n := c.f.upstream.runCount(s.id); n > 0 {
-				t.lost = append(t.lost, fmt.Sprintf("%s got %d, but ran %d times", s.id, a.StatusCode, n))
+				o.failures = append(o.failures, fmt.Sprintf("%s got %d, but ran %d times", s.id, a.StatusCode, n))
 			}
-			t.refused++
+			o.refused++
 		case a.StatusCode == http.StatusGatewayTimeout:
-			t.unknown++
+			o.unknown++
 		default:
-			t.lost = append(t.lost, fmt.Sprintf("%s got %d %.60q, want %q", s.id, a.StatusCode, body, want))
+			o.failures = append(o.failures, fmt.Sprintf("%s got %d %.60q, want %q", s.id, a.StatusCode, body, want))
 		}
 	})
 	return a.Close, nil
@@ -225,35 +226,35 @@
 
 // recordBroken counts calls whose connection ended before a complete response: as crossed
 // if they never ran, no byte of a response came, and the connection ended before or within
-// closeRaceWindow after they were sent; as lost otherwise.
+// closeRaceWindow after they were sent; as failed otherwise.
 func (c *callers) recordBroken(list []sentCall, m callerProfile, err error, requestSent, first bool) {
-	c.count(func(t *outcomes) {
+	c.withLock(func(o *outcomes) {
 		for _, s := range list {
 			took := time.Since(s.at)
 			runCount := c.f.upstream.runCount(s.id)
 			truncated := strings.Contains(err.Error(), "truncated response")
 			switch {
 			case runCount == 0 && !truncated && (!requestSent || took < closeRaceWindow):
-				t.crossed++
+				o.crossed++
 			default:
-				t.lost = append(t.lost, fmt.Sprintf("%s (%+v, first on its connection: %v) ran %d times, error %v after %d ms, reset: %v", s.id, m, first, runCount, err, took.Milliseconds(), errors.Is(err, syscall.ECONNRESET)))
+				o.failures = append(o.failures, fmt.Sprintf("%s (%+v, first on its connection: %v) ran %d times, error %v after %d ms, reset: %v", s.id, m, first, runCount, err, took.Milliseconds(), errors.Is(err, syscall.ECONNRESET)))
 			}
 		}
 	})
 }
 
-// count calls f with the outcomes locked.
-func (c *callers) count(f func(*outcomes)) {
+// withLock calls f with the outcomes locked.
+func (c *callers) withLock(f func(*outcomes)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(&c.outcomes)
 }
 
-// report logs the outcomes and fails the test for lost calls, of which it prints ten.
-func (r *outcomes) report(t *testing.T, what string) {
+// report logs the outcomes and fails the test for failed calls, of which it prints ten.
+func (o *outcomes) report(t *testing.T, what string) {
 	t.Helper()
-	t.Logf("%s: %d complete, %d refused, %d unknown, %d without a connection, %d crossed the close, %d lost", what, r.complete, r.refused, r.unknown, r.unconnected, r.crossed, len(r.lost))
-	for i, l := range r.lost {
+	t.Logf("%s: %d complete, %d refused, %d unknown, %d without a connection, %d crossed the close, %d failed", what, o.complete, o.refused, o.unknown, o.unconnected, o.crossed, len(o.failures))
+	for i, l := range o.failures {
 		if i == 10 {
 			break
 		}
--- a/cmd/kumquatgw/fleet_test.go
+++ b/cmd/kumquatgw/fleet_test.go
@@ -24,7 +24,7 @@
 const callIDHeader = "Work-Id"
 
 type (
-	// fleet is two node processes, and an upstream of the back one in the test's own
+	// fleet is two node processes, and an upstream local to the back one in the test's own
 	// process, so that the test knows which calls ran.
 	fleet struct {
 		t           *testing.T
@@ -41,7 +41,8 @@
 		*httptest.Server
 		mu   sync.Mutex
 		runs map[string]int
-		node string
+		// announceAddress is the address at which the node takes announcements.
+		announceAddress string
 	}
 )
 
@@ -109,9 +110,9 @@
 }
 
 // newTestUpstream starts an upstream that announces itself to a node until the test ends.
-func newTestUpstream(t *testing.T, node string) *testUpstream {
+func newTestUpstream(t *testing.T, announceAddress string) *testUpstream {
 	t.Helper()
-	w := &testUpstream{runs: make(map[string]int), node: node}
+	w := &testUpstream{runs: make(map[string]int), announceAddress: announceAddress}
 	w.Server = httptest.NewServer(w)
 	t.Cleanup(w.Close)
 	stop, done := make(chan struct{}), make(chan struct{})
@@ -138,7 +139,7 @@
 		return
 	}
 	client := http.Client{Timeout: time.Second}
-	if a, err := client.Post("http://"+w.node+"/kq/announce", "application/json", bytes.NewReader(body)); err == nil {
+	if a, err := client.Post("http://"+w.announceAddress+"/kq/announce", "application/json", bytes.NewReader(body)); err == nil {
 		_ = a.Body.Close()
 	}
 }
--- a/cmd/kumquatgw/fragile_test.go
+++ b/cmd/kumquatgw/fragile_test.go
@@ -37,11 +37,13 @@
 	}
 )
 
-func joinCallPanicAdapter(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
+// connectCallPanicAdapter implements kqcommand.Connector.
+func connectCallPanicAdapter(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
 	return s, kqstoreclient.New(s.Platform.URL, kqstoreclient.WithTimeout(s.Platform.Timeout)), kqnode.Adapter{Dialect: panickingDialect{}}, nil
 }
 
-func joinStorePanicAdapter(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
+// connectStorePanicAdapter implements kqcommand.Connector.
+func connectStorePanicAdapter(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
 	store := kqstoreclient.New(s.Platform.URL, kqstoreclient.WithTimeout(s.Platform.Timeout))
 	return s, &panickingStore{Store: store, seen: make(map[string]bool)}, kqnode.Adapter{}, nil
 }
--- a/cmd/kumquatgw/full_upstream_test.go
+++ b/cmd/kumquatgw/limited_upstream_test.go
@@ -17,31 +17,33 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// fullUpstream is an upstream that serves a limited number of connections at once and
+// limitedUpstream is an upstream that serves a limited number of connections at once and
 // resets further ones.
-type fullUpstream struct {
+type limitedUpstream struct {
 	net.Listener
-	t    *testing.T
-	node string
+	t *testing.T
+	// announceAddress is the address at which the node takes announcements.
+	announceAddress string
 
 	mu sync.Mutex
 	// open is the number of connections served, resets that of the rejected ones.
 	open, resets int
 	// runs counts the runs of each call; disconnected holds the calls to /long whose
-	// connection was closed.
+	// connection was closed, got a further byte or was silent until its read deadline, 10 s
+	// after it began to wait for the request.
 	runs         map[string]int
 	disconnected map[string]bool
 }
 
-// newFullUpstream starts an upstream that serves at most maxConns connections at once and
+// newLimitedUpstream starts an upstream that serves at most maxConns connections at once and
 // announces slots slots to a node until the test ends.
-func newFullUpstream(t *testing.T, node string, maxConns, slots int) *fullUpstream {
+func newLimitedUpstream(t *testing.T, announceAddress string, maxConns, slots int) *limitedUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &fullUpstream{Listener: l, t: t, node: node, runs: make(map[string]int), disconnected: make(map[string]bool)}
+	u := &limitedUpstream{Listener: l, t: t, announceAddress: announceAddress, runs: make(map[string]int), disconnected: make(map[string]bool)}
 	var group sync.WaitGroup
 	stop := make(chan struct{})
 	group.Go(func() {
@@ -72,19 +74,19 @@
 	return u
 }
 
-func (u *fullUpstream) announce(slots int) {
+func (u *limitedUpstream) announce(slots int) {
 	body, err := json.Marshal(kqlocal.Announcement{Service: "store", Version: "v1", Address: kqname.Address(u.Addr().String()), Slots: slots})
 	if err != nil {
 		return
 	}
 	client := http.Client{Timeout: time.Second}
-	if a, err := client.Post("http://"+u.node+"/kq/announce", "application/json", bytes.NewReader(body)); err == nil {
+	if a, err := client.Post("http://"+u.announceAddress+"/kq/announce", "application/json", bytes.NewReader(body)); err == nil {
 		_ = a.Body.Close()
 	}
 }
 
 // admit reports whether a further connection is served, and counts it.
-func (u *fullUpstream) admit(maxConns int) bool {
+func (u *limitedUpstream) admit(maxConns int) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.open >= maxConns {
@@ -96,8 +98,8 @@
 }
 
 // serve answers the calls of one connection. A call to /long runs until the connection is
-// closed.
-func (u *fullUpstream) serve(c net.Conn) {
+// closed, at most until its read deadline.
+func (u *limitedUpstream) serve(c net.Conn) {
 	defer func() {
 		_ = c.Close()
 		u.mu.Lock()
@@ -129,24 +131,24 @@
 }
 
 // withLock returns the result of f, which it calls with the lock held.
-func (u *fullUpstream) withLock(f func() bool) bool {
+func (u *limitedUpstream) withLock(f func() bool) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return f()
 }
 
-// newFullFleet starts a fleet whose only upstream serves at most maxConns connections at
+// newLimitedFleet starts a fleet whose only upstream serves at most maxConns connections at
 // once and announces slots slots.
-func newFullFleet(t *testing.T, maxConns, slots int) (*fleet, *fullUpstream) {
+func newLimitedFleet(t *testing.T, maxConns, slots int) (*fleet, *limitedUpstream) {
 	t.Helper()
 	f := newFleet(t, "", "")
 	f.upstream.Close()
-	u := newFullUpstream(t, f.local, maxConns, slots)
-	for end := time.Now().Add(20 * time.Second); !u.withLock(func() bool { return u.runs["known"] > 0 }); time.Sleep(20 * time.Millisecond) {
+	u := newLimitedUpstream(t, f.local, maxConns, slots)
+	for end := time.Now().Add(20 * time.Second); !u.withLock(func() bool { return u.runs["probe"] > 0 }); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no call reached the upstream within 20 s")
 		}
-		_, _ = sendCall(f.entry, http.MethodGet, "/", "known")
+		_, _ = sendCall(f.entry, http.MethodGet, "/", "probe")
 	}
 	return f, u
 }
@@ -170,13 +172,13 @@
 
 // Guards against calls that are lost or run twice at an upstream that resets connections
 // while it is full. If it announces no more slots than it serves connections, it must
-// never be full. If it announces more, a call may have been read before the reset, and its
-// outcome may be reported as unknown.
+// never reset a connection. If it announces more, a call may have been read before the
+// reset, and its outcome may be reported as unknown.
 func TestUpstreamThatResetsWhenFullLosesNoCall(t *testing.T) {
 	const maxConns = 3
 	for _, slots := range []int{maxConns, 2 * maxConns} {
 		t.Run(fmt.Sprintf("%d slots", slots), func(t *testing.T) {
-			f, u := newFullFleet(t, maxConns, slots)
+			f, u := newLimitedFleet(t, maxConns, slots)
 			var group sync.WaitGroup
 			for caller := range 12 {
 				group.Go(func() {
@@ -201,7 +203,7 @@
 				t.Error("the upstream got more connections than it serves")
 			}
 			if slots > maxConns && u.withLock(func() bool { return u.resets == 0 }) {
-				t.Error("the upstream was never full")
+				t.Error("the upstream reset no connection")
 			}
 		})
 	}
@@ -209,7 +211,7 @@
 
 // Guards against upstreams that keep processing calls whose callers have disconnected.
 func TestUpstreamSeesItsCallerDisconnect(t *testing.T) {
-	f, u := newFullFleet(t, 3, 3)
+	f, u := newLimitedFleet(t, 3, 3)
 	for i := range 3 {
 		id := fmt.Sprintf("long-%d", i)
 		c, err := net.Dial("tcp", f.entry)
@@ -225,7 +227,7 @@
 		_ = c.Close()
 		closed := time.Now()
 		for !u.withLock(func() bool { return u.disconnected[id] }) {
-			if time.Since(closed) > 500*time.Millisecond*memoryFactor {
+			if time.Since(closed) > 500*time.Millisecond*raceFactor {
 				t.Fatalf("%s still runs %v after its caller disconnected", id, time.Since(closed))
 			}
 			time.Sleep(5 * time.Millisecond)
--- a/cmd/kumquatgw/main.go
+++ b/cmd/kumquatgw/main.go
@@ -6,6 +6,7 @@
 	"os"
 
 	"github.com/kumquatgw/kumquatgw/internal/run/kqcommand"
+	// Keeps SIGHUP from ending a node that is still starting.
 	_ "github.com/kumquatgw/kumquatgw/internal/run/kqsighup"
 	"github.com/kumquatgw/kumquatgw/platform/kqplatform"
 )
--- a/cmd/kumquatgw/main_test.go
+++ b/cmd/kumquatgw/main_test.go
@@ -29,7 +29,7 @@
 	run := func() {
 		limitDescriptors()
 		command := kqcommand.New(os.Stdout, os.Stderr,
-			kqcommand.WithAdapter(callPanicAdapter, joinCallPanicAdapter), kqcommand.WithAdapter(storePanicAdapter, joinStorePanicAdapter))
+			kqcommand.WithAdapter(callPanicAdapter, connectCallPanicAdapter), kqcommand.WithAdapter(storePanicAdapter, connectStorePanicAdapter))
 		os.Exit(command.Run(os.Args[1:]))
 	}
 	if os.Getenv(runVariable) != "" {
--- a/cmd/kumquatgw/memory_large_bodies_test.go
+++ b/cmd/kumquatgw/memory_large_bodies_test.go
@@ -15,8 +15,8 @@
 const (
 	// largeBody is half of the max_body setting, in bytes.
 	largeBody = 32 << 20
-	// memoryBound is the memory limit of a node in bytes, above which the kernel would
-	// kill its process.
+	// memoryBound is the memory limit of a node in bytes, the memory setting of these
+	// tests. Above it the kernel would kill the process.
 	memoryBound = 184 << 20
 )
 
@@ -41,8 +41,8 @@
 				}
 			}
 			t.Logf("%d bodies: peak memory: front %d MB, back %d MB", count, m.front.peakMemory(t)>>20, m.back.peakMemory(t)>>20)
-			if got := max(m.front.peakMemory(t), m.back.peakMemory(t)); got > memoryBound*memoryFactor {
-				t.Errorf("a node used %d MB, want %d MB at most", got>>20, memoryBound*memoryFactor>>20)
+			if got := max(m.front.peakMemory(t), m.back.peakMemory(t)); got > memoryBound*raceFactor {
+				t.Errorf("a node used %d MB, want %d MB at most", got>>20, memoryBound*raceFactor>>20)
 			}
 		})
 	}
@@ -58,8 +58,8 @@
 	}
 	group.Wait()
 	m.front.assertRunning(t)
-	if got := max(m.front.peakMemory(t), m.back.peakMemory(t)); got > memoryBound*memoryFactor {
-		t.Errorf("a node used %d MB, want %d MB at most", got>>20, memoryBound*memoryFactor>>20)
+	if got := max(m.front.peakMemory(t), m.back.peakMemory(t)); got > memoryBound*raceFactor {
+		t.Errorf("a node used %d MB, want %d MB at most", got>>20, memoryBound*raceFactor>>20)
 	}
 }
 
--- a/cmd/kumquatgw/memory_many_bodies_test.go
+++ b/cmd/kumquatgw/memory_many_bodies_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// pieceSender is a caller that sends its body in pieces, the last one after a pause.
+// pieceSender is a caller that sends a body of size bytes in pieces of piece bytes, the last
+// one after a pause.
 type pieceSender struct {
 	size, piece int
 	pause       time.Duration
@@ -102,12 +103,13 @@
 
 const smallMemorySettings = "\n[call]\nmax_body = 64MB\n[node]\nmemory = 184MB"
 
-// Guards against a process that many concurrent small bodies take over its memory limit.
+// Guards against a process that exceeds its memory limit because of many concurrent small
+// bodies.
 func TestManySmallBodiesKeepWithinMemory(t *testing.T) {
 	const size = 60 << 10
 	for name, p := range map[string]pieceSender{
 		"chunked":                            {size: size, piece: 1 << 10, pause: 3 * time.Second},
-		"stated":                             {size: size, piece: 1 << 10, pause: 3 * time.Second, hasLength: true},
+		"with content-length":                {size: size, piece: 1 << 10, pause: 3 * time.Second, hasLength: true},
 		"chunked, with a head in two pieces": {size: size, piece: 1 << 10, pause: 3 * time.Second, splitHead: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -115,8 +117,8 @@
 			answers := sendConcurrently(m.entry, 3000/loadDivisor, p)
 			t.Logf("responses: %v; peak memory: front %d MB, back %d MB", answers, m.front.peakMemory(t)>>20, m.back.peakMemory(t)>>20)
 			m.front.assertRunning(t)
-			if got := max(m.front.peakMemory(t), m.back.peakMemory(t)); got > memoryBound*memoryFactor {
-				t.Errorf("a node used %d MB, want %d MB at most", got>>20, memoryBound*memoryFactor>>20)
+			if got := max(m.front.peakMemory(t), m.back.peakMemory(t)); got > memoryBound*raceFactor {
+				t.Errorf("a node used %d MB, want %d MB at most", got>>20, memoryBound*raceFactor>>20)
 			}
 			for a, count := range answers {
 				if !strings.HasPrefix(a, "200") && !strings.HasPrefix(a, "503 not_run: ") {
@@ -146,14 +148,14 @@
 	}
 }
 
-// Guards against large bodies of unknown length that are left out of the memory limit
-// because their request head arrived in two pieces.
+// Guards against large bodies without a content-length that are left out of the memory
+// limit because their request head arrived in two pieces.
 func TestBodiesBehindAHeadInPiecesKeepWithinMemory(t *testing.T) {
 	m := newMeshWith(t, 20*time.Millisecond, smallMemorySettings)
 	answers := sendConcurrently(m.entry, 16, pieceSender{size: largeBody, piece: 64 << 10, splitHead: true})
 	t.Logf("responses: %v; peak memory: front %d MB, back %d MB", answers, m.front.peakMemory(t)>>20, m.back.peakMemory(t)>>20)
 	m.front.assertRunning(t)
-	if got := max(m.front.peakMemory(t), m.back.peakMemory(t)); got > memoryBound*memoryFactor {
-		t.Errorf("a node used %d MB, want %d MB at most", got>>20, memoryBound*memoryFactor>>20)
+	if got := max(m.front.peakMemory(t), m.back.peakMemory(t)); got > memoryBound*raceFactor {
+		t.Errorf("a node used %d MB, want %d MB at most", got>>20, memoryBound*raceFactor>>20)
 	}
 }
--- a/cmd/kumquatgw/mesh_test.go
+++ b/cmd/kumquatgw/mesh_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// mesh is a fleet of two node processes: callers use the front node, and the service's
-// upstream is local to the back node.
+// mesh is two node processes, and an upstream of the back one that, unlike that of a
+// fleet, is a process too. Callers use the front node.
 type mesh struct {
 	front, back *process
 	// local and control are the back node's and the front node's addresses.
--- a/cmd/kumquatgw/pipelining_test.go
+++ b/cmd/kumquatgw/pipelining_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// sendPipelined sends calls of ms milliseconds each, pipelined on one connection, and
-// returns a function that reads their responses: the name of the call, or the status if it
-// is not 200.
+// sendPipelined sends one call for each element of ms, processed for that many
+// milliseconds, pipelined on one connection. It returns a function that reads their
+// responses: the id of the call, or the status if it is not 200.
 func (f *fleet) sendPipelined(ms ...int) func() []string {
 	f.t.Helper()
 	conn, err := net.Dial("tcp", f.entry)
@@ -32,29 +32,29 @@
 		f.t.Helper()
 		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 		r := bufio.NewReader(conn)
-		var names []string
+		var ids []string
 		for range ms {
 			a, err := http.ReadResponse(r, nil)
 			if err != nil {
-				f.t.Fatalf("response after %v: %v", names, err)
+				f.t.Fatalf("response after %v: %v", ids, err)
 			}
 			body, err := io.ReadAll(a.Body)
 			if err != nil {
-				f.t.Fatalf("response after %v: %v", names, err)
+				f.t.Fatalf("response after %v: %v", ids, err)
 			}
 			_ = a.Body.Close()
-			name, _, _ := strings.Cut(string(body), " ")
+			id, _, _ := strings.Cut(string(body), " ")
 			if a.StatusCode != http.StatusOK {
-				name = fmt.Sprint(a.StatusCode)
+				id = fmt.Sprint(a.StatusCode)
 			}
-			names = append(names, name)
+			ids = append(ids, id)
 		}
-		return names
+		return ids
 	}
 }
 
 // Checks that five pipelined calls of 400 ms run concurrently. In sequence the last
-// response would come after two seconds although four slots of the upstream are free.
+// response would come after two seconds although the upstream announces 256 slots.
 func TestPipelinedCallsRunConcurrently(t *testing.T) {
 	f := newFleet(t, "", "")
 	began := time.Now()
@@ -67,8 +67,8 @@
 	}
 }
 
-// Checks that five pipelined calls are all answered, in order and on the same connection,
-// when the gate that runs them is killed. A call may be retried at another gate.
+// Checks that five pipelined calls each get a response, possibly an error, in order and on
+// the same connection, when the gate that runs them is killed.
 func TestPipelinedCallsAreAnsweredWhenTheirGateDies(t *testing.T) {
 	f := newFleet(t, "", "")
 	answers := f.sendPipelined(50, 3000, 3000, 3000, 3000)
--- a/cmd/kumquatgw/process_test.go
+++ b/cmd/kumquatgw/process_test.go
@@ -18,7 +18,8 @@
 	// reader is this test's end of the process's standard output.
 	reader *os.File
 	lines  *bufio.Reader
-	file   string
+	// file is the path of the settings file.
+	file string
 
 	mu sync.Mutex
 	// ended is closed when the process has ended; err is then its exit error.
--- a/cmd/kumquatgw/race_off_test.go
+++ b/cmd/kumquatgw/race_off_test.go
@@ -2,8 +2,8 @@
 
 package main_test
 
-// memoryFactor multiplies memory limits and some timeouts under the race detector.
-const memoryFactor = 1
+// raceFactor multiplies memory limits and some timeouts under the race detector.
+const raceFactor = 1
 
 // loadDivisor reduces the load under the race detector, which needs some 200 KB for each
 // connection and is many times slower. The full load is tested without it.
--- a/cmd/kumquatgw/race_on_test.go
+++ b/cmd/kumquatgw/race_on_test.go
@@ -2,8 +2,9 @@
 
 package main_test
 
-// memoryFactor multiplies memory limits and some timeouts, since the race detector's
-// shadow memory and goroutine records count as memory of the process.
-const memoryFactor = 3
+// raceFactor multiplies memory limits and some timeouts: the race detector is slower, and
+// its shadow memory and goroutine records count as memory of the process.
+const raceFactor = 3
 
+// loadDivisor reduces the number and size of calls.
 const loadDivisor = 10
--- a/cmd/kumquatgw/script_test.go
+++ b/cmd/kumquatgw/script_test.go
@@ -9,7 +9,8 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 )
 
-// TestScripts runs the scripts in testdata. Each has a platform of its own at $PLATFORM.
+// TestScripts runs the scripts in testdata. Each has a fake store of its own,
+// whose URL is in $PLATFORM.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
--- a/cmd/kumquatgw/signal_test.go
+++ b/cmd/kumquatgw/signal_test.go
@@ -61,6 +61,7 @@
 		m.front.signal(t, syscall.SIGHUP)
 		time.Sleep(100 * time.Millisecond)
 	}
+	// The last reload finds changed settings.
 	m.front.appendSettings(t, "[log]\nsample = 1\n")
 	m.front.signal(t, syscall.SIGHUP)
 	assertAnswered(t, answers())
--- a/cmd/kumquatgw/soak_fault_test.go
+++ b/cmd/kumquatgw/soak_fault_test.go
@@ -16,8 +16,8 @@
 const faultSeeds = 4
 
 // Checks that the soak detects injected faults, each by its kind of violation: a node
-// that a reload ends during its drain, orders that run twice when a node or an upstream
-// dies, and calls to an upstream that has deregistered.
+// that a reload ends during its drain, non-idempotent calls that run twice when a node or
+// an upstream dies, and calls to an upstream that has deregistered.
 func TestSoakFindsFaultsPutInOnPurpose(t *testing.T) {
 	for _, c := range []struct {
 		fault     kqfault.Kind
--- a/cmd/kumquatgw/soak_test.go
+++ b/cmd/kumquatgw/soak_test.go
@@ -8,8 +8,8 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqsoakrun"
 )
 
-// soak runs the soak command with an additional environment variable and returns its
-// report. Its error is that of the command.
+// soak runs the soak command with an additional environment variable (name=value, or
+// empty for none) and returns its report. Its error is that of the command.
 func soak(t *testing.T, environment string, arguments ...string) (kqsoakrun.Report, error) {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), "kept")
