--- a/cmd/kumquatgw/connection_limits_test.go
+++ b/cmd/kumquatgw/connection_limits_test.go
@@ -42,7 +42,7 @@
 }
 
 // Checks the response to a caller that half-closes its connection after sending its call.
-// It cannot be told from a caller that disconnected, so its call is cancelled, but it must
+// It is indistinguishable from a disconnect, so its call is cancelled, but the caller must
 // get a complete response that does not deny that the call ran.
 func TestHalfClosedCallerGetsACompleteResponse(t *testing.T) {
 	f := newFleet(t, "", "")
