--- a/internal/call/kqcall/call.go
+++ b/internal/call/kqcall/call.go
@@ -57,9 +57,9 @@
 	Cancelled Reason = "cancelled"
 	// Crossed means that the response carried another call's id.
 	Crossed Reason = "crossed"
-	// Moved means that another upstream has taken over the address and did not run the
+	// Misdirected means that another upstream has taken over the address and did not run the
 	// call.
-	Moved Reason = "moved"
+	Misdirected Reason = "moved"
 	// NoMemory means that the node has no memory for the call's body at the moment.
 	NoMemory Reason = "no_memory"
 	// Panicked means that a panic in this program ended the call.
@@ -88,8 +88,8 @@
 	// Load is the state of an upstream that its gate reports with each response.
 	Load struct {
 		Running, Waiting, Slots int
-		// Work is how long the upstream's short calls took lately.
-		Work time.Duration
+		// RecentDuration is how long the upstream's short calls took lately.
+		RecentDuration time.Duration
 		// FailureRate is the share of the upstream's last calls that failed, from 0 to 1,
 		// as its gate saw it. It is 0 if the failures may be chance.
 		FailureRate float64
@@ -158,7 +158,7 @@
 func Reasons() []Reason {
 	return []Reason{
 		NoReason, NoRoute, NoConfig, NoUpstream, QueueFull, Overload, NotStartedInTime, RolledBack, Draining, Shed, ConnectFailed,
-		TooLarge, Malformed, TooSlow, Timeout, Cut, Cancelled, Crossed, Moved, NoMemory, Panicked,
+		TooLarge, Malformed, TooSlow, Timeout, Cut, Cancelled, Crossed, Misdirected, NoMemory, Panicked,
 	}
 }
 
--- a/internal/call/kqcall/dialect.go
+++ b/internal/call/kqcall/dialect.go
@@ -37,9 +37,9 @@
 
 	// Verdict is what an upstream's answer says about whether the call ran.
 	Verdict struct {
-		// NotRun is why the upstream has not run the call and will not, or NoReason if
+		// NotRunReason is why the upstream has not run the call and will not, or NoReason if
 		// it ran.
-		NotRun Reason
+		NotRunReason Reason
 	}
 )
 
--- a/internal/call/kqcall/header.go
+++ b/internal/call/kqcall/header.go
@@ -222,7 +222,7 @@
 	for _, n := range [...]int64{int64(l.Running), int64(l.Waiting), int64(l.Slots)} {
 		b = append(strconv.AppendInt(b, n, 10), separator)
 	}
-	b = append(strconv.AppendInt(b, l.Work.Microseconds(), 10), separator)
+	b = append(strconv.AppendInt(b, l.RecentDuration.Microseconds(), 10), separator)
 	b = append(strconv.AppendInt(b, int64(l.FailureRate*perMille), 10), separator)
 	b = append(strconv.AppendInt(b, l.ExpectedWork.Microseconds(), 10), separator)
 	h.SetBytesV(headerLoad, strconv.AppendInt(b, l.Wait.Microseconds(), 10))
@@ -246,7 +246,7 @@
 	}
 	return Load{
 		Running: numbers[0], Waiting: numbers[1], Slots: numbers[2],
-		Work: time.Duration(numbers[3]) * time.Microsecond, FailureRate: float64(numbers[4]) / perMille,
+		RecentDuration: time.Duration(numbers[3]) * time.Microsecond, FailureRate: float64(numbers[4]) / perMille,
 		ExpectedWork: time.Duration(numbers[5]) * time.Microsecond, Wait: time.Duration(numbers[6]) * time.Microsecond,
 	}, true
 }
--- a/internal/call/kqentry/entry.go
+++ b/internal/call/kqentry/entry.go
@@ -120,7 +120,7 @@
 		watched kqdisconnect.WatchedCall
 		// version and sendAttempts are for the record.
 		version      kqname.ConfigVersion
-		sendAttempts []Try
+		sendAttempts []Attempt
 		// sent reports whether an upstream may have been sent the call.
 		sent bool
 		// firstTry is when the caller first made this call. callerDeadline is when it
@@ -156,8 +156,8 @@
 // WithDomain sets the entry's failure domain, whose upstreams it prefers.
 func WithDomain(d kqname.Domain) Option { return func(e *Entry) { e.domain = d } }
 
-// WithHangup sets the watcher that detects callers' disconnects.
-func WithHangup(w *kqdisconnect.Watcher) Option { return func(e *Entry) { e.watcher = w } }
+// WithDisconnectWatcher sets the watcher that detects callers' disconnects.
+func WithDisconnectWatcher(w *kqdisconnect.Watcher) Option { return func(e *Entry) { e.watcher = w } }
 
 // WithForged sets a function that runs for each call from outside that carried headers
 // reserved for this project.
@@ -171,9 +171,9 @@
 // headers.
 func WithDialect(d kqcall.Dialect) Option { return func(e *Entry) { e.dialect = d } }
 
-// WithKeeper sets the supervisor that recovers panics, so that a panic ends only its own
+// WithSupervisor sets the supervisor that recovers panics, so that a panic ends only its own
 // call.
-func WithKeeper(s *kqsupervisor.Supervisor) Option { return func(e *Entry) { e.supervisor = s } }
+func WithSupervisor(s *kqsupervisor.Supervisor) Option { return func(e *Entry) { e.supervisor = s } }
 
 // WithOrigin sets the service whose upstream runs on this entry's server.
 func WithOrigin(s kqname.Service) Option { return func(e *Entry) { e.origin = s } }
--- a/internal/call/kqentry/record.go
+++ b/internal/call/kqentry/record.go
@@ -21,13 +21,13 @@
 		// Status is the HTTP status that the caller gets.
 		Status int
 		// Version is the configuration version that matched the call, 0 if none did.
-		Version kqname.ConfigVersion
-		Tries   []Try
+		Version  kqname.ConfigVersion
+		Attempts []Attempt
 	}
 
-	// Try is one attempt to send a call, with what was known when its upstream was
+	// Attempt is one attempt to send a call, with what was known when its upstream was
 	// picked.
-	Try struct {
+	Attempt struct {
 		To      kqname.Node
 		Version kqname.UpstreamVersion
 		// InFlight is the number of calls from this entry in flight to the upstream.
@@ -58,7 +58,7 @@
 func WithRecorder(r Recorder) Option { return func(e *Entry) { e.recorder = r } }
 
 // newTry returns an attempt with the state by which its upstream was picked.
-func newTry(p *kqpick.Peer, c *kqcall.Call, now time.Time) Try {
+func newTry(p *kqpick.Peer, c *kqcall.Call, now time.Time) Attempt {
 	load, age := p.LastReport(now)
-	return Try{To: p.Node, Version: p.Version, InFlight: p.InFlight(), Load: load, LoadAge: age, TimeLeft: c.Deadline.Sub(now)}
+	return Attempt{To: p.Node, Version: p.Version, InFlight: p.InFlight(), Load: load, LoadAge: age, TimeLeft: c.Deadline.Sub(now)}
 }
--- a/internal/call/kqentry/serve.go
+++ b/internal/call/kqentry/serve.go
@@ -108,7 +108,7 @@
 	}
 	c.Answer(o)
 	e.supervisor.RunRecovered("record", func() {
-		e.recorder.Ended(Record{Call: c, Outcome: o, Status: ctx.Response.StatusCode(), Version: f.version, Tries: f.sendAttempts}, e.now())
+		e.recorder.Ended(Record{Call: c, Outcome: o, Status: ctx.Response.StatusCode(), Version: f.version, Attempts: f.sendAttempts}, e.now())
 	})
 	// Callers of a dialect retry a refused call on a new connection. The old one would
 	// hold a descriptor for as long as the caller keeps idle connections, and during a
@@ -252,7 +252,7 @@
 // reachedUpstream reports whether a call with that outcome was sent to an upstream, and
 // was not stopped at its gate.
 func reachedUpstream(o kqcall.Outcome) bool {
-	return o.Result != kqcall.NotRun || o.Reason == kqcall.Shed || o.Reason == kqcall.Moved
+	return o.Result != kqcall.NotRun || o.Reason == kqcall.Shed || o.Reason == kqcall.Misdirected
 }
 
 // baselineRetries reports whether the baseline for measurements retries the call:
--- a/internal/call/kqentry/service.go
+++ b/internal/call/kqentry/service.go
@@ -110,13 +110,13 @@
 
 // pick returns the upstream for the next attempt, nil if there is none that was not
 // tried yet.
-func (s *service) pick(c *kqcall.Call, all []kqmember.Candidate, target kqpick.Target, tried []kqname.Node, now time.Time) (*kqpick.Peer, kqmember.Candidate, Try) {
+func (s *service) pick(c *kqcall.Call, all []kqmember.Candidate, target kqpick.Target, tried []kqname.Node, now time.Time) (*kqpick.Peer, kqmember.Candidate, Attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.Set(all, now)
 	p := s.pool.Pick(target, tried, now, s.random)
 	if p == nil {
-		return nil, kqmember.Candidate{}, Try{}
+		return nil, kqmember.Candidate{}, Attempt{}
 	}
 	return p, p.Candidate, newTry(p, c, now)
 }
--- a/internal/call/kqgate/gate.go
+++ b/internal/call/kqgate/gate.go
@@ -156,9 +156,9 @@
 // WithDialect sets the dialect that upstreams use instead of this project's headers.
 func WithDialect(d kqcall.Dialect) Option { return func(g *Gate) { g.dialect = d } }
 
-// WithKeeper sets the supervisor that recovers panics, so that a panic ends only its own
+// WithSupervisor sets the supervisor that recovers panics, so that a panic ends only its own
 // call.
-func WithKeeper(s *kqsupervisor.Supervisor) Option { return func(g *Gate) { g.supervisor = s } }
+func WithSupervisor(s *kqsupervisor.Supervisor) Option { return func(g *Gate) { g.supervisor = s } }
 
 // WithNesting records running calls in c, so that calls made on their behalf are
 // recognized.
@@ -179,8 +179,8 @@
 	return func(g *Gate) { g.queue = func(slots int, _ kqname.Address) queue { return kqfifo.New(slots) } }
 }
 
-// WithHangup sets the watcher that detects callers' disconnects.
-func WithHangup(w *kqdisconnect.Watcher) Option { return func(g *Gate) { g.watcher = w } }
+// WithDisconnectWatcher sets the watcher that detects callers' disconnects.
+func WithDisconnectWatcher(w *kqdisconnect.Watcher) Option { return func(g *Gate) { g.watcher = w } }
 
 // New returns a gate to the upstreams that local finds.
 func New(local Finder, options ...Option) *Gate {
@@ -392,9 +392,9 @@
 	}
 	kqcall.StripResponse(&c.Response.Header)
 	if c.Dialect != nil {
-		if v := c.Dialect.ReadVerdict(c); v.NotRun != kqcall.NoReason {
+		if v := c.Dialect.ReadVerdict(c); v.NotRunReason != kqcall.NoReason {
 			c.Response.Reset()
-			return kqcall.Refuse(v.NotRun)
+			return kqcall.Refuse(v.NotRunReason)
 		}
 		return o
 	}
--- a/internal/call/kqlocal/upstreams.go
+++ b/internal/call/kqlocal/upstreams.go
@@ -52,8 +52,8 @@
 		// recognized. If both are 0, announcements apply in the order of their arrival.
 		StartedMS int64  `json:"born,omitempty"`
 		Sequence  uint64 `json:"sequence,omitempty"`
-		// Cold is for how much longer the upstream is slow after its start.
-		Cold time.Duration `json:"cold,omitempty"`
+		// WarmUpLeft is for how much longer the upstream is slow after its start.
+		WarmUpLeft time.Duration `json:"cold,omitempty"`
 		// Gone means that the upstream takes no more work at all. Only Instance and, if
 		// known, StartedMS are set with it.
 		Gone bool `json:"gone,omitempty"`
@@ -127,7 +127,7 @@
 	if e, left := u.goodbyes[a.Instance]; left && a.StartedMS <= e.startMS || ok && a.isOlderThan(old.Announcement) {
 		return nil
 	}
-	next := registration{Announcement: a, firstSeen: now, lastRenewed: now, coldFor: a.Cold}
+	next := registration{Announcement: a, firstSeen: now, lastRenewed: now, coldFor: a.WarmUpLeft}
 	if ok && old.Service == a.Service && old.Version == a.Version && old.Instance == a.Instance && old.StartedMS == a.StartedMS {
 		next.firstSeen, next.coldFor, next.withdrawal = old.firstSeen, old.coldFor, old.withdrawal
 		next.withdrawn = old.withdrawn && now.Sub(old.withdrawnAt) < old.minDuration
@@ -206,7 +206,7 @@
 // sameForPeers reports whether two announcements make no difference to other nodes.
 func (a Announcement) sameForPeers(other Announcement) bool {
 	a.Sequence, other.Sequence = 0, 0
-	a.Cold, other.Cold = 0, 0
+	a.WarmUpLeft, other.WarmUpLeft = 0, 0
 	return a == other
 }
 
--- a/internal/config/kqreplica/replica.go
+++ b/internal/config/kqreplica/replica.go
@@ -88,9 +88,9 @@
 	return func(r *Replica) { r.onChange = append(r.onChange, f) }
 }
 
-// WithKeeper recovers panics of host fetches by s, so that a panic ends only the
+// WithSupervisor recovers panics of host fetches by s, so that a panic ends only the
 // fetch.
-func WithKeeper(s *kqsupervisor.Supervisor) Option { return func(r *Replica) { r.supervisor = s } }
+func WithSupervisor(s *kqsupervisor.Supervisor) Option { return func(r *Replica) { r.supervisor = s } }
 
 // WithOnRefused calls f with the reason for each version that cannot be applied.
 func WithOnRefused(f func(reason string)) Option { return func(r *Replica) { r.onRefused = f } }
--- a/internal/decide/kqpick/nested_test.go
+++ b/internal/decide/kqpick/nested_test.go
@@ -45,7 +45,7 @@
 		if o.Node == "1" {
 			took = remoteWork
 		}
-		p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 6, Work: took, Route: "lookup", ExpectedWork: took}, now)
+		p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 6, RecentDuration: took, Route: "lookup", ExpectedWork: took}, now)
 		if o.Node == "1" {
 			took += roundTrip
 		}
@@ -69,6 +69,6 @@
 		if o.Node != "0" {
 			t.Fatalf("went to %s, want the local upstream", o.Node)
 		}
-		p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 6, Work: 60 * time.Millisecond}, now)
+		p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 6, RecentDuration: 60 * time.Millisecond}, now)
 	}
 }
--- a/internal/decide/kqpick/peer.go
+++ b/internal/decide/kqpick/peer.go
@@ -122,8 +122,8 @@
 // expectedWork returns the upstream's reported recent work of its short calls of any
 // route, or typical, the median over all upstreams, if it has not reported.
 func (peer *Peer) expectedWork(typical time.Duration) time.Duration {
-	if peer.load.Work > 0 {
-		return peer.load.Work
+	if peer.load.RecentDuration > 0 {
+		return peer.load.RecentDuration
 	}
 	return max(typical, time.Millisecond)
 }
--- a/internal/decide/kqpick/pick.go
+++ b/internal/decide/kqpick/pick.go
@@ -144,7 +144,7 @@
 	case outcome.Result == kqcall.Unknown && outcome.Reason != kqcall.Cancelled, failed, outcome.Reason == kqcall.Shed:
 		p.ejector.RecordFailure(&peer.state, len(p.peers), now)
 	default:
-		p.ejector.RecordSuccess(&peer.state, len(p.peers), peer.load.Work, p.ejectionMedian(now), now)
+		p.ejector.RecordSuccess(&peer.state, len(p.peers), peer.load.RecentDuration, p.ejectionMedian(now), now)
 	}
 }
 
--- a/internal/decide/kqpick/pick_test.go
+++ b/internal/decide/kqpick/pick_test.go
@@ -37,7 +37,7 @@
 		alive := o.Node == "3" && missed
 		missed = missed || o.Node == "3"
 		if alive {
-			p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 4, Running: 3, Work: time.Millisecond}, now)
+			p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 4, Running: 3, RecentDuration: time.Millisecond}, now)
 			continue
 		}
 		p.Done(o, kqcall.Refuse(kqcall.ConnectFailed), false, nil, now)
@@ -64,7 +64,7 @@
 		tried = append(tried, o.Node)
 		for i, w := range works {
 			if o.Node == kqname.Node(fmt.Sprint(i)) {
-				p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 6, Work: w}, now)
+				p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 6, RecentDuration: w}, now)
 			}
 		}
 	}
@@ -121,7 +121,7 @@
 	for call := range 400 {
 		now = now.Add(time.Millisecond)
 		o := p.Pick(kqpick.Target{}, nil, now, random)
-		p.Done(o, kqcall.OK(), o.Node == "3" && random.Float64() < 0.4, &kqcall.Load{Slots: 6, Work: work}, now)
+		p.Done(o, kqcall.OK(), o.Node == "3" && random.Float64() < 0.4, &kqcall.Load{Slots: 6, RecentDuration: work}, now)
 		if o.Ejected() {
 			if o.Node != "3" {
 				t.Fatalf("call %d: upstream %s is ejected", call, o.Node)
--- a/internal/decide/kqpick/route_test.go
+++ b/internal/decide/kqpick/route_test.go
@@ -22,9 +22,9 @@
 	report := func(wait time.Duration) {
 		for range 2 {
 			o := p.Pick(target, nil, now, random)
-			load := kqcall.Load{Slots: 6, Route: "browse", Work: 180 * time.Millisecond, ExpectedWork: 180 * time.Millisecond}
+			load := kqcall.Load{Slots: 6, Route: "browse", RecentDuration: 180 * time.Millisecond, ExpectedWork: 180 * time.Millisecond}
 			if o.Node == "0" {
-				load.Work, load.Wait, load.Running, load.Waiting = 2*time.Millisecond, wait, 6, 5
+				load.RecentDuration, load.Wait, load.Running, load.Waiting = 2*time.Millisecond, wait, 6, 5
 			}
 			p.Done(o, kqcall.OK(), false, &load, now)
 		}
@@ -34,7 +34,7 @@
 	for range 100 {
 		o := p.Pick(target, nil, now, random)
 		counts[o.Node]++
-		p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 6, Route: "browse", Work: 180 * time.Millisecond, ExpectedWork: 180 * time.Millisecond}, now)
+		p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 6, Route: "browse", RecentDuration: 180 * time.Millisecond, ExpectedWork: 180 * time.Millisecond}, now)
 	}
 	if counts["0"] > 10 {
 		t.Errorf("%d of 100 calls went to the upstream with a queue, want at most 10", counts["0"])
@@ -51,7 +51,7 @@
 	target := kqpick.Target{Route: "enrolments", ComfortableLatency: 320 * time.Millisecond}
 	for range 10 {
 		o := p.Pick(target, nil, now, random)
-		load := kqcall.Load{Slots: 6, Route: "enrolments", Work: 20 * time.Millisecond, ExpectedWork: 350 * time.Millisecond}
+		load := kqcall.Load{Slots: 6, Route: "enrolments", RecentDuration: 20 * time.Millisecond, ExpectedWork: 350 * time.Millisecond}
 		if o.Node == "0" {
 			load.Running, load.Waiting, load.Wait = 6, 6, 350*time.Millisecond
 		}
@@ -73,9 +73,9 @@
 	p := newPool(now, []kqname.Domain{"x", "x", "x"}, 120*time.Millisecond, 30*time.Millisecond, 30*time.Millisecond)
 	report := func(o *kqpick.Peer) *kqcall.Load {
 		if o.Node == "0" {
-			return &kqcall.Load{Slots: 6, Running: 2, Work: 120 * time.Millisecond, Route: "lookup", ExpectedWork: 15 * time.Millisecond}
+			return &kqcall.Load{Slots: 6, Running: 2, RecentDuration: 120 * time.Millisecond, Route: "lookup", ExpectedWork: 15 * time.Millisecond}
 		}
-		return &kqcall.Load{Slots: 6, Running: 6, Waiting: 1, Work: 30 * time.Millisecond, Route: "lookup", ExpectedWork: 30 * time.Millisecond, Wait: 6 * time.Millisecond}
+		return &kqcall.Load{Slots: 6, Running: 6, Waiting: 1, RecentDuration: 30 * time.Millisecond, Route: "lookup", ExpectedWork: 30 * time.Millisecond, Wait: 6 * time.Millisecond}
 	}
 	counts := make(map[kqname.Node]int)
 	for range 100 {
--- a/internal/decide/kqpick/saturation_test.go
+++ b/internal/decide/kqpick/saturation_test.go
@@ -31,7 +31,7 @@
 		})
 	}
 	pool.Set(list, now)
-	full := kqcall.Load{Running: 6, Waiting: 3, Slots: 6, Work: 200 * time.Millisecond}
+	full := kqcall.Load{Running: 6, Waiting: 3, Slots: 6, RecentDuration: 200 * time.Millisecond}
 	offers := 0
 	for i := range calls {
 		now = now.Add(50 * time.Millisecond)
@@ -54,7 +54,7 @@
 	}
 
 	// An upstream that has reported a free slot is still tried.
-	free := kqcall.Load{Running: 4, Slots: 6, Work: 200 * time.Millisecond}
+	free := kqcall.Load{Running: 4, Slots: 6, RecentDuration: 200 * time.Millisecond}
 	o := pool.Pick(kqpick.Target{}, nil, now, random)
 	pool.Done(o, kqcall.OK(), false, &free, now)
 	if !pool.HasFreeSlot(kqpick.Target{}, nil, now.Add(300*time.Millisecond)) {
--- a/internal/decide/kqpick/simulation_test.go
+++ b/internal/decide/kqpick/simulation_test.go
@@ -122,7 +122,7 @@
 			u.waiting = u.waiting[1:]
 			sim.run(u, next)
 		}
-		load := kqcall.Load{Running: u.running, Waiting: len(u.waiting), Slots: u.slots, Work: time.Duration(float64(work) * u.factor), FailureRate: u.record.Rate(sim.now)}
+		load := kqcall.Load{Running: u.running, Waiting: len(u.waiting), Slots: u.slots, RecentDuration: time.Duration(float64(work) * u.factor), FailureRate: u.record.Rate(sim.now)}
 		sim.after(time.Millisecond, func() {
 			sim.took = append(sim.took, sim.now.Sub(j.arrivedAt))
 			sim.entries[j.entry].Done(j.peer, kqcall.OK(), failed, &load, sim.now)
--- a/internal/decide/kqpick/slow_test.go
+++ b/internal/decide/kqpick/slow_test.go
@@ -22,9 +22,9 @@
 	p := newPool(now, []kqname.Domain{"x", "x", "x"}, fast, fast, fast)
 	report := func(o *kqpick.Peer) {
 		load := others
-		load.Slots, load.Work = 6, fast
+		load.Slots, load.RecentDuration = 6, fast
 		if o.Node == "0" {
-			load = kqcall.Load{Slots: 6, Running: 1, Work: slow}
+			load = kqcall.Load{Slots: 6, Running: 1, RecentDuration: slow}
 		}
 		p.Done(o, kqcall.OK(), false, &load, now)
 	}
@@ -87,7 +87,7 @@
 	for range calls {
 		now = now.Add(10 * time.Millisecond)
 		o := p.Pick(kqpick.Target{}, nil, now, random)
-		p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 6, Running: 6, Waiting: 6, Work: 100 * time.Millisecond}, now)
+		p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 6, Running: 6, Waiting: 6, RecentDuration: 100 * time.Millisecond}, now)
 	}
 	join()
 	count := 0
--- a/internal/decide/kqpick/usage.go
+++ b/internal/decide/kqpick/usage.go
@@ -43,8 +43,8 @@
 	p.medianWorkAt, p.medianWork = now, 0
 	var works []time.Duration
 	for _, peer := range p.peers {
-		if peer.load.Work > 0 {
-			works = append(works, peer.load.Work)
+		if peer.load.RecentDuration > 0 {
+			works = append(works, peer.load.RecentDuration)
 		}
 	}
 	// With two values, the median would be one of them, which may be the outlier.
--- a/internal/decide/kqretry/retry.go
+++ b/internal/decide/kqretry/retry.go
@@ -47,7 +47,7 @@
 	switch o.Reason {
 	case kqcall.Draining, kqcall.RolledBack:
 		return true
-	case kqcall.ConnectFailed, kqcall.NoUpstream, kqcall.Cut, kqcall.Crossed, kqcall.Moved:
+	case kqcall.ConnectFailed, kqcall.NoUpstream, kqcall.Cut, kqcall.Crossed, kqcall.Misdirected:
 		tokens = &b.churn
 	case kqcall.QueueFull, kqcall.Shed:
 	default:
--- a/internal/decide/kqslots/slots.go
+++ b/internal/decide/kqslots/slots.go
@@ -232,7 +232,7 @@
 
 // Load returns the load that is reported to callers.
 func (s *Slots) Load() kqcall.Load {
-	return kqcall.Load{Running: s.running, Waiting: s.waiting(), Slots: s.limit.Allowed(), Work: s.work.Pace()}
+	return kqcall.Load{Running: s.running, Waiting: s.waiting(), Slots: s.limit.Allowed(), RecentDuration: s.work.Pace()}
 }
 
 // LoadFor returns the load with the expected work and wait of a call like the ticket's.
--- a/internal/lab/kqdemo/keys.go
+++ b/internal/lab/kqdemo/keys.go
@@ -48,7 +48,7 @@
 	if k.authority, err = kqauthority.New(time.Now(), keyLifetime); err != nil {
 		return nil, fmt.Errorf("make keys: %w", err)
 	}
-	if err := k.authority.Pair().Write(folder, "ca"); err != nil {
+	if err := k.authority.KeyPair().Write(folder, "ca"); err != nil {
 		return nil, fmt.Errorf("make keys: %w", err)
 	}
 	var lines strings.Builder
--- a/internal/lab/kqfleet/server.go
+++ b/internal/lab/kqfleet/server.go
@@ -8,7 +8,7 @@
 	"sync"
 	"sync/atomic"
 
-	"github.com/kumquatgw/kumquatgw/internal/lab/kqcut"
+	"github.com/kumquatgw/kumquatgw/internal/lab/kqresetlistener"
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqupstream"
 	"github.com/kumquatgw/kumquatgw/internal/run/kqnode"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
@@ -23,7 +23,7 @@
 		Upstream *kqupstream.Upstream
 
 		fleet     *Fleet
-		listeners []*kqcut.Listener
+		listeners []*kqresetlistener.Listener
 		stopNode  context.CancelCauseFunc
 		nodeDone  chan struct{}
 		// err is the result of Node.Run, unset after Kill.
@@ -101,7 +101,7 @@
 	if role == kqnode.RoleControl {
 		transferred = &s.fleet.controlBytes
 	}
-	wrapped := kqcut.New(l, transferred)
+	wrapped := kqresetlistener.New(l, transferred)
 	s.listeners = append(s.listeners, wrapped)
 	return wrapped
 }
--- a/internal/lab/kqplayers/rollout.go
+++ b/internal/lab/kqplayers/rollout.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqreplay"
-	"github.com/kumquatgw/kumquatgw/internal/lab/kqtick"
+	"github.com/kumquatgw/kumquatgw/internal/lab/kqrollouttrace"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqplan"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqprogress"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqstep"
@@ -56,7 +56,7 @@
 
 // Input implements kqreplay.Player.
 func (r *rollout) Input(at time.Duration, input json.RawMessage) ([]kqreplay.Decision, error) {
-	var t kqtick.Tick
+	var t kqrollouttrace.Tick
 	if err := decodeStrict(input, &t); err != nil {
 		return nil, err
 	}
--- a/internal/lab/kqcut/listener.go
+++ b/internal/lab/kqresetlistener/listener.go
@@ -1,4 +1,4 @@
-package kqcut
+package kqresetlistener
 
 import (
 	"net"
--- a/internal/lab/kqworld/draw.go
+++ b/internal/lab/kqrolloutsim/draw.go
@@ -1,4 +1,4 @@
-package kqworld
+package kqrolloutsim
 
 import (
 	"math"
--- a/internal/lab/kqworld/kind.go
+++ b/internal/lab/kqrolloutsim/kind.go
@@ -1,4 +1,4 @@
-package kqworld
+package kqrolloutsim
 
 const (
 	// Noisy versions are good; latencies and failures of both versions vary
--- a/internal/lab/kqtick/tick.go
+++ b/internal/lab/kqrollouttrace/tick.go
@@ -1,4 +1,4 @@
-package kqtick
+package kqrollouttrace
 
 import "github.com/kumquatgw/kumquatgw/internal/rollout/kqevidence"
 
--- a/internal/lab/kqsurvey/baseline.go
+++ b/internal/lab/kqsurvey/baseline.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/lab/kqworld"
+	"github.com/kumquatgw/kumquatgw/internal/lab/kqrolloutsim"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 )
 
@@ -19,7 +19,7 @@
 var baselineShares = [baselineSteps]float64{0.05, 0.25, 0.5, 0.75, 1}
 
 // simulateBaseline runs one rollout with the baseline's schedule and threshold.
-func simulateBaseline(w *kqworld.World, prefer kqdocument.Preference) result {
+func simulateBaseline(w *kqrolloutsim.World, prefer kqdocument.Preference) result {
 	r := result{kind: w.Kind, at: -1}
 	t := &trial{world: w, detectableAt: -1, threshold: detectionThreshold(prefer)}
 	n := int(w.Window / time.Second)
--- a/internal/lab/kqsurvey/record.go
+++ b/internal/lab/kqsurvey/record.go
@@ -6,8 +6,8 @@
 	"io"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/lab/kqtick"
-	"github.com/kumquatgw/kumquatgw/internal/lab/kqworld"
+	"github.com/kumquatgw/kumquatgw/internal/lab/kqrolloutsim"
+	"github.com/kumquatgw/kumquatgw/internal/lab/kqrollouttrace"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqplan"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqstep"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqverdict"
@@ -45,8 +45,8 @@
 // Record simulates one rollout of a kind and writes it as a trace with its final
 // outcome. It reports whether the rollout ended as it should: a good version done,
 // a bad one rolled back.
-func Record(out io.Writer, kind kqworld.Kind, seed, index uint64, prefer kqdocument.Preference) (bool, error) {
-	w := kqworld.New(kind, seed, index)
+func Record(out io.Writer, kind kqrolloutsim.Kind, seed, index uint64, prefer kqdocument.Preference) (bool, error) {
+	w := kqrolloutsim.New(kind, seed, index)
 	start := time.UnixMilli(0)
 	t := &trial{world: w, evaluator: kqverdict.New(), detectableAt: -1, plan: kqplan.Plan{
 		Name: "move", Start: start, Deadline: start.Add(w.Window), Prefer: prefer, SmallShare: 0.05,
@@ -58,7 +58,7 @@
 		s := w.Tick(at, kqstep.Share(t.plan, t.progress.Step), t.progress.Step <= kqstep.SmallShareStep)
 		t.evaluator.Observe(s.Sample)
 		d := t.decide(start.Add(time.Duration(at+1) * tick))
-		input := kqtick.Tick{Sample: s.Sample}
+		input := kqrollouttrace.Tick{Sample: s.Sample}
 		input.OldSlots, input.NewSlots, input.ColdSlots = w.Slots(at)
 		ms := int64(at+1) * tick.Milliseconds()
 		err = e.Encode(traceLine{Kind: "input", AtMS: ms, Input: input})
--- a/internal/lab/kqsurvey/survey.go
+++ b/internal/lab/kqsurvey/survey.go
@@ -6,7 +6,7 @@
 
 	"github.com/sourcegraph/conc/pool"
 
-	"github.com/kumquatgw/kumquatgw/internal/lab/kqworld"
+	"github.com/kumquatgw/kumquatgw/internal/lab/kqrolloutsim"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -24,7 +24,7 @@
 		seed    uint64
 		count   int
 		workers int
-		kinds   []kqworld.Kind
+		kinds   []kqrolloutsim.Kind
 	}
 
 	// Option configures a Survey.
@@ -57,8 +57,8 @@
 
 	// Kind is the results of one decider for one kind of version.
 	Kind struct {
-		Kind  kqworld.Kind `json:"kind"`
-		Count int          `json:"count"`
+		Kind  kqrolloutsim.Kind `json:"kind"`
+		Count int               `json:"count"`
 		// CorrectShare is the share of rollouts, from 0 to 1, with the correct end.
 		CorrectShare float64 `json:"right"`
 
@@ -83,7 +83,7 @@
 // New returns a survey of 1,000 rollouts per policy, distributed evenly over all
 // kinds.
 func New(seed uint64, options ...Option) *Survey {
-	s := &Survey{seed: seed, count: defaultRollouts, workers: min(4, runtime.GOMAXPROCS(0)), kinds: kqworld.Kinds}
+	s := &Survey{seed: seed, count: defaultRollouts, workers: min(4, runtime.GOMAXPROCS(0)), kinds: kqrolloutsim.Kinds}
 	for _, o := range options {
 		o(s)
 	}
@@ -110,8 +110,8 @@
 	for i := range s.count {
 		workers.Go(func() {
 			kind := s.kinds[i%len(s.kinds)]
-			actual[i], oracle[i] = simulate(kqworld.New(kind, s.seed, uint64(i)), prefer)
-			baseline[i] = simulateBaseline(kqworld.New(kind, s.seed, uint64(i)), prefer)
+			actual[i], oracle[i] = simulate(kqrolloutsim.New(kind, s.seed, uint64(i)), prefer)
+			baseline[i] = simulateBaseline(kqrolloutsim.New(kind, s.seed, uint64(i)), prefer)
 		})
 	}
 	workers.Wait()
@@ -153,7 +153,7 @@
 	return p
 }
 
-func (p *Policy) addKind(k kqworld.Kind, summary Kind) {
+func (p *Policy) addKind(k kqrolloutsim.Kind, summary Kind) {
 	if k.Good() {
 		p.Good += summary.Count
 		p.GoodOnTime += summary.CorrectShare
@@ -161,7 +161,7 @@
 	}
 	p.Bad += summary.Count
 	p.BadTakenBack += summary.CorrectShare
-	if k != kqworld.FailsLater {
+	if k != kqrolloutsim.FailsLater {
 		p.BadShareMax = max(p.BadShareMax, summary.ShareMax)
 	}
 }
--- a/internal/lab/kqsurvey/trial.go
+++ b/internal/lab/kqsurvey/trial.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"github.com/kumquatgw/kumquatgw/internal/lab/kqworld"
+	"github.com/kumquatgw/kumquatgw/internal/lab/kqrolloutsim"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqplan"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqprogress"
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqstep"
@@ -23,7 +23,7 @@
 type (
 	// result is the outcome of one rollout under one decider.
 	result struct {
-		kind    kqworld.Kind
+		kind    kqrolloutsim.Kind
 		correct bool
 		// maxBadShare is the version's largest share of traffic while it was bad.
 		maxBadShare float64
@@ -37,7 +37,7 @@
 
 	// trial is the state of one simulated rollout.
 	trial struct {
-		world     *kqworld.World
+		world     *kqrolloutsim.World
 		plan      kqplan.Plan
 		progress  kqprogress.Progress
 		evaluator *kqverdict.Evaluator
@@ -52,7 +52,7 @@
 // simulate runs one rollout with kumquatgw's decisions and, on the same calls, the
 // oracle that knows the true distributions. Calls continue after the rollout is
 // rolled back, for the oracle only.
-func simulate(w *kqworld.World, prefer kqdocument.Preference) (actual, oracle result) {
+func simulate(w *kqrolloutsim.World, prefer kqdocument.Preference) (actual, oracle result) {
 	start := time.Unix(0, 0)
 	t := &trial{
 		world: w, evaluator: kqverdict.New(), detectableAt: -1, threshold: detectionThreshold(prefer),
@@ -99,7 +99,7 @@
 
 // observe adds a tick to the oracle's evidence and reports whether the oracle has
 // detected a regression. For bad versions it uses only ticks with the regression.
-func (t *trial) observe(at int, s kqworld.TickResult) bool {
+func (t *trial) observe(at int, s kqrolloutsim.TickResult) bool {
 	if !s.Bad && !t.world.Kind.Good() {
 		return t.detectableAt >= 0
 	}
@@ -112,7 +112,7 @@
 
 // recordBadTick records a bad version's traffic in one tick. For a version that is
 // never rolled back, this continues until the deadline.
-func (r *result) recordBadTick(t *trial, at int, s kqworld.TickResult) {
+func (r *result) recordBadTick(t *trial, at int, s kqrolloutsim.TickResult) {
 	if !s.Bad {
 		return
 	}
--- a/internal/lab/kqtick/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package kqtick defines one tick of a rollout as it is recorded in traces.
-package kqtick
--- a/internal/lab/kqupstream/upstream.go
+++ b/internal/lab/kqupstream/upstream.go
@@ -16,7 +16,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/kumquatgw/kumquatgw/internal/call/kqlocal"
-	"github.com/kumquatgw/kumquatgw/internal/lab/kqcut"
+	"github.com/kumquatgw/kumquatgw/internal/lab/kqresetlistener"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
@@ -78,7 +78,7 @@
 		onEvent      func(Event)
 		node         kqname.Address
 		server       *fasthttp.Server
-		listener     *kqcut.Listener
+		listener     *kqresetlistener.Listener
 		http         *http.Client
 		started      time.Time
 
@@ -111,7 +111,7 @@
 		drainPeriod:  defaultDrainPeriod,
 		onEvent:      func(Event) {},
 		node:         node,
-		listener:     kqcut.New(l, new(atomic.Int64)),
+		listener:     kqresetlistener.New(l, new(atomic.Int64)),
 		killed:       make(chan struct{}),
 		http:         &http.Client{Timeout: time.Second},
 		started:      time.Now(),
--- a/internal/peer/kqdiscovery/discovery.go
+++ b/internal/peer/kqdiscovery/discovery.go
@@ -49,8 +49,8 @@
 		List(ctx context.Context, prefix string) (kqstore.Listing, error)
 	}
 
-	// Register keeps this node's entry in the store and discovers other nodes.
-	Register struct {
+	// Discovery keeps this node's entry in the store and discovers other nodes.
+	Discovery struct {
 		store   Store
 		node    kqname.Node
 		control kqname.Address
@@ -68,13 +68,13 @@
 // addresses in the store that are not known, and onError with each failed call.
 func New(store Store, node kqname.Node, control kqname.Address,
 	known func(kqname.Address) (int, bool), contact func(context.Context, kqname.Address), onError func(error),
-) *Register {
-	return &Register{store: store, node: node, control: control, known: known, contact: contact, onError: onError, wake: make(chan struct{}, 1)}
+) *Discovery {
+	return &Discovery{store: store, node: node, control: control, known: known, contact: contact, onError: onError, wake: make(chan struct{}, 1)}
 }
 
 // RenewNow triggers a renewal of the entry at once. It is called when the store is
 // available again, since the lease may have lapsed during the outage.
-func (r *Register) RenewNow() {
+func (r *Discovery) RenewNow() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -82,7 +82,7 @@
 }
 
 // Run maintains the entry and looks up peers until ctx ends.
-func (r *Register) Run(ctx context.Context) {
+func (r *Discovery) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	supervisor := kqsupervisor.From(ctx)
 	group.Go(func() { supervisor.RunWithRestart(ctx, "register", func() { r.maintainEntry(ctx) }) })
@@ -92,7 +92,7 @@
 
 // maintainEntry renews or rewrites the entry until ctx ends. A lapsed lease is
 // replaced without a pause.
-func (r *Register) maintainEntry(ctx context.Context) {
+func (r *Discovery) maintainEntry(ctx context.Context) {
 	lease := kqstore.NoLease
 	for ctx.Err() == nil {
 		next, err := r.renewOrWrite(ctx, lease)
@@ -112,7 +112,7 @@
 }
 
 // awaitRenewal waits until the next renewal is due or RenewNow is called.
-func (r *Register) awaitRenewal(ctx context.Context) {
+func (r *Discovery) awaitRenewal(ctx context.Context) {
 	timer := time.NewTimer(renewInterval)
 	defer timer.Stop()
 	select {
@@ -124,7 +124,7 @@
 
 // renewOrWrite renews the lease or, without one, writes the entry under a new
 // lease. It returns the lease in force, NoLease if there is none.
-func (r *Register) renewOrWrite(ctx context.Context, lease kqstore.Lease) (kqstore.Lease, error) {
+func (r *Discovery) renewOrWrite(ctx context.Context, lease kqstore.Lease) (kqstore.Lease, error) {
 	if lease != kqstore.NoLease {
 		err := r.store.Renew(ctx, lease)
 		if errors.Is(err, kqstore.ErrLeaseLapsed) {
@@ -147,7 +147,7 @@
 
 // lookUpPeers lists the entries periodically and contacts up to maxContacts random
 // addresses that are not known.
-func (r *Register) lookUpPeers(ctx context.Context) {
+func (r *Discovery) lookUpPeers(ctx context.Context) {
 	kqsleep.For(ctx, rand.N(firstLookupJitter))
 	for ; ctx.Err() == nil; r.awaitLookup(ctx) {
 		l, err := r.store.List(ctx, prefix)
@@ -171,7 +171,7 @@
 
 // awaitLookup waits until the next lookup is due; the pause depends on the number
 // of live peers.
-func (r *Register) awaitLookup(ctx context.Context) {
+func (r *Discovery) awaitLookup(ctx context.Context) {
 	peers, _ := r.known("")
 	interval := lookupInterval + time.Duration(peers)*intervalPerPeer
 	if peers == 0 {
--- a/internal/peer/kqdiscovery/discovery_test.go
+++ b/internal/peer/kqdiscovery/discovery_test.go
@@ -33,7 +33,7 @@
 	p.found[to] = true
 }
 
-func start(t *testing.T, store *kqfakestore.Fake, node string) (*peers, *kqdiscovery.Register) {
+func start(t *testing.T, store *kqfakestore.Fake, node string) (*peers, *kqdiscovery.Discovery) {
 	t.Helper()
 	p := &peers{found: make(map[kqname.Address]bool)}
 	r := kqdiscovery.New(store, kqname.Node(node), kqname.Address(node+":1"), p.known, p.contact, func(error) {})
--- a/internal/rollout/kqowner/owner_test.go
+++ b/internal/rollout/kqowner/owner_test.go
@@ -59,7 +59,7 @@
 // runOnce makes one round of platform calls and, if step is set and the node holds the
 // lease, one decision.
 func (n *node) runOnce(now time.Time, step bool) {
-	for _, v := range n.tracker.Views(now) {
+	for _, v := range n.tracker.PlanSnapshots(now) {
 		// Errors are expected: some tests make the platform unavailable.
 		_ = n.owner.Sync(context.Background(), v, true, now)
 		if holds, _ := n.owner.HoldsLease(v.Plan.ID, now); holds && step {
@@ -78,7 +78,7 @@
 
 func (n *node) snapshot(t *testing.T) kqtracker.PlanSnapshot {
 	t.Helper()
-	for _, v := range n.tracker.Views(start.Add(time.Hour)) {
+	for _, v := range n.tracker.PlanSnapshots(start.Add(time.Hour)) {
 		if v.Plan.Name == "move" {
 			return v
 		}
--- a/internal/rollout/kqtracker/capacity_test.go
+++ b/internal/rollout/kqtracker/capacity_test.go
@@ -45,7 +45,7 @@
 		}
 		f.endTick()
 		f.collector.Step(f.plan, f.now)
-		if v := f.collector.Views(f.now)[0]; v.DueFinal != kqprogress.Open {
+		if v := f.collector.PlanSnapshots(f.now)[0]; v.DueFinal != kqprogress.Open {
 			return v.DueFinal, v.Why
 		}
 	}
--- a/internal/rollout/kqtracker/collecting_test.go
+++ b/internal/rollout/kqtracker/collecting_test.go
@@ -15,7 +15,7 @@
 	const window, tick = time.Minute, 600 * time.Millisecond
 	plan := kqdocument.Rollout{Name: "move", Service: "shed", From: "v1", To: "v2", Policy: "first", Start: start, Deadline: start.Add(window)}
 	tracker := newTracker(service(plan))
-	id := tracker.Views(start)[0].Plan.ID
+	id := tracker.PlanSnapshots(start)[0].Plan.ID
 	tracker.Join(id, kqprogress.Progress{Step: 4})
 	now := start.Add(window * 98 / 100)
 	tracker.Evaluate(id, now)
--- a/internal/rollout/kqtracker/failure_test.go
+++ b/internal/rollout/kqtracker/failure_test.go
@@ -48,7 +48,7 @@
 	}
 	last := len(f.gates) - 1
 	f.collector, f.gates = f.gates[last], f.gates[:last]
-	f.plan = f.collector.Views(start)[0].Plan.ID
+	f.plan = f.collector.PlanSnapshots(start)[0].Plan.ID
 	return f
 }
 
--- a/internal/rollout/kqtracker/plan_snapshot.go
+++ b/internal/rollout/kqtracker/plan_snapshot.go
@@ -28,8 +28,8 @@
 	Removed bool
 }
 
-// Views returns every plan that has started, was rolled back or was cancelled.
-func (t *Tracker) Views(now time.Time) []PlanSnapshot {
+// PlanSnapshots returns every plan that has started, was rolled back or was cancelled.
+func (t *Tracker) PlanSnapshots(now time.Time) []PlanSnapshot {
 	var list []PlanSnapshot
 	for _, ps := range t.allPlanStates() {
 		ps.mu.Lock()
--- a/internal/rollout/kqtracker/tracker_test.go
+++ b/internal/rollout/kqtracker/tracker_test.go
@@ -43,7 +43,7 @@
 func TestGateRefusesRolledBackVersion(t *testing.T) {
 	plan := kqdocument.Rollout{Name: "move", Service: "shed", From: "v1", To: "v2", Policy: "first", Start: start, Deadline: start.Add(time.Minute)}
 	tracker := newTracker(service(plan))
-	id := tracker.Views(start)[0].Plan.ID
+	id := tracker.PlanSnapshots(start)[0].Plan.ID
 	tracker.Join(id, kqprogress.Progress{Step: 4})
 	if tracker.Refuses("shed", "v2") {
 		t.Error("the new version of a running rollout is refused")
--- a/internal/run/kqcommand/keys.go
+++ b/internal/run/kqcommand/keys.go
@@ -51,7 +51,7 @@
 		if err != nil {
 			return fmt.Errorf("init: %w", err)
 		}
-		if err := a.Pair().Write(*folder, caFileName); err != nil {
+		if err := a.KeyPair().Write(*folder, caFileName); err != nil {
 			return fmt.Errorf("init: %w", err)
 		}
 		c.printWritten(*folder, caFileName)
--- a/internal/run/kqcommand/measure_rollouts.go
+++ b/internal/run/kqcommand/measure_rollouts.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"strings"
 
+	"github.com/kumquatgw/kumquatgw/internal/lab/kqrolloutsim"
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqsurvey"
-	"github.com/kumquatgw/kumquatgw/internal/lab/kqworld"
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 )
 
@@ -44,7 +44,7 @@
 // recordTraces simulates a few rollouts of each kind and writes the shortest trace of
 // those that ended as they should.
 func recordTraces(directory string, seed uint64) error {
-	for _, kind := range kqworld.Kinds {
+	for _, kind := range kqrolloutsim.Kinds {
 		var shortest []byte
 		for index := range uint64(tracesPerKind) {
 			var trace bytes.Buffer
--- a/internal/run/kqnode/call.go
+++ b/internal/run/kqnode/call.go
@@ -54,10 +54,10 @@
 		n.table.Update(func(m *kqmember.Member) { m.Upstreams = list })
 	})
 	n.callWatch = kqdisconnect.New()
-	gate := []kqgate.Option{kqgate.WithWithdrawer(n.local), kqgate.WithObserver(n.rollouts), kqgate.WithGuard(n.rollouts), kqgate.WithHangup(n.callWatch), kqgate.WithCounter(n.metrics), kqgate.WithKeeper(n.supervisor)}
+	gate := []kqgate.Option{kqgate.WithWithdrawer(n.local), kqgate.WithObserver(n.rollouts), kqgate.WithGuard(n.rollouts), kqgate.WithDisconnectWatcher(n.callWatch), kqgate.WithCounter(n.metrics), kqgate.WithSupervisor(n.supervisor)}
 	entry := append(n.entryTLSOptions(), kqentry.WithCounter(n.metrics), kqentry.WithSplitter(n.rollouts),
-		kqentry.WithDomain(n.settings.Node.Domain), kqentry.WithHangup(n.callWatch),
-		kqentry.WithForged(n.security.ForgedHeaders), kqentry.WithKeeper(n.supervisor))
+		kqentry.WithDomain(n.settings.Node.Domain), kqentry.WithDisconnectWatcher(n.callWatch),
+		kqentry.WithForged(n.security.ForgedHeaders), kqentry.WithSupervisor(n.supervisor))
 	nesting := kqnesting.New()
 	gate, entry = append(gate, kqgate.WithNesting(nesting)), append(entry, kqentry.WithNesting(nesting))
 	if n.settings.Call.Slots == slotsExact {
--- a/internal/run/kqnode/config.go
+++ b/internal/run/kqnode/config.go
@@ -42,7 +42,7 @@
 	reader      *kqreader.Reader
 	watcher     kqreader.Watcher
 	follower    *kqfollower.Follower
-	register    *kqdiscovery.Register
+	register    *kqdiscovery.Discovery
 	departures  *kqdeparture.Departures
 	fetcher     *kqfetch.Fetcher
 	direct      bool
@@ -117,7 +117,7 @@
 
 // newRegister returns a register through which the node finds its peers in the store,
 // for platforms that provide no seeds.
-func (n *Node) newRegister(failed func(error)) *kqdiscovery.Register {
+func (n *Node) newRegister(failed func(error)) *kqdiscovery.Discovery {
 	self := n.table.Self()
 	known := func(to kqname.Address) (peers int, known bool) {
 		for _, m := range n.table.Members() {
@@ -134,7 +134,7 @@
 func (n *Node) replicaOptions(direct bool) []kqreplica.Option {
 	options := []kqreplica.Option{
 		kqreplica.WithMemoryBudget(n.settings.Member.MemoryBudget, func() { n.metrics.BudgetExceeded("memory") }),
-		kqreplica.WithOnRefused(n.metrics.ConfigRefused), kqreplica.WithKeeper(n.supervisor),
+		kqreplica.WithOnRefused(n.metrics.ConfigRefused), kqreplica.WithSupervisor(n.supervisor),
 		kqreplica.WithOnChange(func(s *kqsnapshot.Snapshot) {
 			n.metrics.SetVersion(s.Version())
 			n.table.SetHeldVersion(n.settings.Node.Name, s.Version())
--- a/internal/run/kqnode/rollout.go
+++ b/internal/run/kqnode/rollout.go
@@ -99,7 +99,7 @@
 
 // tick weighs the evidence for each plan, and steps the plans that this node owns.
 func (r *rollouts) tick(now time.Time) {
-	for _, v := range r.tracker.Views(now) {
+	for _, v := range r.tracker.PlanSnapshots(now) {
 		id := v.Plan.ID
 		if r.collectsEvidence(v) {
 			r.tracker.Evaluate(id, now)
@@ -187,7 +187,7 @@
 // releaseLeases gives up the rollouts that this node owns, so that other nodes can
 // continue them at once.
 func (r *rollouts) releaseLeases(ctx context.Context) {
-	for _, v := range r.tracker.Views(time.Now()) {
+	for _, v := range r.tracker.PlanSnapshots(time.Now()) {
 		if err := r.owner.Release(ctx, v.Plan.ID); err != nil {
 			r.node.logger.Part("rollout").WithError(err).Info("Lease was not released; it will expire.")
 		}
@@ -200,7 +200,7 @@
 	if r.node.leaving.Load() {
 		return
 	}
-	for _, v := range r.tracker.Views(now) {
+	for _, v := range r.tracker.PlanSnapshots(now) {
 		rank := r.rank(v.Plan.Service)
 		available := now.Sub(v.OwnerSeen) >= kqowner.LeaseTTL || v.Owner == r.node.settings.Node.Name || r.hasLeft(v.Owner)
 		candidate := rank >= 0 && available && now.Sub(v.KnownSince) >= time.Duration(min(rank, 20))*rolloutTick*3
--- a/internal/run/kqnode/tls.go
+++ b/internal/run/kqnode/tls.go
@@ -43,14 +43,14 @@
 	if n.identity == nil {
 		return nil
 	}
-	return []kqrpc.ServerOption{kqrpc.WithGuard(n.identity.Accept)}
+	return []kqrpc.ServerOption{kqrpc.WithGuard(n.identity.ServerHandshake)}
 }
 
 func (n *Node) peerClientOptions() []kqrpc.ClientOption {
 	if n.identity == nil {
 		return nil
 	}
-	return []kqrpc.ClientOption{kqrpc.WithClientGuard(n.identity.Connect)}
+	return []kqrpc.ClientOption{kqrpc.WithClientGuard(n.identity.ClientHandshake)}
 }
 
 func (n *Node) entryTLSOptions() []kqentry.Option {
--- a/internal/run/kqnode/tls_test.go
+++ b/internal/run/kqnode/tls_test.go
@@ -219,7 +219,7 @@
 	t.Helper()
 	var bundle []byte
 	for _, a := range authorities {
-		bundle = append(bundle, a.Pair().Certificate...)
+		bundle = append(bundle, a.KeyPair().Certificate...)
 	}
 	file, _ := kqauthority.Paths(s.folder, "ca")
 	if err := os.WriteFile(file+".new", bundle, 0o600); err != nil {
@@ -262,7 +262,7 @@
 
 func writeCA(t *testing.T, folder string, a *kqauthority.Authority) string {
 	t.Helper()
-	if err := a.Pair().Write(folder, "ca"); err != nil {
+	if err := a.KeyPair().Write(folder, "ca"); err != nil {
 		t.Fatal(err)
 	}
 	certificate, _ := kqauthority.Paths(folder, "ca")
--- a/internal/run/kqrecord/record.go
+++ b/internal/run/kqrecord/record.go
@@ -63,7 +63,7 @@
 // was answered without a failure on its first attempt is a routine success.
 func (r *Recorder) Ended(e kqentry.Record, now time.Time) {
 	r.counter.Took("call", now.Sub(e.Call.Arrived))
-	routine := e.Outcome.Result == kqcall.Answered && e.Status < minFailureStatus && len(e.Tries) == 1
+	routine := e.Outcome.Result == kqcall.Answered && e.Status < minFailureStatus && len(e.Attempts) == 1
 	if !r.shouldLog(e.Call.ID, "call "+string(e.Outcome.Reason), routine, now) {
 		return
 	}
@@ -81,8 +81,8 @@
 	if e.Outcome.RetryAfter > 0 {
 		fields["retry_after_ms"] = milliseconds(e.Outcome.RetryAfter)
 	}
-	if len(e.Tries) > 0 {
-		fields["tries"] = attemptFields(e.Tries)
+	if len(e.Attempts) > 0 {
+		fields["tries"] = attemptFields(e.Attempts)
 	}
 	r.callLog.WithFields(fields).Info("Call ended.")
 }
@@ -101,7 +101,7 @@
 		"id": g.Call.ID, "event": "gated", "result": g.Outcome.Result, "status": g.Status, "service": g.Call.Service,
 		"instance": g.Instance, "running": g.Load.Running, "waiting": g.Load.Waiting, "slots": g.Load.Slots,
 		"waited_ms": milliseconds(g.Waited), "took_ms": milliseconds(g.Took), "left_ms": milliseconds(g.Call.Deadline.Sub(now)), "class": g.Call.Class,
-		"expected_ms": milliseconds(g.Load.Work),
+		"expected_ms": milliseconds(g.Load.RecentDuration),
 	}
 	if g.Outcome.Reason != kqcall.NoReason {
 		fields["reason"] = g.Outcome.Reason
@@ -141,7 +141,7 @@
 }
 
 // attemptFields returns the log fields of a call's attempts.
-func attemptFields(list []kqentry.Try) []map[string]any {
+func attemptFields(list []kqentry.Attempt) []map[string]any {
 	lines := make([]map[string]any, 0, len(list))
 	for _, t := range list {
 		line := map[string]any{
--- a/internal/run/kqrecord/record_test.go
+++ b/internal/run/kqrecord/record_test.go
@@ -36,7 +36,7 @@
 func endedCall(id string, o kqcall.Outcome, status int) kqentry.Record {
 	return kqentry.Record{
 		Call: &kqcall.Call{ID: kqcall.ID(id)}, Outcome: o, Status: status,
-		Tries: []kqentry.Try{{To: "b", Outcome: o, Status: status}},
+		Attempts: []kqentry.Attempt{{To: "b", Outcome: o, Status: status}},
 	}
 }
 
--- a/internal/security/kqauthority/authority.go
+++ b/internal/security/kqauthority/authority.go
@@ -47,11 +47,11 @@
 	Authority struct {
 		certificate *x509.Certificate
 		key         *ecdsa.PrivateKey
-		pair        Pair
+		pair        KeyPair
 	}
 
-	// Pair is a certificate and its private key (ECDSA P-256), as PEM.
-	Pair struct {
+	// KeyPair is a certificate and its private key (ECDSA P-256), as PEM.
+	KeyPair struct {
 		Certificate []byte
 		Key         []byte
 	}
@@ -85,7 +85,7 @@
 }
 
 // Load returns the authority with an existing certificate and key.
-func Load(pair Pair) (*Authority, error) {
+func Load(pair KeyPair) (*Authority, error) {
 	data, err := decodeBlock(pair.Certificate, certificateBlock)
 	if err != nil {
 		return nil, fmt.Errorf("read authority's certificate: %w", err)
@@ -108,18 +108,18 @@
 	return &Authority{certificate: certificate, key: key, pair: pair}, nil
 }
 
-// Pair returns the authority's own certificate and key.
-func (a *Authority) Pair() Pair { return a.pair }
+// KeyPair returns the authority's own certificate and key.
+func (a *Authority) KeyPair() KeyPair { return a.pair }
 
 // Issue generates a key for a node and signs a certificate for both client and
 // server authentication that expires after the lifetime.
-func (a *Authority) Issue(s Subject, now time.Time, lifetime time.Duration) (Pair, error) {
+func (a *Authority) Issue(s Subject, now time.Time, lifetime time.Duration) (KeyPair, error) {
 	if !kqname.Valid(s.Node) {
-		return Pair{}, fmt.Errorf("issue certificate for %q: %w", s.Node, ErrName)
+		return KeyPair{}, fmt.Errorf("issue certificate for %q: %w", s.Node, ErrName)
 	}
 	template, err := newTemplate(now, lifetime, string(s.Node))
 	if err != nil {
-		return Pair{}, err
+		return KeyPair{}, err
 	}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
@@ -133,11 +133,11 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, fmt.Errorf("issue certificate for %s: %w", s.Node, err)
+		return KeyPair{}, fmt.Errorf("issue certificate for %s: %w", s.Node, err)
 	}
 	pair, err := sign(template, a.certificate, key, a.key)
 	if err != nil {
-		return Pair{}, fmt.Errorf("issue certificate for %s: %w", s.Node, err)
+		return KeyPair{}, fmt.Errorf("issue certificate for %s: %w", s.Node, err)
 	}
 	return pair, nil
 }
@@ -155,16 +155,16 @@
 }
 
 // sign signs a certificate for key with the signer's key and returns it with key.
-func sign(template, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) (Pair, error) {
+func sign(template, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) (KeyPair, error) {
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer)
 	if err != nil {
-		return Pair{}, fmt.Errorf("sign certificate: %w", err)
+		return KeyPair{}, fmt.Errorf("sign certificate: %w", err)
 	}
 	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return Pair{}, fmt.Errorf("encode key: %w", err)
+		return KeyPair{}, fmt.Errorf("encode key: %w", err)
 	}
-	return Pair{
+	return KeyPair{
 		Certificate: pem.EncodeToMemory(&pem.Block{Type: certificateBlock, Bytes: der}),
 		Key:         pem.EncodeToMemory(&pem.Block{Type: keyBlock, Bytes: keyDER}),
 	}, nil
--- a/internal/security/kqauthority/files.go
+++ b/internal/security/kqauthority/files.go
@@ -21,7 +21,7 @@
 // Write writes the pair to NAME.pem and NAME.key in a folder; only the owner can read
 // the key. Each file is replaced atomically, since a node that reads it at the same
 // time could otherwise see half a certificate.
-func (p Pair) Write(folder, name string) error {
+func (p KeyPair) Write(folder, name string) error {
 	certificate, key := Paths(folder, name)
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return fmt.Errorf("write pair: %w", err)
@@ -30,7 +30,7 @@
 }
 
 // Read reads a pair from the files that Write creates.
-func Read(folder, name string) (p Pair, err error) {
+func Read(folder, name string) (p KeyPair, err error) {
 	certificate, key := Paths(folder, name)
 	if p.Certificate, err = os.ReadFile(certificate); err != nil {
 		return p, fmt.Errorf("read pair: %w", err)
--- a/internal/security/kqidentity/identity.go
+++ b/internal/security/kqidentity/identity.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// Accept performs the TLS handshake of a connection from another node and returns
+// ServerHandshake performs the TLS handshake of a connection from another node and returns
 // the authenticated node.
-func (i *Identity) Accept(ctx context.Context, conn net.Conn) (net.Conn, kqname.Node, error) {
+func (i *Identity) ServerHandshake(ctx context.Context, conn net.Conn) (net.Conn, kqname.Node, error) {
 	secured := tls.Server(conn, i.MutualTLSConfig())
 	if err := secured.HandshakeContext(ctx); err != nil {
 		// Other errors are reported here, such as a refusal by the other end: a node
@@ -133,8 +133,8 @@
 	return secured, node, err
 }
 
-// Connect performs the TLS handshake of a connection to another node.
-func (i *Identity) Connect(ctx context.Context, conn net.Conn) (net.Conn, error) {
+// ClientHandshake performs the TLS handshake of a connection to another node.
+func (i *Identity) ClientHandshake(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	secured, err := i.connect(ctx, conn)
 	if err != nil {
 		return nil, err
