--- a/internal/decide/kqallowance/allowance_test.go
+++ b/internal/decide/kqallowance/allowance_test.go
@@ -16,6 +16,7 @@
 		repeats := 0
 		for n := range nodes {
 			a := kqallowance.New(bound)
+			// Nodes 1 to calls%nodes send one call more than the others.
 			for range calls/nodes + min(n, calls%nodes)/max(n, 1) {
 				a.Earn(nodes)
 				if a.Spend(nodes) {
--- a/internal/decide/kqeject/eject.go
+++ b/internal/decide/kqeject/eject.go
@@ -37,7 +37,9 @@
 
 	// Ejector limits the ejections among one service's upstreams. It is not safe for
 	// concurrent use.
-	Ejector struct{ capped int }
+	//
+	// countedEjections is the number of current ejections that count towards the cap.
+	Ejector struct{ countedEjections int }
 )
 
 // Ejected reports whether the upstream is ejected.
@@ -57,7 +59,7 @@
 // RecordUnreachable ejects an upstream that accepts no calls, regardless of the cap.
 func (e *Ejector) RecordUnreachable(s *State, now time.Time) {
 	if s.ejected && !s.unreachable {
-		e.capped--
+		e.countedEjections--
 	}
 	s.unreachable = true
 	s.eject(now)
@@ -94,16 +96,16 @@
 // Release removes an upstream that is gone or healthy again from the count of ejections.
 func (e *Ejector) Release(s *State) {
 	if s.ejected && !s.unreachable {
-		e.capped--
+		e.countedEjections--
 	}
 }
 
 func (e *Ejector) eject(s *State, total int, now time.Time) {
 	if !s.ejected {
-		if e.capped >= total/capDivisor {
+		if e.countedEjections >= total/capDivisor {
 			return
 		}
-		e.capped++
+		e.countedEjections++
 	}
 	s.eject(now)
 }
--- a/internal/decide/kqlease/example_test.go
+++ b/internal/decide/kqlease/example_test.go
@@ -7,9 +7,9 @@
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqlease"
 )
 
-// The first member of a domain without readers tries to acquire a free slot. Once it
-// holds the lease, it renews it after a third of the TTL, and gives it up if it resumes
-// too late.
+// The first member of a domain without readers tries to acquire a vacant reader lease.
+// Once it holds the lease, it renews it after a third of the TTL, and gives it up if it was
+// paused for too long.
 func ExampleHolder() {
 	var h kqlease.Holder
 	now := time.Unix(0, 0)
--- a/internal/decide/kqlease/lease_test.go
+++ b/internal/decide/kqlease/lease_test.go
@@ -12,7 +12,7 @@
 func TestHolderRenewsAndGivesUpByLocalClock(t *testing.T) {
 	var h kqlease.Holder
 	if step := h.Next(kqlease.Situation{}, start); step != kqlease.Acquire {
-		t.Fatalf("next step with a vacant slot is %s, want Acquire", step)
+		t.Fatalf("next step with a vacant reader lease is %s, want Acquire", step)
 	}
 	h.RecordRenewal(start)
 	for _, c := range []struct {
@@ -21,9 +21,11 @@
 	}{
 		{time.Second, kqlease.Wait},
 		{kqlease.TTL / 3, kqlease.Renew},
+		// A renewal is in flight, since Next records the time of each attempt.
 		{kqlease.TTL/3 + time.Millisecond, kqlease.Wait},
 		{kqlease.TTL - kqlease.TTL/4, kqlease.GiveUp},
 		{time.Hour, kqlease.GiveUp},
+		// The clock went back.
 		{-time.Second, kqlease.GiveUp},
 	} {
 		if got := h.Next(kqlease.Situation{}, start.Add(c.after)); got != c.want {
@@ -33,8 +35,8 @@
 }
 
 // Both readers of a domain of 80 servers die together. If every server tried to acquire
-// a free slot, the load on the platform would grow with the fleet.
-func TestOnlyFirstMembersTryVacantSlot(t *testing.T) {
+// a vacant reader lease, the load on the platform would grow with the fleet.
+func TestOnlyFirstMembersTryVacantLease(t *testing.T) {
 	attempts := 0
 	for rank := range 80 {
 		var h kqlease.Holder
--- a/internal/decide/kqneighbour/neighbour.go
+++ b/internal/decide/kqneighbour/neighbour.go
@@ -34,7 +34,7 @@
 	// It limits reconnects when many members join or leave at once: a node changes only
 	// its links to those members, since each choice depends on a hash of two names rather
 	// than on a position in a list. Otherwise all nodes would replace their links, and the
-	// reconnects would be a storm of their own. A node has at most 6 links, plus one for
+	// reconnects would overload the nodes. A node has at most 6 links, plus one for
 	// each other region.
 	Chooser struct{}
 )
--- a/internal/decide/kqpick/peer.go
+++ b/internal/decide/kqpick/peer.go
@@ -45,12 +45,12 @@
 	if localBest := p.localBest(list, target, now, random); localBest != nil {
 		return localBest
 	}
-	found, _ := p.leastExpected(list, target.Route, now, random)
+	found, _ := p.leastEstimate(list, target.Route, now, random)
 	return found
 }
 
-// localBest returns the best sampled upstream of the own failure domain if its expected
-// time is below target.ComfortableLatency, else nil. A faster upstream in another domain
+// localBest returns the best sampled upstream of the own failure domain if its weighted
+// estimate is below target.ComfortableLatency, else nil. A faster upstream in another domain
 // would gain nothing then, while its responses would cross between domains.
 func (p *Pool) localBest(list []*Peer, target Target, now time.Time, random *rand.Rand) *Peer {
 	local := 0
@@ -60,42 +60,44 @@
 			local++
 		}
 	}
-	found, leastExpected := p.leastExpected(list[:local], target.Route, now, random)
-	if leastExpected >= target.ComfortableLatency.Seconds() {
+	found, leastEstimate := p.leastEstimate(list[:local], target.Route, now, random)
+	if leastEstimate >= target.ComfortableLatency.Seconds() {
 		return nil
 	}
 	return found
 }
 
-// leastExpected returns the upstream with the least expected time in a random sample of
-// the list, and that time in seconds. Sampling keeps entries, each of which only has
-// the load reports in the responses to its own calls, from all choosing the same upstream.
+// leastEstimate returns the upstream with the least estimate in a random sample of the
+// list, and that estimate: its expected time in seconds, weighted by its failure penalty
+// and, in the own failure domain, by localFactor. Sampling keeps entries, each of which
+// only has the load reports in the responses to its own calls, from all choosing the same
+// upstream.
 //
 // While the service has spare capacity, upstreams that fail part of their calls do not
-// count towards the sample size: if half of the upstreams fail, one sample of four in
-// sixteen would hold only failing ones.
-func (p *Pool) leastExpected(list []*Peer, route kqname.Route, now time.Time, random *rand.Rand) (found *Peer, leastExpected float64) {
+// count towards the sample size: if half of the upstreams fail, one in sixteen
+// samples of size four would hold only failing ones.
+func (p *Pool) leastEstimate(list []*Peer, route kqname.Route, now time.Time, random *rand.Rand) (found *Peer, leastEstimate float64) {
 	hasSpareCapacity := p.hasSpareCapacity(now)
-	healthy := 0
+	counted := 0
 	for i := range min(maxSampleSize, len(list)) {
-		if healthy == sampleSize {
+		if counted == sampleSize {
 			break
 		}
 		j := i + random.IntN(len(list)-i)
 		list[i], list[j] = list[j], list[i]
 		peer := list[i]
 		if !hasSpareCapacity || peer.failureRate(now) == 0 {
-			healthy++
+			counted++
 		}
 		estimate := p.expectedTime(peer, route, now) * peer.failurePenalty(hasSpareCapacity, now)
 		if peer.Domain == p.domain {
 			estimate *= localFactor
 		}
-		if found == nil || estimate < leastExpected {
-			found, leastExpected = peer, estimate
+		if found == nil || estimate < leastEstimate {
+			found, leastEstimate = peer, estimate
 		}
 	}
-	return found, leastExpected
+	return found, leastEstimate
 }
 
 // expectedTime returns the expected time in seconds of a call of the route at the
--- a/internal/decide/kqslots/overload_test.go
+++ b/internal/decide/kqslots/overload_test.go
@@ -73,6 +73,7 @@
 
 func (sim *simulation) after(d time.Duration, do func()) {
 	e := event{sim.now.Add(d), do}
+	// The new event comes after earlier ones of the same time.
 	i, _ := slices.BinarySearchFunc(sim.events, e, func(x, y event) int { return cmp.Compare(x.at.UnixNano(), y.at.UnixNano()+1) })
 	sim.events = slices.Insert(sim.events, i, e)
 }
@@ -153,7 +154,9 @@
 			sim.results[r.stream.route].refused++
 			return
 		}
-		// The entry delays the retry of a caller whose answer can only be late.
+		// A refused caller retries after RetryAfter or a third of its remaining
+		// patience, whichever is longer. The entry does so only for callers whose
+		// answer can only be late.
 		sim.after(max(t.Refusal.RetryAfter, r.first.Add(maxPatience).Sub(sim.now)/3), func() { sim.try(r) })
 	}
 }
@@ -235,7 +238,7 @@
 	}
 }
 
-// Offered load is twice the capacity, and a tenth of the calls are nested. A nested call
+// Offered load is twice the capacity, and nested calls are a tenth of the load. A nested call
 // that is refused wastes the work of its calling call, so nested calls must be served
 // before new work.
 func TestNestedCallsAreServedFirst(t *testing.T) {
@@ -271,9 +274,9 @@
 	}
 }
 
-// An upstream becomes five times slower and takes 700 ms per call. Ten tiny calls a second
+// An upstream becomes four times slower and takes 700 ms per call. Ten tiny calls a second
 // make its ordinary calls count as long jobs. Reserving half of the slots for the tiny
-// calls, which use 1% of one slot, would refuse dozens of calls a second while slots are
+// calls, which use 2% of one slot, would refuse dozens of calls a second while slots are
 // free.
 func TestSlowUpstreamUsesAllSlotsBesideTinyCalls(t *testing.T) {
 	const slots = 6
