--- a/internal/rollout/kqevidence/encode.go
+++ b/internal/rollout/kqevidence/encode.go
@@ -50,7 +50,7 @@
 
 // MarshalBinary encodes the cell as varints: calls, failures, then for each non-empty
 // bucket its distance from the previous one and its count. A cell takes about 10 to 100
-// bytes, and at most 450.
+// bytes, and at most 298.
 func (c Cell) MarshalBinary() ([]byte, error) {
 	data := binary.AppendUvarint(nil, uint64(c.Calls))
 	data = binary.AppendUvarint(data, uint64(c.Failed))
--- a/internal/rollout/kqmargin/margin.go
+++ b/internal/rollout/kqmargin/margin.go
@@ -10,9 +10,9 @@
 	// minVariance is about the variance of the log of a latency within its bucket, whose
 	// edges differ by 25%.
 	minVariance = 0.004
-	// minDeviations is how many standard deviations of the difference by the draw of
-	// servers are allowed at least. With two, a version that is twice as slow would be kept
-	// on four upstreams against six of which two run on slow servers.
+	// minDeviations is how many standard deviations of the difference that a random
+	// choice of servers causes are allowed at least. With two, a version that is twice as
+	// slow would be kept on four upstreams against six of which two run on slow servers.
 	minDeviations = 1
 	// quartileError is the standard error of a 25th percentile, in standard deviations of
 	// the calls over the square root of their number, if their logs are normal.
@@ -42,7 +42,7 @@
 	serverOffsets, spread, variance := serverOffsets(old)
 	oldMean := weightedMean(old, serverOffsets)
 	minMargin := minDeviations * spread * math.Sqrt(1/float64(len(old))+1/float64(len(next)))
-	// From here on only the order of the offsets matters.
+	// From here on it does not matter which upstream an offset belongs to.
 	slices.SortFunc(serverOffsets, func(a, b float64) int { return cmp.Compare(b, a) })
 	slices.SortFunc(next, func(a, b Upstream) int { return cmp.Compare(b.mean(), a.mean()) })
 	paired, quartileLimits := make([]float64, len(next)), make([]float64, len(next))
--- a/internal/rollout/kqmargin/margin_test.go
+++ b/internal/rollout/kqmargin/margin_test.go
@@ -113,7 +113,7 @@
 		next.LogSum += x
 		next.LogSquares += x * x
 	}
-	// The 25th percentile of all calls is the 42nd of the fast ones.
+	// The 25th percentile of all calls is the 42nd percentile of the fast ones.
 	next.LowerQuartile = -0.2 * spread
 	got := kqmargin.Allowed(upstreams(random, 400, 0, 0, slow, 0, 0, slow), []kqmargin.Upstream{next}, lowerQuartile)
 	if got > 0.25 {
--- a/internal/rollout/kqstep/step_test.go
+++ b/internal/rollout/kqstep/step_test.go
@@ -16,7 +16,7 @@
 
 var start = time.Unix(1000, 0)
 
-func state(prefer kqdocument.Preference, step int) kqstep.Inputs {
+func newInputs(prefer kqdocument.Preference, step int) kqstep.Inputs {
 	return kqstep.Inputs{
 		Plan:     kqplan.Plan{Start: start, Deadline: start.Add(10 * time.Minute), Prefer: prefer, SmallShare: 0.05},
 		Progress: kqprogress.Progress{Step: step}, OldSlots: 36, NewSlots: 36,
@@ -28,7 +28,7 @@
 // Callers would get a version that was never compared.
 func TestPlanWithPassedDeadlineIsRolledBack(t *testing.T) {
 	for _, prefer := range []kqdocument.Preference{kqdocument.PreferFinishing, kqdocument.PreferTakingBack} {
-		if d := kqstep.Decide(start.Add(time.Hour), state(prefer, 0)); d.Action != kqstep.Rollback {
+		if d := kqstep.Decide(start.Add(time.Hour), newInputs(prefer, 0)); d.Action != kqstep.Rollback {
 			t.Errorf("%s: %+v, want a rollback", prefer, d)
 		}
 	}
@@ -41,7 +41,7 @@
 	for prefer, want := range map[kqdocument.Preference]kqstep.Action{
 		kqdocument.PreferFinishing: kqstep.Done, kqdocument.PreferTakingBack: kqstep.Rollback,
 	} {
-		s := state(prefer, 1)
+		s := newInputs(prefer, 1)
 		for at := time.Duration(0); at <= 11*time.Minute; at += time.Second {
 			s.Finding = few
 			d := kqstep.Decide(start.Add(at), s)
@@ -62,10 +62,10 @@
 	}
 }
 
-// Guards against the rollback of a good version in an ordered rollout of 12 s after a few
-// failures, as when two of a hundred calls fail because servers restart. It must use the
-// new upstreams within half of the time and end as done in time; otherwise they would
-// stay idle beside overloaded old ones.
+// Guards against the rollback of a good version in an ordered rollout (one with a
+// Plan.Duration) of 12 s after a few failures, as when two of a hundred calls fail because
+// servers restart. It must use the new upstreams within half of the time and end as done
+// in time; otherwise they would stay idle beside overloaded old ones.
 func TestGoodVersionIsDoneInTime(t *testing.T) {
 	plan := kqplan.Plan{Duration: 12 * time.Second, Prefer: kqdocument.PreferFinishing, SmallShare: 0.05}.Begin(start)
 	s := kqstep.Inputs{Plan: plan, OldSlots: 36, NewSlots: 60, Finding: kqverdict.Finding{Calls: 133, Total: 1.1, InFavor: -3}}
--- a/internal/rollout/kqtracker/planstate.go
+++ b/internal/rollout/kqtracker/planstate.go
@@ -27,11 +27,12 @@
 	// busyAveraging is the time over which the number of busy slots is averaged, since
 	// calls arrive in bursts of about a second.
 	busyAveraging = 3 * time.Second
-	// minUncounted and maxUncounted bound the time after a failed connection in
-	// which further ones to the same upstream are not counted: by then all nodes know of
-	// the failure or have ejected the upstream. Three counted failures roll back a version
-	// none of whose upstreams accepts connections, well before it would get all traffic.
-	minUncounted, maxUncounted = time.Second, 2 * time.Second
+	// minFailureCountPause and maxFailureCountPause bound the time after a failed
+	// connection in which further ones to the same upstream are not counted: by then all
+	// nodes know of the failure or have ejected the upstream. Three counted failures roll
+	// back a version none of whose upstreams accepts connections, well before it would
+	// get all traffic.
+	minFailureCountPause, maxFailureCountPause = time.Second, 2 * time.Second
 )
 
 // planState is the state of one plan on this node.
@@ -57,9 +58,9 @@
 	collectingSince time.Time
 	lastReport      time.Time
 	// lastCountedFailure is when a failed connection to this node's upstream was last
-	// counted, and uncountedFor for how long after it further ones are not.
+	// counted, and failureCountPause for how long after it further ones are not.
 	lastCountedFailure time.Time
-	uncountedFor       time.Duration
+	failureCountPause  time.Duration
 	// owner is the node that last announced itself as the rollout's owner, at ownerSeen.
 	owner        kqname.Node
 	ownerSeen    time.Time
@@ -99,7 +100,7 @@
 	if ps.collectingSince.IsZero() {
 		ps.collectingSince = now
 	}
-	if now.Sub(ps.lastTick) < ps.tickInterval() || ps.isCollecting(now) {
+	if now.Sub(ps.lastTick) < ps.tickInterval() || ps.isAwaitingOldCounts(now) {
 		return
 	}
 	sample := ps.ledger.Take()
@@ -120,10 +121,10 @@
 	}
 }
 
-// isCollecting reports whether gates' reports of earlier counts may still arrive. A rollout
+// isAwaitingOldCounts reports whether gates' reports of earlier counts may still arrive. A rollout
 // that started only while this node was collecting has no earlier counts. This cannot be
 // recognized for an ordered one, whose start each node sets when it receives the plan.
-func (ps *planState) isCollecting(now time.Time) bool {
+func (ps *planState) isAwaitingOldCounts(now time.Time) bool {
 	startedWhileCollecting := ps.plan.Duration == 0 && ps.collectingSince.Sub(ps.plan.Start) < ps.tickInterval()
 	return !startedWhileCollecting && now.Sub(ps.collectingSince) < collectingTicks*ps.tickInterval()
 }
--- a/internal/rollout/kqtracker/tracker.go
+++ b/internal/rollout/kqtracker/tracker.go
@@ -171,7 +171,7 @@
 	}
 	ps.totalSlots = s.OldSlots + s.NewSlots + s.ColdSlots
 	d := kqstep.Decide(now, s)
-	if ps.isCollecting(now) && (d.Action == kqstep.Advance || d.Action == kqstep.Done) {
+	if ps.isAwaitingOldCounts(now) && (d.Action == kqstep.Advance || d.Action == kqstep.Done) {
 		// A node that has just become the owner may not have received the evidence
 		// against the version yet.
 		d = kqstep.Decision{Action: kqstep.Hold, Why: "what gates have counted is being collected"}
--- a/internal/rollout/kqtracker/tracker_test.go
+++ b/internal/rollout/kqtracker/tracker_test.go
@@ -68,7 +68,7 @@
 	tracker := newTracker(service(plan))
 	tracker.Update(map[kqname.Service]kqresource.Service{"shed": service()}, start.Add(time.Minute))
 	if list := tracker.Statuses(start.Add(time.Minute)); len(list) != 1 || list[0].Share != 0 {
-		t.Errorf("a removed plan must be kept until it is settled: %+v", list)
+		t.Errorf("a removed plan must be kept so that its final state can be stored: %+v", list)
 	}
 	tracker.Update(map[kqname.Service]kqresource.Service{"shed": service()}, start.Add(2*time.Hour))
 	if list := tracker.Statuses(start.Add(2 * time.Hour)); len(list) != 0 {
--- a/internal/rollout/kqtracker/traffic.go
+++ b/internal/rollout/kqtracker/traffic.go
@@ -148,13 +148,13 @@
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	if o.Outcome.Reason != kqcall.ConnectFailed {
-		ps.uncountedFor = 0
+		ps.failureCountPause = 0
 		return true
 	}
-	if ps.uncountedFor > 0 && o.Began.Sub(ps.lastCountedFailure) < ps.uncountedFor {
+	if ps.failureCountPause > 0 && o.Began.Sub(ps.lastCountedFailure) < ps.failureCountPause {
 		return false
 	}
-	ps.lastCountedFailure, ps.uncountedFor = o.Began, min(max(2*ps.uncountedFor, minUncounted), maxUncounted)
+	ps.lastCountedFailure, ps.failureCountPause = o.Began, min(max(2*ps.failureCountPause, minFailureCountPause), maxFailureCountPause)
 	return true
 }
 
--- a/internal/rollout/kqverdict/baseline.go
+++ b/internal/rollout/kqverdict/baseline.go
@@ -4,7 +4,7 @@
 
 const (
 	// tickDecay is the factor by which counts decay at each tick: they fade over
-	// about 30 ticks, so that the threshold follows the load of the day.
+	// about 30 ticks, so that tailBucket follows the load of the day.
 	tickDecay = 0.97
 	// recentDecay is the decay of the rates of the last seconds.
 	recentDecay = 0.8
@@ -14,8 +14,8 @@
 	// minRate keeps the first failure after none at all from counting as infinitely
 	// unlikely.
 	minRate = 2e-4
-	// minRetainedCalls is the least number of the old version's calls for a comparison
-	// over different seconds: if all of 20 succeeded, its failure rate is hardly above
+	// minRetainedCalls is the least number of the old version's calls for an unpaired
+	// comparison: if all of 20 succeeded, its failure rate is hardly above
 	// one in seven.
 	minRetainedCalls = 20
 	// maxRetainedCalls is how many of the old version's last calls are retained, of any
@@ -28,6 +28,7 @@
 type (
 	// baseline is the old version's behavior so far.
 	baseline struct {
+		// calls is the number of calls with a latency, decayed at each tick like latency.
 		calls float64
 		// timed is the number of calls with a latency, of any age. Calls of upstreams
 		// that have just started have none.
--- a/internal/rollout/kqverdict/slow_server_test.go
+++ b/internal/rollout/kqverdict/slow_server_test.go
@@ -21,8 +21,9 @@
 	// standard deviation of its log.
 	typicalCall = 100 * time.Millisecond
 	callSpread  = 0.35
-	// smallShareTicks is the number of ticks at the small share, a third of a rollout
-	// of 13 s, and callsPerGate the number of calls that a gate counts per tick.
+	// smallShareTicks is the number of ticks at the small share, about a third of a
+	// rollout's window of 100 ticks (13.5 s for a duration of 15 s), and callsPerGate the
+	// number of calls that a gate counts per tick.
 	smallShareTicks, callsPerGate = 35, 5
 	runs                          = 100
 )
@@ -133,14 +134,14 @@
 	const maxCalls = 80
 	for name, v := range map[string]versionLatency{"a third of calls 8 times": someSlower(0.36, 8), "all calls 8 times": allSlower(8), "all calls 5 times": allSlower(5)} {
 		for _, server := range []float64{1, slowServer} {
-			kept := 0
+			missed := 0
 			for seed := range uint64(runs) {
 				if f, rolledBack := newFleet(seed, mixedServers, []float64{server}, v).runSmallShare(); !rolledBack || f.Calls > maxCalls {
-					kept++
+					missed++
 				}
 			}
-			if kept > runs/20 {
-				t.Errorf("%s slower, on a server of factor %.1f: %d of %d were kept for over %d calls", name, server, kept, runs, maxCalls)
+			if missed > runs/20 {
+				t.Errorf("%s slower, on a server of factor %.1f: %d of %d were kept for over %d calls", name, server, missed, runs, maxCalls)
 			}
 		}
 	}
@@ -149,27 +150,27 @@
 // Checks that a version that is twice as slow is detected once it has several upstreams:
 // its calls are then slower than the choice of servers can explain.
 func TestTwiceAsSlowVersionIsDetectedOnSeveralServers(t *testing.T) {
-	kept := 0
+	missed := 0
 	for seed := range uint64(runs) {
 		if _, rolledBack := newFleet(seed, mixedServers, []float64{1, slowServer, 1, 1}, allSlower(2)).runSmallShare(); !rolledBack {
-			kept++
+			missed++
 		}
 	}
-	if kept > runs/20 {
-		t.Errorf("%d of %d versions that are twice as slow were kept", kept, runs)
+	if missed > runs/20 {
+		t.Errorf("%d of %d versions that are twice as slow were kept", missed, runs)
 	}
 }
 
 // Checks that a version that is twice as slow is detected on a single upstream if all
 // servers are equally fast.
 func TestTwiceAsSlowVersionIsDetectedOnEqualServers(t *testing.T) {
-	kept := 0
+	missed := 0
 	for seed := range uint64(runs) {
 		if _, rolledBack := newFleet(seed, []float64{1, 1, 1, 1, 1, 1}, []float64{1}, allSlower(2)).runSmallShare(); !rolledBack {
-			kept++
+			missed++
 		}
 	}
-	if kept > runs/20 {
-		t.Errorf("%d of %d versions that are twice as slow were kept", kept, runs)
+	if missed > runs/20 {
+		t.Errorf("%d of %d versions that are twice as slow were kept", missed, runs)
 	}
 }
