--- a/internal/call/kqacceptor/acceptor.go
+++ b/internal/call/kqacceptor/acceptor.go
@@ -19,7 +19,7 @@
 )
 
 // Listener retries Accept while the process is out of file descriptors or the system out of
-// memory. Only one goroutine may call Accept.
+// memory, and after interrupted or aborted accepts. Only one goroutine may call Accept.
 type Listener struct {
 	net.Listener
 	onError    func(error)
@@ -48,7 +48,7 @@
 }
 
 // isTemporary reports whether Accept may succeed later. After any other error it never
-// will, and the node should leave the fleet.
+// will: Accept then returns the error, and the node leaves the fleet.
 func isTemporary(err error) bool {
 	return kqexhaustion.Is(err) || errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR)
 }
--- a/internal/call/kqentry/returning_callers_test.go
+++ b/internal/call/kqentry/returning_callers_test.go
@@ -94,9 +94,12 @@
 	g := newFakeGate(t)
 	call := newCallerWithTimeout(t, g, kqnesting.New())
 	g.full.Store(true)
+	// Calls are matched by caller and request, not by Id: b and c are retries of a. As c
+	// is answered, d is a new call.
 	call("Id: a")
 	time.Sleep(300 * time.Millisecond)
 	a := call("Id: b")
+	// Field 11 is the time until the target in microseconds.
 	left, err := strconv.Atoi(g.fields()[11])
 	if err != nil || left > 110000 {
 		t.Errorf("the gate got %d us until the target, error %v; want 100 ms at most", left, err)
@@ -114,8 +117,8 @@
 }
 
 // Guards against treating an outside call as nested. A call that names a call running
-// beside this node as its parent must reach the gate as a nested one; a made-up parent
-// must be ignored.
+// at this node's upstream as its parent must reach the gate as a nested one; a made-up
+// parent must be ignored.
 func TestCallIsNestedOnlyUnderARunningCall(t *testing.T) {
 	g := newFakeGate(t)
 	nesting := kqnesting.New()
@@ -124,6 +127,7 @@
 	for parent, want := range map[string]string{"run": "3 10.9.9.9", "made-up": "0 "} {
 		call("Id: x", "Above: "+parent)
 		got := g.fields()
+		// Field 10 is the depth and field 1 the caller.
 		if depth := got[10] + " " + got[1]; !strings.HasPrefix(depth, want) {
 			t.Errorf("parent %q: the gate got depth and caller %q, want %q", parent, depth, want)
 		}
--- a/internal/call/kqgate/cancel_queued_test.go
+++ b/internal/call/kqgate/cancel_queued_test.go
@@ -41,6 +41,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	queued := newCall("/")
+	// The gate calls CheckCaller after the wait in the queue.
 	queued.CheckCaller = func() { queued.Cancel.Trigger(kqcall.Cancelled) }
 	var o kqcall.Outcome
 	group.Go(func() { o, _ = g.Do(queued) })
--- a/internal/call/kqgate/upstream.go
+++ b/internal/call/kqgate/upstream.go
@@ -48,10 +48,10 @@
 
 		mu    sync.Mutex
 		queue queue
-		// failing is the failure rate of the calls from all entries.
-		failing kqfailrate.FailureRate
-		slots   int
-		closed  bool
+		// failureRate is the failure rate of the calls from all entries.
+		failureRate kqfailrate.FailureRate
+		slots       int
+		closed      bool
 		// failedSince is when connecting began to fail, nil if the last call got a
 		// connection.
 		failedSince atomic.Pointer[time.Time]
@@ -124,7 +124,7 @@
 func (u *upstream) admit(t *kqslots.Ticket, c *kqcall.Call, now time.Time) kqcall.Outcome {
 	u.mu.Lock()
 	u.queue.Enter(t, now)
-	verdict, giveUp := t.Verdict, t.ExpireAt
+	verdict, expireAt := t.Verdict, t.ExpireAt
 	u.mu.Unlock()
 	switch verdict {
 	case kqslots.Run:
@@ -134,7 +134,7 @@
 	}
 	// The pool holds timers only.
 	timer, _ := timers.Get().(*time.Timer)
-	timer.Reset(giveUp.Sub(now))
+	timer.Reset(expireAt.Sub(now))
 	defer func() {
 		timer.Stop()
 		timers.Put(timer)
@@ -173,7 +173,7 @@
 	defer u.mu.Unlock()
 	wake(u.queue.Leave(t, took, now))
 	if o.Reason != kqcall.Cancelled {
-		u.failing.Record(failed, now)
+		u.failureRate.Record(failed, now)
 	}
 	l := u.loadLocked(t, now)
 	u.recycle(t)
@@ -183,7 +183,7 @@
 // loadLocked returns the queue's load plus the failure rate. The caller holds u.mu.
 func (u *upstream) loadLocked(t *kqslots.Ticket, now time.Time) kqcall.Load {
 	l := u.queue.LoadFor(t, now)
-	l.FailureRate = u.failing.Rate(now)
+	l.FailureRate = u.failureRate.Rate(now)
 	return l
 }
 
@@ -225,5 +225,6 @@
 	}
 }
 
-// saltOf derives the salt of an upstream's queue from its address.
+// saltOf derives from an upstream's address the salt with which its queue hashes callers, so
+// that callers who collide at one upstream do not collide at all of them.
 func saltOf(a kqname.Address) uint64 { return xxhash.Sum64String(string(a)) }
--- a/internal/call/kqlocal/upstreams.go
+++ b/internal/call/kqlocal/upstreams.go
@@ -34,7 +34,7 @@
 	maxWithdrawal = 8 * time.Second
 )
 
-// ErrAnnouncement means that an announcement is invalid.
+// ErrAnnouncement means that an announcement is refused because it is invalid.
 var ErrAnnouncement = errors.New("announcement refused")
 
 type (
@@ -68,8 +68,8 @@
 		byAddress map[kqname.Address]registration
 		// lastSweep is when Sweep last ran, zero before its first run.
 		lastSweep time.Time
-		// goodbyes holds the goodbyes received, since earlier announcements of the same
-		// upstream may arrive after them.
+		// goodbyes holds the goodbyes (announcements with Gone) received, since earlier
+		// announcements of the same upstream may arrive after them.
 		goodbyes map[kqname.Instance]goodbye
 	}
 
--- a/internal/call/kqsend/silence_linux_test.go
+++ b/internal/call/kqsend/silence_linux_test.go
@@ -57,7 +57,7 @@
 			order.Request.SetBody(make([]byte, c.body))
 			began := time.Now()
 			if o := client.Do(order); o != kqcall.OK() {
-				t.Errorf("got outcome %+v after %s, want the peer's response", o, time.Since(began))
+				t.Errorf("got outcome %+v after %s, want answered", o, time.Since(began))
 			}
 		})
 	}
