--- a/internal/call/kqlocal/fault_injection.go
+++ b/internal/call/kqlocal/fault_injection.go
@@ -4,5 +4,6 @@
 
 import "github.com/kumquatgw/kumquatgw/internal/lab/kqfault"
 
-// ignoresDraining makes the node keep using an upstream that drains.
+// ignoresDraining makes the node ignore Draining in announcements, and so keep using an
+// upstream that drains. Despite the name of the fault, goodbyes (Gone) still apply.
 var ignoresDraining = kqfault.Enabled(kqfault.Goodbye)
