--- a/internal/config/kqfetch/hedge_test.go
+++ b/internal/config/kqfetch/hedge_test.go
@@ -27,7 +27,8 @@
 		requested chan struct{}
 	}
 
-	// silentPlatform never answers. It also serves as an unlimited budget.
+	// silentPlatform never answers. It is also a send budget without a limit,
+	// since its Delay is always 0.
 	silentPlatform struct{}
 )
 
--- a/internal/config/kqfetch/hosts.go
+++ b/internal/config/kqfetch/hosts.go
@@ -25,8 +25,9 @@
 	}
 )
 
-// PeerHosts returns the hosts that peers of the same service hold, the most recently
-// used first, so that a starting node can prefetch what its traffic will likely need.
+// PeerHosts returns the hosts that peers of the same service hold, each peer's most
+// recently used first, so that a starting node can prefetch what its traffic will
+// likely need.
 func (f *Fetcher) PeerHosts(ctx context.Context) []kqname.Host {
 	self := f.table.Self()
 	var peers []kqname.Address
--- a/internal/config/kqfetch/shared_read_test.go
+++ b/internal/config/kqfetch/shared_read_test.go
@@ -59,8 +59,8 @@
 	client := kqrpc.NewClient("self", nil)
 	defer client.Close()
 	table := kqmember.NewTable(kqmember.Member{Node: "self", Domain: "d", Reader: true})
-	// silentPlatform serves as the unlimited send budget; the platform's rate of 1000 calls
-	// per second for 1 expected node delays no read.
+	// The send budget is a silentPlatform, whose Delay is always 0. The platform's rate of
+	// 1000 calls per second for 1 expected node delays no read.
 	f := kqfetch.New(kqrpc.NewServer(nil), client, table, platform, silentPlatform{}, 1000, 1)
 	f.UseBuilder(platform)
 	var group conc.WaitGroup
--- a/internal/config/kqfetch/whole.go
+++ b/internal/config/kqfetch/whole.go
@@ -18,8 +18,9 @@
 	return f.builder.BuiltObjects(wanted)
 }
 
-// fetchWholeVersion reads all objects from the platform in one call, shared with
-// concurrent callers.
+// fetchWholeVersion fetches the wanted objects that this node has not built from the
+// platform in one call. Concurrent fetches wait for it and then read only what this
+// node still has not built.
 func (f *Fetcher) fetchWholeVersion(ctx context.Context, wanted []kqresource.Digest, found kqresource.Objects) error {
 	for {
 		maps.Copy(found, f.builtObjects(wanted))
@@ -50,8 +51,9 @@
 }
 
 // joinWholeRead starts a read of all objects as own, or returns the one in flight as
-// other. Many peers request a new version from a reader at once: one read serves them
-// all, whereas one each would cost as many platform calls as the domain has nodes.
+// other. Many peers request a new version from a reader at once: one read serves
+// those whose objects this node has built by then, whereas one each would cost as many
+// platform calls as the domain has nodes.
 func (f *Fetcher) joinWholeRead() (own, other *sharedRead) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,7 +64,7 @@
 	return f.wholeRead, nil
 }
 
-// readWholeVersion reads all objects with a single platform call.
+// readWholeVersion reads the wanted objects with a single platform call.
 func (f *Fetcher) readWholeVersion(ctx context.Context, wanted []kqresource.Digest, found kqresource.Objects) error {
 	perSecond, burstSize := f.platformShare()
 	f.limiter.SetLimit(rate.Limit(perSecond))
--- a/internal/config/kqsnapshot/build.go
+++ b/internal/config/kqsnapshot/build.go
@@ -27,9 +27,9 @@
 // snapshot.
 func WithPrevious(s *Snapshot) BuildOption { return func(b *builder) { b.previous = s } }
 
-// Build builds the snapshot of a root for the given hosts and services, and the
-// services that the hosts' routes name. If objects are missing, it returns
-// ErrIncomplete and their digests; if the content violates the rules of
+// Build builds the snapshot of a root, which names every object of one version, for the
+// given hosts and services and the services that the hosts' routes name. If objects
+// are missing, it returns ErrIncomplete and their digests; if the content violates the rules of
 // kqdocument.Validate, ErrInvalid. Hosts and services that the root does not name
 // are skipped.
 func Build(root kqresource.Root, objects kqresource.Objects, hosts []kqname.Host, services []kqname.Service, options ...BuildOption) (*Snapshot, []kqresource.Digest, error) {
@@ -100,7 +100,8 @@
 	return b.index(name, newIndex(decoded))
 }
 
-// decodePart decodes the object of a host's part and checks that it is for that host.
+// decodePart decodes the object of one of a host's parts, each of which holds some of
+// its routes, and checks that it is for that host.
 func decodePart(name kqname.Host, data []byte) ([]kqdocument.Route, error) {
 	var h kqresource.Host
 	if err := kqresource.Decode(data, &h); err != nil {
@@ -163,8 +164,9 @@
 	return nil
 }
 
-// compareRoutes orders the more specific route first: by the length of the prefix,
-// the number of headers, a method, and last the name.
+// compareRoutes orders the more specific route first: by the length of the prefix, the
+// number of headers and the length of the method, which is 0 for a route that matches
+// every method. Ties are ordered by name.
 func compareRoutes(a, b kqdocument.Route) int {
 	return cmp.Or(
 		cmp.Compare(len(b.PathPrefix), len(a.PathPrefix)),
