--- a/internal/peer/kqbroadcast/broadcaster.go
+++ b/internal/peer/kqbroadcast/broadcaster.go
@@ -21,11 +21,11 @@
 	sendTimeout = time.Second
 	// batchDelay is how long a message waits so that others can share its frame.
 	batchDelay = 20 * time.Millisecond
-	// seenIDs is the number of recent message ids kept to drop duplicates that
+	// maxSeenIDs is the number of recent message ids kept to drop duplicates that
 	// arrive over several links; the ring of ids takes 64 KB, and the set of the same
 	// ids comes on top. At 500 messages a
 	// second an id is kept for 16 s, and a message crosses the fleet in under 1 s.
-	seenIDs = 8192
+	maxSeenIDs = 8192
 	// maxQueueBytes bounds the total payload size of the messages to be forwarded.
 	maxQueueBytes = 1 << 20
 )
@@ -77,7 +77,8 @@
 		Payload []byte      `cbor:"4,keyasint"`
 	}
 
-	offer struct {
+	// idList holds the ids of an offer, or of the messages that a peer lacks.
+	idList struct {
 		IDs []messageID `cbor:"1,keyasint"`
 	}
 
@@ -94,10 +95,10 @@
 func New(server *kqrpc.Server, client *kqrpc.Client, self kqname.Node, overlay Overlay, onDrop func()) *Broadcaster {
 	b := &Broadcaster{
 		client: client, self: self, overlay: overlay, onDrop: onDrop, receivers: make(map[Topic][]Receiver),
-		seen: make(map[messageID]bool), recent: make([]messageID, seenIDs), wake: make(chan struct{}, 1),
+		seen: make(map[messageID]bool), recent: make([]messageID, maxSeenIDs), wake: make(chan struct{}, 1),
 		busy: make(map[kqname.Address]bool),
 	}
-	kqrpc.Handle(server, methodOffer, func(_ context.Context, _ kqname.Node, q offer) (offer, error) {
+	kqrpc.Handle(server, methodOffer, func(_ context.Context, _ kqname.Node, q idList) (idList, error) {
 		return b.missingIDs(q), nil
 	})
 	kqrpc.Handle(server, methodDeliver, func(_ context.Context, _ kqname.Node, q delivery) (empty, error) {
@@ -137,7 +138,7 @@
 	}
 	delete(b.seen, b.recent[b.next])
 	b.seen[m.ID], b.recent[b.next] = true, m.ID
-	b.next = (b.next + 1) % seenIDs
+	b.next = (b.next + 1) % maxSeenIDs
 	fits := b.queuedBytes+len(m.Payload) <= maxQueueBytes
 	if fits {
 		b.queue = append(b.queue, m)
@@ -155,10 +156,10 @@
 }
 
 // missingIDs returns the offered ids that this node has not seen.
-func (b *Broadcaster) missingIDs(q offer) offer {
+func (b *Broadcaster) missingIDs(q idList) idList {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var missing offer
+	var missing idList
 	for _, id := range q.IDs {
 		if !b.seen[id] {
 			missing.IDs = append(missing.IDs, id)
--- a/internal/peer/kqbroadcast/direct.go
+++ b/internal/peer/kqbroadcast/direct.go
@@ -10,7 +10,7 @@
 // SendDirect sends a message to the given nodes only, which do not forward it. It does
 // not wait for them. A node with a message of SendDirect still in flight is skipped and
 // the drop is counted, so a slow peer holds at most one message in memory here;
-// callers must send messages of which a later one makes a dropped one obsolete.
+// use it only for messages of which a later one makes a dropped one obsolete.
 func (b *Broadcaster) SendDirect(ctx context.Context, t Topic, payload []byte, to []kqname.Address) {
 	m := message{From: b.self, Topic: t, Payload: payload}
 	for _, address := range to {
--- a/internal/peer/kqbroadcast/flood.go
+++ b/internal/peer/kqbroadcast/flood.go
@@ -51,12 +51,12 @@
 	return nextBatch
 }
 
-// flood offers a batch to all neighbours and waits until each has answered or
-// sendTimeout has passed.
+// flood offers a batch to all neighbours, sends each the messages that it lacks, and
+// waits until all have answered or sendTimeout has passed.
 func (b *Broadcaster) flood(ctx context.Context, batch []message) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	var ids offer
+	var ids idList
 	for _, m := range batch {
 		ids.IDs = append(ids.IDs, m.ID)
 	}
@@ -69,8 +69,8 @@
 
 // sendTo offers the ids of a batch to a peer and sends the messages that it lacks.
 // Failures are ignored: the peer's other neighbours offer it the same messages.
-func (b *Broadcaster) sendTo(ctx context.Context, to kqname.Address, ids offer, batch []message) {
-	missing, err := kqrpc.Call[offer, offer](ctx, b.client, to, methodOffer, ids)
+func (b *Broadcaster) sendTo(ctx context.Context, to kqname.Address, ids idList, batch []message) {
+	missing, err := kqrpc.Call[idList, idList](ctx, b.client, to, methodOffer, ids)
 	if err != nil || len(missing.IDs) == 0 {
 		return
 	}
--- a/internal/peer/kqdiscovery/discovery.go
+++ b/internal/peer/kqdiscovery/discovery.go
@@ -64,7 +64,7 @@
 	}
 )
 
-// New returns the Register of the node at a control address. It calls contact with
+// New returns the Discovery of the node at a control address. It calls contact with
 // addresses in the store that are not known, and onError with each failed call.
 func New(store Store, node kqname.Node, control kqname.Address,
 	known func(kqname.Address) (int, bool), contact func(context.Context, kqname.Address), onError func(error),
--- a/internal/peer/kqmember/member.go
+++ b/internal/peer/kqmember/member.go
@@ -33,7 +33,7 @@
 		// Started is when the upstream first announced itself.
 		Started time.Time `cbor:"5,keyasint"`
 		// WarmFrom is when the upstream's warm-up ends by its own announcement; zero if
-		// it announced none.
+		// the upstream announced no instance.
 		WarmFrom time.Time `cbor:"6,keyasint,omitzero"`
 	}
 
@@ -49,7 +49,8 @@
 		State       State                `cbor:"7,keyasint"`
 		HeldVersion kqname.ConfigVersion `cbor:"8,keyasint"`
 		Upstreams   []Upstream           `cbor:"9,keyasint,omitempty"`
-		// Reader reports whether the node reads the platform's service for the others.
+		// Reader reports whether the node reads the platform's key-value service for the
+		// other nodes.
 		Reader bool `cbor:"10,keyasint,omitempty"`
 		// Service is the configured service of the node's local upstream; it is set
 		// also while no upstream runs.
--- a/internal/peer/kqmembersync/heartbeat.go
+++ b/internal/peer/kqmembersync/heartbeat.go
@@ -121,13 +121,13 @@
 	s.versions.VersionSeen(b.Newest, at)
 }
 
-// mayCompare limits this node to one comparison per reconcileBeats heartbeats and
+// mayCompare limits this node to one comparison per compareBeats heartbeats and
 // to its budget. Right after a change all tables differ until the flood has reached
 // them, so comparing more often would only cost traffic.
 func (s *Synchronizer) mayCompare(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Sub(s.lastCompared) < reconcileBeats*s.interval || s.budget.Delay(now) > 0 {
+	if now.Sub(s.lastCompared) < compareBeats*s.interval || s.budget.Delay(now) > 0 {
 		return false
 	}
 	s.lastCompared = now
--- a/internal/peer/kqmembersync/synchronizer.go
+++ b/internal/peer/kqmembersync/synchronizer.go
@@ -18,8 +18,8 @@
 
 const (
 	callTimeout = time.Second
-	// reconcileBeats is the least time between two comparisons, in heartbeats.
-	reconcileBeats = 2
+	// compareBeats is the least time between two comparisons, in heartbeats.
+	compareBeats = 2
 	// probeBeats is the interval between probes of dead members that would be
 	// neighbours, in heartbeats. Every randomProbeBeats heartbeats one random dead
 	// member and one random contact are probed.
@@ -34,7 +34,8 @@
 )
 
 type (
-	// Versions exchanges configuration versions by heartbeats.
+	// Versions supplies and receives the configuration versions that heartbeats
+	// exchange.
 	Versions interface {
 		// Newest returns the highest version whose root this node holds.
 		Newest() kqname.ConfigVersion
@@ -64,9 +65,10 @@
 		interval time.Duration
 		group    conc.WaitGroup
 
-		mu           sync.Mutex
-		contacts     []kqname.Address
-		detector     *kqdetector.Detector
+		mu       sync.Mutex
+		contacts []kqname.Address
+		detector *kqdetector.Detector
+		// busy holds the peers to which a heartbeat is in flight.
 		busy         map[kqname.Address]bool
 		lastCompared time.Time
 		// queue holds the records to be flooded, the latest of each node.
--- a/internal/peer/kqoverlay/overlay.go
+++ b/internal/peer/kqoverlay/overlay.go
@@ -15,10 +15,10 @@
 		table   *kqmember.Table
 		chooser kqneighbour.Chooser
 
-		mu    sync.Mutex
-		stale bool
-		alive []kqname.Node
-		lost  []kqname.Node
+		mu         sync.Mutex
+		stale      bool
+		neighbours []kqname.Node
+		lost       []kqname.Node
 	}
 )
 
@@ -36,8 +36,8 @@
 // Neighbours returns the members that this node is linked to, chosen among all that
 // are not dead.
 func (o *Overlay) Neighbours() []kqmember.Member {
-	alive, _ := o.choose()
-	return o.records(alive)
+	neighbours, _ := o.choose()
+	return o.records(neighbours)
 }
 
 // Lost returns the dead members that would be neighbours if they were alive. This
@@ -50,11 +50,11 @@
 
 // choose returns the names of the neighbours and of the lost members, recomputed
 // if the table has changed.
-func (o *Overlay) choose() (alive, lost []kqname.Node) {
+func (o *Overlay) choose() (neighbours, lost []kqname.Node) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.stale {
-		return o.alive, o.lost
+		return o.neighbours, o.lost
 	}
 	o.stale = false
 	self := chooserMember(o.table.Self())
@@ -68,16 +68,16 @@
 			live = append(live, chooserMember(m))
 		}
 	}
-	o.alive, o.lost = o.chooser.Choose(self, live), nil
+	o.neighbours, o.lost = o.chooser.Choose(self, live), nil
 	if len(dead) == 0 {
-		return o.alive, o.lost
+		return o.neighbours, o.lost
 	}
 	for _, n := range o.chooser.Choose(self, all) {
 		if dead[n] {
 			o.lost = append(o.lost, n)
 		}
 	}
-	return o.alive, o.lost
+	return o.neighbours, o.lost
 }
 
 func (o *Overlay) records(nodes []kqname.Node) []kqmember.Member {
--- a/internal/peer/kqrpc/server.go
+++ b/internal/peer/kqrpc/server.go
@@ -36,8 +36,8 @@
 )
 
 const (
-	// part names the handling of peers' requests in reports of panics.
-	part = "peer"
+	// panicSource names the handling of peers' requests in reports of panics.
+	panicSource = "peer"
 	// guardTimeout bounds the authentication of a new connection.
 	guardTimeout = 5 * time.Second
 )
@@ -122,7 +122,7 @@
 	}
 	err := fmt.Errorf("%s: %w", rpc, ErrPanicked)
 	// The library does not recover panics, so one would end the process.
-	kqsupervisor.From(stream.Context()).RunRecovered(part, func() { err = m(stream) })
+	kqsupervisor.From(stream.Context()).RunRecovered(panicSource, func() { err = m(stream) })
 	return err
 }
 
@@ -144,7 +144,7 @@
 			return fmt.Errorf("serve peers on %s: %w", l.Addr(), err)
 		}
 		tracker.Run(func(ctx context.Context) {
-			if !kqsupervisor.From(ctx).RunRecovered(part, func() { s.serveOne(ctx, server, conn) }) {
+			if !kqsupervisor.From(ctx).RunRecovered(panicSource, func() { s.serveOne(ctx, server, conn) }) {
 				_ = conn.Close()
 			}
 		})
