--- a/internal/store/kqfakestore/count.go
+++ b/internal/store/kqfakestore/count.go
@@ -20,10 +20,10 @@
 	PeakReads  uint64 `json:"peak_reads"`
 	PeakWrites uint64 `json:"peak_writes"`
 
-	// currentSecond is the second of the latest call, and secondReads and secondWrites
-	// are the calls in it.
-	currentSecond             int64
-	secondReads, secondWrites uint64
+	// currentSecond is the second of the latest call; readsThisSecond and
+	// writesThisSecond are the calls in it.
+	currentSecond                     int64
+	readsThisSecond, writesThisSecond uint64
 }
 
 // Counts returns the number of calls received since the start.
@@ -47,7 +47,7 @@
 	s.mu.Lock()
 	now := s.now()
 	if currentSecond := now.Unix(); currentSecond != s.counts.currentSecond {
-		s.counts.currentSecond, s.counts.secondReads, s.counts.secondWrites = currentSecond, 0, 0
+		s.counts.currentSecond, s.counts.readsThisSecond, s.counts.writesThisSecond = currentSecond, 0, 0
 	}
 	allowed := count(s)
 	if s.faults.Down || !allowed {
@@ -67,9 +67,9 @@
 func (s *Fake) countRead() bool {
 	c := &s.counts
 	c.Reads++
-	c.secondReads++
-	c.PeakReads = max(c.PeakReads, c.secondReads)
-	return s.faults.MaxReads == 0 || c.secondReads <= uint64(s.faults.MaxReads)
+	c.readsThisSecond++
+	c.PeakReads = max(c.PeakReads, c.readsThisSecond)
+	return s.faults.MaxReads == 0 || c.readsThisSecond <= uint64(s.faults.MaxReads)
 }
 
 // countWatch counts a watch, which is a read too.
@@ -82,7 +82,7 @@
 func (s *Fake) countWrite() bool {
 	c := &s.counts
 	c.Writes++
-	c.secondWrites++
-	c.PeakWrites = max(c.PeakWrites, c.secondWrites)
-	return s.faults.MaxWrites == 0 || c.secondWrites <= uint64(s.faults.MaxWrites)
+	c.writesThisSecond++
+	c.PeakWrites = max(c.PeakWrites, c.writesThisSecond)
+	return s.faults.MaxWrites == 0 || c.writesThisSecond <= uint64(s.faults.MaxWrites)
 }
--- a/internal/store/kqfakestore/list.go
+++ b/internal/store/kqfakestore/list.go
@@ -11,7 +11,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
-// Compact drops the record of deletions: Follow from an older revision returns
+// Compact drops the history of deletions: Follow from an older revision returns
 // ErrCompacted.
 func (s *Fake) Compact() {
 	s.mu.Lock()
@@ -59,7 +59,8 @@
 }
 
 // changesSince returns the keys under the prefix that were written or deleted after a
-// revision, entries and deletions each in the order of their changes.
+// revision, entries and deletions each in the order of their changes. It returns no
+// deletions for revision 0 and none of keys that exist again.
 func (s *Fake) changesSince(prefix string, after kqstore.Revision) kqstore.Listing {
 	l := kqstore.Listing{Revision: s.revision}
 	for key := range s.entries {
--- a/internal/store/kqfakestore/serve.go
+++ b/internal/store/kqfakestore/serve.go
@@ -14,7 +14,7 @@
 const (
 	maxRequestBytes = 2*kqstore.MaxValueBytes + 4096
 	// maxWait bounds the wait of a watch, as on the platform: a longer one would
-	// occupy a connection through several outages. It also bounds the ttl of a lease.
+	// keep a dead connection in use for long. It also bounds the ttl of a lease.
 	maxWait = 5 * time.Minute
 )
 
@@ -30,8 +30,9 @@
 		WaitMS   int64            `json:"wait_ms,omitempty"`
 	}
 
-	// Result is the JSON body of every response to an Operation. Error is empty or a
-	// key of Errors; clients read it and not the HTTP status.
+	// Result is the JSON body of every response to an Operation, except those of status
+	// 400, which are plain text. Error is empty or a key of Errors; clients read it and
+	// not the HTTP status.
 	Result struct {
 		Entry    kqstore.Entry    `json:"entry,omitzero"`
 		Revision kqstore.Revision `json:"revision,omitempty"`
--- a/internal/store/kqstore/store.go
+++ b/internal/store/kqstore/store.go
@@ -43,8 +43,9 @@
 )
 
 type (
-	// Revision numbers the writes to the store; a key's revision is that of its
-	// last write.
+	// Revision numbers the changes of the store: writes and deletions, also those by
+	// the lapse of a lease. A store may number other changes too, such as grants of
+	// leases. A key's revision is that of its last write.
 	Revision uint64
 
 	// Lease identifies a lease. The keys written under it are deleted when it lapses.
@@ -88,8 +89,9 @@
 		// Swap writes a key if its revision is the expected one, and returns
 		// ErrConflict otherwise. Absent expects that the key does not exist.
 		Swap(ctx context.Context, key string, expected Revision, value []byte, lease Lease) (Revision, error)
-		// Delete removes a key if its revision is the expected one, and returns
-		// ErrConflict otherwise.
+		// Delete removes a key if its revision is the expected one. It returns
+		// ErrNotFound if the key does not exist, and ErrConflict if its revision is
+		// another.
 		Delete(ctx context.Context, key string, expected Revision) error
 		// Grant returns a new lease that lapses unless renewed within ttl.
 		Grant(ctx context.Context, ttl time.Duration) (Lease, error)
--- a/internal/store/kqstoreclient/contract_test.go
+++ b/internal/store/kqstoreclient/contract_test.go
@@ -121,8 +121,8 @@
 	})
 }
 
-// Checks the error of each injected fault: an outage, a rate limit, a slow service, and
-// the lost answer of a write, which must still have taken effect.
+// Checks the faults of single calls: an outage, a rate limit, a slow service, a stale
+// read, and the lost answer of a write, which must still have taken effect.
 func TestCallFaults(t *testing.T) {
 	forBoth(t, func(t *testing.T, fx *fixture) {
 		ctx := t.Context()
--- a/internal/store/kqstoreclient/doc.go
+++ b/internal/store/kqstoreclient/doc.go
@@ -1,3 +1,3 @@
-// Package kqstoreclient is a client of the fake key-value service in kqfakestore,
-// which speaks JSON over HTTP.
+// Package kqstoreclient is the client that a node uses if its settings name no adapter.
+// It speaks JSON over HTTP, by the protocol that the fake service in kqfakestore serves.
 package kqstoreclient
