--- a/internal/security/kqauthority/authority.go
+++ b/internal/security/kqauthority/authority.go
@@ -37,7 +37,8 @@
 	// ErrPEM is returned if a file is not a PEM block of the expected type, or a key
 	// does not belong to its certificate.
 	ErrPEM = errors.New("PEM block is missing, of the wrong type or mismatched")
-	// ErrName is returned if a node's name is not valid by kqname.Valid.
+	// ErrName is returned if a node's name is not valid by kqname.Valid, which takes 1
+	// to 64 of a-z, 0-9, dot, dash and underscore.
 	ErrName = errors.New("node's name is not a plain name")
 )
 
--- a/internal/security/kqidentity/identity.go
+++ b/internal/security/kqidentity/identity.go
@@ -20,16 +20,16 @@
 const dialTimeout = time.Second
 
 var (
-	// ErrForeign is returned if a peer's certificate is missing, is not signed by the
-	// fleet's CA, has expired, or names no node.
-	ErrForeign = errors.New("certificate is missing or not valid in this fleet")
+	// ErrPeerCertificate is returned if a peer's certificate is missing, is not signed
+	// by the fleet's CA, has expired, or names no node.
+	ErrPeerCertificate = errors.New("certificate is missing or not valid in this fleet")
 	// ErrFiles is returned if the files are unreadable or do not belong together, or
 	// the certificate is for another node.
 	ErrFiles = errors.New("certificate files are not usable")
 )
 
 type (
-	// Files are the PEM files of an identity.
+	// Files are the paths of an identity's PEM files.
 	Files struct {
 		CA, Certificate, Key string
 	}
@@ -52,11 +52,11 @@
 		onRefused func(error)
 	}
 
-	// gateConn closes without sending TLS's close_notify alert. While a call runs, a
-	// gate looks for the end of the TCP stream to detect that the caller has
-	// disconnected. The alert would be unread data before that end and hide it, and
+	// connToGate closes without sending TLS's close_notify alert. While a call runs, a
+	// gate looks for the end of the TCP stream to detect that the calling node
+	// has disconnected. The alert would be unread data before that end and hide it, and
 	// the upstream would continue a call whose answer nobody reads.
-	gateConn struct{ *tls.Conn }
+	connToGate struct{ *tls.Conn }
 
 	// credentials holds the content of the files after the last successful load.
 	credentials struct {
@@ -70,9 +70,9 @@
 	return func(cfg *options) { cfg.reload = append(cfg.reload, o...) }
 }
 
-// WithRefusalHandler sets a function that is called with the error of each
-// handshake that fails in Accept, and with the reason for each other peer whose
-// certificate is refused.
+// WithRefusalHandler sets a function that is called with the reason for each peer whose
+// certificate this node refuses, and with the error of each other handshake that fails
+// in ServerHandshake.
 func WithRefusalHandler(f func(error)) Option { return func(cfg *options) { cfg.onRefused = f } }
 
 // New loads the identity of a node. The certificate must name that node.
@@ -122,9 +122,9 @@
 	secured := tls.Server(conn, i.MutualTLSConfig())
 	if err := secured.HandshakeContext(ctx); err != nil {
 		// Other errors are reported here, such as a refusal by the other end: a node
-		// of another fleet may refuse this node's certificate first. ErrForeign was
+		// of another fleet may refuse this node's certificate first. ErrPeerCertificate was
 		// reported by verify.
-		if !errors.Is(err, ErrForeign) {
+		if !errors.Is(err, ErrPeerCertificate) {
 			i.onRefused(err)
 		}
 		return nil, "", fmt.Errorf("accept peer: %w", err)
@@ -165,17 +165,17 @@
 		_ = conn.Close()
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: conn.RemoteAddr(), Err: err}
 	}
-	return gateConn{secured}, nil
+	return connToGate{secured}, nil
 }
 
 // Close closes the TCP connection without a close_notify alert. The alert is not
 // needed to detect truncation, since answers state their length.
-func (c gateConn) Close() error { return c.NetConn().Close() }
+func (c connToGate) Close() error { return c.NetConn().Close() }
 
 // NodeOf returns the node that the peer's certificate names.
 func NodeOf(s tls.ConnectionState) (kqname.Node, error) {
 	if len(s.PeerCertificates) == 0 {
-		return "", fmt.Errorf("identify peer: no certificate: %w", ErrForeign)
+		return "", fmt.Errorf("identify peer: no certificate: %w", ErrPeerCertificate)
 	}
 	for _, u := range s.PeerCertificates[0].URIs {
 		name := kqname.Node(strings.TrimPrefix(u.Path, "/"))
@@ -183,7 +183,7 @@
 			return name, nil
 		}
 	}
-	return "", fmt.Errorf("identify peer: %w", ErrForeign)
+	return "", fmt.Errorf("identify peer: %w", ErrPeerCertificate)
 }
 
 // clientConfig returns the TLS configuration for connections to other nodes. It skips
@@ -214,7 +214,7 @@
 			})
 		}
 		if err != nil {
-			err = errors.Join(ErrForeign, err)
+			err = errors.Join(ErrPeerCertificate, err)
 			i.onRefused(err)
 			return fmt.Errorf("verify peer: %w", err)
 		}
--- a/internal/security/kqreload/reload.go
+++ b/internal/security/kqreload/reload.go
@@ -31,12 +31,12 @@
 // WithInterval sets the polling interval.
 func WithInterval(d time.Duration) Option { return func(r *Reloader) { r.interval = d } }
 
-// WithFailureHandler sets a function that is called with the error of each failed poll or
-// load. The content loaded before stays in use.
+// WithFailureHandler sets a function that is called with the error of each failed poll
+// of Run. The content loaded before stays in use.
 func WithFailureHandler(f func(error)) Option { return func(r *Reloader) { r.onFailure = f } }
 
-// New calls load for the first time and returns the reloader and the error of that
-// load.
+// New calls load for the first time and returns the reloader and the error of reading
+// or loading the files.
 func New(files []string, load func() error, options ...Option) (*Reloader, error) {
 	r := &Reloader{files: files, load: load, onFailure: func(error) {}, interval: defaultInterval}
 	for _, o := range options {
