--- a/internal/base/kqexhaustion/exhaustion.go
+++ b/internal/base/kqexhaustion/exhaustion.go
@@ -2,7 +2,7 @@
 // exhaustion on the local server.
 //
 // Both accept and connect can fail in this way. The failure says nothing about the
-// peer, and ends when other connections are closed.
+// peer, and usually ends when descriptors or memory are freed.
 package kqexhaustion
 
 import (
--- a/internal/base/kqsupervisor/supervisor.go
+++ b/internal/base/kqsupervisor/supervisor.go
@@ -15,8 +15,9 @@
 	// panics immediately each time must not take CPU time from proxied calls.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 5 * time.Second
-	// stackInterval is the least time between two stack traces of a part: callers can
-	// trigger the same panic at any rate, and a stack trace has some KB.
+	// stackInterval is the least time between two stack traces of a part, which is the
+	// work run under one name: callers can trigger the same panic at any rate, and a
+	// stack trace has some KB.
 	stackInterval = time.Second
 )
 
@@ -33,7 +34,8 @@
 
 	// Panic describes a recovered panic.
 	Panic struct {
-		// Part names the work that panicked. There are only a few names.
+		// Part names the work that panicked. The set of names must be small, since the
+		// supervisor keeps a map entry for each.
 		Part string
 		// Value is the value of the panic as text.
 		Value string
