--- a/internal/run/kqcommand/measure_nodes.go
+++ b/internal/run/kqcommand/measure_nodes.go
@@ -13,12 +13,12 @@
 	clause := c.measureCommand.Command("nodes", "Measure how configuration reaches real nodes on loopback, with a stand-in for the platform.")
 	counts := clause.Flag("counts", "Fleet sizes, separated by commas.").Default("25,50").String()
 	strategy := clause.Flag("strategy", "How configuration versions reach the nodes.").Default("overlay").Enum("direct", "overlay")
-	fault := clause.Flag("fault", "Fault that occurs during the measurement.").Default("none").
+	fault := clause.Flag("fault", "Fault during the measurement: tenth_and_domain kills a tenth of the nodes and a failure domain, platform_down makes the platform unavailable and replaces a tenth, herd_restart restarts all nodes at once.").Default("none").
 		Enum("none", "tenth_and_domain", "platform_down", "herd_restart")
 	changes := clause.Flag("changes", "Changes per fleet.").Default("50").Int()
 	idle := clause.Flag("idle", "How long the fleet is observed without changes.").Default("20s").Duration()
 	gap := clause.Flag("gap", "Pause between two changes.").Default("200ms").Duration()
-	prefetch := clause.Flag("prefetch", "Whether starting nodes prefetch the hosts that peers of their service hold.").Default("true").Bool()
+	prefetch := clause.Flag("prefetch", "Whether starting nodes prefetch the configuration of the hosts that peers of the same service hold.").Default("true").Bool()
 	asJSON := clause.Flag("json", "Print the result as JSON.").Bool()
 	file := addPlotFlag(clause)
 	c.register(clause, func(ctx context.Context) error {
--- a/internal/run/kqnode/adapter.go
+++ b/internal/run/kqnode/adapter.go
@@ -16,7 +16,9 @@
 
 type (
 	// Adapter connects a node to a platform whose operators, upstreams and callers
-	// use formats of their own. A nil part keeps this program's own format.
+	// use formats of their own. With a nil Dialect or
+	// Announcements the program's own format is used; without OperatorDecoder the console's
+	// commits are read instead of operators' entries, without Reports no reports are written.
 	Adapter struct {
 		// Dialect reads and writes the headers of callers and upstreams. With it,
 		// callers and the local upstream share one listener, the entry's.
@@ -30,7 +32,7 @@
 		// OnResponse registers f, which is called after each call to the store with the
 		// call's kind and the answer's status, or 0 without an answer.
 		OnResponse func(f func(call string, status int))
-		// Reports encodes the state of an order for operators.
+		// Reports encodes the state of a rollout order for operators.
 		Reports Reports
 	}
 
@@ -40,7 +42,8 @@
 		Read(uri string, body []byte) (kqlocal.Announcement, bool, error)
 	}
 
-	// Reports returns the store key and value that report an order's state to operators.
+	// Reports returns the store key and value that report the state of a rollout order
+	// to operators.
 	Reports interface {
 		Report(s kqname.Service, to kqname.UpstreamVersion, state kqtracker.State) (key string, value []byte, err error)
 	}
@@ -50,7 +53,8 @@
 func WithAdapter(a Adapter) Option { return func(n *Node) { n.adapter = a } }
 
 // recordStoreCall counts a call to the store, and logs when the store becomes
-// unavailable and when it is available again.
+// unavailable, which includes answers with status 429 or 503, and when it is available
+// again; the latter also renews the node's registration.
 func (n *Node) recordStoreCall(call string, status int) {
 	n.metrics.CountStoreCall(call, status)
 	unavailable := status == 0 || status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests
--- a/internal/run/kqnode/announce_test.go
+++ b/internal/run/kqnode/announce_test.go
@@ -45,8 +45,8 @@
 }
 
 // startAdapted starts a node for an upstream of the service "store", with an adapter to
-// a platform. stop kills it without a drain.
-func startAdapted(t *testing.T, name string, store *kqfakestore.Fake) (node *kqnode.Node, stop func()) {
+// a platform. kill ends it without a drain.
+func startAdapted(t *testing.T, name string, store *kqfakestore.Fake) (node *kqnode.Node, kill func()) {
 	t.Helper()
 	s := kqsettings.Default()
 	s.Node.Name, s.Node.Domain, s.Node.Service = kqname.Node(name), "one", "store"
@@ -59,11 +59,11 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	var group conc.WaitGroup
 	group.Go(func() { _ = node.Run(ctx) })
-	stop = func() {
+	kill = func() {
 		cancel(kqnode.ErrKilled)
 		group.Wait()
 	}
-	return node, stop
+	return node, kill
 }
 
 func sendAnnouncement(t *testing.T, node *kqnode.Node, text string) {
@@ -87,19 +87,19 @@
 	return false
 }
 
-// A node that starts while the store and its peers are unreachable holds announcements.
+// A node that starts while the store is unavailable and no peer is known holds announcements.
 // If the upstream leaves meanwhile, its held announcement must not be applied later: that
 // would bring the upstream back, and calls would be lost in its shutdown.
 func TestDepartureWhileAnnouncementsAreHeld(t *testing.T) {
 	store := kqfakestore.New()
 	store.SetFaults(kqfakestore.Faults{Down: true})
-	node, stop := startAdapted(t, "a", store)
-	defer stop()
+	node, kill := startAdapted(t, "a", store)
+	defer kill()
 	sendAnnouncement(t, node, "one ready")
 	sendAnnouncement(t, node, "one gone")
 	store.SetFaults(kqfakestore.Faults{})
 	sendAnnouncement(t, node, "two ready")
-	await(t, "the other upstream is announced", func() bool { return hasUpstream(node) })
+	await(t, "an upstream is listed", func() bool { return hasUpstream(node) })
 	sendAnnouncement(t, node, "two gone")
 	if hasUpstream(node) {
 		t.Error("the upstream that left is listed again")
@@ -111,16 +111,16 @@
 // ends within seconds.
 func TestGoodbyeOutlivesTheProcess(t *testing.T) {
 	store := kqfakestore.New()
-	node, stop := startAdapted(t, "a", store)
+	node, kill := startAdapted(t, "a", store)
 	sendAnnouncement(t, node, "one ready")
 	await(t, "the upstream is announced", func() bool { return hasUpstream(node) })
 	sendAnnouncement(t, node, "one gone")
-	stop()
-	node, stop = startAdapted(t, "a", store)
-	defer stop()
+	kill()
+	node, kill = startAdapted(t, "a", store)
+	defer kill()
 	sendAnnouncement(t, node, "one ready")
 	sendAnnouncement(t, node, "two ready")
-	await(t, "another upstream is announced", func() bool { return hasUpstream(node) })
+	await(t, "an upstream is listed", func() bool { return hasUpstream(node) })
 	sendAnnouncement(t, node, "two gone")
 	if hasUpstream(node) {
 		t.Error("the upstream that left is listed again")
@@ -132,10 +132,10 @@
 // reach an upstream that is about to end.
 func TestLateAnnouncementAfterDeparture(t *testing.T) {
 	store := kqfakestore.New()
-	node, stop := startAdapted(t, "a", store)
-	defer stop()
+	node, kill := startAdapted(t, "a", store)
+	defer kill()
 	sendAnnouncement(t, node, "two ready")
-	await(t, "another upstream is announced", func() bool { return hasUpstream(node) })
+	await(t, "an upstream is listed", func() bool { return hasUpstream(node) })
 	sendAnnouncement(t, node, "two gone")
 	sendAnnouncement(t, node, "one gone")
 	sendAnnouncement(t, node, "one ready")
--- a/internal/run/kqnode/body.go
+++ b/internal/run/kqnode/body.go
@@ -80,7 +80,8 @@
 }
 
 // lackedMemory reports whether a body rejected as too large was rejected for lack of
-// memory: it is within the configured limit.
+// memory: its declared length is within the configured limit. It is false for a chunked
+// body, which declares no length.
 func (n *Node) lackedMemory(ctx *fasthttp.RequestCtx) bool {
 	length := ctx.Request.Header.ContentLength()
 	return length > rejectedBodyLimit && length <= n.settings.Call.MaxBody
--- a/internal/run/kqrecord/record_test.go
+++ b/internal/run/kqrecord/record_test.go
@@ -20,7 +20,7 @@
 // LineSuppressed implements kqrecord.Counter.
 func (c *suppressedLines) LineSuppressed(string) { *c++ }
 
-// Took implements kqrecord.Counter.
+// Took implements kqrecord.Counter; it ignores the durations of stages.
 func (c *suppressedLines) Took(string, time.Duration) {}
 
 func newRecorder(t testing.TB, sample, perReason int, counter kqrecord.Counter) (*kqrecord.Recorder, *bytes.Buffer) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// An overload refuses thousands of calls a second. If each wrote a line, logging
+// Under overload a node refuses thousands of calls a second. If each wrote a line, logging
 // would take CPU time that the node lacks; lines beyond the rate must be counted.
 func TestRefusalLinesAreRateLimited(t *testing.T) {
 	var suppressed suppressedLines
@@ -85,13 +85,13 @@
 		b.Run(fmt.Sprint("one in ", sample), func(b *testing.B) {
 			r, out := newRecorder(b, sample, 20, new(suppressedLines))
 			now := time.Unix(1000, 0)
-			ids := make([]kqentry.Record, 1024)
-			for i := range ids {
-				ids[i] = endedCall(fmt.Sprint("call-", i), kqcall.OK(), 200)
+			records := make([]kqentry.Record, 1024)
+			for i := range records {
+				records[i] = endedCall(fmt.Sprint("call-", i), kqcall.OK(), 200)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				r.Ended(ids[i%len(ids)], now)
+				r.Ended(records[i%len(records)], now)
 			}
 			b.ReportMetric(float64(out.Len())/float64(b.N), "logged_bytes/op")
 		})
