--- a/internal/lab/kqdemo/faults.go
+++ b/internal/lab/kqdemo/faults.go
@@ -84,7 +84,7 @@
 	_, err := s.demo.commit(ctx, "while the platform is down")
 	s.outage.commitFailed = err != nil
 	s.demo.state.probes--
-	s.replaceTimes, err = s.killAndRestart(ctx, []kqname.Node{"portail-lecteurs-2", "bureau-redaction-2"})
+	s.startTimesInOutage, err = s.killAndRestart(ctx, []kqname.Node{"portail-lecteurs-2", "bureau-redaction-2"})
 	if err != nil {
 		s.addProblem("replace servers during the platform outage: %v", err)
 	}
@@ -129,7 +129,7 @@
 		names = append(names, kqname.Node(fmt.Sprintf("%s-3", dep.service)))
 	}
 	var err error
-	s.restartTimes, err = s.killAndRestart(ctx, names)
+	s.startTimes, err = s.killAndRestart(ctx, names)
 	return err
 }
 
--- a/internal/lab/kqdemo/outcomes.go
+++ b/internal/lab/kqdemo/outcomes.go
@@ -221,7 +221,7 @@
 	m := s.demo.monitor
 	text := fmt.Sprintf("%d convergence times, %d overdue%s; platform down for %.1f s: commit refused %v, %d of %d calls answered, replaced nodes current after%s; restarted nodes after%s",
 		len(m.convergenceTimes), len(m.overdue), firstExamples(m.overdue), s.outage.to.Sub(s.outage.from).Seconds(), s.outage.commitFailed,
-		t.answered, t.duringOutage, formatSeconds(s.replaceTimes), formatSeconds(s.restartTimes))
+		t.answered, t.duringOutage, formatSeconds(s.startTimesInOutage), formatSeconds(s.startTimes))
 	if len(s.problems) > 0 {
 		text += "; problems" + firstExamples(s.problems)
 	}
--- a/internal/lab/kqdemo/script.go
+++ b/internal/lab/kqdemo/script.go
@@ -34,10 +34,10 @@
 		drainedUpstream drainedUpstream
 		outage          outage
 		killPeriod      []killPeriod
-		// restartTimes and replaceTimes are how long new servers took to become
-		// current, with the platform available and during its outage.
-		restartTimes, replaceTimes []time.Duration
-		invalidVersion             invalidVersion
+		// startTimes and startTimesInOutage are how long new servers took to become
+		// current, the first with the platform available, the second during its outage.
+		startTimes, startTimesInOutage []time.Duration
+		invalidVersion                 invalidVersion
 		// stopped is the target of the node that was stopped gracefully.
 		stopped  *target
 		problems []string
--- a/internal/lab/kqfleet/server.go
+++ b/internal/lab/kqfleet/server.go
@@ -51,7 +51,7 @@
 	r := &runningUpstream{upstream: u, stop: stop, done: make(chan struct{})}
 	s.fleet.group.Go(func() {
 		defer close(r.done)
-		// An incomplete drain breaks calls; the callers count those.
+		// The error is ignored: the callers count the calls that an incomplete drain breaks.
 		_ = u.Run(ctx)
 	})
 	s.mu.Lock()
--- a/internal/lab/kqloadmodel/model_test.go
+++ b/internal/lab/kqloadmodel/model_test.go
@@ -14,8 +14,8 @@
 	seed     = 7
 )
 
-// scenario applies one load pattern to a model of six upstreams with six slots and
-// a service time of 40 ms, and returns the results of the measured period.
+// scenario applies one load pattern to a model of six upstreams with six slots,
+// whose capacity is 900 calls of 40 ms a second, and returns the results of the measured period.
 type scenario func(m *kqloadmodel.Model) *kqloadmodel.Tally
 
 func stream(caller, route string, share, workMS float64, length time.Duration) kqloadmodel.Stream {
@@ -27,29 +27,29 @@
 
 func runUntil(m *kqloadmodel.Model, d time.Duration) { m.RunUntil(time.UnixMilli(0).Add(d)) }
 
-func runWithAndWithoutDecisions(t *testing.T, run scenario) (decided, baseline *kqloadmodel.Tally) {
+func runBothPolicies(t *testing.T, run scenario) (kumquatgw, baseline *kqloadmodel.Tally) {
 	t.Helper()
 	s := kqloadmodel.Settings{Upstreams: 6, Slots: 6, Entries: 6}
-	decided = run(kqloadmodel.New(s, seed))
+	kumquatgw = run(kqloadmodel.New(s, seed))
 	s.Baseline = true
-	return decided, run(kqloadmodel.New(s, seed))
+	return kumquatgw, run(kqloadmodel.New(s, seed))
 }
 
 // A burst of five times the usual load lasts 2 s, at 1.5 times the capacity. A
 // queue that is too short refuses calls that could have been answered in time;
 // every call must be answered in time.
 func TestBurst(t *testing.T) {
-	decided, baseline := runWithAndWithoutDecisions(t, func(m *kqloadmodel.Model) *kqloadmodel.Tally {
+	kumquatgw, baseline := runBothPolicies(t, func(m *kqloadmodel.Model) *kqloadmodel.Tally {
 		m.AddStream(stream("a", "short", 0.3, 40, 12*time.Second))
 		runUntil(m, 4*time.Second)
 		m.AddStream(stream("a", "short", 1.2, 40, 2*time.Second))
 		runUntil(m, 14*time.Second)
 		return m.Tally()
 	})
-	if decided.InTimeShare() < 1 {
-		t.Errorf("share of calls answered in time %.4f, want 1; refusals by reason %v", decided.InTimeShare(), decided.RefusalsByReason)
+	if kumquatgw.InTimeShare() < 1 {
+		t.Errorf("share of calls answered in time %.4f, want 1; refusals by reason %v", kumquatgw.InTimeShare(), kumquatgw.RefusalsByReason)
 	}
-	if baseline.InTimeShare() >= decided.InTimeShare() {
+	if baseline.InTimeShare() >= kumquatgw.InTimeShare() {
 		t.Errorf("the baseline answers %.4f in time too, so the load does not show the difference", baseline.InTimeShare())
 	}
 }
@@ -58,7 +58,7 @@
 // total exceeds the capacity. In a single queue the other callers wait behind the
 // hot caller's backlog and are refused; 95% of each one's calls must be in time.
 func TestHotCaller(t *testing.T) {
-	decided, baseline := runWithAndWithoutDecisions(t, func(m *kqloadmodel.Model) *kqloadmodel.Tally {
+	kumquatgw, baseline := runBothPolicies(t, func(m *kqloadmodel.Model) *kqloadmodel.Tally {
 		for i := range 9 {
 			m.AddStream(stream(fmt.Sprint(i), "short", 0.07, 40, 10*time.Second))
 		}
@@ -75,8 +75,8 @@
 		}
 		return lowestShare
 	}
-	if lowestShare(decided) < 0.95 {
-		t.Errorf("the lowest share in time of a caller other than the hot one is %.3f, want at least 0.95", lowestShare(decided))
+	if lowestShare(kumquatgw) < 0.95 {
+		t.Errorf("the lowest share in time of a caller other than the hot one is %.3f, want at least 0.95", lowestShare(kumquatgw))
 	}
 	if lowestShare(baseline) >= 0.95 {
 		t.Errorf("the baseline's lowest share in time is %.3f too, so the load does not show the difference", lowestShare(baseline))
@@ -87,7 +87,7 @@
 // keeps sending it a sixth of the calls, which wait or are lost; after 5 s latency
 // and the share in time must be as with healthy upstreams.
 func TestSlowUpstream(t *testing.T) {
-	decided, baseline := runWithAndWithoutDecisions(t, func(m *kqloadmodel.Model) *kqloadmodel.Tally {
+	kumquatgw, baseline := runBothPolicies(t, func(m *kqloadmodel.Model) *kqloadmodel.Tally {
 		m.AddStream(stream("a", "short", 0.5, 40, 16*time.Second))
 		runUntil(m, 5*time.Second)
 		m.ScaleServiceTime(0, 20)
@@ -97,8 +97,8 @@
 		return m.Tally()
 	})
 	const maxP99 = 100 * time.Millisecond
-	if p99 := decided.Latency.ValueAtQuantile(99); p99 > maxP99.Microseconds() || decided.InTimeShare() < 0.999 {
-		t.Errorf("5 s after the slowdown p99 is %d us and the share in time is %.4f", p99, decided.InTimeShare())
+	if p99 := kumquatgw.Latency.ValueAtQuantile(99); p99 > maxP99.Microseconds() || kumquatgw.InTimeShare() < 0.999 {
+		t.Errorf("5 s after the slowdown p99 is %d us and the share in time is %.4f", p99, kumquatgw.InTimeShare())
 	}
 	if baseline.InTimeShare() >= 0.999 {
 		t.Errorf("the baseline answers %.4f in time too, so the load does not show the difference", baseline.InTimeShare())
@@ -109,7 +109,7 @@
 // short call waits until a job ends; the short calls' p99 must stay within about 3
 // times the 40 ms that one takes alone, and 99% of the jobs must be done in time.
 func TestLongJobs(t *testing.T) {
-	decided, baseline := runWithAndWithoutDecisions(t, func(m *kqloadmodel.Model) *kqloadmodel.Tally {
+	kumquatgw, baseline := runBothPolicies(t, func(m *kqloadmodel.Model) *kqloadmodel.Tally {
 		m.AddStream(stream("a", "short", 0.25, 40, 15*time.Second))
 		m.AddStream(stream("b", "long", 0.4, 600, 15*time.Second))
 		runUntil(m, 5*time.Second)
@@ -118,10 +118,10 @@
 		return m.Tally()
 	})
 	const maxP99 = 130 * time.Millisecond
-	if p99 := decided.Routes["short"].Latency.ValueAtQuantile(99); p99 > maxP99.Microseconds() {
+	if p99 := kumquatgw.Routes["short"].Latency.ValueAtQuantile(99); p99 > maxP99.Microseconds() {
 		t.Errorf("p99 of the short calls is %d us, want at most 130 ms", p99)
 	}
-	if share := decided.Routes["long"].InTimeShare(); share < 0.99 {
+	if share := kumquatgw.Routes["long"].InTimeShare(); share < 0.99 {
 		t.Errorf("share of long jobs done in time %.3f, want at least 0.99", share)
 	}
 	if p99 := baseline.Routes["short"].Latency.ValueAtQuantile(99); p99 <= maxP99.Microseconds() {
@@ -133,18 +133,18 @@
 // would starve those that could still be answered in time; goodput must be at least
 // 90% of the capacity, and refusals must take at most 50 ms at p99.
 func TestOverload(t *testing.T) {
-	decided, _ := runWithAndWithoutDecisions(t, func(m *kqloadmodel.Model) *kqloadmodel.Tally {
+	kumquatgw, _ := runBothPolicies(t, func(m *kqloadmodel.Model) *kqloadmodel.Tally {
 		for i := range 10 {
 			m.AddStream(stream(fmt.Sprint(i), "short", 0.3, 40, 10*time.Second))
 		}
 		runUntil(m, 13*time.Second)
 		return m.Tally()
 	})
-	if float64(decided.InTime) < 0.9*capacity*10 || decided.Late > 0 || decided.Unknown > 0 {
-		t.Errorf("%d calls in time, %d late, %d with unknown result, want at least 90%% of the capacity in time and no others", decided.InTime, decided.Late, decided.Unknown)
+	if float64(kumquatgw.InTime) < 0.9*capacity*10 || kumquatgw.Late > 0 || kumquatgw.Unknown > 0 {
+		t.Errorf("%d calls in time, %d late, %d with unknown result, want at least 90%% of the capacity in time and no others", kumquatgw.InTime, kumquatgw.Late, kumquatgw.Unknown)
 	}
 	const maxRefusalP99 = 50 * time.Millisecond
-	if p99 := decided.RefusalLatency.ValueAtQuantile(99); p99 > maxRefusalP99.Microseconds() {
-		t.Errorf("p99 of refusals is %d us, want at most 50 ms; refusals by reason %v", p99, decided.RefusalsByReason)
+	if p99 := kumquatgw.RefusalLatency.ValueAtQuantile(99); p99 > maxRefusalP99.Microseconds() {
+		t.Errorf("p99 of refusals is %d us, want at most 50 ms; refusals by reason %v", p99, kumquatgw.RefusalsByReason)
 	}
 }
--- a/internal/lab/kqnodes/store.go
+++ b/internal/lab/kqnodes/store.go
@@ -9,7 +9,7 @@
 )
 
 // meteredStore counts the calls that nodes make to the platform's service and the bytes
-// of their keys and values. The protocol's framing is not counted, which favours
+// of their keys, values and lease IDs. The protocol's framing is not counted, which favours
 // strategies that make many calls.
 type meteredStore struct {
 	kqstore.Store
--- a/internal/lab/kqrolloutsim/calls.go
+++ b/internal/lab/kqrolloutsim/calls.go
@@ -11,33 +11,34 @@
 var smallestEffects = []effect{{latencyFactor: 1.3}, {latencyFactor: 1, errorRate: 0.005}}
 
 // drawCalls draws one version's calls of route i in one tick, adds them to c and
-// returns their log likelihood ratio with the regression to without it. As at the
-// gates, latencies of upstreams that have just started go to recentlyStarted
-// instead of c. The ratio includes the failures of all calls and the latencies of
-// all calls to upstreams past their cold start.
-func (w *World) drawCalls(c, recentlyStarted *kqevidence.Cell, i int, m versionState, e effect) float64 {
-	o := w.routes[i]
-	n := w.poisson(m.rate * o.weight)
-	errorRate := o.errorRate + m.errorRate
-	totalErrorRate := clamp(errorRate + e.errorRate)
+// returns the log likelihood ratio of the hypothesis with the regression to that without. As
+// at the gates, latencies of upstreams that have just started go to recentlyStarted
+// instead of c; their calls are counted in both. The ratio includes the failures of all
+// calls and the latencies of all calls to upstreams past their cold start; it is 0 for a
+// version that is not good and has no regression.
+func (w *World) drawCalls(c, recentlyStarted *kqevidence.Cell, i int, version versionState, regression effect) float64 {
+	route := w.routes[i]
+	n := w.poisson(version.rate * route.weight)
+	errorRate := route.errorRate + version.errorRate
+	totalErrorRate := clamp(errorRate + regression.errorRate)
 	c.Calls = uint32(n)
 	c.Failed = uint32(w.binomial(n, totalErrorRate))
-	c.Failed += uint32(min(n-int(c.Failed), w.poisson(m.interrupted*m.rate*o.weight*o.mean())))
+	c.Failed += uint32(min(n-int(c.Failed), w.poisson(version.interrupted*version.rate*route.weight*route.mean())))
 	// Latency grows as the upstream's utilization nears 1.
-	logMedian := math.Log(o.serviceTime*m.latencyFactor) + math.Log1p(0.5*math.Pow(min(m.utilization, 1), 4))
-	cold := w.binomial(n, m.cold)
+	logMedian := math.Log(route.serviceTime*version.latencyFactor) + math.Log1p(0.5*math.Pow(min(version.utilization, 1), 4))
+	cold := w.binomial(n, version.cold)
 	all := kqevidence.Cell{Calls: c.Calls, Failed: c.Failed}
-	w.fillDistribution(&w.distribution, logMedian, o.spread, e)
+	w.fillDistribution(&w.distribution, logMedian, route.spread, regression)
 	w.spread(&all, n-cold, &w.distribution)
 	logRatio := 0.0
 	switch {
 	case w.Kind.Good():
-		logRatio = w.compareWithAlternative(&all, n-cold, logMedian, o.spread, errorRate)
-	case e != noEffect:
-		logRatio = w.compareWithNoEffect(&all, n-cold, logMedian, o.spread, errorRate, totalErrorRate)
+		logRatio = w.compareWithAlternative(&all, n-cold, logMedian, route.spread, errorRate)
+	case regression != noEffect:
+		logRatio = w.compareWithNoEffect(&all, n-cold, logMedian, route.spread, errorRate, totalErrorRate)
 	}
-	w.addLatencies(c, recentlyStarted, &all, (m.recentlyStarted-m.cold)/max(1-m.cold, 1e-9))
-	w.fillDistribution(&w.distribution, logMedian+math.Log(coldStartFactor), o.spread, e)
+	w.addLatencies(c, recentlyStarted, &all, (version.recentlyStarted-version.cold)/max(1-version.cold, 1e-9))
+	w.fillDistribution(&w.distribution, logMedian+math.Log(coldStartFactor), route.spread, regression)
 	var slow kqevidence.Cell
 	w.spread(&slow, cold, &w.distribution)
 	excluded := 1.0
--- a/internal/lab/kqsoak/plan.go
+++ b/internal/lab/kqsoak/plan.go
@@ -41,11 +41,11 @@
 
 	// firstFault gives callers the time to use every route once.
 	firstFault = 500 * time.Millisecond
-	// leaveTime bounds how long a node's leave, the pause after it and the restart
-	// take; the node is not chosen again until then. The value is an estimate that only
-	// spreads the faults.
+	// leaveTime estimates how long a node's leave, the pause after it and the restart
+	// take; the node is not chosen again until then. The value only spreads the
+	// faults.
 	leaveTime = 7 * time.Second
-	// drainTime is the same bound for an upstream.
+	// drainTime is the same estimate for an upstream.
 	drainTime = 6 * time.Second
 	// leaveWindow is the time after SIGTERM in which reloads are scheduled, so that
 	// they hit a node's leave, which takes 2 to 4 s.
@@ -169,8 +169,9 @@
 	}
 }
 
-// pickIdle picks a random target without a current fault. At most half of all targets
-// have a fault at a time, so that calls can still be served.
+// pickIdle picks a random target without a current fault, never one with a gate proxy. It
+// picks none unless more than half of all targets, rounded down and less the gate
+// proxies, are idle, so that calls can still be served.
 func (g *generator) pickIdle(at time.Duration, busy []time.Duration) (int, bool) {
 	var idle []int
 	for i, until := range busy {
--- a/internal/lab/kqsoakrun/document.go
+++ b/internal/lab/kqsoakrun/document.go
@@ -48,7 +48,8 @@
 
 // document returns the fleet's document for a version number. Two versions with the
 // same rollouts differ only in the weights of a route whose services are equivalent, and
-// in a probe route for each version, which shows that the version is in force.
+// in the probe routes of the latest probesKept versions, which show that a version is in
+// force.
 func document(number int, rollouts []kqdocument.Rollout) kqdocument.Document {
 	d := kqdocument.Document{
 		Teams:    []kqdocument.Team{{Name: team}},
@@ -97,6 +98,7 @@
 	if o.Status == kqcommit.Committed {
 		s.versions.committed = s.versions.number
 	}
+	// The event is logged for every status, also for a conflict or a refusal.
 	s.logEvent(event{Event: "committed", Text: fmt.Sprintf("%s as version %d", o.Status, o.Version)})
 	if o.Status != kqcommit.Committed {
 		return fmt.Errorf("commit version: %s %v: %w", o.Status, o.Problems, errNotCommitted)
@@ -104,7 +106,9 @@
 	return nil
 }
 
-// rollout commits a rollout to a bad version, half of whose answers are failures.
+// rollout runs a rollout to a bad version, half of whose answers are failures: it starts
+// the version's upstream, commits, waits until the deadline and stops the upstream, or
+// leaves it running if ctx ends first.
 func (s *Soak) rollout(ctx context.Context, n *node, f kqsoak.Fault) error {
 	name := "bad-" + n.name
 	s.checker.MarkBad(name)
--- a/internal/lab/kqupstream/event.go
+++ b/internal/lab/kqupstream/event.go
@@ -9,9 +9,9 @@
 
 	// Listening is the event that the upstream starts to accept calls.
 	Listening Kind = "listening"
-	// Begun is the event that a run of a call began.
+	// Begun is the event that an execution of a call began.
 	Begun Kind = "begin"
-	// Ended is the event that a run of a call ended.
+	// Ended is the event that an execution of a call ended.
 	Ended Kind = "end"
 	// Goodbye is the event that the node acknowledged the upstream's goodbye.
 	Goodbye Kind = "goodbye"
@@ -23,7 +23,8 @@
 	// Kind identifies a type of event.
 	Kind string
 
-	// Event is an event in the life cycle of an upstream. WorkID is set only for runs.
+	// Event is an event in the life cycle of an upstream. WorkID is set only
+	// for executions of calls.
 	Event struct {
 		Kind   Kind      `json:"step"`
 		WorkID string    `json:"work,omitempty"`
@@ -34,7 +35,7 @@
 	Option func(*Upstream)
 )
 
-// WithEventHandler sets a function that receives each event, for runs before the call's work
+// WithEventHandler sets a function that receives each event, for executions before the call's work
 // begins and after it has ended. The function must be safe for concurrent use.
 func WithEventHandler(f func(Event)) Option { return func(u *Upstream) { u.onEvent = f } }
 
