--- a/internal/admin/kqadmin/admin.go
+++ b/internal/admin/kqadmin/admin.go
@@ -152,7 +152,8 @@
 	return nil
 }
 
-// Shutdown stops the server once its requests are answered, or when ctx ends.
+// Shutdown stops the server once its requests are answered or ctx ends, and
+// after ctx's deadline waits up to refusalTimeout more.
 // Requests that are still incomplete at ctx's deadline are refused with an error
 // response; without it operators would not know whether their change was made.
 func (a *AdminServer) Shutdown(ctx context.Context) error {
--- a/internal/admin/kqapi/operations.go
+++ b/internal/admin/kqapi/operations.go
@@ -149,6 +149,7 @@
 	}
 	d, err := a.parts.Committer.DocumentAt(q.UserContext(), kqname.ConfigVersion(version))
 	if err != nil {
+		// Every error counts as not found, also an unavailable store.
 		return nil, kqproblem.New(kqproblem.NotFound, err.Error())
 	}
 	return Document{Version: kqname.ConfigVersion(version), Document: d}, nil
@@ -168,6 +169,8 @@
 	})
 }
 
+// settle returns the outcome of the change whose request ID is in the path; it writes
+// nothing.
 func (a *API) settle(q request) (any, *kqproblem.Problem) {
 	name := q.Params("name")
 	if !kqname.Valid(name) {
@@ -197,6 +200,7 @@
 func (a *API) report(q request) (any, *kqproblem.Problem) {
 	r, err := a.parts.View.Report(q.UserContext(), kqname.Node(q.Params("name")))
 	if err != nil {
+		// Every error counts as not found, also a known node's timeout.
 		return nil, kqproblem.New(kqproblem.NotFound, err.Error())
 	}
 	return r, nil
--- a/internal/admin/kqaudit/audit.go
+++ b/internal/admin/kqaudit/audit.go
@@ -53,6 +53,7 @@
 	if r.Refused != "" {
 		entry.Warnf("Refused %s: %s.", r.What, r.Refused)
 	} else {
+		// A change without a difference commits nothing; its version is the one in force.
 		entry.Infof("Accepted %s as version %d.", r.What, r.Version)
 	}
 	a.mu.Lock()
--- a/internal/admin/kqchange/change.go
+++ b/internal/admin/kqchange/change.go
@@ -88,7 +88,7 @@
 }
 
 // Submit checks and commits a change. Unless the problem is OutcomeUnknown, a refused
-// request has changed nothing.
+// attempt has changed nothing; an earlier one with the same ID may have.
 func (c *Changer) Submit(ctx context.Context, q Request, now time.Time) (Result, *kqproblem.Problem) {
 	if q.ID == "" {
 		q.ID = uuid.NewString()
@@ -138,8 +138,8 @@
 
 // previousResult answers a request whose ID was committed before; it returns
 // false if the request must still be processed. The request is a retry after a
-// lost response if its edit yields the committed document; otherwise the ID was
-// reused.
+// lost response if its edit yields the committed document; otherwise the ID
+// counts as reused, also if one of the documents to compare cannot be read.
 func (c *Changer) previousResult(ctx context.Context, q Request) (Result, *kqproblem.Problem, bool) {
 	outcome, err := c.committer.ResolveOutcome(ctx, q.ID)
 	if errors.Is(err, kqcommit.ErrUnknownRequest) || err == nil && outcome.Status != kqcommit.Committed {
@@ -242,6 +242,7 @@
 	case errors.Is(err, kqresource.ErrTooLarge), errors.Is(err, kqstore.ErrTooLarge):
 		return kqproblem.New(kqproblem.TooLarge, err.Error())
 	case errors.Is(err, kqstore.ErrUnavailable), errors.Is(err, kqstore.ErrRateLimited), errors.Is(err, kqstore.ErrConflict):
+		// PlatformDown also covers a platform that limits the rate or is contended.
 		p := kqproblem.New(kqproblem.PlatformDown, err.Error())
 		p.RetryAfter = retryDelay
 		return p
--- a/internal/admin/kqconsole/change.go
+++ b/internal/admin/kqconsole/change.go
@@ -100,8 +100,8 @@
 }
 
 // change handles a submitted form: depending on the action it shows the
-// difference for review, shows the form again, or commits. Every page carries
-// the inputs along.
+// difference for review, shows the form again, or commits. The review and
+// the form keep the inputs.
 func (c *Console) change(req request, kind string) error {
 	d, root, err := c.parts.Committer.Document(req.UserContext())
 	if err != nil {
--- a/internal/admin/kqview/view.go
+++ b/internal/admin/kqview/view.go
@@ -40,7 +40,8 @@
 		Slots    int                    `json:"slots"`
 		Draining bool                   `json:"draining"`
 		Started  time.Time              `json:"started"`
-		WarmFrom time.Time              `json:"warm,omitzero"`
+		// WarmFrom is the announced end of the cold start.
+		WarmFrom time.Time `json:"warm,omitzero"`
 	}
 
 	// Member is one node of the fleet.
