--- a/pkg/kqdocument/document.go
+++ b/pkg/kqdocument/document.go
@@ -36,15 +36,16 @@
 		Rollouts []Rollout `json:"rollouts,omitempty"`
 	}
 
-	// Team owns services, routes and rollouts within its quotas; a quota of 0 sets no
-	// limit.
+	// Team owns services, routes and rollouts, with quotas for its routes and rollouts; a
+	// quota of 0 sets no limit.
 	Team struct {
 		Name        kqname.Team `json:"name"`
 		MaxRoutes   int         `json:"max_routes,omitempty" jsonschema:"minimum=0"`
 		MaxRollouts int         `json:"max_rollouts,omitempty" jsonschema:"minimum=0"`
 	}
 
-	// Policy holds the rules by which rollouts are evaluated. A SmallShare of 0 selects
+	// Policy states how a rollout that lacks evidence at its deadline ends, and the
+	// largest share of traffic before there is enough evidence. A SmallShare of 0 selects
 	// the default of 0.05.
 	Policy struct {
 		Name   kqname.Policy `json:"name"`
@@ -101,11 +102,12 @@
 		// TargetMS is the target latency of a call, in milliseconds: a later answer is
 		// worth less. 0 means no target.
 		TargetMS int `json:"target_ms,omitempty" jsonschema:"minimum=0,maximum=600000"`
-		// MaxAttempts is the number of upstreams that one call may be sent to; 0
-		// means 3.
+		// MaxAttempts is the number of upstreams that one call may be sent to, each
+		// at most once; 0 means 3.
 		MaxAttempts int `json:"max_attempts,omitempty" jsonschema:"minimum=0,maximum=16"`
 		// Idempotent states that calls may run twice without harm, whatever their
-		// method. GET, HEAD, OPTIONS and TRACE are idempotent by default.
+		// method. Only calls with a safe method (GET, HEAD, OPTIONS, TRACE) are
+		// idempotent by default; PUT and DELETE are not.
 		Idempotent bool `json:"idempotent,omitempty"`
 		// NotIdempotent states that calls must not run twice, even if their method
 		// is idempotent by default.
@@ -158,8 +160,8 @@
 }
 
 // Choose selects the service for one call by the weights of the parts; random is a
-// random number in [0, 1). It returns Service if there are no parts, and also if
-// rounding leaves a remainder, although Service is then empty.
+// random number in [0, 1). Without parts it returns Service. With parts, rounding can
+// rarely leave none chosen; it then returns the empty name.
 func (r Route) Choose(random float64) kqname.Service {
 	total := 0.0
 	for _, p := range r.Parts {
--- a/pkg/kqdocument/parse.go
+++ b/pkg/kqdocument/parse.go
@@ -48,13 +48,13 @@
 // error has no position.
 func linePosition(data []byte, err error) string {
 	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+	var typeError *json.UnmarshalTypeError
 	var offset int64
 	switch {
 	case errors.As(err, &syntax):
 		offset = syntax.Offset
-	case errors.As(err, &kind):
-		offset = kind.Offset
+	case errors.As(err, &typeError):
+		offset = typeError.Offset
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		offset = int64(len(bytes.TrimSpace(data)))
 	default:
--- a/pkg/kqdocument/schema_test.go
+++ b/pkg/kqdocument/schema_test.go
@@ -48,8 +48,8 @@
 	return t.Name()
 }
 
-// nameSchema returns the schema of the types of kqname, whose values are plain names
-// (an upstream version may also be empty), and nil for other types.
+// nameSchema returns the schema of the types of kqname that documents use, whose values
+// are plain names (an upstream version may also be empty), and nil for other types.
 func nameSchema(t reflect.Type) *jsonschema.Schema {
 	if t.PkgPath() != reflect.TypeFor[kqname.Service]().PkgPath() || t.Kind() != reflect.String {
 		return nil
--- a/pkg/kqdocument/validate.go
+++ b/pkg/kqdocument/validate.go
@@ -63,7 +63,7 @@
 	for i, r := range d.Routes {
 		at := fmt.Sprintf("routes[%d]", i)
 		resolve(c, at+".team", teams, r.Team)
-		c.checkParts(at, r)
+		c.checkPartsAndLimits(at, r)
 		for _, name := range r.Services() {
 			service, _ := resolve(c, at+".service", services, name)
 			c.checkTimeoutOverride(at, r, service)
--- a/pkg/kqdocument/validate_rollout.go
+++ b/pkg/kqdocument/validate_rollout.go
@@ -9,9 +9,9 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// maxRollout is the longest duration of a rollout, since a rollout keeps two versions
+// maxRolloutDuration is the longest duration of a rollout, since a rollout keeps two versions
 // of a service running.
-const maxRollout = 90 * 24 * time.Hour
+const maxRolloutDuration = 90 * 24 * time.Hour
 
 var (
 	// Times outside these bounds are mistakes, such as a year of two digits or
@@ -27,14 +27,14 @@
 	c.checkTime(path+".start", r.Start)
 	c.checkTime(path+".deadline", r.Deadline)
 	c.reportIf(!r.Deadline.After(r.Start), path+".deadline", "must be after start")
-	c.reportIf(r.Deadline.Sub(r.Start) > maxRollout, path+".deadline", "is more than 90 days after start")
+	c.reportIf(r.Deadline.Sub(r.Start) > maxRolloutDuration, path+".deadline", "is more than 90 days after start")
 }
 
 // checkDurationRollout checks a rollout that is given by its duration.
 func (c *checker) checkDurationRollout(path string, r Rollout) {
 	c.reportIf(!kqname.Valid(r.To), path+".to", "is not a plain name")
 	c.reportIf(r.From != "" || !r.Start.IsZero() || !r.Deadline.IsZero(), path+".duration_ms", "stands beside from, start or deadline")
-	c.reportIf(r.DurationMS < 0 || time.Duration(r.DurationMS)*time.Millisecond > maxRollout, path+".duration_ms", "must be from 0 to 90 days")
+	c.reportIf(r.DurationMS < 0 || time.Duration(r.DurationMS)*time.Millisecond > maxRolloutDuration, path+".duration_ms", "must be from 0 to 90 days")
 }
 
 func (c *checker) checkTime(path string, t time.Time) {
@@ -45,8 +45,9 @@
 // refuses rollouts that overlap, since each would count the other's traffic as that of
 // its own old version and decide wrongly. It also refuses a rollout from a version
 // that cannot be serving at its start, since there would be nothing to compare the new
-// version with. Cancelled rollouts do not overlap others. Rollouts that are given by
-// a duration are not checked, since they have no start.
+// version with. Cancelled rollouts are exempt from the check for overlaps, but not from
+// that of From. Rollouts that are given by a duration are not checked, since they have
+// no start.
 func (c *checker) checkSequence(rollouts []Rollout, services map[kqname.Service]Service) {
 	order := make([]int, len(rollouts))
 	for i := range order {
--- a/pkg/kqdocument/validate_route.go
+++ b/pkg/kqdocument/validate_route.go
@@ -56,9 +56,10 @@
 	}
 }
 
-// checkParts refuses a route that has both a service and parts, parts without any
-// weight, contradictory idempotency, and values out of range.
-func (c *checker) checkParts(at string, r Route) {
+// checkPartsAndLimits refuses a route that has both a service and parts, a service in
+// two parts, parts without any weight, contradictory idempotency, or a weight,
+// max_attempts or target_ms out of range.
+func (c *checker) checkPartsAndLimits(at string, r Route) {
 	total := 0.0
 	seen := make(map[kqname.Service]bool)
 	for i, p := range r.Parts {
