--- a/cmd/kumquatgw/drain_count_test.go
+++ b/cmd/kumquatgw/drain_count_test.go
@@ -11,6 +11,7 @@
 // Guards against a drain that miscounts its last caller. Once the listener is closed, the
 // HTTP library's count of connections is one too low: the log showed callers=0 with
 // calls=1, later callers=-1, and the node did not wait until the call was answered.
+// The counts are checked in each line of the step that cancels calls, if there is one.
 func TestDrainCountsItsLastCaller(t *testing.T) {
 	f := newFleet(t, "", "")
 	p := startNode(t, extendSettings(t, writeSettings(t, "last", f.platform, f.control, ""), "drain_timeout = 1s\n"))
--- a/cmd/kumquatgw/log_test.go
+++ b/cmd/kumquatgw/log_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// Checks that the log shows why a node ended: each signal, each step of the drain and the
-// number of in-flight calls, with a repetition of recent events some time later. Without
+// Checks that the log shows why a node ended: each signal, each step of the drain and, in the
+// last line, that no call is in flight, with a repetition of recent events some time
+// after the first signal. Without
 // these lines the cause of calls that were cut during a drain could not be found.
 func TestLogReportsSignalsAndDrainSteps(t *testing.T) {
 	platform := readAfter(t, startCommand(t, "platform", "--listen", "127.0.0.1:0"), "listens on ")
--- a/cmd/kumquatgw/fragile_test.go
+++ b/cmd/kumquatgw/panic_adapters_test.go
@@ -19,8 +19,8 @@
 	// callPanicAdapter names an adapter that panics in the step that a call's header
 	// names.
 	callPanicAdapter = "fragile-calls"
-	// storePanicAdapter names an adapter that panics in the first call of each kind to
-	// the store.
+	// storePanicAdapter names an adapter whose store panics in the first get of each key
+	// and in the first watch, grant and renewal.
 	storePanicAdapter = "fragile-parts"
 	// panicHeader names the step of the call that panics.
 	panicHeader = "Panic-In"
@@ -78,7 +78,7 @@
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
 
-// panicOnFirst panics in the first call with that verb.
+// panicOnFirst panics in the first call with that verb, which may include a key.
 func (f *panickingStore) panicOnFirst(verb string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/cmd/kumquatgw/panic_test.go
+++ b/cmd/kumquatgw/panic_test.go
@@ -29,7 +29,7 @@
 			m.back.assertRunning(t)
 		})
 	}
-	if line := m.back.readAfter(t, "event=panic"); !strings.Contains(line, "injected panic in write_headers") || !strings.Contains(line, "fragile_test.go") {
+	if line := m.back.readAfter(t, "event=panic"); !strings.Contains(line, "injected panic in write_headers") || !strings.Contains(line, "panic_adapters_test.go") {
 		t.Errorf("panic line is %q, want its cause and stack", line)
 	}
 }
--- a/cmd/kumquatgw/upload_test.go
+++ b/cmd/kumquatgw/upload_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a slow upload that is cut without a response when the drain times out.
 // The node did not count the call as in flight until its body had arrived, so it did not
-// cancel and answer it. The response may state that the call did not run.
+// cancel and answer it. Any response passes: it may state that the call did not run.
 func TestCallerThatStillSendsAtTheEndIsAnswered(t *testing.T) {
 	f := newFleet(t, "drain_timeout = 1s\n", "")
 	conn, err := net.Dial("tcp", f.entry)
