--- a/pkg/kqdocument/parse.go
+++ b/pkg/kqdocument/parse.go
@@ -20,7 +20,7 @@
 	ErrSyntax = errors.New("document cannot be read")
 
 	errTrailing       = errors.New("more than one JSON value")
-	errDuplicateField = errors.New("field stands twice")
+	errDuplicateField = errors.New("duplicate field")
 )
 
 // Parse decodes one JSON document. It returns ErrSyntax for unknown fields, duplicate
