--- a/pkg/kqdocument/parse.go
+++ b/pkg/kqdocument/parse.go
@@ -20,7 +20,7 @@
 	ErrSyntax = errors.New("document cannot be read")
 
 	errTrailing       = errors.New("more than one JSON value")
-	errDuplicateField = errors.New("field stands twice")
+	errDuplicateField = errors.New("duplicate field")
 )
 
 // Parse decodes one JSON document. It returns ErrSyntax for unknown fields, duplicate
@@ -48,13 +48,13 @@
 // error has no position.
 func linePosition(data []byte, err error) string {
 	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+	var typeError *json.UnmarshalTypeError
 	var offset int64
 	switch {
 	case errors.As(err, &syntax):
 		offset = syntax.Offset
-	case errors.As(err, &kind):
-		offset = kind.Offset
+	case errors.As(err, &typeError):
+		offset = typeError.Offset
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		offset = int64(len(bytes.TrimSpace(data)))
 	default:
