--- a/internal/decide/kqallowance/allowance.go
+++ b/internal/decide/kqallowance/allowance.go
@@ -19,7 +19,8 @@
 )
 
 // New returns an Allowance without tokens. A node that restarts may have used its share of
-// the slack just before, and in a rolling restart each node would have it twice.
+// the slack just before; with initial tokens, each node would use it twice in a rolling
+// restart.
 func New(b Bound) *Allowance { return &Allowance{bound: b} }
 
 // Earn counts the first attempt of a call by one of the given number of nodes.
@@ -34,7 +35,8 @@
 	a.tokens = max(a.tokens-1, -a.maxTokens(nodes))
 }
 
-// Spend reports whether a call may be retried at another upstream, and counts the retry.
+// Spend reports whether a call may be retried at another upstream, and counts the retry if
+// so.
 func (a *Allowance) Spend(nodes int) bool {
 	// The fleet may have grown since the last call.
 	a.tokens = min(a.tokens, a.maxTokens(nodes))
--- a/internal/decide/kqcallerretry/callerretry.go
+++ b/internal/decide/kqcallerretry/callerretry.go
@@ -14,8 +14,8 @@
 	// concurrent use.
 	RetryTracker struct {
 		pending map[Key][]call
-		// order holds the keys of all remembered calls, oldest first, including some that
-		// have been retried since.
+		// order holds the key of each remembered call, oldest first. A key stays in it
+		// after its call was retried, until maxCalls is reached and the key is the oldest.
 		order []Key
 	}
 
@@ -29,8 +29,9 @@
 // New returns a RetryTracker without calls.
 func New() *RetryTracker { return &RetryTracker{pending: make(map[Key][]call)} }
 
-// RecordFailure remembers a call that ended without a successful answer. Its caller made
-// the first attempt at first and waits until until.
+// RecordFailure remembers a call that ended without a successful answer. The parameter
+// first is the time of its first attempt, and until the time at which its caller stops
+// waiting.
 func (r *RetryTracker) RecordFailure(k Key, first, until time.Time) {
 	for len(r.order) >= maxCalls {
 		r.removeOldest(r.order[0])
--- a/internal/decide/kqcallerretry/callerretry_test.go
+++ b/internal/decide/kqcallerretry/callerretry_test.go
@@ -9,9 +9,9 @@
 
 var start = time.Unix(1000, 0)
 
-// A caller is refused and retries several times. Its target counts from the first attempt;
-// counted from each retry, the call would be queued before calls that can still meet
-// theirs.
+// A caller is refused and retries several times. Its target counts from the first attempt.
+// If it counted from each retry, the call would be queued before calls that can still meet
+// their targets.
 func TestRetryKeepsFirstAttemptTime(t *testing.T) {
 	r := kqcallerretry.New()
 	for i := range 3 {
--- a/internal/decide/kqdetector/detector.go
+++ b/internal/decide/kqdetector/detector.go
@@ -17,8 +17,8 @@
 	// defaultMissedHeartbeats is the number of missed heartbeats that make a suspect: at
 	// 1% loss, a healthy member is suspected once in a million heartbeats.
 	defaultMissedHeartbeats = 3
-	// defaultRefuteHeartbeats is the time to refute, in heartbeats. It allows the
-	// suspicion to reach the suspect over 5 links and the refutation to return.
+	// defaultRefuteHeartbeats is the time to refute a suspicion, in heartbeats. It allows
+	// the suspicion to reach the suspect over 5 links and the refutation to return.
 	defaultRefuteHeartbeats = 5
 )
 
@@ -26,7 +26,7 @@
 	// Status is the state, Suspect or Dead, of a member that does not answer.
 	Status string
 
-	// Change is a change of a member's state.
+	// Change is a member's new state, which the caller is to declare.
 	Change struct {
 		Node   kqname.Node
 		Status Status
@@ -56,14 +56,15 @@
 	}
 }
 
-// RecordHeartbeat records a heartbeat or any other message of a member.
+// RecordHeartbeat records a heartbeat or any other message of a member. It ignores members
+// that are not watched.
 func (d *Detector) RecordHeartbeat(n kqname.Node, now time.Time) {
 	if _, ok := d.lastSeen[n]; ok {
 		d.lastSeen[n] = now
 	}
 }
 
-// SetWatched sets the members that are sent heartbeats and so expected to answer.
+// SetWatched sets the members that this node sends heartbeats to and expects answers from.
 func (d *Detector) SetWatched(nodes []kqname.Node, now time.Time) {
 	for n := range d.lastSeen {
 		if !slices.Contains(nodes, n) {
@@ -92,12 +93,15 @@
 	}
 }
 
-// Check returns the members whose state has changed. It must be called at every heartbeat.
-// After an interval of more than two heartbeats, or a negative one, this node was paused
-// or its clock jumped, so all times are shifted and no member is suspected for it.
+// Check returns the watched members that have missed too many heartbeats and are not
+// suspects yet, and the suspects that have not refuted the suspicion in time and so are
+// dead. It must be called at every heartbeat. If more than two heartbeat intervals, or a
+// negative time, have elapsed since the last call, this node was paused or its clock
+// jumped: all recorded times are shifted by the elapsed time, so that no member is
+// suspected because of it.
 func (d *Detector) Check(now time.Time) []Change {
-	if pause := now.Sub(d.checkedAt); !d.checkedAt.IsZero() && (pause > 2*d.interval || pause < 0) {
-		d.shiftTimes(pause)
+	if elapsed := now.Sub(d.checkedAt); !d.checkedAt.IsZero() && (elapsed > 2*d.interval || elapsed < 0) {
+		d.shiftTimes(elapsed)
 	}
 	d.checkedAt = now
 	var changes []Change
@@ -116,12 +120,12 @@
 	return changes
 }
 
-// shiftTimes moves all recorded times by the length of a pause.
-func (d *Detector) shiftTimes(pause time.Duration) {
+// shiftTimes moves all recorded times by the elapsed time.
+func (d *Detector) shiftTimes(elapsed time.Duration) {
 	for n, at := range d.lastSeen {
-		d.lastSeen[n] = at.Add(pause)
+		d.lastSeen[n] = at.Add(elapsed)
 	}
 	for n, at := range d.suspectedAt {
-		d.suspectedAt[n] = at.Add(pause)
+		d.suspectedAt[n] = at.Add(elapsed)
 	}
 }
--- a/internal/decide/kqdetector/detector_test.go
+++ b/internal/decide/kqdetector/detector_test.go
@@ -12,6 +12,9 @@
 
 var start = time.Unix(1000, 0)
 
+// One of two members stops sending heartbeats. If it became dead without being suspected
+// first, a healthy member that loses a few packets could not refute; if it stayed a suspect
+// for long, calls would continue to go to a failed server.
 func TestSilentMemberIsSuspectedThenDead(t *testing.T) {
 	d := kqdetector.New(interval)
 	d.SetWatched([]kqname.Node{"a", "b"}, start)
--- a/internal/decide/kqeject/doc.go
+++ b/internal/decide/kqeject/doc.go
@@ -1,6 +1,6 @@
 // Package kqeject decides which upstreams are ejected for a while.
 //
-// Load pattern: a slow or failing upstream, and one with misleading reports. An upstream
+// Load pattern: a slow or failing upstream, or one with misleading reports. An upstream
 // that fails immediately looks idle and so attracts calls; without ejection, a choice by
 // load sends it more and more. A slow upstream sends no new report while it gets no calls,
 // so a choice by load alone would either avoid it for ever or rely on an outdated report.
@@ -8,6 +8,7 @@
 // An upstream is ejected when it is unreachable, after 5 consecutive failures, when 30% of
 // its recent calls failed, or when its typical work exceeds 3 times the median of its
 // service's upstreams. After the ejection time it gets one call as a probe, and no other
-// until that is answered. Success readmits it; failure doubles the ejection time. At most
-// a third of the upstreams are ejected at a time, not counting unreachable ones.
+// until that is answered. A success readmits it unless its typical work is still too high;
+// otherwise the ejection time doubles, up to 30 s. At most a third of the upstreams are
+// ejected at a time, not counting unreachable ones.
 package kqeject
--- a/internal/decide/kqeject/eject.go
+++ b/internal/decide/kqeject/eject.go
@@ -8,8 +8,8 @@
 
 	maxConsecutiveFailures = 5
 	// rateWindow is the number of calls over which the failure rate is averaged, and
-	// maxFailureRate is the rate that ejects: an upstream that fails every third call
-	// seldom fails five in a row.
+	// maxFailureRate is the rate from which on an upstream is ejected: one that fails every
+	// third call seldom fails five in a row.
 	rateWindow     = 16
 	maxFailureRate = 0.3
 	// minEjection and maxEjection bound the ejection time. 1/capDivisor is the largest
@@ -74,8 +74,9 @@
 	}
 }
 
-// RecordSuccess records a successful call of an upstream with the given typical work,
-// given the median of its service's upstreams.
+// RecordSuccess records a successful call. It ejects an upstream whose typical work exceeds
+// SlowFactor times the median of its service's upstreams, and otherwise readmits one whose
+// probe this was. A median of 0 means that no upstream is slow.
 func (e *Ejector) RecordSuccess(s *State, total int, work, median time.Duration, now time.Time) {
 	s.consecutiveFailures = 0
 	s.recordResult(0)
@@ -88,6 +89,7 @@
 	}
 }
 
+// recordResult updates the failure rate with a call; failed is 1 for a failure, else 0.
 func (s *State) recordResult(failed float64) {
 	s.rateCalls = min(s.rateCalls+1, rateWindow)
 	s.failureRate += (failed - s.failureRate) / float64(s.rateCalls)
@@ -100,6 +102,7 @@
 	}
 }
 
+// eject ejects the upstream, or extends its ejection after a probe, within the cap.
 func (e *Ejector) eject(s *State, total int, now time.Time) {
 	if !s.ejected {
 		if e.countedEjections >= total/capDivisor {
--- a/internal/decide/kqfailrate/failrate_test.go
+++ b/internal/decide/kqfailrate/failrate_test.go
@@ -11,7 +11,7 @@
 const interval = 25 * time.Millisecond
 
 // An upstream starts to fail nearly half of its calls while its health check passes. Until
-// the failure rate shows this, calls continue to fail there.
+// the reported failure rate rises, entries keep sending calls that fail there.
 func TestRateShowsPartialFailure(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 2))
--- a/internal/decide/kqfair/estimate.go
+++ b/internal/decide/kqfair/estimate.go
@@ -8,9 +8,9 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// RecordWait records whether the estimated wait of a caller's call is almost none. A single
-// such call is no evidence: when all callers' queues are kept short, each is sometimes
-// empty.
+// RecordWait records a caller's call; prompt is set if its estimated wait is almost none.
+// Only promptStreak such calls in a row show that the caller's calls no longer queue: when
+// all callers' queues are kept short, each is sometimes empty by chance.
 func (q *Queue) RecordWait(caller kqname.Caller, prompt bool, now time.Time) {
 	f := &q.flows[q.assignFlow(caller, now)]
 	f.streak++
@@ -42,8 +42,8 @@
 	return oldest
 }
 
-// SinceLastPrompt returns the time since the caller's calls last had almost no wait, also
-// if it has sent none since, or 0 if the caller has no flow.
+// SinceLastPrompt returns the time since the caller's calls last had almost no wait,
+// whether or not it has sent calls since. It returns 0 if the caller has no flow.
 func (q *Queue) SinceLastPrompt(caller kqname.Caller, now time.Time) time.Duration {
 	f := &q.flows[q.flowIndex(caller)]
 	if f.owner != caller {
@@ -52,10 +52,10 @@
 	return now.Sub(f.prompt)
 }
 
-// WorkAhead returns the expected work that will be served before a call that the caller
-// pushed now: that of waiting calls and, for a caller with a backlog, that of calls of
-// callers with less queued work that will arrive meanwhile and go first. Without the
-// latter, a hot caller's calls would wait several times longer than expected, and be
+// WorkAhead returns the expected work that would be served before a call that the caller
+// pushed now. This is the work of waiting calls and, for a caller with a backlog, of calls
+// that callers with less queued work will send meanwhile and that are served first. Without
+// the latter, a hot caller's calls would wait several times longer than expected, and be
 // refused late instead of at once.
 func (q *Queue) WorkAhead(caller kqname.Caller) time.Duration {
 	if q.length == 0 {
@@ -89,7 +89,8 @@
 }
 
 // flowIndex returns the index of the caller's flow, or of the one that it would be
-// assigned. The hash's top 9 bits (64-55) select one of the NumFlows flows.
+// assigned: an idle one if there is any among those probed, else a shared one. The hash's
+// top 9 bits (64-55) select one of the NumFlows flows.
 func (q *Queue) flowIndex(caller kqname.Caller) int {
 	first := int((xxhash.Sum64String(string(caller)) ^ q.salt) * 0x9e3779b97f4a7c15 >> 55)
 	idle := -1
--- a/internal/decide/kqfair/fair.go
+++ b/internal/decide/kqfair/fair.go
@@ -10,15 +10,15 @@
 	// NumFlows is the number of flows that callers are hashed into.
 	NumFlows = 512
 
-	// maxProbes is how many flows are probed for a caller's own or an idle one.
+	// maxProbes is how many flows are searched for the caller's own or an idle one.
 	maxProbes = 8
 
-	// recentWindow is the number of calls after which recent work is halved: some tens of
-	// calls for each of ten backlogged flows, below which the shares fluctuate.
+	// recentWindow is the number of calls after which recent work is halved. It covers some
+	// tens of calls for each of ten backlogged flows; with fewer, the shares fluctuate.
 	recentWindow = 256
 
-	// promptStreak is the number of consecutive calls with almost no wait from which on
-	// this is not taken for chance.
+	// promptStreak is the number of consecutive calls with almost no wait that show that a
+	// caller's calls no longer queue; fewer may occur by chance.
 	promptStreak = 8
 
 	// recentUnit is the unit that recent work is rounded down to, so that idle flows are
@@ -27,13 +27,14 @@
 )
 
 type (
-	// Queue holds waiting calls. It is not safe for concurrent use.
+	// Queue holds waiting calls in one flow for each caller. It is not safe for concurrent
+	// use.
 	Queue struct {
 		salt  uint64
 		flows [NumFlows]flow
 		// backlogged holds the indexes of the flows with waiting calls, in no order.
 		backlogged []int
-		// virtualTime is the start tag of the call served last: how much work each
+		// virtualTime is the start tag of the call served last: about how much work each
 		// backlogged flow has been given.
 		virtualTime time.Duration
 		// queuedWork is the expected work of the waiting calls.
@@ -54,7 +55,7 @@
 		Work time.Duration
 		// EnqueuedAt is when the call began to wait.
 		EnqueuedAt time.Time
-		// Value is the value that the item stands for.
+		// Value identifies the call to the queue's user. The queue does not read it.
 		Value any
 
 		flow       int
@@ -62,11 +63,13 @@
 		prev, next *Item
 	}
 
+	// flow holds the waiting calls of one caller, or of several if no flow was idle.
 	flow struct {
 		owner      kqname.Caller
 		head, tail *Item
-		// startTag is the tag of the flow's head: the work that each backlogged flow had
-		// been given when the call became the head.
+		// startTag is the start tag of the flow's next call: the sum of the previous call's
+		// start tag and work, or the virtual time at which the flow last became backlogged
+		// if that was later.
 		startTag time.Duration
 		// queuedWork is the expected work of the flow's waiting calls.
 		queuedWork time.Duration
@@ -81,8 +84,8 @@
 	}
 )
 
-// New returns an empty queue. Different salts keep callers from colliding in the hash of
-// all queues alike.
+// New returns an empty queue. With different salts, callers whose hashes collide in one
+// queue do not collide in all.
 func New(salt uint64) *Queue { return &Queue{salt: salt} }
 
 // Len returns the number of waiting calls.
@@ -132,7 +135,8 @@
 	return item
 }
 
-// RecordUnqueued counts the work of a call that was served without waiting.
+// RecordUnqueued counts the work of a call that was served without waiting, and records
+// that its caller's calls do not queue.
 func (q *Queue) RecordUnqueued(caller kqname.Caller, work time.Duration, now time.Time) {
 	f := &q.flows[q.assignFlow(caller, now)]
 	f.prompt = now
@@ -156,11 +160,11 @@
 	q.queuedWork -= item.Work
 	q.length--
 	if f.head == nil {
-		q.deactivate(item.flow)
+		q.removeBacklogged(item.flow)
 	}
 }
 
-func (q *Queue) deactivate(flowIndex int) {
+func (q *Queue) removeBacklogged(flowIndex int) {
 	for i, n := range q.backlogged {
 		if n == flowIndex {
 			last := len(q.backlogged) - 1
--- a/internal/decide/kqfifo/doc.go
+++ b/internal/decide/kqfifo/doc.go
@@ -1,3 +1,3 @@
-// Package kqfifo is the baseline that kqslots is measured against: one bounded FIFO queue
-// for all calls, regardless of their caller and work.
+// Package kqfifo is the baseline that kqslots is compared with: one bounded FIFO queue for
+// all calls, regardless of their caller and work. It is not meant for production.
 package kqfifo
--- a/internal/decide/kqfifo/fifo.go
+++ b/internal/decide/kqfifo/fifo.go
@@ -75,7 +75,7 @@
 // Reopen admits calls again.
 func (q *Queue) Reopen() { q.closed = false }
 
-// Load returns the load that is reported to callers.
+// Load returns the load that is reported to entries.
 func (q *Queue) Load() kqcall.Load {
 	return kqcall.Load{Running: q.running, Waiting: len(q.waiting), Slots: q.count}
 }
--- a/internal/decide/kqlease/lease.go
+++ b/internal/decide/kqlease/lease.go
@@ -18,13 +18,16 @@
 	// that long; the other domains' readers serve it meanwhile.
 	TTL = 6 * time.Second
 
+	// renewInterval is the age from which on a lease is renewed. A request that has not
+	// succeeded is repeated after a third of it.
 	renewInterval = TTL / 3
 	// margin is how long before its expiry a lease is given up, to allow for clock drift
 	// and slow answers.
 	margin = TTL / 4
-	// rankDelay delays members of lower rank, so that the first one acquires the slot
-	// before the others try.
-	rankDelay       = 2 * time.Second
+	// rankDelay times its rank is how long a member waits before it tries to acquire a
+	// vacant slot, so that the first one acquires it before the others try.
+	rankDelay = 2 * time.Second
+	// acquireInterval is the least time between two attempts of a member.
 	acquireInterval = 2 * time.Second
 	// maxCandidates is how many members of a domain try to acquire a vacant slot. It
 	// makes the load on the platform independent of the domain's size.
@@ -47,16 +50,22 @@
 
 	// Holder decides for one node when to acquire, renew and give up a lease.
 	//
-	// It handles outages and pauses. Expiry is measured by the local clock, so a holder
-	// that was paused gives up as soon as it resumes, without asking the platform. Two
-	// readers at once, or none for a while, cause only extra calls or delay. Times are
-	// compared as passed; passing monotonic times protects against wall clock jumps.
+	// It handles outages and pauses. Expiry is determined by the local clock, so a node
+	// that was paused gives up its lease as soon as it resumes, without asking the
+	// platform. Two holders of a slot at once, or none for a while, cause only extra calls
+	// or delay. Times are compared as passed; passing monotonic times protects against wall
+	// clock jumps.
 	Holder struct {
-		held        bool
+		held bool
+		// renewedAt is when the last successful request was sent, and requestedAt when the
+		// last request of any outcome was.
 		renewedAt   time.Time
 		requestedAt time.Time
+		// vacantSince is the time since which a slot has been vacant and this node has been
+		// a candidate for it.
 		vacantSince time.Time
-		triedAt     time.Time
+		// triedAt is when this node last tried to acquire a lease.
+		triedAt time.Time
 	}
 )
 
--- a/internal/decide/kqlease/lease_test.go
+++ b/internal/decide/kqlease/lease_test.go
@@ -9,6 +9,9 @@
 
 var start = time.Unix(1000, 0)
 
+// A holder renews its lease in time, and gives it up if renewals fail, if it was paused, or
+// if its clock jumps back. If it kept the lease after it expired, it would read from the
+// platform beside the next holder.
 func TestHolderRenewsAndGivesUpByLocalClock(t *testing.T) {
 	var h kqlease.Holder
 	if step := h.Next(kqlease.Situation{}, start); step != kqlease.Acquire {
--- a/internal/decide/kqlimit/limit.go
+++ b/internal/decide/kqlimit/limit.go
@@ -7,13 +7,14 @@
 	windowCalls = 32
 	// slowRatio and fastRatio are ratios of the mean latency to the baseline: above the
 	// first the limit falls, below the second it may rise. improvedRatio is the ratio of
-	// the mean latency to latencyBefore above which half of the slots withheld have not
+	// the mean latency to latencyBefore above which withholding half of the slots has not
 	// helped. baselineDivisor is the inverse of a call's weight in the baseline.
 	slowRatio       = 2.0
 	fastRatio       = 1.5
 	improvedRatio   = 0.8
 	baselineDivisor = 8
-	// maxRaiseDelay is in windows: about 13 s at 6 slots and 40 ms per call.
+	// maxRaiseDelay is the longest raiseDelay, in windows: about 13 s at 6 slots and 40 ms
+	// per call.
 	maxRaiseDelay = 63
 )
 
@@ -26,10 +27,12 @@
 	baseline time.Duration
 	// latencyBefore is the mean latency at the announced slots, before the limit fell.
 	latencyBefore time.Duration
-	sum           time.Duration
-	count         int
+	// sum and count are the total latency and the number of the window's calls so far.
+	sum   time.Duration
+	count int
 	// raised is set if the last change raised the limit. raiseDelay is how many windows
-	// must pass before the next raise, and raiseIn how many of them are left.
+	// below fastRatio must pass before the next raise, and raiseIn how many of them are
+	// left.
 	raised              bool
 	raiseDelay, raiseIn int
 }
@@ -48,8 +51,8 @@
 }
 
 // Observe records the latency of a call; running is the number of running calls when it
-// ended, including itself. It must be called only for short calls and
-// while no long job runs.
+// ended, including itself. It must be called only for short calls and while no long job
+// runs.
 func (l *Limit) Observe(took time.Duration, running int) {
 	if running < l.allowed {
 		l.updateBaseline(took, running)
@@ -100,7 +103,8 @@
 	}
 }
 
-// backOff delays the next raise, for longer if the last raise had to be reverted.
+// backOff delays the next raise by raiseDelay, which grows if the last raise had to be
+// reverted.
 func (l *Limit) backOff() {
 	if l.raised {
 		l.raiseDelay = min(2*l.raiseDelay+1, maxRaiseDelay)
--- a/internal/decide/kqneighbour/neighbour.go
+++ b/internal/decide/kqneighbour/neighbour.go
@@ -31,16 +31,17 @@
 
 	// Chooser chooses neighbours. The zero value is ready to use.
 	//
-	// It limits reconnects when many members join or leave at once: a node changes only
-	// its links to those members, since each choice depends on a hash of two names rather
-	// than on a position in a list. Otherwise all nodes would replace their links, and the
-	// reconnects would overload the nodes. A node has at most 6 links, plus one for
-	// each other region.
+	// It limits reconnects when many members join or leave at once: a node replaces few
+	// links besides those to these members, since each choice depends on a hash of two
+	// names rather than on a position in a list. Otherwise all nodes would replace their
+	// links, and the reconnects would overload the nodes. A node has at most 6 links, plus
+	// one for each other region.
 	Chooser struct{}
 )
 
-// Choose returns the neighbours of self among the members, which may include self. It
-// depends on nothing else, so any node can compute the neighbours of any other.
+// Choose returns the neighbours of self among the members, which may include self. The
+// result depends only on the arguments, so any node can compute the neighbours of any
+// other.
 func (Chooser) Choose(self Member, members []Member) []kqname.Node {
 	c := &selection{self: self, taken: map[kqname.Node]bool{self.Node: true}}
 	ring := filter(members, func(m Member) bool { return m.Domain == self.Domain })
@@ -62,6 +63,7 @@
 	chosen []kqname.Node
 }
 
+// take chooses the first members of the list that are not chosen yet, at most limit.
 func (c *selection) take(limit int, list []Member) {
 	for _, m := range list {
 		if limit <= 0 {
@@ -75,7 +77,7 @@
 	}
 }
 
-// takeRemote takes the remote links, each in a different domain as far as possible.
+// takeRemote chooses the remote links, each in a different domain as far as possible.
 func (c *selection) takeRemote(others []Member) {
 	seen := make(map[kqname.Domain]bool)
 	remaining := remoteLinks
--- a/internal/decide/kqneighbour/neighbour_test.go
+++ b/internal/decide/kqneighbour/neighbour_test.go
@@ -49,6 +49,8 @@
 	return len(seen), hops
 }
 
+// A message is passed on over every node's links. Nodes without an incoming link would
+// never get it, long paths would delay it, and too many links would load the nodes.
 func TestBroadcastReachesAllNodesInFewHops(t *testing.T) {
 	for _, n := range []int{2, 7, 25, 200, 550} {
 		members := fleet(n)
@@ -63,8 +65,9 @@
 	}
 }
 
-// A failure domain is lost, and the others replace their links at the same moment. If
-// every node dropped its remaining links, the whole fleet would reconnect at once.
+// A failure domain is lost, and all other nodes replace their links to it at the same
+// moment. If they also dropped links to live nodes, the whole fleet would reconnect at
+// once.
 func TestDomainLossKeepsOtherLinks(t *testing.T) {
 	members := fleet(550)
 	remaining := slices.DeleteFunc(slices.Clone(members), func(m kqneighbour.Member) bool { return m.Domain == "domain-3" })
--- a/internal/decide/kqpick/doc.go
+++ b/internal/decide/kqpick/doc.go
@@ -7,19 +7,20 @@
 // the same upstream. Instead, the best of four random candidates is chosen, also within
 // the own failure domain, which balances the load.
 //
-// The best candidate has the least expected time: the work and wait that its gate
-// reported for the route, increased while the upstream is cold, plus this entry's calls
-// since then. Estimated from calls of all routes together, an upstream that serves many
-// short calls would look idle to long calls until it refuses them. If its gate has not
-// reported the route, the upstream's recent calls count, with a wait once nearly all of
-// its slots are in use. While slots are free, a fast upstream with some calls beats a
-// slow one with none; under overload, the wait decides. Upstreams of the entry's own
-// failure domain count as a fifth faster, which saves traffic between domains, and are
-// preferred to all others while their expected time is well within the route's target.
+// The best candidate has the least expected time: the work and wait that its gate reported
+// for the route, increased while the upstream is cold, plus this entry's calls since then.
+// Estimated from calls of all routes together, an upstream that serves many short calls
+// would look idle to long calls until it refuses them. If its gate has not reported the
+// route, the least work that any upstream reported for the route counts, or the work of the
+// upstream's recent short calls if none has, with a wait once three quarters of its slots
+// are in use. While slots are free, a fast upstream with some calls beats a slow one with
+// none; under overload, the wait decides. Upstreams of the entry's own failure domain count
+// as a fifth faster, which saves traffic between domains, and are preferred to all others
+// while their expected time is well within the route's target.
 //
 // An upstream that fails part of its calls, as its gate counts over all entries, is
-// penalized by the cost of a failure, and sampling continues until it holds four that do
-// not fail. This applies while the service has spare slots, by the mean of recent
-// reports: in a burst the other upstreams have no free slots for those calls, and a call
-// that may fail is better than one that waits in vain.
+// penalized by the cost of a failure, and sampling continues until it has found four that
+// do not fail, or eight in all. This applies while the service has spare slots, by the mean
+// of recent reports: in a burst the other upstreams have no free slots for those calls, and
+// a call that may fail is better than one that waits in vain.
 package kqpick
--- a/internal/decide/kqpick/nested_test.go
+++ b/internal/decide/kqpick/nested_test.go
@@ -11,9 +11,9 @@
 )
 
 // Under overload, each call holds its slot for 100 ms of work and one nested lookup. The
-// local upstream answers lookups in 60 ms, well within their target of 120 ms, and one in
-// another domain in 20 ms. Staying local would cost the capacity for every fourth caller.
-// The test keeps six slots in use for 20 s and counts the runs.
+// upstream in the own failure domain answers lookups in 60 ms, well within their target of
+// 120 ms, and one in another domain in 20 ms. Staying in the own domain would cost a
+// quarter of the capacity. The test keeps six slots in use for 20 s and counts the runs.
 func TestNestedCallsUseFasterRemoteUpstream(t *testing.T) {
 	const (
 		slots, duration, ownWork         = 6, 20 * time.Second, 100 * time.Millisecond
--- a/internal/decide/kqpick/peer.go
+++ b/internal/decide/kqpick/peer.go
@@ -39,8 +39,8 @@
 // Ejected reports whether the upstream is ejected.
 func (peer *Peer) Ejected() bool { return peer.state.Ejected() }
 
-// selectBest returns the local upstream if one is fast enough, else the best of a random
-// sample. It reorders the list.
+// selectBest returns the best sampled upstream of the own failure domain if it is fast
+// enough, else the best of a random sample of all. It reorders the list.
 func (p *Pool) selectBest(list []*Peer, target Target, now time.Time, random *rand.Rand) *Peer {
 	if localBest := p.localBest(list, target, now, random); localBest != nil {
 		return localBest
@@ -100,12 +100,12 @@
 	return found, leastEstimate
 }
 
-// expectedTime returns the expected time in seconds of a call of the route at the
-// upstream, from its gate's report for the route. Without such a report, it uses the
-// route's least work at any upstream, and only if none has reported the route, the
-// upstream's recent work for calls of any route: by the latter, an upstream that mostly
-// serves orders of 100 ms would look too slow for lookups of 20 ms and get none, even while
-// the others have more lookups than slots.
+// expectedTime returns the expected time in seconds of a call of the route at the upstream,
+// from its gate's report for the route. Without such a report, it uses the route's least
+// work at any upstream. Only if none has reported the route does it use the upstream's
+// recent work for calls of any route: by that, an upstream that mostly serves orders of
+// 100 ms would look too slow for lookups of 20 ms and get none, even while the others have
+// more lookups than slots.
 func (p *Pool) expectedTime(peer *Peer, route kqname.Route, now time.Time) float64 {
 	load := peer.routeLoads.current(route, now)
 	if load.expectedWork == 0 {
@@ -121,8 +121,8 @@
 	return expectedWork*(1+occupancyCost*float64(peer.sent+1)/slots+ahead) + load.wait.Seconds()
 }
 
-// expectedWork returns the upstream's reported recent work of its short calls of any
-// route, or typical, the median over all upstreams, if it has not reported.
+// expectedWork returns the upstream's reported recent work of its short calls of any route,
+// or typical, the median over all upstreams, but at least 1 ms, if it has not reported.
 func (peer *Peer) expectedWork(typical time.Duration) time.Duration {
 	if peer.load.RecentDuration > 0 {
 		return peer.load.RecentDuration
@@ -159,7 +159,7 @@
 
 // coldSlowdown returns how many times slower the upstream is expected to be while it is
 // cold. WarmFrom is the announced end of its cold start; without one, the slowdown falls
-// linearly over coldDuration.
+// linearly over coldDuration after the upstream was added.
 func (peer *Peer) coldSlowdown(now time.Time) float64 {
 	if !peer.WarmFrom.IsZero() {
 		if now.Before(peer.WarmFrom) {
@@ -174,7 +174,8 @@
 }
 
 // hasFreeSlot reports whether the upstream probably has a free slot. If the service is
-// saturated, it takes a recent report to say so.
+// saturated, only a recent report shows one. Otherwise, without a recent report, there is
+// one unless this entry's own calls use all slots.
 func (peer *Peer) hasFreeSlot(saturated bool, now time.Time) bool {
 	ttl := unsaturatedReportTTL
 	if saturated {
--- a/internal/decide/kqpick/pick.go
+++ b/internal/decide/kqpick/pick.go
@@ -22,8 +22,8 @@
 	// domains is paid for.
 	localFactor = 0.8
 	// queueingUtilization is the share of slots in use above which a call is expected to
-	// queue, given a report that is some calls old. occupancyCost is the weight of each
-	// slot in use below it, which spreads calls over equal upstreams.
+	// queue, given a report that is some calls old. occupancyCost is the weight of the
+	// share of slots in use at any level, which spreads calls over equal upstreams.
 	queueingUtilization = 0.75
 	occupancyCost       = 0.25
 	// coldFactorBeforeWarm is how many times slower an upstream is expected to be until the
@@ -42,7 +42,8 @@
 	// it announces its warm-up itself. It falls to 1 over coldDuration.
 	coldFactor   = 4.0
 	coldDuration = 10 * time.Second
-	// reportTTL is how long a load report is used.
+	// reportTTL is how long the running and waiting calls and the wait of a load report are
+	// used. Its work is used until the next report, and its failure rate decays.
 	reportTTL = time.Second
 	// aggregateTTL is how long the median work and the utilization are cached.
 	aggregateTTL = 100 * time.Millisecond
@@ -74,7 +75,8 @@
 	Option func(*Pool)
 )
 
-// WithUniform makes the pool choose uniformly at random, as a baseline for measurements.
+// WithUniform makes the pool choose uniformly at random and eject no upstream, as a
+// baseline for comparison.
 func WithUniform(uniform bool) Option { return func(p *Pool) { p.uniform = uniform } }
 
 // New returns the pool of an entry in the given failure domain.
@@ -87,8 +89,8 @@
 }
 
 // Set replaces the list of upstreams and keeps the state of those that remain. The first
-// upstreams of a pool count as warm, since they started before the entry and nothing else
-// is known of them.
+// upstreams of a pool count as warm unless they announce their warm-up, since they started
+// before the entry and nothing else is known of them.
 func (p *Pool) Set(all []kqmember.Candidate, now time.Time) {
 	if p.initialized && len(all) == len(p.candidates) && (len(all) == 0 || &all[0] == &p.candidates[0]) {
 		return
@@ -148,6 +150,8 @@
 	}
 }
 
+// selectPeer returns an ejected upstream that is due for a probe, if there is one. Else it
+// chooses among the upstreams that are not ejected or, if there are none, uses lastResort.
 func (p *Pool) selectPeer(target Target, tried []kqname.Node, now time.Time, random *rand.Rand) *Peer {
 	p.eligible = p.eligible[:0]
 	ejected := 0
@@ -176,11 +180,11 @@
 	return p.selectBest(p.eligible, target, now, random)
 }
 
-// lastResort makes the ejected upstream with the earliest return eligible: if all
-// upstreams look bad, one may still answer, while a refusal certainly fails. Each failure
-// postpones an upstream's return, so one that was only briefly unreachable is found within
-// a call or two. Choosing by load instead would keep selecting dead upstreams, which run
-// nothing and look idle.
+// lastResort makes the ejected upstream with the earliest end of its ejection eligible: if
+// all upstreams are ejected, one may still answer, while a refusal certainly fails. Each
+// failure extends an upstream's ejection, so one that was only briefly unreachable is found
+// within a call or two. Choosing by load instead would keep selecting dead upstreams, which
+// run nothing and look idle.
 func (p *Pool) lastResort(target Target, tried []kqname.Node) {
 	var first *Peer
 	for _, peer := range p.peers {
@@ -194,6 +198,7 @@
 	p.eligible = append(p.eligible, first)
 }
 
+// admit returns the state of an upstream that is new to the pool.
 func (p *Pool) admit(c kqmember.Candidate, now time.Time) *Peer {
 	peer := &Peer{Candidate: c, addedAt: now}
 	if !p.initialized {
--- a/internal/decide/kqpick/pick_test.go
+++ b/internal/decide/kqpick/pick_test.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// The local upstream is a little slower than one in another failure domain, but well
-// within the target. It must be preferred, so that large answers do not cross between
-// domains, unless it is too slow for the route.
+// The upstream in the own failure domain is slower than one in another, but well within the
+// target. It must be preferred, so that large answers do not cross between domains, unless
+// it is too slow for the route.
 func TestLocalUpstreamIsPreferredWithinComfortableLatency(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 3))
--- a/internal/decide/kqpick/route_test.go
+++ b/internal/decide/kqpick/route_test.go
@@ -10,10 +10,10 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// After a restart, the first calls that an upstream answers are probes of 1 ms. By its
-// recent work for any route it looks a hundred times faster than the others, and all
-// entries would send it calls that it refuses while the others are idle. The gate's report
-// for the route must count instead.
+// After a restart, the first calls that an upstream answers are probes of 2 ms. By its
+// recent work for any route it looks 90 times faster than the others, and all entries would
+// send it calls that it refuses while the others are idle. The gate's report for the route
+// must count instead.
 func TestFastProbesDoNotAttractOtherCalls(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 5))
@@ -41,9 +41,9 @@
 	}
 }
 
-// The local upstream mostly answers lookups of 20 ms; the route's calls take 350 ms
-// there, and wait as long. Estimated from its lookups, it would get all calls of its
-// failure domain until it refuses them, while others have free slots.
+// The upstream in the own failure domain mostly answers lookups of 20 ms; the route's calls
+// take 350 ms there, and wait as long. Estimated from its lookups, it would get all calls
+// of its failure domain until it refuses them, while others have free slots.
 func TestLocalUpstreamIsEstimatedByRoute(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 6))
--- a/internal/decide/kqpick/slow_test.go
+++ b/internal/decide/kqpick/slow_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// With spare capacity elsewhere, every call to the slow upstream is answered later than
-// necessary.
+// One of three upstreams becomes four times slower while the others have free slots. Unless
+// it is ejected, its calls are answered later than necessary.
 func TestSlowUpstreamIsEjectedWithSpareCapacity(t *testing.T) {
 	if got := callsToSlow(kqcall.Load{Running: 1}); got > 1 {
 		t.Errorf("%d of 100 calls went to the slow upstream, want at most one", got)
@@ -65,9 +65,9 @@
 }
 
 // An upstream joins a service whose slots are all in use, and has not reported yet. If it
-// were expected to take 1 ms, since the median was not measured while the others were
-// full, it would get every call until its first answer: 30 for six slots. Its fair share
-// makes it as full as the others: a quarter of what all four then hold.
+// were expected to take 1 ms because no median is computed while the others are full, it
+// would get every call until its first answer: 30 for six slots. Its fair share makes it as
+// full as the others: a quarter of what all four then hold.
 func TestJoiningUpstreamIsNotFlooded(t *testing.T) {
 	const others, occupied, calls = 3, 12, 30
 	const fair = (others*occupied + calls + others) / (others + 1)
--- a/internal/decide/kqpick/target.go
+++ b/internal/decide/kqpick/target.go
@@ -17,14 +17,15 @@
 	nestedComfortableShare = 0.35
 )
 
-// Target restricts which upstreams of a service a call may go to.
+// Target is what the choice of an upstream for a call depends on: which upstreams of the
+// service it may go to, its route, and up to which expected time it stays in its domain.
 type Target struct {
 	// Version is the required upstream version; empty allows any.
 	Version kqname.UpstreamVersion
 	// Nodes restricts the choice to the upstreams of these nodes; nil allows all.
 	Nodes map[kqname.Node]bool
-	// Fallback is the version used after the target has refused a call or has no upstream
-	// for it; empty means none.
+	// Fallback is the version used after the target's upstreams have refused the call, or
+	// if it has none; empty means no fallback version.
 	Fallback kqname.UpstreamVersion
 	// ExcludedVersions are the versions that the call must not go to, and
 	// FallbackExcludedVersions those that its fallback target excludes.
@@ -36,7 +37,8 @@
 	Route kqname.Route
 }
 
-// Next returns the target to use after this one has not served the call.
+// Next returns the target to use after this one has not served the call: its fallback, or
+// itself if it has none.
 func (t Target) Next() Target {
 	switch {
 	case t.Fallback != "":
@@ -55,11 +57,11 @@
 	return (t.Version == "" || c.Version == t.Version) && (t.Nodes == nil || t.Nodes[c.Node]) && !slices.Contains(t.ExcludedVersions, c.Version)
 }
 
-// ComfortableLatency returns the expected time within which a local upstream is
-// preferred, for calls with the given target. It is less for nested calls: the calling
-// call holds a slot of its upstream while it waits, so when slots are short, extra
-// milliseconds delay other callers, and a local queue is reason enough to use another
-// domain.
+// ComfortableLatency returns the expected time within which an upstream of the own failure
+// domain is preferred, for calls with the given target. It is less for nested calls: the
+// calling call holds a slot of its upstream while it waits, so when slots are short, extra
+// milliseconds delay other callers, and a queue in the own domain is reason enough to use
+// another domain.
 func ComfortableLatency(target time.Duration, nested bool) time.Duration {
 	if nested {
 		return time.Duration(nestedComfortableShare * float64(target))
--- a/internal/decide/kqpick/usage.go
+++ b/internal/decide/kqpick/usage.go
@@ -8,11 +8,12 @@
 )
 
 // HasFreeSlot reports whether an upstream that the target allows, and whose node has not
-// been tried, probably has a free slot. An outdated report counts as a free slot, since
-// an attempt is cheap compared with refusing a call that could be served. If the service
-// is saturated, it does not: in a service with many upstreams each entry rarely gets a
-// report of each, so every call would be offered to one gate after another, with its
-// body, until the servers' links are full and even calls that have a slot are late.
+// been tried, probably has a free slot. An upstream with an outdated report counts as free
+// unless this entry's own calls use all its slots, since an attempt is cheap compared with
+// refusing a call that could be served. If the service is saturated, such an upstream
+// counts as full: in a service with many upstreams each entry rarely gets a report of each,
+// so every call would be offered to one gate after another, with its body, until the
+// servers' links are full and even calls that have a slot are late.
 func (p *Pool) HasFreeSlot(target Target, tried []kqname.Node, now time.Time) bool {
 	saturated := p.utilization(now) >= saturatedUtilization
 	for _, peer := range p.peers {
@@ -35,7 +36,8 @@
 	return least
 }
 
-// typicalWork returns the median of the upstreams' recent work.
+// typicalWork returns the cached median of the upstreams' recent work, or 0 if at most two
+// have reported theirs.
 func (p *Pool) typicalWork(now time.Time) time.Duration {
 	if now.Sub(p.medianWorkAt) < aggregateTTL {
 		return p.medianWork
@@ -67,8 +69,8 @@
 }
 
 // hasSpareCapacity reports whether the service has spare slots, by the mean over recent
-// reports. A single report may be a second old, in which an upstream can fill up, while
-// the mean of many follows the load.
+// reports. A single report may be a second old, and an upstream can fill up in that time,
+// while the mean of many reports follows the load.
 func (p *Pool) hasSpareCapacity(now time.Time) bool { return p.utilization(now) < spareUtilization }
 
 // utilization returns the cached share of the service's slots in use.
--- a/internal/decide/kqretry/retry.go
+++ b/internal/decide/kqretry/retry.go
@@ -15,7 +15,9 @@
 	// Budget is the retry budget of one service for calls of one depth. It is not safe for
 	// concurrent use.
 	Budget struct {
-		outermost   bool
+		outermost bool
+		// load and churn are the balances for refusals for load and for the failures that
+		// may be retried at any depth.
 		load, churn float64
 	}
 )
@@ -37,8 +39,8 @@
 	}
 }
 
-// Spend reports whether a call with the outcome may be retried, and counts the retry. A
-// call that may have run is only retried if it is idempotent.
+// Spend reports whether a call with the outcome may be retried, and counts the retry if so.
+// A call that may have run is retried only if it is idempotent; an answered one never is.
 func (b *Budget) Spend(o kqcall.Outcome, idempotent bool) bool {
 	if o.Result == kqcall.Unknown && !idempotent || o.Result == kqcall.Answered {
 		return false
--- a/internal/decide/kqretry/retry_test.go
+++ b/internal/decide/kqretry/retry_test.go
@@ -12,8 +12,8 @@
 	calls  = 200000
 )
 
-// Thirteen services call each other in a chain, and each call fails, for any reason. If
-// every level retried, the last service would get thousands of times its load and could
+// Thirteen services call each other in a chain, and every call fails for the same reason.
+// If every level retried, the last service would get thousands of times its load and could
 // never recover. The retries of all levels together must add at most a tenth.
 func TestRetriesAcrossLevelsAreBounded(t *testing.T) {
 	for _, reason := range []kqcall.Reason{kqcall.QueueFull, kqcall.Shed, kqcall.ConnectFailed, kqcall.NoUpstream, kqcall.Cut} {
@@ -37,7 +37,7 @@
 }
 
 // The connection breaks after the upstream has received the call. Retrying an order might
-// pay it twice, so only idempotent calls may be retried.
+// charge the customer twice, so only idempotent calls may be retried.
 func TestUnknownOutcomeIsRetriedOnlyIfIdempotent(t *testing.T) {
 	b := kqretry.New(true)
 	if b.Spend(kqcall.UnknownOutcome(kqcall.Cut), false) {
--- a/internal/decide/kqshed/doc.go
+++ b/internal/decide/kqshed/doc.go
@@ -8,8 +8,8 @@
 // For each class the entry keeps decaying counts of calls and of those refused for load;
 // the difference was accepted or is in flight. It refuses a call with probability
 // (calls - factor × accepted) / calls, so that the load on the gates settles at factor
-// times what they accept. They stay fully used, and recovery shows at once. The factor is
-// smaller for less important classes, which are shed first.
+// times what they accept. The gates stay fully used, and recovery shows at once. The factor
+// is smaller for less important classes, which are shed first.
 //
 // Within a class, calls that can no longer meet their targets are shed before those that
 // can. Random shedding would drop first attempts in favour of retries whose answers are
--- a/internal/decide/kqshed/shed.go
+++ b/internal/decide/kqshed/shed.go
@@ -21,7 +21,8 @@
 
 	// decayingCounts are counts of one class, halved once every halfLife.
 	decayingCounts struct {
-		// late counts the calls that could no longer meet their targets.
+		// late counts the calls that could no longer meet their targets, and refused those
+		// refused for load, here or by a gate.
 		calls, late, refused float64
 		lastHalving          time.Time
 	}
@@ -54,8 +55,9 @@
 // RecordRefusal counts a call that a gate refused for load.
 func (s *Shedder) RecordRefusal(c kqdocument.Class) { s.classes[c.Rank()].refused++ }
 
-// shedProbability returns the probability of refusing a call. Late calls are refused first,
-// up to the number of calls in excess of factor times the accepted ones.
+// shedProbability returns the probability of refusing a call, which is below 0 for never
+// and above 1 for always. Late calls are refused first, up to the number of calls in excess
+// of factor times the accepted ones.
 func (w *decayingCounts) shedProbability(factor float64, late bool) float64 {
 	accepted := w.calls - w.refused
 	excess := w.calls - factor*accepted
--- a/internal/decide/kqshed/shed_test.go
+++ b/internal/decide/kqshed/shed_test.go
@@ -10,16 +10,16 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 )
 
-// caller retries its call when it is refused.
+// caller is a caller whose call is sent next at the given time, after so many attempts.
 type caller struct {
 	at       time.Time
 	attempts int
 }
 
 // Offered load is 2.5 times the capacity. Refused calls are retried and can then only be
-// answered late. Random shedding refused many first attempts while the gates were left
-// with retries: a quarter of all answers were late although enough calls could have met
-// their target.
+// answered late. Random shedding would refuse many first attempts and leave the gates with
+// retries: a quarter of all answers would be late although enough calls can meet their
+// target.
 func TestLateCallsAreShedFirst(t *testing.T) {
 	const (
 		tick        = 25 * time.Millisecond
--- a/internal/decide/kqslots/demand.go
+++ b/internal/decide/kqslots/demand.go
@@ -8,8 +8,8 @@
 const (
 	// demandTimeConstant is the time constant of the decaying sum of demand.
 	demandTimeConstant = time.Second
-	// reserveFactor is how many times their mean demand is reserved for short calls,
-	// whose arrivals are uneven.
+	// reserveFactor times the mean demand of short calls is reserved for them, since they
+	// arrive unevenly.
 	reserveFactor = 2
 )
 
--- a/internal/decide/kqslots/doc.go
+++ b/internal/decide/kqslots/doc.go
@@ -3,33 +3,33 @@
 //
 // Load patterns: burst, overload, hot caller, long jobs among short ones, nested calls.
 //
-// A call is admitted only if it is expected to start in time, given the work that is
-// served before it. Otherwise it is refused at once, while its caller can still retry
-// elsewhere. Without this, the queue fills with calls whose callers have given up by the
-// time they are served, and goodput falls while the upstream is saturated. The expected
-// wait is corrected by recent actual waits, because calls of callers whose turn comes
-// first overtake calls that are already queued.
+// A call is admitted only if it is expected to start in time, given the work that is served
+// before it. Otherwise it is refused at once, while its caller can still retry elsewhere.
+// Without this, the queue fills with calls whose callers have given up by the time they are
+// served, and goodput falls while the upstream is saturated. The expected wait is corrected
+// by recent actual waits, because calls of callers that are served first overtake calls
+// that are already queued.
 //
-// A call with a target is in time if it starts early enough to meet the target. Calls
-// that can still meet theirs are served first. Calls that cannot, because of an earlier
-// refusal or a queue slower than expected, wait in separate queues for slots that the
-// others leave unused, and are refused if there are none. In a single queue, late calls
-// would delay the calls behind them too, and a saturated upstream would answer hardly any
-// call in time. A target that this upstream cannot meet even when idle is ignored. A call
-// without a target may wait for a share of its remaining time; the share is smaller for
-// less important classes, and much smaller once its caller's calls have queued for long.
+// A call with a target is in time if it starts early enough to meet the target. Calls that
+// can still meet theirs are served first. Calls that cannot, because of an earlier refusal
+// or a queue slower than expected, wait in separate queues for slots that the others leave
+// unused, and are refused if there are none. In a single queue, late calls would delay the
+// calls behind them too, and a saturated upstream would answer hardly any call in time. A
+// target that this upstream cannot meet even when idle is ignored. A call without a target
+// may wait for a share of its remaining time; the share is smaller for the least important
+// class, and much smaller once its caller's calls have queued for long.
 //
-// Each queue is FIFO while every call can expect to be served. Once its oldest call has
-// nearly used up its maximum wait, the queue is LIFO, and a call that has waited too long
-// is refused immediately.
+// In each queue, a caller's calls are served oldest first while every call can expect to be
+// served. Once the oldest call of the queue has nearly used up its maximum wait, they are
+// served newest first, and a call that has waited too long is refused immediately.
 //
-// Nested calls are served before all others, and their deadline counts rather than their
+// Nested calls have priority over all classes, and their deadline counts rather than their
 // target: the calling call holds a slot at its own upstream meanwhile, and its work is lost
 // if the nested call fails.
 //
 // Long jobs are calls of routes that take long. They wait in queues apart from short calls,
-// and the recent demand of short calls, up to half of the slots, is reserved for the
-// latter. Otherwise a few long jobs would occupy every slot and delay each short call by
-// the duration of a long job. Within a queue, kqfair divides the slots among callers; more
-// important classes are served first.
+// and twice the recent demand of short calls, up to half of the slots, is reserved for the
+// latter until a second after the last of them. Otherwise a few long jobs would occupy
+// every slot and delay each short call by the duration of a long job. Within a queue,
+// kqfair divides the slots among callers; more important classes are served first.
 package kqslots
--- a/internal/decide/kqslots/overload_test.go
+++ b/internal/decide/kqslots/overload_test.go
@@ -27,7 +27,8 @@
 		maxRetries int
 	}
 
-	// stream is the calls of one route, made by a number of identical callers.
+	// stream is the calls of one route, made by a number of identical callers at the given
+	// rate a second. sigma is the spread of their log-normal work around its mean.
 	stream struct {
 		route                  kqname.Route
 		class                  kqdocument.Class
@@ -154,9 +155,9 @@
 			sim.results[r.stream.route].refused++
 			return
 		}
-		// A refused caller retries after RetryAfter or a third of its remaining
-		// patience, whichever is longer. The entry does so only for callers whose
-		// answer can only be late.
+		// A refused caller retries after RetryAfter or a third of its remaining patience,
+		// whichever is longer. The entry extends RetryAfter like this only for callers
+		// whose answer can only be late.
 		sim.after(max(t.Refusal.RetryAfter, r.first.Add(maxPatience).Sub(sim.now)/3), func() { sim.try(r) })
 	}
 }
@@ -254,8 +255,8 @@
 }
 
 // Calls of an important route take 140 ms at a slow upstream and have a target of 150 ms,
-// which they cannot be sure to meet. They must not be refused for this while less
-// important calls that can meet theirs are served.
+// which many of them miss even on an idle upstream. They must not be refused for this while
+// less important calls that can meet their target are served.
 func TestUnreachableTargetDoesNotLowerPriority(t *testing.T) {
 	status := stream{
 		route: "status", class: "normal", callers: 11, rate: 25, work: 140 * time.Millisecond,
--- a/internal/decide/kqslots/queue.go
+++ b/internal/decide/kqslots/queue.go
@@ -14,9 +14,9 @@
 	wait := time.Duration(float64(t.expectedWait) * s.waitCorrection())
 	share := [priorityLevels]float64{nestedWaitShare, criticalWaitShare, normalWaitShare, backgroundWaitShare}[t.priority]
 	allowedWait := s.allowedWait(t, wait, time.Duration(share*float64(left)), now)
-	// A longer wait means that the upstream has become slower since the call was queued.
-	// Where the allowed wait is short, the estimate may be off by the work of several
-	// calls.
+	// A call that waits for twice the allowed time is refused, since the upstream must have
+	// become slower since the call was queued. If the allowed wait is short, the estimate
+	// may be off by the work of several calls, so this is added instead.
 	maxWait := max(2*allowedWait, allowedWait+waitSlackCalls*expected)
 	if t.hasTarget() && !s.checkTargetUnreachable(t, expected, now) {
 		t.startBy = t.Target.Add(-time.Duration(targetMargin * float64(expected)))
@@ -58,9 +58,9 @@
 }
 
 // allowedWait returns the maximum wait of a call that has no target or cannot meet it:
-// limit, or a fraction of it once the caller's calls have queued for long. Nested calls
-// are exempt: they have a queue of their own and wait for running calls, not behind a
-// burst.
+// limit, or a fraction of it once the caller's calls have queued for long. Nested calls are
+// exempt: they have a queue of their own and wait for running calls, not for a burst queued
+// before them.
 func (s *Slots) allowedWait(t *Ticket, wait, limit time.Duration, now time.Time) time.Duration {
 	q := s.queues(t)[t.priority]
 	q.RecordWait(t.Caller, wait < limit/congestedWaitDivisor/shortWaitDivisor, now)
@@ -98,8 +98,8 @@
 }
 
 // serve starts waiting calls while slots are free. It moves calls that no longer meet their
-// targets to the late queues, refuses those that have waited too long, and returns the
-// tickets that were started or refused.
+// targets to the late queues, refuses those that have waited too long or would do so there,
+// and returns the tickets that were started or refused.
 func (s *Slots) serve(now time.Time) []*Ticket {
 	var decided []*Ticket
 	for s.running < s.limit.Allowed() && s.waiting() > 0 {
@@ -129,8 +129,10 @@
 	return decided
 }
 
-// nextQueues returns the queues that the next free slot goes to: short calls until they
-// use their reserved slots, then long jobs up to their maximum, then late calls.
+// nextQueues returns the queues that the next free slot goes to: those of short calls until
+// these use their reserved slots, then those of long jobs up to their maximum, then again
+// those of short calls, then those of late calls. It returns nil if no waiting call may
+// start.
 func (s *Slots) nextQueues(now time.Time) *[priorityLevels]*kqfair.Queue {
 	short, long := totalLen(&s.shortQueues) > 0, totalLen(&s.longQueues) > 0 && s.hasFreeSlot(true, now)
 	reserved := s.limit.Allowed() - s.maxLong(now)
@@ -157,7 +159,8 @@
 	return nil
 }
 
-// nearExpiry reports whether the oldest call has used seven eighths of its maximum wait.
+// nearExpiry reports whether the queue's oldest call has used more than seven eighths of
+// its maximum wait.
 func nearExpiry(q *kqfair.Queue, now time.Time) bool {
 	item := q.Oldest()
 	return now.Sub(item.EnqueuedAt) > ticketOf(item).ExpireAt.Sub(item.EnqueuedAt)*7/8
@@ -178,7 +181,8 @@
 	return min(max(s.actualWait/s.expectedWait, 1), maxWaitCorrection)
 }
 
-// recordWait updates the mean actual and expected waits with the call's.
+// recordWait updates the mean actual and expected waits with those of a call that leaves
+// its queue. Calls that miss their targets do not count.
 func (s *Slots) recordWait(t *Ticket, now time.Time) {
 	if t.missesTarget {
 		return
@@ -190,11 +194,11 @@
 // start gives the ticket a slot. unneeded is set if no call that could meet its target was
 // waiting for the slot.
 func (s *Slots) start(t *Ticket, unneeded bool) {
-	share := 0.0
+	sample := 0.0
 	if unneeded {
-		share = 1
+		sample = 1
 	}
-	s.unneeded += (share - s.unneeded) / unneededWindow
+	s.unneeded += (sample - s.unneeded) / unneededWindow
 	t.Verdict = Run
 	s.running++
 	if t.isLongJob {
--- a/internal/decide/kqslots/slots.go
+++ b/internal/decide/kqslots/slots.go
@@ -21,16 +21,18 @@
 
 	// priorityLevels counts the priorities: nested calls first, then the three classes.
 	priorityLevels = 4
-	// Maximum waits as shares of the time left until the deadline, by priority.
+	// Maximum waits of calls that have no target or cannot meet it, as shares of the time
+	// left until the deadline, by priority.
 	nestedWaitShare, criticalWaitShare, normalWaitShare, backgroundWaitShare = 0.6, 0.6, 0.6, 0.125
-	// Queueing for longer than congestedAfter is overload rather than a burst. The
-	// caller's maximum waits are then divided by congestedWaitDivisor, until its expected
-	// waits are below that limit divided by shortWaitDivisor.
+	// A caller whose calls queue for longer than congestedAfter causes overload rather than
+	// a burst. Its maximum waits are then divided by congestedWaitDivisor, until a call of
+	// it runs at once or the expected waits of several in a row are below that limit
+	// divided by shortWaitDivisor.
 	congestedAfter       = 4 * time.Second
 	congestedWaitDivisor = 10
 	shortWaitDivisor     = 4
-	// targetMargin is how many times its expected work before its target a call must
-	// start. Calls that start later seldom meet the target and make others miss theirs.
+	// A call must start at least targetMargin times its expected work before its target.
+	// Calls that start later seldom meet the target and make others miss theirs.
 	targetMargin = 1.2
 	// minAllowedWait is the least maximum wait: a few queued calls keep the slots in use
 	// between arrivals.
@@ -128,8 +130,8 @@
 	}
 )
 
-// New returns Slots for an upstream that runs count calls at once. A different salt for
-// each gate keeps callers from colliding in the hash at all gates alike.
+// New returns Slots for an upstream that runs count calls at once. With a different salt at
+// each gate, callers whose hashes collide at one gate do not collide at all of them.
 func New(count int, salt uint64, options ...Option) *Slots {
 	s := &Slots{count: count, limit: kqlimit.New(count), work: kqwork.New(), unneeded: 1, targets: make(map[kqname.Route]time.Duration)}
 	for i := range priorityLevels {
@@ -171,9 +173,9 @@
 	}
 }
 
-// isLongJob reports whether calls of the route are long jobs from which short calls need
-// reserved slots. If a slot is freed every few milliseconds anyway, a reserve would only
-// waste slots.
+// isLongJob reports whether calls of the route are long jobs that would delay short calls
+// noticeably without reserved slots. If the route's calls alone free a slot every few
+// milliseconds, a reserve would only waste slots.
 func (s *Slots) isLongJob(r kqname.Route) bool {
 	return s.work.Long(r) && s.work.Expect(r) >= longJobSlotInterval*time.Duration(s.limit.Allowed())
 }
@@ -230,12 +232,13 @@
 // Reopen admits calls again after the upstream has withdrawn its shutdown.
 func (s *Slots) Reopen() { s.closed = false }
 
-// Load returns the load that is reported to callers.
+// Load returns the load that is reported to entries.
 func (s *Slots) Load() kqcall.Load {
 	return kqcall.Load{Running: s.running, Waiting: s.waiting(), Slots: s.limit.Allowed(), RecentDuration: s.work.Pace()}
 }
 
-// LoadFor returns the load with the expected work and wait of a call like the ticket's.
+// LoadFor returns the load with the expected work and wait of a call like the ticket's,
+// which are 0 if the route has no estimate of its own.
 func (s *Slots) LoadFor(t *Ticket, now time.Time) kqcall.Load {
 	l := s.Load()
 	expected, ok := s.work.Lookup(t.Route)
--- a/internal/decide/kqslots/slots_test.go
+++ b/internal/decide/kqslots/slots_test.go
@@ -46,7 +46,7 @@
 
 // A route has a target of 400 ms and its calls take 120 ms. In a lasting overload, a call
 // that can still meet its target must wait rather than be refused, since a slot is freed
-// every few milliseconds.
+// every 20 ms. Otherwise slots become idle while calls are refused.
 func TestCallsQueueWhileTheirTargetAllows(t *testing.T) {
 	const slots, work = 6, 120 * time.Millisecond
 	now := time.Unix(1000, 0)
--- a/internal/decide/kqstart/doc.go
+++ b/internal/decide/kqstart/doc.go
@@ -1,2 +1,3 @@
-// Package kqstart decides when a starting node has found the newest version.
+// Package kqstart decides when a starting node has enough answers to serve the newest
+// configuration version among them.
 package kqstart
--- a/internal/decide/kqstart/start.go
+++ b/internal/decide/kqstart/start.go
@@ -11,10 +11,10 @@
 
 // Evidence is the set of answers that a starting node has received.
 //
-// It handles replaced servers. A node without stored state that asks a single lagging peer
-// would serve an older version than the fleet's, and accepted configuration would appear
-// to be reverted. The node therefore does not serve its first version until the platform
-// or enough peers have answered.
+// It handles replaced servers. A node without stored state that asked a single lagging peer
+// would serve an older version than the rest of the fleet, and accepted configuration would
+// appear to be reverted. The node therefore does not serve its first version until the
+// platform or enough peers have answered.
 type Evidence struct {
 	// Platform is set once the platform has answered.
 	Platform bool
--- a/internal/decide/kqwork/estimator.go
+++ b/internal/decide/kqwork/estimator.go
@@ -15,10 +15,10 @@
 	// inverse of a call's weight in its route's estimate.
 	maxRoutes    = 256
 	routeDivisor = 8
-	// riseDivisor and fallDivisor divide the steps of the pace towards slower and faster
-	// calls. It rises fast, so that a single call shows that the upstream has become much
-	// slower. It falls slowly, so that a few tiny calls do not make an upstream look many
-	// times faster than it is.
+	// riseDivisor and fallDivisor are the inverse weights in the pace of a call that is
+	// slower or faster than it. The pace rises fast, so that a single call shows that the
+	// upstream has become much slower. It falls slowly, so that a few tiny calls do not
+	// make an upstream look many times faster than it is.
 	riseDivisor = 4
 	fallDivisor = 16
 	// defaultWork is the estimate for a route before any call has ended.
@@ -33,7 +33,8 @@
 	// typical approximates the median: each call moves it by a bounded share of itself, so
 	// that a few long calls do not raise it.
 	typical time.Duration
-	// pace follows the calls of routes that are not long.
+	// pace is a weighted mean of the recent calls' work, without those that are slower than
+	// it and of a long route.
 	pace time.Duration
 }
 
@@ -73,7 +74,8 @@
 	}
 }
 
-// Pace returns the recent work of the upstream's short calls.
+// Pace returns the recent mean work of the upstream's short calls, or defaultWork before
+// any call has ended.
 func (e *Estimator) Pace() time.Duration {
 	if e.pace == 0 {
 		return defaultWork
@@ -81,7 +83,8 @@
 	return e.pace
 }
 
-// Expect returns the expected work of a call of the route.
+// Expect returns the expected work of a call of the route. For a route without an estimate
+// it is that of all routes beyond maxRoutes, or the typical work if there is none.
 func (e *Estimator) Expect(r kqname.Route) time.Duration {
 	if d, ok := e.routes[r]; ok {
 		return d
@@ -104,7 +107,8 @@
 	return e.typical > 0 && e.Expect(r) >= LongFactor*e.typical
 }
 
-// Typical returns the approximate median work of a call.
+// Typical returns the approximate median work of a call, or defaultWork before any call has
+// ended.
 func (e *Estimator) Typical() time.Duration {
 	if e.typical == 0 {
 		return defaultWork
--- a/internal/decide/kqwork/estimator_test.go
+++ b/internal/decide/kqwork/estimator_test.go
@@ -7,9 +7,10 @@
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqwork"
 )
 
-// Some calls need hardly any work, such as probes or immediate failures, and they come in
-// runs. If they made the upstream look many times faster, all entries would send it their
-// calls, which would wait there past their deadlines while other upstreams are idle.
+// Some calls need hardly any work, such as probes or immediate failures, and several of
+// them may come in a row. If they made the upstream look many times faster, all entries
+// would send it their calls, which would wait there past their deadlines while other
+// upstreams are idle.
 func TestTinyCallsBarelyLowerPace(t *testing.T) {
 	w := kqwork.New()
 	for range 100 {
