--- a/internal/rollout/kqevidence/evidence.go
+++ b/internal/rollout/kqevidence/evidence.go
@@ -10,14 +10,15 @@
 const (
 	// Buckets is the number of latency buckets of a cell.
 	Buckets = 48
-	// MaxRoutes bounds the routes that are counted separately; calls of further ones
-	// count under OtherRoutes.
+	// MaxRoutes is the largest number of routes in a report, including OtherRoutes and
+	// ColdUpstreams.
 	MaxRoutes = 16
-	// OtherRoutes stands for all routes over MaxRoutes.
+	// OtherRoutes stands for all routes that are not counted separately, so that a report
+	// has at most MaxRoutes.
 	OtherRoutes kqname.Route = "others"
-	// ColdUpstreams stands for the calls to upstreams that have only just started. They
-	// also count under their own route, but without their latency; here they have it, to
-	// distinguish a far slower version from a cold start.
+	// ColdUpstreams stands for the calls to upstreams that have only just started. Each of
+	// them also counts under its own route, but only here with its latency, which is
+	// needed to distinguish a far slower version from a cold start.
 	ColdUpstreams kqname.Route = "just started"
 
 	// lowestEdge is the upper edge of the lowest bucket, in seconds. Buckets that grow
@@ -97,7 +98,7 @@
 }
 
 // LogSums returns the number of latencies counted, and the sum and the sum of squares
-// of their logs.
+// of their logs. The logs are relative to the upper edge of the lowest bucket.
 func (c *Cell) LogSums() (calls, sum, squares float64) {
 	for i, n := range c.Latency {
 		if n == 0 {
--- a/internal/rollout/kqledger/ledger.go
+++ b/internal/rollout/kqledger/ledger.go
@@ -51,8 +51,8 @@
 		reports map[Source]Report
 		// lastSums are the sums over all gates at the last Take.
 		lastSums map[kqname.Route]*Row
-		// takenCalls are the calls with a latency that were taken from each gate's
-		// reports, of the old version and of the new one.
+		// takenCalls holds, for each gate, the number of calls with a latency that its
+		// report had at the last Take, of the old version and of the new one.
 		takenCalls map[Source][2]float64
 	}
 )
@@ -73,7 +73,8 @@
 	return &r.Old
 }
 
-// Count calls f to count a call in this gate's own row of a route.
+// Count calls f to count a call in this gate's own row of a route. Once there are
+// kqevidence.MaxRoutes-1 rows, calls of further routes count under kqevidence.OtherRoutes.
 func (l *Ledger) Count(route kqname.Route, f func(*Row)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,8 +156,8 @@
 	return sample
 }
 
-// margin returns by how much the new version's upstreams may be slower because of their
-// servers, for the calls since the last Take. Each gate stands for one upstream.
+// margin returns by how much, as a log, the new version's upstreams may be slower because
+// of their servers, for the calls since the last Take. Each gate stands for one upstream.
 func (l *Ledger) margin() float64 {
 	var lists [2][]kqmargin.Upstream
 	var all kqevidence.Cell
@@ -165,7 +166,7 @@
 		var current [2]float64
 		for version := range lists {
 			cell := r.cell(version == 1)
-			u := upstream(&cell)
+			u := upstreamStats(&cell)
 			if version == 0 {
 				all.Add(&cell)
 			}
@@ -178,7 +179,8 @@
 	return kqmargin.Allowed(lists[0], lists[1], all.Quantile(lowerQuartile))
 }
 
-// cell returns the counts of one version over all routes.
+// cell returns the counts of one version over all routes. It leaves out
+// kqevidence.ColdUpstreams, whose calls also count under their own routes.
 func (r *Report) cell(next bool) kqevidence.Cell {
 	var c kqevidence.Cell
 	for i := range r.Rows {
@@ -189,8 +191,8 @@
 	return c
 }
 
-// upstream returns the statistics of a cell for kqmargin.
-func upstream(c *kqevidence.Cell) kqmargin.Upstream {
+// upstreamStats returns the statistics of a cell for kqmargin.
+func upstreamStats(c *kqevidence.Cell) kqmargin.Upstream {
 	u := kqmargin.Upstream{LowerQuartile: c.Quantile(lowerQuartile)}
 	u.Calls, u.LogSum, u.LogSquares = c.LogSums()
 	return u
--- a/internal/rollout/kqmargin/doc.go
+++ b/internal/rollout/kqmargin/doc.go
@@ -4,7 +4,7 @@
 // Servers of the same kind differ: because of a noisy neighbor, an older processor
 // or a slower disk, every call may take twice as long on one, whatever the version.
 // A rollout begins with one or two upstreams. If one of them runs on a slow server,
-// the version looks slow compared with the mean of many, in every tick. More calls
+// the version looks slow compared with the mean of many old upstreams. More calls
 // only make this wrong result more certain, and a good version is rolled back.
 //
 // The effect of servers is estimated from the old version's own upstreams. The
--- a/internal/rollout/kqmargin/margin.go
+++ b/internal/rollout/kqmargin/margin.go
@@ -42,7 +42,7 @@
 	serverOffsets, spread, variance := serverOffsets(old)
 	oldMean := weightedMean(old, serverOffsets)
 	minMargin := minDeviations * spread * math.Sqrt(1/float64(len(old))+1/float64(len(next)))
-	// From here on it does not matter which upstream an offset belongs to.
+	// The offsets are sorted in place, so they no longer match the upstreams in old.
 	slices.SortFunc(serverOffsets, func(a, b float64) int { return cmp.Compare(b, a) })
 	slices.SortFunc(next, func(a, b Upstream) int { return cmp.Compare(b.mean(), a.mean()) })
 	paired, quartileLimits := make([]float64, len(next)), make([]float64, len(next))
@@ -62,8 +62,8 @@
 
 // serverOffsets returns by how much, as a log, each upstream's calls take longer than the
 // mean of all, shrunk by the part that may be chance. It also returns the standard
-// deviation between upstreams without chance, and the variance of an upstream's own
-// calls.
+// deviation between upstreams without chance, and the variance of the logs of an
+// upstream's own calls.
 func serverOffsets(list []Upstream) (shrunk []float64, spread, variance float64) {
 	var all Upstream
 	within := 0.0
--- a/internal/rollout/kqmargin/margin_test.go
+++ b/internal/rollout/kqmargin/margin_test.go
@@ -10,6 +10,7 @@
 )
 
 const (
+	// spread is the standard deviation of the log of a latency on one server.
 	spread = 0.35
 	// lowerQuartile is the log of the 25th percentile of calls on the servers that are not
 	// slow. With the calls on slow servers included it would be higher by about a tenth.
@@ -40,7 +41,7 @@
 
 // Guards against a large margin where all servers are alike, since some upstream is
 // always the slowest by chance. With such a margin, a version that is a third slower
-// would be kept until a thousand calls had separated chance from servers.
+// would be kept for a thousand calls, until chance and servers could be told apart.
 func TestEqualServersAllowNextToNothing(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	sum := 0.0
