--- a/internal/rollout/kqplan/plan.go
+++ b/internal/rollout/kqplan/plan.go
@@ -22,15 +22,18 @@
 	maxColdStart      = 45 * time.Second
 	coldWindowDivisor = 3
 	// maxOrderMargin leaves time for three calls to a store that takes 0.5 s for each;
-	// orderMarginDivisor limits the margin for short orders.
+	// orderMarginDivisor limits the margin of short ordered rollouts to a part of their
+	// duration.
 	maxOrderMargin     = 1500 * time.Millisecond
 	orderMarginDivisor = 8
 )
 
 type (
-	// ID identifies one plan. A rollout that is planned again under the same name is
-	// another plan, so that the progress and evidence of the first never count for it.
-	// Cancelling keeps the ID.
+	// ID identifies one plan by its name, service, versions, times and the name of its
+	// policy. A rollout that is planned again under the same name with another of these is
+	// another plan, so that the progress and evidence of the first do not count for it. An
+	// ordered rollout has no fixed times: ordered again with the same duration, it has the
+	// same ID. Cancelling keeps the ID.
 	ID string
 
 	// Plan is one rollout of the document with its policy.
@@ -69,7 +72,7 @@
 
 // Begin returns an ordered plan with its start set to now; other plans are unchanged. The
 // deadline is a margin before the end of the duration, since the store must accept the
-// final state by then and may be slow.
+// final state before that end and may be slow.
 func (p Plan) Begin(now time.Time) Plan {
 	if p.Duration > 0 {
 		p.Start = now
@@ -90,8 +93,8 @@
 // cold start and not to its version.
 func (p Plan) ColdStart() time.Duration { return min(p.Window()/coldWindowDivisor, maxColdStart) }
 
-// WarmAt returns the end of an upstream's cold start: warm if the upstream announced it, or
-// else ColdStart after its start.
+// WarmAt returns the end of an upstream's cold start: warm, the time that the upstream
+// announced, or ColdStart after its start if warm is zero.
 func (p Plan) WarmAt(started, warm time.Time) time.Time {
 	if !warm.IsZero() {
 		return warm
--- a/internal/rollout/kqprogress/progress.go
+++ b/internal/rollout/kqprogress/progress.go
@@ -18,7 +18,8 @@
 	Progress struct {
 		// Step only increases; at 0 the new version gets no traffic.
 		Step int `cbor:"1,keyasint" json:"step"`
-		// RolledBack overrides every step: the new version gets no traffic.
+		// RolledBack overrides every step: the new version gets no traffic, unless Final
+		// is Done.
 		RolledBack bool `cbor:"2,keyasint" json:"rolled_back"`
 		// Why is the reason for the rollback or the final state.
 		Why   string `cbor:"3,keyasint" json:"why"`
--- a/internal/rollout/kqprogress/progress_test.go
+++ b/internal/rollout/kqprogress/progress_test.go
@@ -8,7 +8,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/rollout/kqprogress"
 )
 
-// Guards against a step that is undone by a message about a rollout that is reordered,
+// Guards against a step or a rollback that is undone by a message that is reordered,
 // duplicated or minutes late. A version that was rolled back would get calls again, and
 // nodes would end with different states.
 func TestMessagesInAnyOrderHaveOneResult(t *testing.T) {
--- a/internal/rollout/kqshare/share.go
+++ b/internal/rollout/kqshare/share.go
@@ -9,13 +9,15 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// period is the period of the bursts: in each full second the new version gets no more
-// than its share.
+// period is the period of the bursts. Averaged over each period, the new version gets no
+// more than its share.
 const period = time.Second
 
 type (
 	// Share is how a rollout's calls are split at one step.
 	Share struct {
+		// From is the old version. If it is empty, every version except To and
+		// ExcludedVersions is an old one.
 		From, To kqname.UpstreamVersion
 		// Fraction is the share of traffic for the new version, from 0 to 1.
 		Fraction float64
@@ -23,20 +25,23 @@
 		Small bool
 		// MayGrow lets the share grow to the new version's part of all slots.
 		MayGrow bool
-		// ExcludedVersions are further versions that must get no calls if From is empty,
-		// which stands for every version but To.
+		// ExcludedVersions are versions other than To that must get no calls. They are
+		// only used if From is empty.
 		ExcludedVersions []kqname.UpstreamVersion
 	}
 
-	// Distribution is the distribution of a share over each second and over upstreams.
+	// Distribution states in which part of each second calls go to the new version, and to
+	// which of its upstreams.
 	Distribution struct {
+		// From is the version of the calls that do not go to To. If it is empty, they may
+		// go to any version that is not in ExcludedVersions.
 		From, To kqname.UpstreamVersion
 		// Nodes limits the new version's calls to these; nil accepts all.
 		Nodes map[kqname.Node]bool
 		// Within is the share of calls for the new version during the burst, and Duty
 		// the part of each second that the burst lasts (the duty cycle).
 		Within, Duty float64
-		// ExcludedVersions are the versions that must not get the old version's calls.
+		// ExcludedVersions are the versions that must not get the calls for From.
 		ExcludedVersions []kqname.UpstreamVersion
 	}
 
@@ -55,8 +60,8 @@
 	return kqpick.Target{Version: d.To, Nodes: d.Nodes, Fallback: d.From, FallbackExcludedVersions: d.ExcludedVersions}
 }
 
-// Distribution returns the distribution of the share over each second and over upstreams.
-// It is valid until the upstreams change.
+// Distribution returns how the share is spread over each second and over upstreams. The
+// result is valid until the upstreams change.
 func (s Share) Distribution(all []kqmember.Candidate) Distribution {
 	toAll := Distribution{From: s.From, To: s.To, Within: s.Fraction, Duty: 1, ExcludedVersions: s.ExcludedFromOld()}
 	oldSlots, newSlots := 0, 0
@@ -73,8 +78,9 @@
 		return toAll
 	}
 	if !s.Small {
-		// When many new upstreams crash, the remaining ones would get more load than
-		// an old one, and be slow through no fault of their version.
+		// If many new upstreams have crashed, the full share would give the remaining
+		// ones more load than an old one, and they would be slow through no fault of
+		// their version.
 		if newSlots < oldSlots {
 			toAll.Within = min(s.Fraction, float64(newSlots)/float64(oldSlots))
 		}
@@ -91,8 +97,8 @@
 	if newSlots == 0 || oldSlots == 0 {
 		return toAll
 	}
-	// During the burst, a selected upstream gets the load of an old one, in proportion
-	// to its slots.
+	// During the burst, a selected upstream gets about the load of an old one, in
+	// proportion to its slots.
 	within := max(s.Fraction, min(float64(newSlots)/float64(oldSlots), 1))
 	return Distribution{From: s.From, To: s.To, Nodes: selected, Within: within, Duty: s.Fraction / within, ExcludedVersions: s.ExcludedFromOld()}
 }
--- a/internal/rollout/kqshare/share_test.go
+++ b/internal/rollout/kqshare/share_test.go
@@ -29,27 +29,28 @@
 		d := s.Distribution(all)
 		random := rand.New(rand.NewPCG(1, 1))
 		const calls, second = 200000, 7
-		next, busiest := 0, 0.0
-		load := make(map[int]int)
+		next, peakLoad := 0, 0.0
+		// Each interval is a twentieth of the second.
+		newCallsByInterval := make(map[int]int)
 		for i := range calls {
 			now := time.Unix(second, int64(i)*int64(time.Second)/calls)
 			if target := d.Split(now, random); target.Version == "v2" {
 				next++
-				load[i*20/calls]++
+				newCallsByInterval[i*20/calls]++
 				if len(target.Nodes) == 0 {
 					t.Fatal("the small share goes to all upstreams")
 				}
 			}
 		}
-		for _, n := range load {
+		for _, n := range newCallsByInterval {
 			selected := float64(len(d.Nodes))
-			busiest = max(busiest, float64(n)/selected/(calls/20.0/float64(servers)))
+			peakLoad = max(peakLoad, float64(n)/selected/(calls/20.0/float64(servers)))
 		}
 		if share := float64(next) / calls; share > 0.0515 {
 			t.Errorf("%d servers: %.4f of a second's calls went to the new version", servers, share)
 		}
-		if busiest < 0.9 {
-			t.Errorf("%d servers: the busiest upstream got %.2f of an old one's load", servers, busiest)
+		if peakLoad < 0.9 {
+			t.Errorf("%d servers: at its peak a selected upstream got %.2f of an old one's load", servers, peakLoad)
 		}
 	}
 }
