--- a/internal/rollout/kqowner/lease.go
+++ b/internal/rollout/kqowner/lease.go
@@ -63,12 +63,14 @@
 	return nil
 }
 
+// extendLease records that a grant or renewal requested at requestedAt has succeeded.
 func (o *Owner) extendLease(state *planState, requestedAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	state.renewedAt, state.validUntil = requestedAt, requestedAt.Add(trustedFor)
 }
 
+// dropLease forgets the lease, without a call to the platform.
 func (o *Owner) dropLease(state *planState) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/rollout/kqowner/owner.go
+++ b/internal/rollout/kqowner/owner.go
@@ -48,7 +48,8 @@
 	}
 
 	// Owner keeps the leases of the rollouts that this node owns and acquires those that
-	// are free. Sync and HoldsLease are safe for concurrent use.
+	// are free. HoldsLease is safe for concurrent use. Sync and Release must not run
+	// concurrently for the same plan.
 	Owner struct {
 		self   kqname.Node
 		store  Store
@@ -71,8 +72,10 @@
 		lease   kqstore.Lease
 		// ownerRevision is the revision at which the owner's key was written.
 		ownerRevision kqstore.Revision
-		renewedAt     time.Time
-		validUntil    time.Time
+		// renewedAt is when the lease was last requested or renewed, and validUntil the
+		// time up to which this node relies on it.
+		renewedAt  time.Time
+		validUntil time.Time
 		// saved is the progress stored on the platform, at revision.
 		saved    kqprogress.Progress
 		revision kqstore.Revision
@@ -92,8 +95,9 @@
 	return &Owner{self: self, store: store, merger: merger, plans: make(map[kqplan.ID]*planState)}
 }
 
-// HoldsLease reports whether this node holds the plan's lease and may advance it at the
-// time now, and whether the last call of Sync for it failed.
+// HoldsLease reports whether this node holds the plan's lease and may advance the plan at
+// the time now, and whether the last call of Sync for the plan failed for another reason
+// than a conflict or an expired lease.
 func (o *Owner) HoldsLease(id kqplan.ID, now time.Time) (holds, lastSyncFailed bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -104,8 +108,9 @@
 	return state.loaded && now.Before(state.validUntil), state.lastSyncFailed
 }
 
-// Sync makes the platform calls that are due for one plan: it reads what is stored,
-// acquires the lease if candidate, renews it, stores the progress and sets the final state.
+// Sync makes the platform calls that are due for one plan: it reads what is stored unless
+// that has been read, renews the lease or acquires it if candidate, and, while this node
+// holds it, stores the progress and sets the final state.
 func (o *Owner) Sync(ctx context.Context, v kqtracker.PlanSnapshot, candidate bool, now time.Time) error {
 	state := o.planState(v.Plan.ID)
 	if !v.Progress.Open() || now.Before(state.retryAt) {
--- a/internal/rollout/kqstep/doc.go
+++ b/internal/rollout/kqstep/doc.go
@@ -7,4 +7,8 @@
 // affects only one call in twenty; the later steps are short. The last step
 // leaves a third of the traffic to the old version, so that both have a similar
 // load and can be compared to the end.
+//
+// An ordered rollout (one with a Plan.Duration) lasts seconds. It leaves the small
+// share after a third of its window, and at its last step the new version may get
+// more than its share.
 package kqstep
--- a/internal/rollout/kqstep/step.go
+++ b/internal/rollout/kqstep/step.go
@@ -26,23 +26,23 @@
 	// LastStep is the step before done.
 	LastStep = 4
 
-	// extendSmallUntil is the part of the window until which a version stays at the
-	// small share while the evidence is inconclusive.
-	extendSmallUntil = 0.85
+	// extendSmallShareUntil is the part of the window until which a rollout with fixed
+	// times stays at the small share while there is any evidence against the version.
+	extendSmallShareUntil = 0.85
 	// urgentFrom is the part of the window from which the slots of cold upstreams count
-	// in full, and until which an ordered rollout (one with a Plan.Duration) waits if there
-	// is evidence against the version.
+	// in full, and until which an ordered rollout (one with a Plan.Duration) may delay a
+	// step while the evidence against the version is over its limits.
 	urgentFrom = 0.88
 	// maxStepDelay is the part of the window by which a step of an ordered rollout may be
 	// delayed for lack of calls or by recent evidence.
 	maxStepDelay = 0.15
 	// minOrderedCalls is how many calls of the new version an ordered rollout needs before
-	// it advances: a version that fails a third of its calls gets that far without a
-	// failure once in 20,000 rollouts.
+	// it advances, unless the step would be delayed beyond delayLimit: a version that fails
+	// a third of its calls gets that far without a failure once in 25,000 rollouts.
 	minOrderedCalls = 25
 	// pausingEvidence is the recent evidence, in nats, at which an ordered rollout does not
-	// advance. Where a fault of the environment fails calls of both versions, the evidence
-	// against a bad version may stay near this value for seconds.
+	// advance before delayLimit. Where a fault of the environment fails calls of both
+	// versions, the evidence against a bad version may stay near this value for seconds.
 	pausingEvidence = 2.3
 	// maxUtilization is the part of the slots in use above which calls queue for each other
 	// and bursts are shed.
@@ -59,7 +59,7 @@
 		Why    string
 	}
 
-	// Inputs is the input of a decision.
+	// Inputs holds what a decision depends on.
 	Inputs struct {
 		Plan     kqplan.Plan
 		Progress kqprogress.Progress
@@ -81,13 +81,13 @@
 	// and on calls and slots.
 	thresholds struct {
 		// rollback is the evidence of all tests together at which a version is
-		// rolled back at any time.
+		// rolled back at any time. IsBad adds log 2, since it checks two values.
 		rollback float64
 		// maxTotal is the evidence since the start at which a version is rolled
 		// back when its next step is due.
 		maxTotal float64
-		// maxPooledTest is the same limit for the one test over all routes with the
-		// most evidence against the version, which is -Finding.InFavor.
+		// maxPooledTest is the same limit for -Finding.InFavor, the evidence of the
+		// test over all routes that has the most evidence against the version.
 		maxPooledTest float64
 		// minCalls is how many calls of the new version are needed to finish: 30
 		// without a failure rule out a failure rate that is 10 points higher.
@@ -108,7 +108,7 @@
 
 	// orderedSchedule is for rollouts of seconds. Versions that turn bad do so in
 	// the first three or four seconds, a third of the window. A clearly bad version
-	// then shows within a second at any share, so the new upstreams, which are idle
+	// is then detected within a second at any share, so the new upstreams, which are idle
 	// while the old ones are loaded, get traffic early. Done leaves a fifth of the
 	// window, which in windows over 15 s is longer than the lease (3 s) of an owner that
 	// dies at that time.
@@ -117,10 +117,10 @@
 	preferFinishingThresholds = thresholds{rollback: math.Log(1 / 0.001), maxTotal: 2, maxPooledTest: 2.2, minCapacity: 0.3}
 	// orderedThresholds are for ordered rollouts, whose durations are seconds. There are
 	// too few calls in that time to distinguish a version that fails a few points more
-	// from a good one while servers die and restart, and holding it back would leave
-	// its upstreams idle beside overloaded old ones. What can be detected, tens of
-	// points more failures or latencies several times longer, reaches the rollback
-	// threshold within a few tens of calls.
+	// from a good one while servers die and restart, and holding back the new version
+	// would leave its upstreams idle beside overloaded old ones. What can be detected,
+	// tens of points more failures or latencies several times longer, reaches the
+	// rollback threshold within a few tens of calls.
 	orderedThresholds        = thresholds{rollback: math.Log(1 / 0.001), maxTotal: math.Log(1 / 0.01), maxPooledTest: math.Inf(1), minCapacity: 0.3}
 	preferRollbackThresholds = thresholds{rollback: math.Log(1 / 0.01), maxTotal: 0.7, maxPooledTest: 0.3, minCalls: 30, minCapacity: 0.8}
 )
@@ -197,7 +197,7 @@
 	switch {
 	case elapsedFraction < scheduleStepOf(s.Plan, to).due:
 		return Decision{Hold, "the next step is not due"}
-	case s.Progress.Step == SmallShareStep && elapsedFraction < extendSmallUntil && s.Plan.Duration == 0 && max(s.Finding.Total, -s.Finding.InFavor) > 0:
+	case s.Progress.Step == SmallShareStep && elapsedFraction < extendSmallShareUntil && s.Plan.Duration == 0 && max(s.Finding.Total, -s.Finding.InFavor) > 0:
 		return Decision{Hold, "the small share goes on, since the evidence is not clear: " + Describe(s.Finding)}
 	case s.Plan.Duration > 0 && to <= LastStep && s.Finding.Calls < minOrderedCalls && elapsedFraction < delayLimit(s, to):
 		return Decision{Hold, fmt.Sprintf("%d calls are too few to go on by", s.Finding.Calls)}
@@ -246,7 +246,8 @@
 // though not enough for a rollback.
 func hasRecentEvidence(s Inputs) bool { return s.Finding.Recent >= pausingEvidence }
 
-// isOverLimits reports whether the evidence is too strong to go on once a step is due.
+// isOverLimits reports whether the evidence against the version is too strong to go on once
+// a step is due.
 func isOverLimits(s Inputs) bool {
 	limits := thresholdsOf(s.Plan)
 	return s.Finding.Total >= limits.maxTotal || -s.Finding.InFavor >= limits.maxPooledTest
