--- a/internal/rollout/kqtracker/capacity_test.go
+++ b/internal/rollout/kqtracker/capacity_test.go
@@ -53,10 +53,10 @@
 }
 
 // Guards against a rollout that ends as done although the traffic does not fit on the new
-// version: two of its six upstreams left, through no fault of the version, while all old
-// ones stayed and were busy. At the deadline it ended as done, since its slots were over
-// a third of the old version's. The old upstreams were stopped, and two thirds of the
-// calls of the lowest class were shed or late from then on, where hardly any had been.
+// version, only two of whose six upstreams remained, through no fault of the version. Its
+// slots were over a third of the old version's, which was enough to be done at the deadline.
+// Once the busy old upstreams were stopped, two thirds of the calls of the lowest class were
+// shed or late, where hardly any had been before.
 func TestRolloutIsNotDoneIfTrafficDoesNotFit(t *testing.T) {
 	if final, reason := runToEnd(43, 2); final != kqprogress.FinalRollback {
 		t.Errorf("with 43 slots in use and 24 slots of the new version the rollout ended as %q: %s", final, reason)
--- a/internal/rollout/kqtracker/failure_test.go
+++ b/internal/rollout/kqtracker/failure_test.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// Guards against disconnects that count as failures: many callers disconnect for their own
-// reasons while the new version has more of the calls in flight. The gate does not count
-// them as failures either.
+// Guards against the rollback of a good version because disconnects of callers count as
+// failures: many callers disconnect for their own reasons while the new version has more of
+// the calls in flight. The gate does not count them as failures either.
 func TestDisconnectsAreNotFailures(t *testing.T) {
 	f := newFixture(3)
 	for range 60 {
--- a/internal/rollout/kqtracker/plan_snapshot.go
+++ b/internal/rollout/kqtracker/plan_snapshot.go
@@ -11,7 +11,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// PlanSnapshot is a copy of a plan's state for the loop that acts as the plan's owner.
+// PlanSnapshot is a copy of a plan's state for the loops that evaluate the plan, report on
+// it and, on its owner, step it and store its progress.
 type PlanSnapshot struct {
 	Plan     kqplan.Plan
 	Progress kqprogress.Progress
@@ -76,7 +77,7 @@
 
 func (ps *planState) event() string {
 	p := ps.progress
-	head := fmt.Sprintf("Move %s of %s from %s to %s", ps.plan.Name, ps.plan.Service, ps.plan.From, ps.plan.To)
+	head := fmt.Sprintf("Rollout %s of %s from %s to %s", ps.plan.Name, ps.plan.Service, ps.plan.From, ps.plan.To)
 	switch {
 	case !p.Open():
 		return fmt.Sprintf("%s is %s: %s.", head, p.Final, p.Why)
--- a/internal/rollout/kqtracker/planstate.go
+++ b/internal/rollout/kqtracker/planstate.go
@@ -27,11 +27,11 @@
 	// busyAveraging is the time over which the number of busy slots is averaged, since
 	// calls arrive in bursts of about a second.
 	busyAveraging = 3 * time.Second
-	// minFailureCountPause and maxFailureCountPause bound the time after a failed
-	// connection in which further ones to the same upstream are not counted: by then all
-	// nodes know of the failure or have ejected the upstream. Three counted failures roll
-	// back a version none of whose upstreams accepts connections, well before it would
-	// get all traffic.
+	// minFailureCountPause and maxFailureCountPause bound the time after a counted
+	// connection failure in which further ones to the same upstream are not counted: by the
+	// end of it all nodes know of the failure or have ejected the upstream. Three counted
+	// failures roll back a version none of whose upstreams accepts connections, well before
+	// it would get all traffic.
 	minFailureCountPause, maxFailureCountPause = time.Second, 2 * time.Second
 )
 
@@ -46,17 +46,19 @@
 	finding   kqverdict.Finding
 	totals    Evidence
 	// busySlots is the average number of slots in use, and totalSlots the number of slots
-	// of both versions at the last step.
+	// of both versions at the last call of Step, or 0 before the first.
 	busySlots  float64
 	totalSlots int
 	// knownSince is when this node first received the plan, and removedAt when the plan was
 	// removed from the document, or zero.
 	knownSince time.Time
 	removedAt  time.Time
-	lastTick   time.Time
+	// lastTick is when the evidence was last evaluated.
+	lastTick time.Time
 	// collectingSince is when this node began to collect reports.
 	collectingSince time.Time
-	lastReport      time.Time
+	// lastReport is when this gate's report was last due.
+	lastReport time.Time
 	// lastCountedFailure is when a failed connection to this node's upstream was last
 	// counted, and failureCountPause for how long after it further ones are not.
 	lastCountedFailure time.Time
@@ -93,14 +95,14 @@
 	return min(max(ps.plan.Window()/ticksPerWindow, minTick), maxTick)
 }
 
-// evaluate processes the evidence of a tick and rolls back at once if it is bad, whether
-// or not this node owns the rollout: waiting for an absent owner would leave a bad version
-// its share of the traffic.
+// evaluate processes the evidence of a tick, if one is due, and rolls the new version back
+// at once if it is bad, whether or not this node owns the rollout: waiting for an absent
+// owner would leave a bad version its share of the traffic.
 func (ps *planState) evaluate(now time.Time) {
 	if ps.collectingSince.IsZero() {
 		ps.collectingSince = now
 	}
-	if now.Sub(ps.lastTick) < ps.tickInterval() || ps.isAwaitingOldCounts(now) {
+	if now.Sub(ps.lastTick) < ps.tickInterval() || ps.isAwaitingEarlierCounts(now) {
 		return
 	}
 	sample := ps.ledger.Take()
@@ -121,10 +123,11 @@
 	}
 }
 
-// isAwaitingOldCounts reports whether gates' reports of earlier counts may still arrive. A rollout
-// that started only while this node was collecting has no earlier counts. This cannot be
-// recognized for an ordered one, whose start each node sets when it receives the plan.
-func (ps *planState) isAwaitingOldCounts(now time.Time) bool {
+// isAwaitingEarlierCounts reports whether gates' reports of counts from before this node
+// began to collect may still arrive. A rollout that started less than a tick before that,
+// or later, has no earlier counts. This cannot be recognized for an ordered one, whose start
+// each node sets when it receives the plan.
+func (ps *planState) isAwaitingEarlierCounts(now time.Time) bool {
 	startedWhileCollecting := ps.plan.Duration == 0 && ps.collectingSince.Sub(ps.plan.Start) < ps.tickInterval()
 	return !startedWhileCollecting && now.Sub(ps.collectingSince) < collectingTicks*ps.tickInterval()
 }
@@ -161,8 +164,8 @@
 	}
 }
 
-// beginReport reports whether this gate's next report is due, and if so records it as sent
-// now.
+// beginReport reports whether this gate's next report is due, and if so records now as the
+// time of the last report.
 func (ps *planState) beginReport(now time.Time) bool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
--- a/internal/rollout/kqtracker/status.go
+++ b/internal/rollout/kqtracker/status.go
@@ -16,7 +16,8 @@
 const (
 	// Pending rollouts have not started yet.
 	Pending State = "pending"
-	// Running rollouts have no final state yet.
+	// Running rollouts have started or were rolled back before their start, and have no
+	// final state yet.
 	Running State = "running"
 	// Done rollouts have moved all traffic to the new version.
 	Done State = "done"
@@ -34,8 +35,9 @@
 		OldFailed uint64 `json:"old_failed"`
 		NewCalls  uint64 `json:"new_calls"`
 		NewFailed uint64 `json:"new_failed"`
-		// Nats is the strongest evidence against the new version, as a logarithm
-		// of odds; Metric and Where name its metric and the calls it comes from.
+		// Nats is the evidence against the new version, since the start or recent,
+		// whichever is stronger, as a natural logarithm of odds. Metric and Where name
+		// the metric with the most evidence and the calls that it comes from.
 		Nats   float64 `json:"nats"`
 		Metric string  `json:"metric"`
 		Where  string  `json:"where"`
--- a/internal/rollout/kqtracker/tracker.go
+++ b/internal/rollout/kqtracker/tracker.go
@@ -39,6 +39,8 @@
 		services   map[kqname.Service]service
 	}
 
+	// service is one service of the configuration, with the states of its plans in the
+	// order of their starts.
 	service struct {
 		version    kqname.UpstreamVersion
 		planStates []*planState
@@ -58,7 +60,8 @@
 }
 
 // Update applies the services of the current configuration. A plan that was removed
-// from its service, or replaced, is rolled back unless it has ended.
+// from its service, or replaced, is rolled back unless it has ended. The plans of a service
+// that is not in all stay as they are.
 func (t *Tracker) Update(all map[kqname.Service]kqresource.Service, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,7 +91,9 @@
 	}
 }
 
-// planStateFor returns the state of a plan and creates it if the plan is new.
+// planStateFor returns the state of a plan that is in the document, and creates it if the
+// plan is new. It replaces a known plan, which may have been cancelled since, unless it is an
+// ordered one, which keeps the start that it got when it was new.
 func (t *Tracker) planStateFor(p kqplan.Plan, now time.Time) *planState {
 	ps, ok := t.planStates[p.ID]
 	if !ok {
@@ -171,7 +176,7 @@
 	}
 	ps.totalSlots = s.OldSlots + s.NewSlots + s.ColdSlots
 	d := kqstep.Decide(now, s)
-	if ps.isAwaitingOldCounts(now) && (d.Action == kqstep.Advance || d.Action == kqstep.Done) {
+	if ps.isAwaitingEarlierCounts(now) && (d.Action == kqstep.Advance || d.Action == kqstep.Done) {
 		// A node that has just become the owner may not have received the evidence
 		// against the version yet.
 		d = kqstep.Decision{Action: kqstep.Hold, Why: "what gates have counted is being collected"}
--- a/internal/rollout/kqtracker/tracker_test.go
+++ b/internal/rollout/kqtracker/tracker_test.go
@@ -37,7 +37,7 @@
 	return tracker
 }
 
-// Guards against calls for a version that was rolled back, from entries that do not know of
+// Guards against calls for a version that was rolled back, from nodes that do not know of
 // the rollback yet: the gate must refuse them. A later plan that tries the version again
 // must not be refused because of the earlier one.
 func TestGateRefusesRolledBackVersion(t *testing.T) {
--- a/internal/rollout/kqtracker/traffic.go
+++ b/internal/rollout/kqtracker/traffic.go
@@ -24,21 +24,24 @@
 
 // Split returns the version and the upstreams that a call to a service may go to.
 func (t *Tracker) Split(s kqresource.Service, now time.Time, random kqshare.Random) kqpick.Target {
-	base := s.Service.Version
+	// currentVersion is the version after the rollouts that are done so far; empty stands
+	// for any. New versions of ordered rollouts that may not get traffic, whether rolled
+	// back or not begun, are added to rolledBackVersions.
+	currentVersion := s.Service.Version
 	rolledBackVersions := t.rolledBackVersions(s.Service.Name)
 	for _, ps := range t.planStatesOf(s.Service.Name) {
 		ps.mu.Lock()
 		p, from, to := ps.progress, ps.plan.From, ps.plan.To
 		ps.mu.Unlock()
-		if base == "" {
-			base = from
+		if currentVersion == "" {
+			currentVersion = from
 		}
-		if base != from {
+		if currentVersion != from {
 			continue
 		}
 		if p.Final == kqprogress.Done {
 			if from != "" || hasUpstream(t.directory.Upstreams(s.Service.Name), to) {
-				base = to
+				currentVersion = to
 			}
 			continue
 		}
@@ -49,7 +52,7 @@
 			rolledBackVersions = append(rolledBackVersions, to)
 		}
 	}
-	return kqpick.Target{Version: base, ExcludedVersions: rolledBackVersions}
+	return kqpick.Target{Version: currentVersion, ExcludedVersions: rolledBackVersions}
 }
 
 // hasUpstream reports whether any upstream of the version accepts new calls.
@@ -58,8 +61,9 @@
 }
 
 // split returns how calls are split among the upstreams at a step. The result is cached
-// until the step or the upstreams change, since it is needed for every call.
-func (ps *planState) split(all []kqmember.Candidate, step int, rolledBackVersions []kqname.UpstreamVersion) kqshare.Distribution {
+// until the step or the upstreams change, since it is needed for every call; a change of
+// excludedVersions alone does not renew it.
+func (ps *planState) split(all []kqmember.Candidate, step int, excludedVersions []kqname.UpstreamVersion) kqshare.Distribution {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	k := splitKey{step: step, count: len(all)}
@@ -68,7 +72,7 @@
 	}
 	if ps.cachedKey != k {
 		ps.cachedKey, ps.cachedSplit = k, distributionOf(kqshare.Share{
-			From: ps.plan.From, To: ps.plan.To, Fraction: kqstep.Share(ps.plan, step), Small: step <= kqstep.SmallShareStep, MayGrow: kqstep.MayExceedShare(ps.plan, step), ExcludedVersions: rolledBackVersions,
+			From: ps.plan.From, To: ps.plan.To, Fraction: kqstep.Share(ps.plan, step), Small: step <= kqstep.SmallShareStep, MayGrow: kqstep.MayExceedShare(ps.plan, step), ExcludedVersions: excludedVersions,
 		}, all)
 	}
 	return ps.cachedSplit
@@ -93,11 +97,12 @@
 	}
 }
 
-// Refuses reports whether the gate must reject calls for a version: it was rolled back,
-// and it is neither the service's version nor in use by another rollout.
+// Refuses reports whether the gate must reject calls for a version: the last rollout to it,
+// by start, was rolled back, and it is neither the service's version nor the old version of
+// a later rollout that is open.
 func (t *Tracker) Refuses(name kqname.Service, version kqname.UpstreamVersion) bool {
 	t.mu.RLock()
-	base := t.services[name].version
+	serviceVersion := t.services[name].version
 	refused := t.services[name].rolledBackVersions[version]
 	t.mu.RUnlock()
 	for _, ps := range t.planStatesOf(name) {
@@ -111,12 +116,13 @@
 			refused = false
 		}
 	}
-	return refused && version != base
+	return refused && version != serviceVersion
 }
 
 // Observe counts a call that this node's gate sent to its upstream, for every open
-// rollout from or to the call's version. started is when the upstream started, and warm
-// when its cold start ends according to the upstream, or the zero time if it did not say.
+// rollout from or to the call's version that had started when the call began. started is
+// when the upstream started, and warm when its cold start ends according to the upstream, or
+// zero if it did not announce that.
 func (t *Tracker) Observe(o kqgate.Observation, started, warm time.Time) {
 	for _, ps := range t.planStatesOf(o.Service) {
 		ps.mu.Lock()
@@ -142,8 +148,8 @@
 // nodes still send to it, within a fraction of a millisecond and in clusters; if each
 // counted, it would outweigh all working servers, and a good version would be rolled back
 // because one server died. A failed connection counts again after one second and then every
-// two, until a connection succeeds, so that a version that accepts no connections is still
-// detected.
+// two seconds, until a connection succeeds, so that a version that accepts no connections is
+// still detected.
 func (ps *planState) shouldCount(o kqgate.Observation) bool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -187,9 +193,9 @@
 	return t.services[name].planStates
 }
 
-// isFailure reports whether the upstream failed the call. A caller that disconnects is no
-// failure, as at the gate: more callers disconnect from the version that has more calls in
-// flight. A version that keeps callers waiting is detected by its latency.
+// isFailure reports whether the upstream failed the call. A caller that disconnects does not
+// count as a failure, as at the gate: more callers disconnect from the version that has more
+// calls in flight. A version that keeps callers waiting is detected by its latency.
 func isFailure(o kqgate.Observation) bool {
 	if o.Outcome.Reason == kqcall.Cancelled {
 		return false
