--- a/internal/rollout/kqverdict/baseline.go
+++ b/internal/rollout/kqverdict/baseline.go
@@ -3,10 +3,10 @@
 import "github.com/kumquatgw/kumquatgw/internal/rollout/kqevidence"
 
 const (
-	// tickDecay is the factor by which counts decay at each tick: they fade over
-	// about 30 ticks, so that tailBucket follows the load of the day.
+	// tickDecay is the factor by which the counts of latencies decay at each tick that has
+	// any: they fade over about 30 ticks, so that tailBucket follows changes of the load.
 	tickDecay = 0.97
-	// recentDecay is the decay of the rates of the last seconds.
+	// recentDecay is the factor by which the counts of the recent rates decay at each tick.
 	recentDecay = 0.8
 	// minBaselineCalls is how many calls the old version needs before its rates or
 	// its latencies are used.
@@ -32,8 +32,10 @@
 		calls float64
 		// timed is the number of calls with a latency, of any age. Calls of upstreams
 		// that have just started have none.
-		timed    float64
-		latency  [kqevidence.Buckets]float64
+		timed   float64
+		latency [kqevidence.Buckets]float64
+		// variance is the variance of the logs of the latencies within a tick, averaged
+		// over the last ticks.
 		variance float64
 		// tailBucket is the latency bucket that holds tailQuantile.
 		tailBucket   int
@@ -56,8 +58,9 @@
 // their spread is not known, and the noise of a few calls would look like a difference.
 func (b *baseline) hasEnoughLatencies() bool { return b.timed >= minBaselineCalls }
 
-// compareUnpaired compares the new version's calls with the retained calls of the old
-// one and those of this tick. It returns false if the latter are too few.
+// compareUnpaired returns the new version's failures in a tick together with those among
+// the old version's last calls, including the calls of this tick. It returns false if these
+// last calls are too few.
 func (b *baseline) compareUnpaired(p *kqevidence.Pair) (eventCounts, bool) {
 	rates := b.errors
 	rates.add(float64(p.Old.Calls), float64(p.Old.Failed))
@@ -68,6 +71,7 @@
 	}, rates.retainedCalls >= minRetainedCalls
 }
 
+// add adds the old version's calls of one tick.
 func (b *baseline) add(c *kqevidence.Cell) {
 	b.errors.add(float64(c.Calls), float64(c.Failed))
 	m := logMomentsOf(c)
@@ -86,7 +90,7 @@
 	}
 	if tailBucket := b.quantileBucket(tailQuantile); tailBucket != b.tailBucket {
 		b.tailBucket = tailBucket
-		// The counts were taken with the old threshold.
+		// The counts of slow calls were taken with the previous threshold.
 		b.slow = eventRate{calls: b.calls, events: b.countAbove(tailBucket)}
 	}
 }
--- a/internal/rollout/kqverdict/evaluator.go
+++ b/internal/rollout/kqverdict/evaluator.go
@@ -51,10 +51,12 @@
 		// Recent is the evidence since the starting point that maximizes it. It
 		// detects a version that turned bad after a good start.
 		Recent float64
-		// InFavor is the evidence for the new version over all routes: the least
-		// evidence, over the pooled tests, that the test's fault is absent.
+		// InFavor is the evidence for the new version over all routes: each pooled
+		// test gives evidence that the fault it tests for is absent, and this is the
+		// least of them.
 		InFavor float64
-		// Calls is the number of the new version's calls that were evaluated.
+		// Calls is the number of the new version's calls so far, including those of
+		// ticks that could not be evaluated.
 		Calls uint64
 		// Where and WorstMetric name the calls and the metric with the most evidence
 		// against the new version.
@@ -83,9 +85,9 @@
 		e.routeTests(p.Route).observe(p)
 	}
 	e.pooled.observe(&all)
-	// All upstreams of the old version may have just started, for example after
-	// they crashed together. Its cold calls are then included in the comparison,
-	// which only makes the new version look better.
+	// The new version's cold calls are compared with all calls of the old version.
+	// These include its cold calls, since all its upstreams may have just started, for
+	// example after they crashed together. That only makes the new version look better.
 	cold.Old.Add(&all.Old)
 	e.cold.observe(&cold)
 	e.calls += uint64(all.New.Calls)
--- a/internal/rollout/kqverdict/route.go
+++ b/internal/rollout/kqverdict/route.go
@@ -43,7 +43,7 @@
 }
 
 // observe evaluates one tick and only then adds the old version's calls to the
-// baseline, so that no call is compared with rates that include it.
+// baseline, so that in a paired tick no call is compared with rates that include it.
 func (r *routeTests) observe(p *kqevidence.Pair) {
 	switch {
 	case p.New.Calls == 0:
@@ -59,9 +59,9 @@
 }
 
 // observeUnpaired evaluates an unpaired tick, in which the new version's calls are compared
-// with the old version's of other seconds: either the old version has none in this tick, or
-// the baseline is not ready, usually since the tick holds everything counted before this
-// node began to evaluate. Only large differences show this way.
+// with the old version's last calls, of this tick and of earlier ones: either the old version
+// has none in this tick, or the baseline is not ready, usually since the tick holds everything
+// counted before this node began to evaluate. Only large differences can be detected this way.
 func (r *routeTests) observeUnpaired(p *kqevidence.Pair) {
 	counts, ok := r.baseline.compareUnpaired(p)
 	if !ok {
@@ -79,6 +79,7 @@
 	}
 }
 
+// scope names the calls that the tests cover, as shown to operators.
 func (r *routeTests) scope() string {
 	if r.route == "" {
 		return "all routes"
--- a/internal/rollout/kqverdict/sequential.go
+++ b/internal/rollout/kqverdict/sequential.go
@@ -22,8 +22,8 @@
 	maxInitialGain   = 2 * maxSpanGain
 	maxCrashFailures = 25
 	// burstRate plus three times the old version's recent rate is the share of the new
-	// version's calls in a tick up to which their events count; withBurstLimit ignores the
-	// others.
+	// version's calls in a tick that may count as events, beside one that always may;
+	// withBurstLimit ignores further events.
 	burstRate = 0.06
 	// minTotal bounds the evidence for the new version, so that a test that has favored
 	// it for long does not have to make up for all of it before it can alarm.
@@ -44,7 +44,7 @@
 		span, ticks int
 		pending     observation
 		// acceptsUnpaired is set if the test also evaluates unpaired ticks, whose calls are
-		// compared with the old version's of other seconds.
+		// compared with the old version's calls of earlier ticks too.
 		acceptsUnpaired bool
 		// total is the log of the test's wealth since the start, in nats.
 		total float64
@@ -118,8 +118,9 @@
 	}}
 }
 
-// newSlowdownTest tests whether latencies are longer by factor. It compares the logs of the
-// latencies within the tick, so that a slowdown of both versions cancels out.
+// newSlowdownTest tests whether latencies are longer by factor and not only by tolerated.
+// It compares the logs of the latencies within the tick, so that a slowdown of both versions
+// cancels out.
 func newSlowdownTest(metric string, tolerated, factor float64) *sequentialTest {
 	good, bad := math.Log(tolerated), math.Log(factor)
 	return &sequentialTest{metric: metric, span: 1, gain: func(o *observation) float64 {
@@ -130,6 +131,10 @@
 	}}
 }
 
+// observe adds one tick, and evaluates the span once it is complete. Only errors and slow are
+// summed up over a span, since the tests of the other values have spans of one tick. A change
+// of the threshold for slow calls ends the span early, since counts above different thresholds
+// cannot be summed up.
 func (t *sequentialTest) observe(o *observation) {
 	if t.ticks > 0 && t.pending.slow.tailBucket != o.slow.tailBucket {
 		t.evaluatePending()
@@ -157,7 +162,8 @@
 	t.add(t.gain(&t.pending), t.maxGain())
 }
 
-// add adds the gain of a span of ticks, limited to maxGain.
+// add adds the gain of a span of ticks, limited to maxGain. A gain that is not a number is
+// ignored.
 func (t *sequentialTest) add(gain, maxGain float64) {
 	if math.IsNaN(gain) {
 		return
@@ -185,8 +191,8 @@
 	c.newEvents += o.newEvents
 }
 
-// withBurstLimit limits the new version's events in a tick to one plus burstRate and three
-// times the old version's recent rate of its calls.
+// withBurstLimit limits the new version's events in a tick to one plus a share of its calls:
+// burstRate plus three times the old version's recent rate.
 func (c eventCounts) withBurstLimit() eventCounts {
 	c.newEvents = min(c.newEvents, 1+(burstRate+3*c.recentRate)*c.newCalls)
 	return c
@@ -207,10 +213,10 @@
 }
 
 // logLikelihoodRatio returns the log of the likelihood ratio of the tick's counts
-// between a new version with rate bad(p) and one with rate good(p). The old version's
-// true rate p in this second is not known. Both likelihoods are averaged over its
-// possible values, so that a burst of failures of both versions is evidence for
-// neither hypothesis.
+// between a new version with rate bad(p) and one with rate good(p), or 0 if either
+// version has no calls. The old version's true rate p in this tick is not known. Both
+// likelihoods are averaged over its possible values, so that a burst of failures of both
+// versions is evidence for neither hypothesis.
 func (c *eventCounts) logLikelihoodRatio(good, bad func(p float64) float64) float64 {
 	if c.newCalls == 0 || c.oldCalls == 0 {
 		return 0
@@ -269,7 +275,7 @@
 const numAbsoluteRates = 4
 
 var (
-	// candidateRates are the rates that the old version may have in one second: its
+	// candidateRates are the rates that the old version may have in one tick: its
 	// recent rate (the first entry, whose 0 is not used), its overall rate and multiples
 	// of that, given as factors, and then numAbsoluteRates absolute rates that occur
 	// only in a burst. The weights, as logs, are their prior probabilities.
--- a/internal/rollout/kqverdict/slow_server_test.go
+++ b/internal/rollout/kqverdict/slow_server_test.go
@@ -111,10 +111,8 @@
 // Guards against the rollback of a good version whose only upstream runs on a slow
 // server, as two of six upstreams of the old version do, where every call takes 2.2 times
 // as long. Compared with all calls of the old version it looked twice as slow, and was
-// rolled back after 33 to 52 calls with apparent certainty. Its upstreams were then
-// stopped although some old ones had left, and half of the service's callers were
-// rejected from then on. Differences between servers, which also exist within the old
-// version, must not count against the new one.
+// rolled back after 33 to 52 calls. Its upstreams were stopped although some old ones had
+// left, and half of the service's callers were rejected.
 func TestGoodVersionOnSlowServerIsKept(t *testing.T) {
 	rollbacks, last := 0, kqverdict.Finding{}
 	for seed := range uint64(runs) {
