--- a/internal/call/kqgate/address_reuse_test.go
+++ b/internal/call/kqgate/address_reuse_test.go
@@ -15,10 +15,10 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Guards against queued calls being refused after another version has taken over an
-// upstream's address. The gate used to keep the address under the former version as long
-// as calls kept coming, and refused all waiting calls at each sweep, four times a
-// second.
+// Guards against refusing queued calls after another version has taken over an upstream's
+// address. If the gate kept the new version's calls under the old version, each sweep, four
+// times a second, would take the upstream for one that is no longer announced and refuse
+// all waiting calls.
 func TestAddressTakenOverByAnotherVersion(t *testing.T) {
 	finish := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/call/kqgate/cancel_queued_test.go
+++ b/internal/call/kqgate/cancel_queued_test.go
@@ -17,9 +17,9 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Guards against running a queued call whose caller disconnected just before the call
-// got a slot: the upstream would do work that nobody waits for, or run a call that was
-// reported as not run.
+// Guards against running a queued call whose caller disconnects just before the call gets
+// a slot. The upstream would do work that nobody waits for, or run a call that was reported
+// as not run.
 func TestQueuedCallOfDisconnectedCallerDoesNotRun(t *testing.T) {
 	var runs atomic.Int32
 	finish := make(chan struct{})
--- a/internal/call/kqgate/gate.go
+++ b/internal/call/kqgate/gate.go
@@ -12,7 +12,6 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqdisconnect"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqlocal"
 	"github.com/kumquatgw/kumquatgw/internal/call/kqnesting"
-	"github.com/kumquatgw/kumquatgw/internal/decide/kqfifo"
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqslots"
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
@@ -42,12 +41,14 @@
 		GateCallEnded(o kqcall.Outcome)
 	}
 
-	// Observer receives the result of each call that reached the upstream.
+	// Observer receives the result of each call that the gate tried to send to its
+	// upstream, except calls that ended because this node stopped or a panic occurred.
 	Observer interface {
 		Observe(o Observation)
 	}
 
-	// Guard reports which upstream versions must not get calls.
+	// Guard reports which upstream versions must not get calls, such as those that were
+	// rolled back.
 	Guard interface {
 		Refuses(service kqname.Service, version kqname.UpstreamVersion) bool
 	}
@@ -58,10 +59,11 @@
 		Version kqname.UpstreamVersion
 		Route   kqname.Route
 		Outcome kqcall.Outcome
-		// Status is the upstream's HTTP status, 0 if it sent none.
+		// Status is the HTTP status with which the upstream answered or shed the call, 0
+		// for any other outcome.
 		Status int
-		// Began is when the call was sent to the upstream; Took is how long the upstream
-		// had it.
+		// Began is when the call was sent to the upstream. Took is the time until its
+		// response, or the header of a streamed response, was read.
 		Began time.Time
 		Took  time.Duration
 	}
@@ -69,10 +71,11 @@
 	// Gate admits calls to local upstreams. It is safe for concurrent use.
 	Gate struct {
 		local      Finder
-		withdraw   Withdrawer
+		withdrawer Withdrawer
 		observer   Observer
 		guard      Guard
 		counter    Counter
+		// queue returns a new queue for the upstream at the address.
 		queue      func(slots int, address kqname.Address) queue
 		watcher    *kqdisconnect.Watcher
 		now        func() time.Time
@@ -88,8 +91,8 @@
 	}
 
 	// upstreamKey identifies an upstream by address, service and version. The address
-	// alone is not enough: another version may take it over while calls to the former
-	// one still run, and its calls would then be refused together with the former's.
+	// alone is not enough: another version may take it over while calls to the old one
+	// still run. Its calls would then be refused together with those of the old version.
 	upstreamKey struct {
 		address kqname.Address
 		service kqname.Service
@@ -99,36 +102,39 @@
 	// Option configures a Gate.
 	Option func(*Gate)
 
-	// Recorder receives a record of each call once it has left the gate.
+	// Recorder receives a record of each call once its outcome is known, which is before
+	// the body of a streamed response has been read. A call from another node that cannot
+	// be parsed is not recorded.
 	Recorder interface {
 		GateCallEnded(r Record, now time.Time)
 	}
 
 	// Record describes one call as the gate saw it.
 	Record struct {
-		Call     *kqcall.Call
-		Outcome  kqcall.Outcome
+		Call    *kqcall.Call
+		Outcome kqcall.Outcome
+		// Status is the HTTP status with which the upstream answered or shed the call, 0
+		// for any other outcome.
 		Status   int
 		Instance kqname.Instance
-		// Load is the upstream's load after the call.
+		// Load is the upstream's load after the call. It includes a call whose response is
+		// still being streamed.
 		Load kqcall.Load
-		// Waited is the time in the queue; Took is the time at the upstream.
+		// Waited is the time in the queue. Took is the time from sending the call to the
+		// upstream until its response, or the header of a streamed response, was read.
 		Waited, Took time.Duration
 	}
 
-	// noop implements the optional interfaces that no option sets.
+	// noop implements Withdrawer, Observer, Counter and Guard where no option sets them.
 	noop struct{}
 )
 
-// GateCallEnded implements Recorder.
-func (noopRecorder) GateCallEnded(Record, time.Time) {}
-
-// WithRecorder sets the recorder that gets a record of each call.
-func WithRecorder(r Recorder) Option { return func(g *Gate) { g.recorder = r } }
-
 // noopRecorder discards records.
 type noopRecorder struct{}
 
+// GateCallEnded implements Recorder.
+func (noopRecorder) GateCallEnded(Record, time.Time) {}
+
 // Withdraw implements Withdrawer.
 func (noop) Withdraw(kqname.Address, time.Time) {}
 
@@ -138,54 +144,13 @@
 // GateCallEnded implements Counter.
 func (noop) GateCallEnded(kqcall.Outcome) {}
 
-// WithCounter sets the counter of outcomes.
-func WithCounter(c Counter) Option { return func(g *Gate) { g.counter = c } }
-
 // Refuses implements Guard.
 func (noop) Refuses(kqname.Service, kqname.UpstreamVersion) bool { return false }
 
-// WithGuard refuses calls to the versions that guard refuses.
-func WithGuard(guard Guard) Option { return func(g *Gate) { g.guard = guard } }
-
-// WithObserver sets the observer that gets the result of each call.
-func WithObserver(o Observer) Option { return func(g *Gate) { g.observer = o } }
-
-// WithWithdrawer sets what stops the publication of upstreams that accept no connections.
-func WithWithdrawer(w Withdrawer) Option { return func(g *Gate) { g.withdraw = w } }
-
-// WithDialect sets the dialect that upstreams use instead of this project's headers.
-func WithDialect(d kqcall.Dialect) Option { return func(g *Gate) { g.dialect = d } }
-
-// WithSupervisor sets the supervisor that recovers panics, so that a panic ends only its own
-// call.
-func WithSupervisor(s *kqsupervisor.Supervisor) Option { return func(g *Gate) { g.supervisor = s } }
-
-// WithNesting records running calls in c, so that calls made on their behalf are
-// recognized.
-func WithNesting(c *kqnesting.Calls) Option { return func(g *Gate) { g.nesting = c } }
-
-// WithExactSlots takes the announced slots as the upstream's exact concurrency instead
-// of learning a limit.
-func WithExactSlots() Option {
-	return func(g *Gate) {
-		g.queue = func(slots int, address kqname.Address) queue {
-			return kqslots.New(slots, saltOf(address), kqslots.WithFixedLimit())
-		}
-	}
-}
-
-// WithBaseline queues calls first come, first served, as the baseline for measurements.
-func WithBaseline() Option {
-	return func(g *Gate) { g.queue = func(slots int, _ kqname.Address) queue { return kqfifo.New(slots) } }
-}
-
-// WithDisconnectWatcher sets the watcher that detects callers' disconnects.
-func WithDisconnectWatcher(w *kqdisconnect.Watcher) Option { return func(g *Gate) { g.watcher = w } }
-
 // New returns a gate to the upstreams that local finds.
 func New(local Finder, options ...Option) *Gate {
 	g := &Gate{
-		local: local, withdraw: noop{}, observer: noop{}, guard: noop{}, counter: noop{}, recorder: noopRecorder{}, now: time.Now, watcher: kqdisconnect.New(),
+		local: local, withdrawer: noop{}, observer: noop{}, guard: noop{}, counter: noop{}, recorder: noopRecorder{}, now: time.Now, watcher: kqdisconnect.New(),
 		upstreams: make(map[upstreamKey]*upstream), nesting: kqnesting.New(),
 		queue: func(slots int, address kqname.Address) queue {
 			return kqslots.New(slots, saltOf(address))
@@ -217,14 +182,15 @@
 	c.WriteStarved()
 	load.Write(&ctx.Response.Header)
 	if g.draining.Load() {
-		// The calling node is asked to close the connection: if this server closed it, a
-		// call already on its way could be lost.
+		// "Connection: close" makes the calling node stop using the connection. If this
+		// server closed an idle connection without notice, a call that was just being sent
+		// on it could be lost.
 		ctx.SetConnectionClose()
 	}
 }
 
-// Do runs a call of this node's own entry at the local upstream, fills in its response
-// and returns the upstream's load.
+// Do runs a call of this node's own entry at the local upstream and fills in its response.
+// It returns the call's outcome and the upstream's load.
 func (g *Gate) Do(c *kqcall.Call) (kqcall.Outcome, kqcall.Load) {
 	o, load := g.handle(c, g.now())
 	g.counter.GateCallEnded(o)
@@ -238,9 +204,11 @@
 	g.Sweep(g.now())
 }
 
-// Sweep applies changes of the local upstreams: it closes the queue of an upstream that
-// drains or is gone, or of each if the gate itself drains, and deletes an upstream that is
-// gone once its last call has ended and its last connection is closed.
+// Sweep closes connections that have been idle for too long and applies the latest
+// announcements. It closes the queue of each upstream that drains or is no longer announced
+// at its address, or of all upstreams if the gate itself drains. An upstream that is no
+// longer announced is deleted once its last call has ended and its last connection is
+// closed.
 func (g *Gate) Sweep(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -281,7 +249,8 @@
 	return r.Outcome, r.Load
 }
 
-// forward admits the call, sends it to the upstream and reports its outcome.
+// forward admits the call, sends it to the upstream and reports the result to the observer.
+// It returns the outcome and the upstream's load, and fills in the rest of the record.
 func (g *Gate) forward(c *kqcall.Call, r *Record, now time.Time) (kqcall.Outcome, kqcall.Load) {
 	if g.draining.Load() {
 		return kqcall.Refuse(kqcall.Draining), kqcall.Load{}
@@ -312,8 +281,8 @@
 	}
 	began, released := g.now(), false
 	defer func() {
-		// A slot that a panic kept would be lost; after a few panics the upstream took
-		// no calls.
+		// Without this, a panic would leave its slot in use forever, and after a few panics
+		// the upstream would get no calls.
 		if !released {
 			u.releaseSlot(t, kqcall.UnknownOutcome(kqcall.Panicked), true, 0, began)
 		}
@@ -327,10 +296,10 @@
 	took := ended.Sub(began)
 	r.Took = took
 	if u.updateUnreachable(o, ended) {
-		g.withdraw.Withdraw(a.Address, ended)
+		g.withdrawer.Withdraw(a.Address, ended)
 	}
-	// Draining means that this node stopped before the call ended, which is no fault of
-	// the upstream.
+	// Here Draining means that this node stopped before the call ended, which is not a
+	// failure of the upstream.
 	if o.Reason != kqcall.Draining {
 		g.observer.Observe(Observation{
 			Service: c.Service, Version: a.Version, Route: c.Route, Outcome: o,
@@ -359,8 +328,9 @@
 	return c.Cancel.Reason()
 }
 
-// upstreamFailed reports whether the upstream failed the call: it answered 5xx, or the call
-// was not answered, unless its caller disconnected or it was refused because of draining.
+// upstreamFailed reports whether a call that was sent counts as the upstream's failure: it
+// was answered 5xx, or it was not answered although its caller stayed connected and this
+// node did not stop.
 func upstreamFailed(c *kqcall.Call, o kqcall.Outcome) bool {
 	if o.Result == kqcall.Answered {
 		return c.Response.StatusCode() >= fasthttp.StatusInternalServerError
@@ -382,8 +352,8 @@
 	return u
 }
 
-// sendToUpstream sends the call and turns a response that says the call did not run into
-// a refusal.
+// sendToUpstream sends the call and returns its outcome. A response which says that the
+// call did not run becomes a refusal.
 func sendToUpstream(u *upstream, c *kqcall.Call, now time.Time) kqcall.Outcome {
 	c.WriteUpstreamHeaders(now)
 	o := u.client.Do(c)
@@ -404,7 +374,8 @@
 	return o
 }
 
-// upstreamStatus returns the HTTP status that the upstream sent, 0 if it sent none.
+// upstreamStatus returns the HTTP status with which the upstream answered or shed the call,
+// 0 for any other outcome.
 func upstreamStatus(c *kqcall.Call, o kqcall.Outcome) int {
 	if o.Result != kqcall.Answered && o.Reason != kqcall.Shed {
 		return 0
--- /dev/null
+++ b/internal/call/kqgate/options.go
@@ -0,0 +1,55 @@
+package kqgate
+
+import (
+	"github.com/kumquatgw/kumquatgw/internal/base/kqsupervisor"
+	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
+	"github.com/kumquatgw/kumquatgw/internal/call/kqdisconnect"
+	"github.com/kumquatgw/kumquatgw/internal/call/kqnesting"
+	"github.com/kumquatgw/kumquatgw/internal/decide/kqfifo"
+	"github.com/kumquatgw/kumquatgw/internal/decide/kqslots"
+	"github.com/kumquatgw/kumquatgw/pkg/kqname"
+)
+
+// WithRecorder sets the recorder that gets a record of each call.
+func WithRecorder(r Recorder) Option { return func(g *Gate) { g.recorder = r } }
+
+// WithCounter sets the counter of outcomes.
+func WithCounter(c Counter) Option { return func(g *Gate) { g.counter = c } }
+
+// WithGuard refuses calls to the versions that guard refuses.
+func WithGuard(guard Guard) Option { return func(g *Gate) { g.guard = guard } }
+
+// WithObserver sets the observer of the results of calls.
+func WithObserver(o Observer) Option { return func(g *Gate) { g.observer = o } }
+
+// WithWithdrawer sets the Withdrawer for upstreams that accept no connections.
+func WithWithdrawer(w Withdrawer) Option { return func(g *Gate) { g.withdrawer = w } }
+
+// WithDialect sets the dialect that upstreams use instead of this project's headers.
+func WithDialect(d kqcall.Dialect) Option { return func(g *Gate) { g.dialect = d } }
+
+// WithSupervisor sets the supervisor that recovers panics, so that a panic ends only its own
+// call.
+func WithSupervisor(s *kqsupervisor.Supervisor) Option { return func(g *Gate) { g.supervisor = s } }
+
+// WithNesting records in c the calls that the upstreams are running, so that calls which
+// the upstreams make on their behalf are recognized as nested.
+func WithNesting(c *kqnesting.Calls) Option { return func(g *Gate) { g.nesting = c } }
+
+// WithExactSlots makes the gate run exactly as many calls at once as an upstream announces
+// slots, instead of learning a lower limit from its latency.
+func WithExactSlots() Option {
+	return func(g *Gate) {
+		g.queue = func(slots int, address kqname.Address) queue {
+			return kqslots.New(slots, saltOf(address), kqslots.WithFixedLimit())
+		}
+	}
+}
+
+// WithBaseline queues calls first come, first served, as the baseline for measurements.
+func WithBaseline() Option {
+	return func(g *Gate) { g.queue = func(slots int, _ kqname.Address) queue { return kqfifo.New(slots) } }
+}
+
+// WithDisconnectWatcher sets the watcher that detects callers' disconnects.
+func WithDisconnectWatcher(w *kqdisconnect.Watcher) Option { return func(g *Gate) { g.watcher = w } }
--- a/internal/call/kqgate/setup_test.go
+++ b/internal/call/kqgate/setup_test.go
@@ -8,7 +8,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
 )
 
-// newCall returns a call of the service "store" with a deadline in 10 s.
+// newCall returns a call to the path of the service "store" with a deadline in 10 s.
 func newCall(path string) *kqcall.Call {
 	c := &kqcall.Call{
 		Service: "store", Request: &fasthttp.Request{}, Response: &fasthttp.Response{}, Cancel: &kqcall.Cancel{},
--- a/internal/call/kqgate/unreachable_test.go
+++ b/internal/call/kqgate/unreachable_test.go
@@ -12,9 +12,9 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Guards against sending calls to an upstream that accepts no connections. Besides
-// failing those calls, it caused rollbacks of good versions whose small share of traffic
-// went to that upstream alone.
+// Guards against sending calls to an upstream that accepts no connections. The calls would
+// fail, and a good version would be rolled back if its small share of traffic went to that
+// upstream alone.
 func TestUnreachableUpstreamIsWithdrawn(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/call/kqgate/upstream.go
+++ b/internal/call/kqgate/upstream.go
@@ -19,13 +19,15 @@
 	// maxConnections is the number of connections that an upstream accepts, according to
 	// the users.
 	maxConnections = 100
-	// upstreamIdleTimeout is how long a connection to an upstream is kept without a
-	// call. A new connection costs the upstream about 1 ms of a slot; but if the
-	// upstream closes an idle one first, a call may just have been sent on it, and its
-	// outcome is unknown.
+	// upstreamIdleTimeout is how long a connection to an upstream is kept without a call.
+	// If it were shorter, the upstream would more often spend the 1 ms of a slot that a
+	// new connection costs. If it were longer than the upstream's own timeout, a call could
+	// be sent on a connection that the upstream is closing, and its outcome would be
+	// unknown.
 	upstreamIdleTimeout = 5 * time.Second
 	// unreachableAfter is how long connections must fail before an upstream counts as
-	// unreachable. One that was only full for a moment accepts the next connection.
+	// unreachable. An upstream that was only full for a moment accepts a connection within
+	// that time.
 	unreachableAfter = 100 * time.Millisecond
 )
 
@@ -48,7 +50,7 @@
 
 		mu    sync.Mutex
 		queue queue
-		// failureRate is the failure rate of the calls from all entries.
+		// failureRate is the failure rate of the upstream's calls from all entries.
 		failureRate kqfailrate.FailureRate
 		slots       int
 		closed      bool
@@ -92,8 +94,8 @@
 	}
 }
 
-// update applies the latest announcement: the number of slots may change while the
-// upstream runs, and an upstream that drained may take calls again.
+// update applies the latest announcement. The number of slots may change while the
+// upstream runs, and an upstream that was draining may take calls again.
 func (u *upstream) update(a kqlocal.Announcement, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -119,8 +121,8 @@
 
 func (u *upstream) recycle(t *kqslots.Ticket) { tickets.Put(t) }
 
-// admit waits until the ticket gets a slot, is refused or times out, or until the call
-// is cancelled.
+// admit waits until the queue gives the ticket a slot or refuses it, its maximum wait is
+// over, or the call is cancelled. It returns kqcall.OK() if the call got a slot.
 func (u *upstream) admit(t *kqslots.Ticket, c *kqcall.Call, now time.Time) kqcall.Outcome {
 	u.mu.Lock()
 	u.queue.Enter(t, now)
@@ -162,8 +164,9 @@
 	}
 }
 
-// releaseSlot releases the slot, recycles the ticket and returns the load. The duration
-// counts only if the upstream answered or the call timed out: a broken connection says
+// releaseSlot releases the slot, records whether the call failed unless its caller
+// disconnected, recycles the ticket and returns the load. The queue learns from the call's
+// duration only if the upstream answered or the call timed out: a broken connection says
 // nothing about how long the work takes.
 func (u *upstream) releaseSlot(t *kqslots.Ticket, o kqcall.Outcome, failed bool, took time.Duration, now time.Time) kqcall.Load {
 	if o.Result != kqcall.Answered && o.Reason != kqcall.Timeout {
@@ -225,6 +228,6 @@
 	}
 }
 
-// saltOf derives from an upstream's address the salt with which its queue hashes callers, so
-// that callers who collide at one upstream do not collide at all of them.
+// saltOf derives from an upstream's address the salt with which its queue hashes callers.
+// Callers whose hashes collide at one upstream then do not collide at all of them.
 func saltOf(a kqname.Address) uint64 { return xxhash.Sum64String(string(a)) }
