--- a/internal/call/kqcall/call.go
+++ b/internal/call/kqcall/call.go
@@ -25,27 +25,30 @@
 	NoConfig Reason = "no_config"
 	// NoUpstream means that no upstream of the service takes new work.
 	NoUpstream Reason = "no_upstream"
-	// QueueFull means that the gate's queue was full.
+	// QueueFull means that the gate's queue was too long for the call to start in time, or
+	// that no further connection to the gate or the upstream was allowed.
 	QueueFull Reason = "queue_full"
-	// Overload means that the entry shed the call because the service's gates refused
-	// too many calls before.
+	// Overload means that the entry refused the call without asking a gate, because the
+	// service's gates had refused too many calls before.
 	Overload Reason = "overload"
-	// NotStartedInTime means that the call's deadline passed, or would have passed,
-	// before it ran.
+	// NotStartedInTime means that the call did not run before its deadline or its maximum
+	// wait in the gate's queue.
 	NotStartedInTime Reason = "late"
 	// RolledBack means that the upstream's version was rolled back.
 	RolledBack Reason = "rolled_back"
-	// Draining means that the upstream takes no new work, or that a node stopped before
-	// the call ended.
+	// Draining means that the upstream drains and takes no new work, or that a node that is
+	// stopping refused the call or stopped before the call ended.
 	Draining Reason = "draining"
-	// Shed means that the upstream responded 503, and that its service's configuration
-	// states that such a call did not run.
+	// Shed means that the upstream refused the call and did not run it. It says so by the
+	// dialect, or by a 503 if its service's configuration states that this means "not run".
 	Shed Reason = "shed"
-	// ConnectFailed means that no connection could be made, so nothing was sent.
+	// ConnectFailed means that no connection could be made, or that it broke before any
+	// byte of the call was sent.
 	ConnectFailed Reason = "connect_failed"
-	// TooLarge means that the call's body exceeds the size limit.
+	// TooLarge means that the call's headers or body exceed their size limit.
 	TooLarge Reason = "too_large"
-	// Malformed means that the call's headers cannot be parsed.
+	// Malformed means that the call cannot be parsed or is nested too deeply, or that the
+	// upstream rejected it as malformed and did not run it.
 	Malformed Reason = "malformed"
 	// TooSlow means that the call did not arrive completely in time.
 	TooSlow Reason = "too_slow"
@@ -55,7 +58,8 @@
 	Cut Reason = "cut"
 	// Cancelled means that the caller disconnected.
 	Cancelled Reason = "cancelled"
-	// Crossed means that the response carried another call's id.
+	// Crossed means that the response is not the answer to this call: it carries another
+	// call's id or no id where one is required, or the dialect rejects it.
 	Crossed Reason = "crossed"
 	// Misdirected means that another upstream has taken over the address and did not run the
 	// call.
@@ -85,16 +89,17 @@
 		RetryAfter time.Duration
 	}
 
-	// Load is the state of an upstream that its gate reports with each response.
+	// Load is the state of an upstream, which its gate reports with each response.
 	Load struct {
 		Running, Waiting, Slots int
 		// RecentDuration is how long the upstream's short calls took lately.
 		RecentDuration time.Duration
-		// FailureRate is the share of the upstream's last calls that failed, from 0 to 1,
-		// as its gate saw it. It is 0 if the failures may be chance.
+		// FailureRate is the share of the upstream's latest calls that failed, from 0 to 1,
+		// over the calls of all entries. It is 0 if the share is so small that the failures
+		// may be chance.
 		FailureRate float64
-		// Route is the route that ExpectedWork and Wait apply to. It is not sent, since the
-		// node that made the call knows it.
+		// Route is the route that ExpectedWork and Wait apply to. It is not sent with the
+		// load, since the node that made the call knows it.
 		Route kqname.Route
 		// ExpectedWork is how long the upstream is expected to take for a call of the
 		// route, and Wait is how long such a call would wait for a slot. Each is 0 if
@@ -172,8 +177,8 @@
 func UnknownOutcome(reason Reason) Outcome { return Outcome{Result: Unknown, Reason: reason} }
 
 // Status returns the HTTP status of an outcome other than Answered: 404 for no route,
-// 413 for a body that is too large, 400 for a malformed call, 408 for one that arrived
-// too slowly, 503 if the call did not run, and 504 if it may have.
+// 413 for a call that is too large, 400 for a malformed call, 408 for one that arrived
+// too slowly, 503 for any other call that did not run, and 504 for one that may have run.
 func (o Outcome) Status() int {
 	switch {
 	case o.Reason == NoRoute:
--- a/internal/call/kqcall/cancel.go
+++ b/internal/call/kqcall/cancel.go
@@ -5,9 +5,10 @@
 	"sync"
 )
 
-// Cancel cancels a call when its caller disconnects or its node stops. It wakes the call
-// if it waits, and closes the connection that the call was sent on, which propagates the
-// cancellation. The zero value is ready to use.
+// Cancel cancels a call when its caller disconnects or its node stops. It wakes a call that
+// is waiting, and closes the connection that the call was sent on, by which the next node
+// or the upstream learns of the cancellation. The zero value is ready to use. It is safe
+// for concurrent use.
 type Cancel struct {
 	mu     sync.Mutex
 	reason Reason
@@ -15,7 +16,8 @@
 	closer io.Closer
 }
 
-// Trigger cancels the call with that reason. Later cancellations keep the first reason.
+// Trigger cancels the call for the given reason. A call that is already cancelled keeps its
+// first reason.
 func (c *Cancel) Trigger(why Reason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +65,7 @@
 }
 
 // SetConnection sets the connection that a cancellation closes; nil means none. It reports
-// false if the call was already cancelled.
+// false if the call was already cancelled; the connection is then left open.
 func (c *Cancel) SetConnection(connection io.Closer) bool {
 	if c == nil {
 		return true
--- a/internal/call/kqcall/dialect.go
+++ b/internal/call/kqcall/dialect.go
@@ -14,7 +14,7 @@
 		// Accept reads what a caller's headers say about its call, and removes the
 		// headers that callers must not set.
 		Accept(h *fasthttp.RequestHeader) CallInfo
-		// WriteUpstreamHeaders writes into the request what the upstream needs to know;
+		// WriteUpstreamHeaders writes the headers for the upstream into the call's request.
 		// left is the time until the deadline.
 		WriteUpstreamHeaders(c *Call, left time.Duration)
 		// IsAnswer reports whether the response is the upstream's answer to this call.
@@ -30,8 +30,8 @@
 		ID ID
 		// TimeLeft is how long the caller will wait.
 		TimeLeft time.Duration
-		// ParentID is the id of the running call that this one is nested in, according to
-		// the caller, a local upstream.
+		// ParentID is the id of the running call that this one is nested in, as claimed by
+		// a caller that is a local upstream.
 		ParentID ID
 	}
 
@@ -43,7 +43,7 @@
 	}
 )
 
-// wholeSeconds formats Retry-After as RFC 9110 defines it, in seconds, rounded up.
+// wholeSeconds formats a Retry-After in whole seconds (RFC 9110), rounded up.
 func wholeSeconds(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
--- a/internal/call/kqcall/header.go
+++ b/internal/call/kqcall/header.go
@@ -14,9 +14,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Internal headers, all of which begin with "Kq-". Every such header is removed from
-// outside requests and from upstreams' responses, since nobody outside this project may
-// set them.
+// Internal headers, all of which begin with "Kq-". They are removed from requests that come
+// from outside and from upstreams' responses, which could otherwise pass for a node's.
 const (
 	// HeaderID, HeaderTimeout (in milliseconds) and HeaderDepth are sent to the
 	// upstream, which may pass them on with its own calls.
@@ -38,17 +37,20 @@
 	// capacity in a service that the upstream called.
 	headerStarved = "Kq-Starved"
 
-	// MaxDepth bounds how deeply calls may be nested, which ends a loop of calls.
+	// MaxDepth bounds how deeply calls may be nested, which ends a loop of services that
+	// call each other.
 	MaxDepth = 32
 
+	// callFields is the number of fields of headerCall.
 	callFields = 12
 	// loadFields is the number of fields of a load. Gates of an earlier release send
 	// only the first minLoadFields.
 	loadFields    = 7
 	minLoadFields = 5
 	// perMille is the scale at which a share is sent as an integer.
-	perMille       = 1000
-	separator      = ';'
+	perMille  = 1000
+	separator = ';'
+	// The flags stand for the call's Idempotent, Repeat and RefusalMeansNotRun.
 	idempotentFlag = "i"
 	repeatFlag     = "p"
 	refusalFlag    = "r"
@@ -75,8 +77,8 @@
 	return len(found)
 }
 
-// StripResponse removes all internal headers from a response. An upstream that could set
-// them could have its own failure taken for a call that did not run.
+// StripResponse removes all internal headers from an upstream's response. With them, an
+// upstream's failure could be taken for a call that did not run, and be retried.
 func StripResponse(h *fasthttp.ResponseHeader) {
 	var found [][]byte
 	for key := range h.All() {
@@ -107,7 +109,8 @@
 	c.Request.Header.SetBytesV(headerCall, b)
 }
 
-// Read returns the call whose fields Write put into a request.
+// Read returns the call whose fields Write put into a request, or ErrMalformed if they are
+// missing or cannot be parsed. A target that cannot be parsed counts as none.
 func Read(req *fasthttp.Request, resp *fasthttp.Response, now time.Time) (*Call, error) {
 	fields, ok := splitFields(string(req.Header.Peek(headerCall)))
 	if !ok {
@@ -138,7 +141,7 @@
 }
 
 // ReadPropagated reads the headers that a local upstream passed on from the call that it
-// is running: the depth and the remaining time, each 0 if it did not pass them on.
+// is running: the depth and the remaining time, each 0 if it is missing or invalid.
 func ReadPropagated(h *fasthttp.RequestHeader) (depth int, left time.Duration) {
 	depth, err := strconv.Atoi(string(h.Peek(HeaderDepth)))
 	if err != nil || depth < 0 {
@@ -151,8 +154,8 @@
 	return depth, time.Duration(ms) * time.Millisecond
 }
 
-// WriteUpstreamHeaders replaces the fields meant for the gate by the headers that the
-// upstream gets.
+// WriteUpstreamHeaders replaces the header meant for the gate by the headers for the
+// upstream. The remaining time that it states is at least 1 ms.
 func (c *Call) WriteUpstreamHeaders(now time.Time) {
 	h := &c.Request.Header
 	h.Del(headerCall)
@@ -166,7 +169,8 @@
 }
 
 // Answer writes the outcome into the call's response. If the outcome is not Answered, it
-// replaces the whole response.
+// replaces the whole response. It removes what WriteStarved and Load.Write put into the
+// response, so that this does not reach a caller.
 func (c *Call) Answer(o Outcome) {
 	if o.Result != Answered {
 		c.Response.Reset()
@@ -182,11 +186,11 @@
 		h.Set(HeaderReason, string(o.Reason))
 	}
 	if o.RetryAfter > 0 {
-		write := wholeSeconds
+		format := wholeSeconds
 		if c.Dialect != nil {
-			write = c.Dialect.RetryAfter
+			format = c.Dialect.RetryAfter
 		}
-		h.Set(fasthttp.HeaderRetryAfter, write(o.RetryAfter))
+		h.Set(fasthttp.HeaderRetryAfter, format(o.RetryAfter))
 		h.Set(headerRetry, strconv.FormatInt(o.RetryAfter.Milliseconds(), 10))
 	}
 }
@@ -204,15 +208,14 @@
 	return o
 }
 
-// WriteStarved writes into the response whether the call was starved; ReadStarved reads
-// it.
+// WriteStarved writes Starved into the response, for the calling node's ReadStarved.
 func (c *Call) WriteStarved() {
 	if c.Starved {
 		c.Response.Header.Set(headerStarved, "1")
 	}
 }
 
-// ReadStarved sets Starved to what WriteStarved wrote into the response.
+// ReadStarved sets Starved to the value that WriteStarved wrote into the response.
 func (c *Call) ReadStarved() { c.Starved = len(c.Response.Header.Peek(headerStarved)) > 0 }
 
 // Write puts the load into a response.
@@ -228,8 +231,8 @@
 	h.SetBytesV(headerLoad, strconv.AppendInt(b, l.Wait.Microseconds(), 10))
 }
 
-// ReadLoad reads the load that Write put into a response, and reports whether there was
-// a valid one.
+// ReadLoad returns the load that Load.Write put into a response, and reports whether the
+// response holds a valid one. Fields that an earlier release does not send are 0.
 func ReadLoad(h *fasthttp.ResponseHeader) (Load, bool) {
 	rest := h.Peek(headerLoad)
 	var numbers [loadFields]int
--- a/internal/call/kqnesting/nesting.go
+++ b/internal/call/kqnesting/nesting.go
@@ -9,6 +9,7 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
+// shardCount is the number of locks among which the calls are divided, by their ids.
 const shardCount = 16
 
 type (
@@ -30,19 +31,19 @@
 		running map[kqcall.ID]running
 	}
 
-	// running is a parent with the state of its runs.
+	// running is a call that runs at a local upstream.
 	running struct {
 		Parent
 		// starved reports whether a call nested in it was not served for lack of
 		// capacity.
 		starved bool
-		// runs is how many runs under this id are in progress; a call may be sent to the
-		// same upstream again.
+		// runs is the number of runs in progress under this id. There may be two, since a
+		// call may be sent to the same upstream again.
 		runs int
 	}
 )
 
-// New returns an empty set.
+// New returns a Calls without calls.
 func New() *Calls {
 	c := &Calls{}
 	for i := range c.shards {
@@ -51,15 +52,15 @@
 	return c
 }
 
-// Begin records that a call runs until End.
+// Begin records that a run of the call has begun. Find then returns this run's fields.
 func (c *Calls) Begin(call *kqcall.Call) {
 	s := c.shard(call.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.running[call.ID]
-	h.Parent = Parent{Caller: call.Caller, Depth: call.Depth, Repeat: call.Repeat}
-	h.runs++
-	s.running[call.ID] = h
+	r := s.running[call.ID]
+	r.Parent = Parent{Caller: call.Caller, Depth: call.Depth, Repeat: call.Repeat}
+	r.runs++
+	s.running[call.ID] = r
 }
 
 // MarkStarved records that a call nested in the call with that id was not served for
@@ -68,9 +69,9 @@
 	s := c.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h, ok := s.running[id]; ok {
-		h.starved = true
-		s.running[id] = h
+	if r, ok := s.running[id]; ok {
+		r.starved = true
+		s.running[id] = r
 	}
 }
 
@@ -87,21 +88,22 @@
 	s := c.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.running[id]
-	if h.runs--; h.runs > 0 {
-		s.running[id] = h
+	r := s.running[id]
+	if r.runs--; r.runs > 0 {
+		s.running[id] = r
 	} else {
 		delete(s.running, id)
 	}
 }
 
-// Find returns the running call with that id, and false if there is none.
+// Find returns what calls nested in the running call with that id inherit, and false if no
+// such call is running.
 func (c *Calls) Find(id kqcall.ID) (Parent, bool) {
 	s := c.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h, ok := s.running[id]
-	return h.Parent, ok
+	r, ok := s.running[id]
+	return r.Parent, ok
 }
 
 func (c *Calls) shard(id kqcall.ID) *shard {
--- a/internal/call/kqquiesce/quiesce_linux.go
+++ b/internal/call/kqquiesce/quiesce_linux.go
@@ -19,10 +19,11 @@
 // socket.
 //
 // Closing a listener resets the connections that the kernel has established and the program
-// has not accepted yet. Their callers may already have sent a call, which would be cut.
-// Once Quiesce has returned no such connection is added, so that the listener can be closed
-// a little later with none left. Callers whose SYN was dropped retry after a second and are
-// then refused before they have sent anything.
+// has not accepted yet. Their callers may already have sent a call, which would be cut off.
+// After Quiesce only handshakes that had already begun are completed, so the program can
+// accept what is left and close the listener a little later without resetting a connection.
+// Callers whose SYN was dropped retry after a second and are then refused before they have
+// sent anything.
 func Quiesce(l *net.TCPListener) error {
 	raw, err := l.SyscallConn()
 	if err != nil {
--- a/internal/call/kqquiesce/quiesce_test.go
+++ b/internal/call/kqquiesce/quiesce_test.go
@@ -11,9 +11,9 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqquiesce"
 )
 
-// A node closes its listener while callers are connecting. Connections established before
-// Quiesce are still accepted, and later callers get none, so that no connection is reset
-// with a call on its way.
+// Guards against resetting connections that may already carry a call when a node closes its
+// listener while callers are connecting. Connections established before Quiesce must still
+// be accepted, and later callers must get none.
 func TestOnlyConnectedCallersAreAccepted(t *testing.T) {
 	var config net.ListenConfig
 	config.SetMultipathTCP(false)
