--- a/internal/call/kqentry/at_most_once_test.go
+++ b/internal/call/kqentry/at_most_once_test.go
@@ -22,8 +22,9 @@
 	callerCount = 8
 )
 
-// testFleet is a fleet with one entry that keeps running and servers that a test may
-// stop. It keeps the outcome that was reported for each order.
+// testFleet is a fleet of one entry that keeps running and of servers that a test may stop.
+// A call of the tests is an order, and results holds the outcome that each order's caller
+// got.
 type testFleet struct {
 	*kqfleet.Fleet
 	front   *kqfleet.Server
@@ -33,8 +34,8 @@
 	results map[string]kqcall.Outcome
 }
 
-// newTestFleet starts the entry and the given number of servers, each with an upstream that
-// has that many slots and takes the time work for each call.
+// newTestFleet starts the entry and the given number of servers. Each has an upstream with
+// the given number of slots, which takes the duration work for each call.
 func newTestFleet(t testing.TB, servers, slots int, work time.Duration) *testFleet {
 	t.Helper()
 	s := &testFleet{Fleet: kqfleet.New(), results: make(map[string]kqcall.Outcome)}
@@ -191,10 +192,10 @@
 	return outcomes
 }
 
-// Guards against running an order twice or reporting its outcome wrongly when servers
-// die under load, two of them at the same moment, with orders in flight. A retry of an
-// order that may have run would charge it twice, and its caller would do the same after
-// a wrong "not run". Once the deaths are known, every order must be answered.
+// Guards against running an order twice or reporting its outcome wrongly when servers die
+// under load, two of them at the same moment, with orders in flight. An order would run
+// twice if the entry retried it although it may have run, or if its caller did so after a
+// wrong "not run". Once the deaths are known, every order must be answered.
 func TestOrdersRunAtMostOnceWhenServersDie(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 4, 4, 3*time.Millisecond)
@@ -213,8 +214,8 @@
 }
 
 // Guards against losing orders while a server is taken out of service: its upstream
-// drains, then its node stops. No order may be cut off, lost or run twice, and none may
-// be refused while another server has a free slot for it.
+// drains, then its node stops. The other servers can take all orders, so every order must
+// be answered, and none may run twice.
 func TestGracefulLeaveCutsNothing(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 3, 4, 3*time.Millisecond)
@@ -232,17 +233,17 @@
 	}
 }
 
-// Guards against new work for an upstream that announces that it drains and keeps
-// running: it could never finish. Its own gate must refuse at once, whichever node
-// calls, and every order must be answered elsewhere.
+// Guards against new work for an upstream that announces that it drains and keeps running:
+// with new work it could never finish. Its own gate must refuse orders of all nodes at
+// once, and every order must be answered elsewhere.
 func TestDrainingUpstreamGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 2, 4, 3*time.Millisecond)
 	s.sendDuring(t, func() {
 		s.waitForOrders(t, 100)
 		s.servers[0].Upstream.Drain()
-		// By now every order that its gate admitted before the drain has started; no
-		// other may.
+		// After these orders, every order that its gate admitted before it drained has
+		// started. No other order may start there.
 		s.waitForOrders(t, 2*callerCount)
 		before := len(s.servers[0].Upstream.Runs())
 		s.waitForOrders(t, 200)
--- a/internal/call/kqentry/entry.go
+++ b/internal/call/kqentry/entry.go
@@ -24,19 +24,22 @@
 )
 
 const (
-	defaultTimeout     = 10 * time.Second
-	configTimeout      = 2 * time.Second
+	// defaultTimeout applies to calls whose route and service state no timeout.
+	defaultTimeout = 10 * time.Second
+	// configTimeout bounds how long a call waits for its host's configuration.
+	configTimeout = 2 * time.Second
+	// defaultMaxAttempts applies to calls whose route states no number of attempts.
 	defaultMaxAttempts = 3
-	// restartRetryAfter is the Retry-After of a node that stops: about the time that a
+	// restartRetryAfter is the Retry-After of a node that is stopping: about the time that a
 	// node takes to stop and start again.
 	restartRetryAfter = 2 * time.Second
-	// defaultRetryAfter is the Retry-After of refusals for which no gate gave one. It is
-	// the least that a gate gives.
+	// defaultRetryAfter is the Retry-After of refusals that no gate made. It is the least
+	// that a gate gives.
 	defaultRetryAfter = 250 * time.Millisecond
 	// component names the entry in reports of panics.
 	component = "entry"
-	// maxGates bounds the gates that one call is offered to. Each costs about 0.1 ms of
-	// CPU time on two servers.
+	// maxGates is the largest number of gates that one call is sent to. Each costs about
+	// 0.1 ms of CPU time on the two servers involved.
 	maxGates = 6
 )
 
@@ -83,16 +86,17 @@
 		recorder   Recorder
 		supervisor *kqsupervisor.Supervisor
 		// bound is the operators' limit on retries over all nodes, and nodeCount returns
-		// the number of nodes. If nodeCount is nil, only this node's own retry budget
-		// applies.
+		// the number of nodes. If nodeCount is nil, only this node's own retry budgets
+		// apply.
 		bound     kqallowance.Bound
 		nodeCount func() int
-		origin    kqname.Service
-		draining  atomic.Bool
-		refusing  atomic.Bool
+		// origin is the service whose upstream runs on this entry's server.
+		origin kqname.Service
+		// draining is set by Drain, refusing by RefuseAll.
+		draining atomic.Bool
+		refusing atomic.Bool
 		// lastArrival is when the last call arrived, in nanoseconds since started. It is
-		// not a wall-clock time, because a clock step would then look like an idle
-		// period.
+		// not a wall-clock time, because a clock step could then look like an idle period.
 		lastArrival atomic.Int64
 		started     time.Time
 		// calls is the number of calls in flight.
@@ -100,8 +104,8 @@
 		now   func() time.Time
 		// nesting holds the calls that the local upstream is running.
 		nesting *kqnesting.Calls
-		// returningCallers remembers unserved calls from outside whose callers may retry
-		// them.
+		// returningCallers remembers calls without a successful answer whose callers may
+		// retry them.
 		returningCallers returningCallers
 
 		idPrefix    string
@@ -121,11 +125,12 @@
 		// version and sendAttempts are for the record.
 		version      kqname.ConfigVersion
 		sendAttempts []Attempt
-		// sent reports whether an upstream may have been sent the call.
+		// sent reports whether an attempt is in progress or an earlier one may have run the
+		// call.
 		sent bool
-		// firstTry is when the caller first made this call. callerDeadline is when it
-		// stops waiting, zero if it did not say. callKey identifies the caller and its
-		// request.
+		// firstTry is when the caller first made this call. callerDeadline is when the
+		// caller stops waiting, zero if it did not say. callKey identifies the caller and
+		// its request.
 		firstTry, callerDeadline time.Time
 		callKey                  kqcallerretry.Key
 	}
@@ -159,12 +164,12 @@
 // WithDisconnectWatcher sets the watcher that detects callers' disconnects.
 func WithDisconnectWatcher(w *kqdisconnect.Watcher) Option { return func(e *Entry) { e.watcher = w } }
 
-// WithForged sets a function that runs for each call from outside that carried headers
-// reserved for this project.
+// WithForged sets a function that runs for each call from outside that carries internal
+// headers of this project.
 func WithForged(f func()) Option { return func(e *Entry) { e.onForged = f } }
 
 // WithDialer replaces plain TCP for connections to other nodes' gates. The dialer must
-// report its errors before any byte of a call is sent.
+// complete any handshake, so that a call whose dial fails has certainly not run.
 func WithDialer(dial fasthttp.DialFunc) Option { return func(e *Entry) { e.gateClients.dial = dial } }
 
 // WithDialect sets the dialect that callers and upstreams use instead of this project's
@@ -183,8 +188,8 @@
 	return func(e *Entry) { e.bound, e.nodeCount = b, nodeCount }
 }
 
-// WithNesting sets the local upstream's running calls, by which its own calls are
-// recognized as nested.
+// WithNesting sets the calls that the local upstream is running, by which the upstream's
+// own calls are recognized as nested.
 func WithNesting(c *kqnesting.Calls) Option { return func(e *Entry) { e.nesting = c } }
 
 // WithBaseline picks upstreams at random and retries without a budget, as the baseline
--- a/internal/call/kqentry/headers_test.go
+++ b/internal/call/kqentry/headers_test.go
@@ -21,8 +21,8 @@
 // httpUpstreamSlots is the number of slots that an httpUpstream announces.
 const httpUpstreamSlots = 4
 
-// httpUpstream is an upstream that responds as the test says. It keeps each request's
-// headers, with the request's path as a header "Path".
+// httpUpstream is an upstream whose responses a test determines. It keeps each request's
+// headers, with the request's path added as a header "Path".
 type httpUpstream struct {
 	net.Listener
 	mu   sync.Mutex
@@ -92,10 +92,10 @@
 	return response
 }
 
-// Guards against outside callers and upstreams that set this project's headers, in any
-// case. A caller could pass for another one or reach a version that is still being
-// rolled out; an upstream's failure could be taken for a call that did not run, and be
-// retried.
+// Guards against accepting this project's headers, in upper or lower case, from outside
+// callers and upstreams. A caller could pass for another one or reach a version that is
+// still being rolled out; an upstream's failure could be taken for a call that did not run,
+// and be retried.
 func TestForgedHeadersAreStripped(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 0, 0, 0)
@@ -131,9 +131,9 @@
 	}
 }
 
-// Guards against closing the connection without a response to a request that is too
-// large or cannot be parsed. It reaches no upstream, so its caller must get "not run"
-// and the reason.
+// Guards against closing the connection without a response to a request that is too large,
+// cannot be parsed or has no route. It reaches no upstream, so its caller must get "not
+// run" and the reason.
 func TestUnreadableCallsAreReportedNotRun(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 0, 0, 0)
@@ -155,9 +155,9 @@
 	}
 }
 
-// Guards against slots held for disconnected callers. Callers disconnect while their
-// calls run at another node's upstream, and one while its call waits in the queue there.
-// The upstream must see the running calls cancelled, and the waiting call must never
+// Guards against holding slots for disconnected callers. Several callers disconnect while
+// their calls run at another node's upstream, and one while its call waits in the queue
+// there. The upstream must see the running calls cancelled, and the waiting call must never
 // run.
 func TestCallersWhoLeaveFreeTheirPlaces(t *testing.T) {
 	t.Parallel()
--- a/internal/call/kqentry/match.go
+++ b/internal/call/kqentry/match.go
@@ -15,8 +15,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// lazyDeadline is a context whose deadline timer starts only when something first waits
-// on it, which few calls do.
+// lazyDeadline is a context that creates its deadline timer only when something first waits
+// on it. Most calls find their configuration at once and save the cost of the timer.
 type lazyDeadline struct {
 	context.Context
 	deadline time.Time
@@ -26,13 +26,13 @@
 	cancel context.CancelFunc
 }
 
-// match returns the snapshot and the route that fit the call, or the reason for a
-// refusal.
+// match returns the route of the call and the configuration snapshot that holds it, or the
+// reason for a refusal.
 func (e *Entry) match(c *kqcall.Call, now time.Time) (*kqsnapshot.Snapshot, kqdocument.Route, kqcall.Reason) {
 	host := hostOf(c.Request)
 	snapshot, err := e.snapshotFor(host, now)
-	// A node that has just started holds no configuration yet (version 0). Answering "no
-	// route" would be wrong then, since the call may be served a moment later.
+	// A node that has just started holds no configuration yet (version 0). NoRoute would be
+	// wrong then, since the route may exist and be known a moment later.
 	if err != nil || snapshot.Version() == 0 {
 		return nil, kqdocument.Route{}, kqcall.NoConfig
 	}
@@ -46,8 +46,8 @@
 	return snapshot, route, kqcall.NoReason
 }
 
-// snapshotFor returns the configuration for the host and waits for it for at most
-// configTimeout.
+// snapshotFor returns a snapshot that holds the host's routes. It waits for the snapshot for
+// at most configTimeout.
 func (e *Entry) snapshotFor(host kqname.Host, now time.Time) (*kqsnapshot.Snapshot, error) {
 	ctx := &lazyDeadline{Context: context.Background(), deadline: now.Add(configTimeout)}
 	defer ctx.stop()
@@ -55,16 +55,17 @@
 }
 
 // Done implements context.Context.
-func (p *lazyDeadline) Done() <-chan struct{} { return p.timer().Done() }
+func (p *lazyDeadline) Done() <-chan struct{} { return p.timerContext().Done() }
 
 // Err implements context.Context.
-func (p *lazyDeadline) Err() error { return p.timer().Err() }
+func (p *lazyDeadline) Err() error { return p.timerContext().Err() }
 
 // Deadline implements context.Context.
 func (p *lazyDeadline) Deadline() (time.Time, bool) { return p.deadline, true }
 
-// timer returns the context with the deadline timer, which it starts at the first use.
-func (p *lazyDeadline) timer() context.Context {
+// timerContext returns the context with the deadline timer, which it starts at the first
+// use.
+func (p *lazyDeadline) timerContext() context.Context {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ctx == nil {
@@ -88,9 +89,10 @@
 	return kqname.Host(bytes.ToLower(host))
 }
 
-// pathOf returns the path as the caller wrote it. fasthttp's URI().Path() also rewrites
-// the request that is passed on, so that the upstream would get dots and escapes in
-// another form than the caller sent.
+// pathOf returns the path as the caller wrote it, or as fasthttp parses it if the request's
+// target does not begin with a slash. fasthttp's URI().Path() is not used for other
+// requests, since it also rewrites the request that is passed on: the upstream would get
+// dots and escapes in another form than the caller sent.
 func pathOf(r *fasthttp.Request) string {
 	uri := r.Header.RequestURI()
 	if len(uri) == 0 || uri[0] != '/' {
@@ -100,9 +102,10 @@
 	return string(path)
 }
 
-// stripHopByHop removes hop-by-hop headers. Passed on, they would make the node close
-// its connections to upstreams, or make an upstream switch to a protocol that the node
-// does not proxy.
+// stripHopByHop removes Expect and, if the request has a Connection header, the usual
+// hop-by-hop headers, which have no effect without it. Passed on, they would make the node
+// close its connections to upstreams, or make an upstream switch to a protocol that the
+// node does not proxy.
 func stripHopByHop(h *fasthttp.RequestHeader) {
 	h.Del(fasthttp.HeaderExpect)
 	if len(h.Peek(fasthttp.HeaderConnection)) == 0 {
@@ -116,8 +119,10 @@
 	}
 }
 
-// applyConfig sets the call's fields from its route and service. A deadline that the
-// caller passed on stays unless the route's timeout ends earlier.
+// applyConfig sets the call's fields from its route and service. A deadline that the caller
+// set stays unless the timeout of the route, of the service or by default ends earlier. A
+// call with a safe method is idempotent unless its route denies it, any other call only if
+// its route says so.
 func applyConfig(c *kqcall.Call, route kqdocument.Route, service kqresource.Service, now time.Time) {
 	c.MaxAttempts = route.MaxAttempts
 	if route.TargetMS > 0 {
--- a/internal/call/kqentry/record.go
+++ b/internal/call/kqentry/record.go
@@ -25,23 +25,26 @@
 		Attempts []Attempt
 	}
 
-	// Attempt is one attempt to send a call, with what was known when its upstream was
-	// picked.
+	// Attempt is one attempt to send a call to an upstream, with what the entry knew of the
+	// upstream when it picked it.
 	Attempt struct {
 		To      kqname.Node
 		Version kqname.UpstreamVersion
-		// InFlight is the number of calls from this entry in flight to the upstream.
+		// InFlight is the number of calls from this entry in flight to the upstream, this
+		// one included.
 		InFlight int
 		// Load is the load that the upstream's gate last reported, LoadAge ago.
 		Load    kqcall.Load
 		LoadAge time.Duration
-		// TimeLeft is the time from the attempt to the deadline, Took the time to its
-		// outcome.
+		// TimeLeft is the time from the beginning of the attempt to the call's deadline,
+		// Took the time until the attempt's outcome.
 		TimeLeft, Took time.Duration
 		Outcome        kqcall.Outcome
-		// Status is the upstream's HTTP status, 0 if it sent none.
+		// Status is the HTTP status of the upstream's answer, 0 if the call was not
+		// answered.
 		Status int
-		// Resent reports whether the call was sent to another upstream after this one.
+		// Resent reports whether a further attempt was allowed. None follows if no other
+		// upstream is left.
 		Resent bool
 		// Ejected reports whether the upstream is ejected after this attempt.
 		Ejected bool
@@ -57,8 +60,8 @@
 // WithRecorder sets the recorder that gets a record of each call.
 func WithRecorder(r Recorder) Option { return func(e *Entry) { e.recorder = r } }
 
-// newTry returns an attempt with the state by which its upstream was picked.
-func newTry(p *kqpick.Peer, c *kqcall.Call, now time.Time) Attempt {
+// newAttempt returns an attempt to send the call to p, which was just picked.
+func newAttempt(p *kqpick.Peer, c *kqcall.Call, now time.Time) Attempt {
 	load, age := p.LastReport(now)
 	return Attempt{To: p.Node, Version: p.Version, InFlight: p.InFlight(), Load: load, LoadAge: age, TimeLeft: c.Deadline.Sub(now)}
 }
--- a/internal/call/kqentry/refusal_test.go
+++ b/internal/call/kqentry/refusal_test.go
@@ -24,7 +24,8 @@
 )
 
 type (
-	// fakeGate acts as another node's gate. It can be full, abort calls or answer them.
+	// fakeGate acts as another node's gate. It answers calls, aborts their connections if
+	// aborts is set, and refuses them if full is set.
 	fakeGate struct {
 		*httptest.Server
 		full, aborts atomic.Bool
@@ -89,8 +90,8 @@
 	return g
 }
 
-// newCaller starts an entry that knows the gates, and returns a function that sends one
-// call to it and returns the status of the response.
+// newCaller starts an entry that knows the gates. It returns a function that sends one call
+// to the entry and returns the HTTP status of the response.
 func newCaller(t *testing.T, gates ...*fakeGate) func() int {
 	t.Helper()
 	root, objects, err := kqresource.Split(kqdocument.Document{
@@ -130,10 +131,10 @@
 	}
 }
 
-// Guards against an entry that sheds calls for ten seconds while upstreams are half
-// idle. Each of six gates refuses every other call, as when servers have come back
-// unevenly, and nearly every call is accepted by the second or third gate. The entry
-// must not count such calls as refused.
+// Guards against an entry that sheds calls for ten seconds while upstreams are half idle.
+// Each of six gates refuses every other call, as gates do while calls are spread unevenly
+// over servers that have just come back, and nearly every call is accepted by the second or
+// third gate at the latest. The entry must not count such calls as refused.
 func TestEntryDoesNotRefuseWhatAnotherGateTakes(t *testing.T) {
 	var gates []*fakeGate
 	for range 6 {
@@ -153,8 +154,9 @@
 	}
 }
 
-// Guards against reporting "not run" for a call that may have run: the connection to the
-// first gate breaks after the call was sent, and the second gate is full.
+// Guards against reporting "not run" for a call that may have run. The connection to the
+// first gate breaks after the call was sent, and the second gate refuses the retry because
+// it is full.
 func TestNotRunIsTrueOfAllSendings(t *testing.T) {
 	gates := []*fakeGate{newFakeGate(t), newFakeGate(t)}
 	call := newCaller(t, gates...)
--- a/internal/call/kqentry/returning_callers.go
+++ b/internal/call/kqentry/returning_callers.go
@@ -10,13 +10,13 @@
 	"github.com/kumquatgw/kumquatgw/internal/decide/kqcallerretry"
 )
 
-// retryAfterParts divides a caller's remaining time into its Retry-After: a third of it
-// allows for about three tries.
+// retryAfterParts divides a caller's remaining time to get its Retry-After: a third of it
+// allows for about three attempts.
 const retryAfterParts = 3
 
 type (
-	// returningCallers remembers unserved calls, in shards by caller and request, to
-	// recognize a caller's retry.
+	// returningCallers remembers calls without a successful answer, in shards by caller and
+	// request, to recognize their callers' retries.
 	returningCallers struct {
 		shards [shardCount]*returningShard
 	}
@@ -27,7 +27,7 @@
 	}
 )
 
-// newReturningCallers returns a returningCallers without calls.
+// newReturningCallers returns a returningCallers that remembers no calls.
 func newReturningCallers() returningCallers {
 	var r returningCallers
 	for i := range r.shards {
@@ -36,8 +36,10 @@
 	return r
 }
 
-// started sets when the call's caller first made it: now, unless the caller retries a
-// call that was not served. Only callers that say how long they wait are remembered.
+// started sets when the caller first made the call, when the caller stops waiting, and the
+// call's key. The caller first made the call now, unless it is the retry of a call that got
+// no successful answer. Only calls whose callers say how long they wait are recognized as
+// retries.
 func (r *returningCallers) started(f *callState, now time.Time) {
 	f.firstTry, f.callerDeadline = now, f.call.Deadline
 	if f.callerDeadline.IsZero() {
@@ -64,9 +66,9 @@
 	s.returningCallers.RecordFailure(f.callKey, f.firstTry, f.callerDeadline)
 }
 
-// extendRetryAfter lengthens a Retry-After with which the caller would miss its target
-// anyway. A third of the caller's remaining time brings it back after a burst is over,
-// rather than twice more during it.
+// extendRetryAfter lengthens a Retry-After after which the call would miss its target
+// anyway, to at least a third of the caller's remaining time. The caller then retries after
+// a burst is over rather than twice more during it.
 func (f *callState) extendRetryAfter(o *kqcall.Outcome, now time.Time) {
 	c := &f.call
 	if o.RetryAfter == 0 || c.Target.IsZero() || f.callerDeadline.IsZero() || now.Add(o.RetryAfter).Before(c.Target) {
@@ -75,8 +77,8 @@
 	o.RetryAfter = max(o.RetryAfter, f.callerDeadline.Sub(now)/retryAfterParts)
 }
 
-// callKey identifies the caller and its request by a hash. It must run while the
-// request's header is still as the caller sent it.
+// callKey returns a hash of the caller and its request's method, host and URI. It must run
+// before these are changed.
 func callKey(c *kqcall.Call) kqcallerretry.Key {
 	var d xxhash.Digest
 	d.Reset()
--- a/internal/call/kqentry/returning_callers_test.go
+++ b/internal/call/kqentry/returning_callers_test.go
@@ -22,8 +22,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// timeoutDialect is a dialect whose callers say how long they wait and which running
-// call they belong to.
+// timeoutDialect is a dialect whose callers wait for callerTimeout and name the running call
+// that theirs is nested in.
 type timeoutDialect struct{}
 
 const callerTimeout = 3 * time.Second
@@ -87,9 +87,10 @@
 // fields returns the fields of the entry's last call to the gate.
 func (g *fakeGate) fields() []string { return strings.Split(g.lastCall.Load().(string), ";") }
 
-// Guards against giving a retrying caller its whole target again. A caller that is
-// refused and retries after 300 ms of its 400 ms target would be queued before calls
-// that can still be in time. Its Retry-After must also reach beyond a burst.
+// Guards against counting the target of a retried call from the retry. A call that is
+// refused and retried after 300 ms of its 400 ms target would have 400 ms again, and be
+// queued before calls that can still meet theirs. Its Retry-After must also be long enough
+// for a burst to pass.
 func TestRetryingCallerKeepsItsFirstTarget(t *testing.T) {
 	g := newFakeGate(t)
 	call := newCallerWithTimeout(t, g, kqnesting.New())
@@ -116,9 +117,9 @@
 	}
 }
 
-// Guards against treating an outside call as nested. A call that names a call running
-// at this node's upstream as its parent must reach the gate as a nested one; a made-up
-// parent must be ignored.
+// Guards against treating a call from outside as nested, which would put it ahead of others
+// in the queue. A call whose parent is running at this node's upstream must reach the gate
+// as nested; a parent that is not running must be ignored.
 func TestCallIsNestedOnlyUnderARunningCall(t *testing.T) {
 	g := newFakeGate(t)
 	nesting := kqnesting.New()
--- a/internal/call/kqentry/serve.go
+++ b/internal/call/kqentry/serve.go
@@ -13,8 +13,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// ServeOutside handles calls from outside the mesh. It removes this project's headers,
-// which outside callers must not set.
+// ServeOutside handles calls from outside the mesh. It removes this project's internal
+// headers, which outside callers must not set.
 func (e *Entry) ServeOutside(ctx *fasthttp.RequestCtx) {
 	if kqcall.StripRequest(&ctx.Request.Header) > 0 {
 		e.onForged()
@@ -26,16 +26,15 @@
 	e.serve(ctx, kqname.Caller(ctx.RemoteIP().String()), 0, info)
 }
 
-// ServeLocal handles calls from the node's own upstream. The only headers of this
-// project that it reads are the depth and the remaining time of the call that the
-// upstream works on.
+// ServeLocal handles calls from the node's own upstream. The only internal headers that it
+// reads are the depth and the remaining time of the call that the upstream is running.
 func (e *Entry) ServeLocal(ctx *fasthttp.RequestCtx, caller kqname.Caller) {
 	depth, left := kqcall.ReadPropagated(&ctx.Request.Header)
 	e.serve(ctx, caller, depth+1, kqcall.CallInfo{TimeLeft: left})
 }
 
-// Drain starts draining the entry before the node stops: each response asks its caller
-// to close the connection.
+// Drain starts draining the entry before the node stops: new calls are still served, but
+// each response asks its caller to close the connection.
 func (e *Entry) Drain() { e.draining.Store(true) }
 
 // SinceLastCall returns the time since the last call arrived, or since the entry was
@@ -141,6 +140,7 @@
 	found, _ := snapshot.Service(route.Choose(rand.Float64()))
 	applyConfig(c, route, found, now)
 	if !c.Target.IsZero() {
+		// The target counts from the caller's first attempt.
 		c.Target = c.Target.Add(f.firstTry.Sub(now))
 	}
 	if !now.Before(c.Deadline) {
@@ -162,23 +162,23 @@
 	return o
 }
 
-// sendAttempts sends the call to one upstream after another until none is left, or the
-// rules and budgets for retries allow no further attempt.
+// sendAttempts sends the call to one upstream after another, until an attempt's outcome
+// needs no retry, no upstream is left, or the limits for retries allow no further attempt.
 func (e *Entry) sendAttempts(f *callState, s *service, target kqpick.Target, now time.Time) kqcall.Outcome {
 	c := &f.call
 	var space [maxGates]kqname.Node
-	tried, limit, sends, mayHaveRun, repeat := space[:0], maxAttempts(c), 0, 0, c.Repeat
+	tried, limit, sends, possibleRuns, repeat := space[:0], maxAttempts(c), 0, 0, c.Repeat
 	last := kqcall.Refuse(kqcall.NoUpstream)
 	last.RetryAfter = defaultRetryAfter
 	for {
 		c.Version = target.Version
-		to, gate, try := s.pick(c, e.directory.Upstreams(c.Service), target, tried, now)
+		to, gate, attempt := s.pick(c, e.directory.Upstreams(c.Service), target, tried, now)
 		if to == nil && target.HasNext() {
 			target = target.Next()
 			continue
 		}
 		if to == nil {
-			return combined(last, mayHaveRun)
+			return combined(last, possibleRuns)
 		}
 		tried = append(tried, gate.Node)
 		var load kqcall.Load
@@ -187,32 +187,32 @@
 		if !e.supervisor.RunRecovered(component, func() { last, load, hasLoad = e.send(c, gate) }) {
 			last = kqcall.UnknownOutcome(kqcall.Panicked)
 		}
-		f.sent = mayHaveRun > 0 || last.Result != kqcall.NotRun
+		f.sent = possibleRuns > 0 || last.Result != kqcall.NotRun
 		sent := now
 		now = e.now()
-		try.Ejected = s.recordTry(c, to, last, load, hasLoad, now)
-		try.Took, try.Outcome = now.Sub(sent), last
+		attempt.Ejected = s.recordAttempt(c, to, last, load, hasLoad, now)
+		attempt.Took, attempt.Outcome = now.Sub(sent), last
 		if last.Result == kqcall.Answered {
-			try.Status = c.Response.StatusCode()
+			attempt.Status = c.Response.StatusCode()
 		}
 		if reachedUpstream(last) {
 			sends++
 		}
 		if last.Result != kqcall.NotRun {
-			mayHaveRun++
+			possibleRuns++
 		}
 		canRetry := sends < limit && len(tried) < maxGates && now.Before(c.Deadline) && !c.Cancel.Done()
-		try.Resent = canRetry && (s.spendRetry(c, last) || s.hasSpareGate(last, target, tried, now) || e.baselineRetries(c, last))
-		f.sendAttempts = append(f.sendAttempts, try)
-		if !try.Resent {
-			return combined(last, mayHaveRun)
+		attempt.Resent = canRetry && (s.spendRetry(c, last) || s.hasSpareGate(last, target, tried, now) || e.baselineRetries(c, last))
+		f.sendAttempts = append(f.sendAttempts, attempt)
+		if !attempt.Resent {
+			return combined(last, possibleRuns)
 		}
 		e.counter.Retried(last.Reason)
 		target = target.Next()
 	}
 }
 
-// isOverload reports whether a call was not served for lack of capacity.
+// isOverload reports whether a call with that outcome was not served for lack of capacity.
 func isOverload(o kqcall.Outcome) bool {
 	switch o.Reason {
 	case kqcall.QueueFull, kqcall.Overload, kqcall.Shed, kqcall.NotStartedInTime:
@@ -240,23 +240,25 @@
 	return defaultMaxAttempts
 }
 
-// combined returns the outcome of all attempts. If an earlier attempt may have run the
-// call, the last one's "not run" does not hold for the call as a whole.
-func combined(last kqcall.Outcome, mayHaveRun int) kqcall.Outcome {
-	if last.Result != kqcall.NotRun || mayHaveRun == 0 {
+// combined returns the outcome of a call from that of its last attempt. possibleRuns is the
+// number of attempts that may have run the call. If there are any, the last attempt's "not
+// run" does not hold for the call as a whole.
+func combined(last kqcall.Outcome, possibleRuns int) kqcall.Outcome {
+	if last.Result != kqcall.NotRun || possibleRuns == 0 {
 		return last
 	}
 	return kqcall.UnknownOutcome(last.Reason)
 }
 
-// reachedUpstream reports whether a call with that outcome was sent to an upstream, and
-// was not stopped at its gate.
+// reachedUpstream reports whether an attempt with that outcome may have reached an upstream.
+// The others ended at the upstream's gate or before it.
 func reachedUpstream(o kqcall.Outcome) bool {
 	return o.Result != kqcall.NotRun || o.Reason == kqcall.Shed || o.Reason == kqcall.Misdirected
 }
 
-// baselineRetries reports whether the baseline for measurements retries the call:
-// whenever it did not run, unless its deadline has passed.
+// baselineRetries reports whether the entry is the baseline for measurements and the
+// outcome is one that the baseline retries: a call that did not run, unless its time was
+// over.
 func (e *Entry) baselineRetries(_ *kqcall.Call, o kqcall.Outcome) bool {
 	return e.baseline && o.Result == kqcall.NotRun && o.Reason != kqcall.NotStartedInTime
 }
@@ -278,7 +280,7 @@
 	return c.Outcome(), load, hasLoad && load.Slots > 0
 }
 
-// newID returns an id that no other call has.
+// newID returns an id that is unique among all nodes' calls.
 func (e *Entry) newID(sequence uint64) kqcall.ID {
 	var space [32]byte
 	return kqcall.ID(strconv.AppendUint(append(space[:0], e.idPrefix...), sequence, 36))
--- a/internal/call/kqentry/service.go
+++ b/internal/call/kqentry/service.go
@@ -19,6 +19,8 @@
 )
 
 const (
+	// shardCount is the number of locks among which services, and also returning callers,
+	// are divided.
 	shardCount = 16
 	// clientIdleTimeout is how long a gate's client is kept after its last connection
 	// has closed.
@@ -33,15 +35,17 @@
 		services map[kqname.Service]*service
 	}
 
-	// service is the entry's state of one service, guarded by its own lock.
+	// service is the entry's state for one service, guarded by its own lock.
 	service struct {
 		mu      sync.Mutex
 		random  *rand.Rand
 		pool    *kqpick.Pool
 		shedder *kqshed.Shedder
+		// budgets holds this node's retry budget for each depth of calls, nil until the
+		// first call of that depth.
 		budgets [kqcall.MaxDepth + 1]*kqretry.Budget
-		// allowance replaces the budgets if operators set a limit over all nodes, whose
-		// number nodeCount returns.
+		// allowance replaces the budgets if operators set a limit on retries over all
+		// nodes. nodeCount returns the number of nodes.
 		allowance *kqallowance.Allowance
 		nodeCount func() int
 	}
@@ -86,7 +90,8 @@
 	return found
 }
 
-// admit counts a call and reports false if load shedding refuses it.
+// admit counts a call for the retry limits and for load shedding, and reports false if load
+// shedding refuses it. The baseline sheds no load.
 func (s *service) admit(c *kqcall.Call, baseline bool, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,14 +107,15 @@
 	return baseline || !s.shedder.ShouldShed(c.Class, s.missesTarget(c, now), now, s.random)
 }
 
-// missesTarget reports whether the call cannot make its target any more, even in the
-// least time that an upstream's gate reported for calls of the route.
+// missesTarget reports whether the call can no longer meet its target, even if it takes the
+// least time that an upstream's gate reported for calls of the route. It is false for
+// nested calls and for calls without a target.
 func (s *service) missesTarget(c *kqcall.Call, now time.Time) bool {
 	return c.Depth == 0 && !c.Target.IsZero() && now.Add(s.pool.LeastWork(c.Route)).After(c.Target)
 }
 
-// pick returns the upstream for the next attempt, nil if there is none that was not
-// tried yet.
+// pick returns the upstream for the next attempt, how to reach it, and the attempt's record.
+// The upstream is nil if the target allows none whose node has not been tried.
 func (s *service) pick(c *kqcall.Call, all []kqmember.Candidate, target kqpick.Target, tried []kqname.Node, now time.Time) (*kqpick.Peer, kqmember.Candidate, Attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,12 +124,12 @@
 	if p == nil {
 		return nil, kqmember.Candidate{}, Attempt{}
 	}
-	return p, p.Candidate, newTry(p, c, now)
+	return p, p.Candidate, newAttempt(p, c, now)
 }
 
-// recordTry records how an attempt ended, and reports whether the upstream is now
+// recordAttempt records how an attempt ended, and reports whether the upstream is now
 // ejected.
-func (s *service) recordTry(c *kqcall.Call, to *kqpick.Peer, o kqcall.Outcome, load kqcall.Load, hasLoad bool, now time.Time) bool {
+func (s *service) recordAttempt(c *kqcall.Call, to *kqpick.Peer, o kqcall.Outcome, load kqcall.Load, hasLoad bool, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var known *kqcall.Load
@@ -136,8 +142,8 @@
 	return to.Ejected()
 }
 
-// spendRetry reports whether a call may be sent to another upstream, and charges the
-// retry.
+// spendRetry reports whether the retry limits allow sending a call with the outcome to
+// another upstream, and if so counts the retry.
 func (s *service) spendRetry(c *kqcall.Call, o kqcall.Outcome) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,9 +153,10 @@
 	return s.budgetFor(c.Depth).Spend(o, c.Idempotent || retriesNonIdempotent)
 }
 
-// spendAllowance reports whether the operators' limit permits another attempt, and
-// charges it. A call that only a gate refused has not reached an upstream: it is not
-// charged, and is retried only if that upstream takes no calls at all.
+// spendAllowance reports whether the operators' limit over all nodes allows another attempt,
+// and if so counts the retry. A call that did not reach an upstream is not counted, and is
+// retried only if that upstream takes no calls at all. For calls that a full gate refused,
+// see hasSpareGate.
 func (s *service) spendAllowance(c *kqcall.Call, o kqcall.Outcome) bool {
 	switch {
 	case o.Result == kqcall.NotRun && !reachedUpstream(o):
@@ -157,7 +164,7 @@
 	case o.Result == kqcall.NotRun:
 		return s.allowance.Spend(s.nodeCount())
 	case c.Starved:
-		// A call that this one made was refused for lack of capacity. Another upstream
+		// A call nested in this one was refused for lack of capacity. Another upstream
 		// would call the same overloaded service, fail as well, and hold a slot meanwhile.
 		return false
 	case !c.Idempotent || o.Reason == kqcall.Timeout || o.Reason == kqcall.Cancelled:
@@ -181,24 +188,25 @@
 }
 
 // isRetryableStatus reports whether another upstream may succeed where this one failed
-// with the status. A gateway timeout is not retried, since it has used up the time.
+// with the status. A call that ended with a gateway timeout is not retried, since its time
+// is used up.
 func isRetryableStatus(status int) bool {
 	return status >= failureStatus && status != fasthttp.StatusGatewayTimeout
 }
 
-// recordRefusal counts a call that no gate had a free slot for, once however many gates
-// refused it. If it counted once for each gate, one second at capacity would make the
-// entry shed most calls for many seconds after the gates have free slots again.
+// recordRefusal counts for load shedding a call that was refused because gates were full. It
+// counts once however many gates refused it: otherwise, after one second at capacity, the
+// entry would shed most calls for many seconds although gates have free slots again.
 func (s *service) recordRefusal(c *kqcall.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.shedder.RecordRefusal(c.Class)
 }
 
-// hasSpareGate reports whether a call refused by a full gate may go to another gate
-// without being charged as a retry: the call has not reached an upstream, and another
-// one seems to have a free slot. When the whole service is full there is none, so
-// refused calls are not passed from gate to gate.
+// hasSpareGate reports whether a call that a full gate refused may be sent to another gate
+// without counting as a retry: it has not reached an upstream, and another upstream seems
+// to have a free slot. When the whole service is full, none seems to, so calls are not
+// passed from gate to gate.
 func (s *service) hasSpareGate(o kqcall.Outcome, target kqpick.Target, tried []kqname.Node, now time.Time) bool {
 	if o.Reason != kqcall.QueueFull {
 		return false
@@ -240,24 +248,26 @@
 	return found.Client
 }
 
+// close closes the idle connections to all gates.
 func (c *gateClients) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, one := range c.byAddress {
-		one.Close()
+	for _, client := range c.byAddress {
+		client.Close()
 	}
 }
 
-// sweep closes idle connections and forgets gates that have had none for a while, since
-// addresses change as nodes come and go.
+// sweep closes connections that have been idle for too long, and deletes the clients of
+// gates that have had no connection for clientIdleTimeout, since addresses change as nodes
+// come and go.
 func (c *gateClients) sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for to, one := range c.byAddress {
-		if one.Sweep(now) > 0 {
-			one.used = now
+	for to, client := range c.byAddress {
+		if client.Sweep(now) > 0 {
+			client.used = now
 		}
-		if now.Sub(one.used) > clientIdleTimeout {
+		if now.Sub(client.used) > clientIdleTimeout {
 			delete(c.byAddress, to)
 		}
 	}
--- a/internal/call/kqentry/stream_test.go
+++ b/internal/call/kqentry/stream_test.go
@@ -11,9 +11,10 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqfleet"
 )
 
-// Guards against corrupted bodies that are larger than a node buffers, of known and
-// unknown length, on reused connections. A missing or extra byte would corrupt a body,
-// and bytes left over would be read as the next call's response.
+// Guards against corrupting bodies of all sizes, of known and unknown length, on reused
+// connections. Response bodies above 64 KiB are streamed, smaller ones are buffered. A
+// missing or extra byte would corrupt a body, and bytes left over would be read as the next
+// call's response.
 func TestLargeBodiesPassWhole(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 0, 0, 0)
