--- a/internal/call/kqlocal/goodbye_test.go
+++ b/internal/call/kqlocal/goodbye_test.go
@@ -10,8 +10,8 @@
 
 // Guards against sending calls to an upstream that has said goodbye. An upstream
 // restarts under its instance name and address, none of its announcements arrives, and
-// it says goodbye. Its node used to keep the former start's announcement until that
-// expired, because a goodbye counted only for a start that the node knew.
+// it says goodbye. If a goodbye counted only for a start that the node knows, the former
+// start's announcement would stay until it expires.
 func TestGoodbyeOfUnannouncedStartRemovesUpstream(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var published []kqmember.Upstream
--- a/internal/call/kqlocal/pause_test.go
+++ b/internal/call/kqlocal/pause_test.go
@@ -8,11 +8,11 @@
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
 )
 
-// Guards against a node that takes its own pause for an upstream's silence. A node that
-// was paused for longer than an announcement lasts removed expired ones before it read
-// those that had arrived meanwhile, and refused calls until the next announcement. Its
-// peers saw the upstream leave and then a new one, to which they sent fewer calls, as to
-// any that has just started.
+// Guards against a node that takes its own pause for an upstream's silence. After a pause
+// longer than an announcement lasts, it would remove expired announcements before it reads
+// those that have arrived meanwhile, and refuse calls until the next announcement. Its
+// peers would see the upstream leave and then a new one, to which they send fewer calls,
+// as to any that has just started.
 func TestNodePauseDoesNotExpireAnnouncements(t *testing.T) {
 	const ttl, interval, pause = 3 * time.Second, 250 * time.Millisecond, 10 * time.Second
 	now := time.Unix(1000, 0)
@@ -37,9 +37,9 @@
 	}
 }
 
-// Guards against the same fault with a pause just longer than a short ttl: each pause
-// made the node drop its upstream and refuse calls if it swept before it had read the
-// waiting announcements. An upstream that is really silent must still expire, even on a
+// Guards against the same fault with a pause just longer than a short ttl: a node that
+// sweeps before it has read the waiting announcements would remove its upstream and refuse
+// calls after each pause. An upstream that is really silent must still expire, even on a
 // node that is paused again and again.
 func TestShortNodePauseDoesNotExpireAnnouncements(t *testing.T) {
 	now := time.Unix(1000, 0)
--- a/internal/call/kqlocal/upstreams.go
+++ b/internal/call/kqlocal/upstreams.go
@@ -25,10 +25,11 @@
 // otherwise a dead upstream would never expire on a node that is paused again and again.
 const sweepInterval = 250 * time.Millisecond
 
-// minWithdrawal is how long an upstream that could not be connected to is left out at
-// first, even if it keeps announcing itself; each further withdrawal doubles that up to
-// maxWithdrawal. Otherwise an upstream that announces itself but accepts no connections
-// would be added and removed all the time, and each change is sent to all nodes.
+// minWithdrawal is how long an upstream that could not be connected to is left out of the
+// published list at first, even if it keeps announcing itself; each further withdrawal
+// doubles that up to maxWithdrawal. Otherwise an upstream that announces itself but accepts
+// no connections would be added and removed all the time, and each change is sent to all
+// nodes.
 const (
 	minWithdrawal = time.Second
 	maxWithdrawal = 8 * time.Second
@@ -38,7 +39,8 @@
 var ErrAnnouncement = errors.New("announcement refused")
 
 type (
-	// Announcement is what an upstream posts to its node, first and as a renewal.
+	// Announcement is what an upstream posts to its node, first, as a renewal and as a
+	// goodbye.
 	Announcement struct {
 		Service  kqname.Service         `json:"service"`
 		Version  kqname.UpstreamVersion `json:"version"`
@@ -49,7 +51,8 @@
 		Instance kqname.Instance `json:"instance,omitempty"`
 		// StartedMS is when the upstream started, in milliseconds of its own clock, and
 		// Sequence numbers its announcements since then, so that late ones are
-		// recognized. If both are 0, announcements apply in the order of their arrival.
+		// recognized. If both are 0, announcements apply in the order of their arrival,
+		// but none does for historyTTL after a goodbye of the same instance.
 		StartedMS int64  `json:"born,omitempty"`
 		Sequence  uint64 `json:"sequence,omitempty"`
 		// WarmUpLeft is for how much longer the upstream is slow after its start.
@@ -68,8 +71,8 @@
 		byAddress map[kqname.Address]registration
 		// lastSweep is when Sweep last ran, zero before its first run.
 		lastSweep time.Time
-		// goodbyes holds the goodbyes (announcements with Gone) received, since earlier
-		// announcements of the same upstream may arrive after them.
+		// goodbyes holds the latest goodbye of each instance for historyTTL, since earlier
+		// announcements of the same upstream may arrive after it.
 		goodbyes map[kqname.Instance]goodbye
 	}
 
@@ -83,6 +86,8 @@
 	// registration is an upstream's latest announcement with the node's state about it.
 	registration struct {
 		Announcement
+		// lastRenewed is when the announcement last arrived, moved forward by the time for
+		// which this node was paused since.
 		firstSeen, lastRenewed time.Time
 		// coldFor is how long after firstSeen the upstream is slow, according to its
 		// first announcement.
@@ -90,8 +95,8 @@
 		withdrawal
 	}
 
-	// withdrawal is whether an upstream is left out, when it was last withdrawn, and for
-	// how long at least.
+	// withdrawal is whether an upstream is left out of the published list, when it was
+	// last withdrawn, and for how long at least.
 	withdrawal struct {
 		withdrawn   bool
 		withdrawnAt time.Time
@@ -99,17 +104,19 @@
 	}
 )
 
-// New returns an empty set whose announcements expire after ttl unless renewed. onChange
-// receives the whole list at each change that other nodes must learn of.
+// New returns an empty set whose announcements expire after ttl unless renewed. At each
+// change that other nodes must learn of, onChange receives all upstreams that are not
+// withdrawn. It is called with the set's lock held and must not call the set.
 func New(ttl time.Duration, onChange func([]kqmember.Upstream)) *Upstreams {
 	return &Upstreams{ttl: ttl, onChange: onChange, byAddress: make(map[kqname.Address]registration), goodbyes: make(map[kqname.Instance]goodbye)}
 }
 
 // Announce applies an announcement, first or renewed.
 //
-// A late announcement, by an earlier start of the upstream or with a lower sequence
-// number, is ignored without an error. Applying it could bring back an upstream that has
-// left, and calls would reach a closed port or another program.
+// A late announcement is ignored without an error: one by a start that has said goodbye,
+// by an earlier start than the one registered at its address, or by the same start with a
+// lower sequence number. Applying it could bring back an upstream that has left, and calls
+// would reach a closed port or another program.
 func (u *Upstreams) Announce(a Announcement, now time.Time) error {
 	if a.Gone {
 		u.recordGoodbye(a, now)
@@ -139,9 +146,10 @@
 	return nil
 }
 
-// Withdraw leaves out an upstream that accepts no connections, until it announces itself
-// again after the withdrawal's minimum duration. Its announcement would otherwise stay
-// valid for seconds, in which calls of every node would fail.
+// Withdraw leaves an upstream that accepts no connections out of the published list, until
+// it announces itself again after the withdrawal's minimum duration, or another start or
+// upstream announces itself at its address. Its announcement would otherwise stay valid for
+// seconds, in which calls of every node would fail.
 func (u *Upstreams) Withdraw(address kqname.Address, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -157,8 +165,9 @@
 	u.publish()
 }
 
-// recordGoodbye removes an upstream that has said goodbye, including its earlier starts:
-// the start that says goodbye may be one whose announcements never arrived.
+// recordGoodbye removes an upstream that has said goodbye, including its earlier starts,
+// and remembers the goodbye. The start that says goodbye may be one whose announcements
+// never arrived.
 func (u *Upstreams) recordGoodbye(a Announcement, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -176,7 +185,8 @@
 	u.goodbyes[a.Instance] = goodbye{startMS: max(startMS, u.goodbyes[a.Instance].startMS), receivedAt: now}
 }
 
-// ApplyGoodbye applies a goodbye that an earlier process of this node received.
+// ApplyGoodbye treats an upstream's departure, which an earlier process of this node
+// learned of, as a goodbye received now.
 func (u *Upstreams) ApplyGoodbye(instance kqname.Instance, startMS int64, now time.Time) {
 	u.recordGoodbye(Announcement{Instance: instance, StartedMS: startMS}, now)
 }
@@ -210,9 +220,10 @@
 	return a == other
 }
 
-// Sweep removes upstreams whose announcements have expired. If it was not called for a
-// long time, this node itself was paused, and announcements that arrived meanwhile may
-// still wait to be read; that time does not count against any upstream.
+// Sweep removes upstreams whose announcements have expired, and forgets goodbyes older than
+// historyTTL. It is called every sweepInterval. If it is called later, this node itself was
+// paused, and announcements that arrived meanwhile may still wait to be read; the time
+// beyond the interval does not count against any upstream.
 func (u *Upstreams) Sweep(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -245,7 +256,8 @@
 
 // Find returns the upstream of a service and version; an empty version accepts any. Of
 // several, it prefers one that does not drain, then the one first seen last, since the
-// announcement of a replaced upstream stays until it expires.
+// announcement of a replaced upstream stays until it expires. It may return an upstream
+// that is withdrawn.
 func (u *Upstreams) Find(service kqname.Service, version kqname.UpstreamVersion) (Announcement, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/call/kqlocal/upstreams_test.go
+++ b/internal/call/kqlocal/upstreams_test.go
@@ -72,18 +72,18 @@
 		}
 	}
 	announce()
-	for _, out := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
+	for _, duration := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
 		u.Withdraw(a.Address, now)
 		if len(published) != 0 {
 			t.Fatal("the upstream is still published after its withdrawal")
 		}
-		now = now.Add(out - time.Millisecond)
+		now = now.Add(duration - time.Millisecond)
 		if announce(); len(published) != 0 {
-			t.Errorf("the upstream is published again %v after its withdrawal", out-time.Millisecond)
+			t.Errorf("the upstream is published again %v after its withdrawal", duration-time.Millisecond)
 		}
 		now = now.Add(time.Millisecond)
 		if announce(); len(published) != 1 {
-			t.Errorf("the upstream is not published again %v after its withdrawal", out)
+			t.Errorf("the upstream is not published again %v after its withdrawal", duration)
 		}
 	}
 	u.Withdraw(a.Address, now)
