--- a/internal/call/kqsend/client.go
+++ b/internal/call/kqsend/client.go
@@ -24,18 +24,21 @@
 	dialTimeout           = time.Second
 	// nodeDialTimeout bounds connecting to a node: nodes of the same region answer within
 	// milliseconds, those of another within 100 ms, and a lost first packet is only sent
-	// again after a second. shortSilenceTimeout is how long a peer may leave data or a
-	// keep-alive probe unacknowledged.
-	nodeDialTimeout     = 300 * time.Millisecond
+	// again after a second.
+	nodeDialTimeout = 300 * time.Millisecond
+	// shortSilenceTimeout is how long a peer may leave data or a keep-alive probe
+	// unacknowledged.
 	shortSilenceTimeout = time.Second
-	// longSilenceTimeout replaces shortSilenceTimeout for calls that are not idempotent. It
-	// is the longest timeout that a route may set, so the call's deadline comes first.
+	// longSilenceTimeout replaces shortSilenceTimeout for calls that are not idempotent and
+	// for streamed responses. It is the longest timeout that a route may set, so the call's
+	// deadline comes first.
 	longSilenceTimeout = 10 * time.Minute
 	// descriptorWait is how long a call waits for a file descriptor, and
 	// descriptorRetryInterval the time between two attempts.
 	descriptorWait          = 500 * time.Millisecond
 	descriptorRetryInterval = 5 * time.Millisecond
-	// bufferSize bounds a response's header, in bytes.
+	// bufferSize is the size of a connection's read buffer and of its write buffer, in
+	// bytes. A response's header must fit into the read buffer.
 	bufferSize = 16 << 10
 )
 
@@ -49,8 +52,8 @@
 		dialer         func(address string) (net.Conn, error)
 		maxOpen        int
 		requiresCallID bool
-		// variesSilenceTimeout is set if calls that are not idempotent have a longer
-		// silence timeout.
+		// variesSilenceTimeout is set if calls that are not idempotent and streamed
+		// responses have a longer silence timeout.
 		variesSilenceTimeout bool
 		// matches reports whether the response belongs to the call; if nil, call ids are
 		// compared.
@@ -67,9 +70,10 @@
 
 	connection struct {
 		net.Conn
-		reader  *bufio.Reader
-		writer  *bufio.Writer
-		probe   *kqdisconnect.Probe
+		reader *bufio.Reader
+		writer *bufio.Writer
+		probe  *kqdisconnect.Probe
+		// written is the number of bytes written for the current call.
 		written int
 		// maxIdle is how long the connection may stay idle: by the peer's last
 		// Keep-Alive header, at most the client's own timeout.
@@ -91,16 +95,16 @@
 }
 
 // WithMaxConnections limits the number of open connections.
-func WithMaxConnections(n int) Option { return func(s *Client) { s.maxOpen = n } }
+func WithMaxConnections(n int) Option { return func(c *Client) { c.maxOpen = n } }
 
 // WithRequiredCallID rejects responses without the call's id. Nodes always send it.
 func WithRequiredCallID() Option { return func(c *Client) { c.requiresCallID = true } }
 
-// WithSilenceTimeout gives up a peer that is silent for shortSilenceTimeout, as is right
-// between nodes of one fleet, but lets calls that are not idempotent wait until their
-// deadline. A stopped process or a suspended server often resumes within seconds and
-// answers; if such a call were given up, it could not be retried elsewhere and its caller
-// could not tell whether it ran.
+// WithSilenceTimeout gives up a peer that is silent for shortSilenceTimeout, but lets calls
+// that are not idempotent, and streamed responses, wait until the call's deadline. It is
+// meant for connections between nodes of one fleet. A stopped process or a suspended server
+// often resumes within seconds and answers; if a call that is not idempotent were given up,
+// it could not be retried elsewhere and its caller could not tell whether it ran.
 func WithSilenceTimeout() Option { return func(c *Client) { c.variesSilenceTimeout = true } }
 
 // WithResponseMatcher sets the function that reports whether a response belongs to the
@@ -123,8 +127,8 @@
 // Close closes all idle connections. Those in use are not affected.
 func (c *Client) Close() { c.closeIdle(func(*connection) bool { return true }) }
 
-// Sweep closes the connections whose idle timeout has passed and returns the number of
-// those still open.
+// Sweep closes the connections whose idle timeout has passed and returns how many
+// connections are still open, whether idle or in use.
 func (c *Client) Sweep(now time.Time) int {
 	return c.closeIdle(func(n *connection) bool { return !now.Before(n.idleDeadline) })
 }
@@ -146,8 +150,8 @@
 	return c.open
 }
 
-// acquire returns the most recently used idle connection that the peer has not closed, or a
-// new one.
+// acquire returns the most recently used idle connection that is still usable, or a new
+// one. It closes the unusable ones that it finds on the way.
 func (c *Client) acquire(call *kqcall.Call) (*connection, error) {
 	for {
 		n, err := c.takeIdle()
@@ -200,10 +204,11 @@
 	return n, nil
 }
 
-// connect dials the target and retries for a while if the process is out of file
-// descriptors. When many callers disconnect at once, connections waiting at the entry take
-// each descriptor that is freed; without the wait, a call accepted among them would be
-// refused although its upstream is well, because no descriptor is left to connect to it.
+// connect dials the target and retries for up to descriptorWait if the process is out of
+// file descriptors or the system out of memory for connections. When many callers
+// disconnect at once, connections waiting at the entry take each descriptor that is freed;
+// without the wait, a call accepted among them would be refused although its upstream is
+// well, because no descriptor is left to connect to it.
 func (c *Client) connect(call *kqcall.Call) (net.Conn, error) {
 	retryUntil := earlier(call.Deadline, time.Now().Add(descriptorWait))
 	for {
@@ -219,14 +224,14 @@
 
 // DialNode connects to a node of the same fleet over plain TCP. A server without power does
 // not refuse connections but stays silent, so the timeouts are short enough for the call to
-// be served by another.
+// be served by another node.
 func DialNode(address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: nodeDialTimeout, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: shortSilenceTimeout, Interval: shortSilenceTimeout, Count: 1}}
 	return dialer.Dial("tcp", address)
 }
 
-// setSilenceTimeout sets how long the peer may leave data unacknowledged: long is for calls
-// that are not idempotent.
+// setSilenceTimeout sets how long the peer may leave data unacknowledged: long selects
+// longSilenceTimeout, else it is shortSilenceTimeout.
 func (n *connection) setSilenceTimeout(long bool) {
 	if n.longSilenceTimeout == long {
 		return
--- a/internal/call/kqsend/client_test.go
+++ b/internal/call/kqsend/client_test.go
@@ -72,7 +72,8 @@
 
 // A peer closes an idle connection between two calls, as a restarted process does. The
 // second call must use a new connection: written to the closed one, its outcome would be
-// unknown, and an order could be neither repeated nor given up.
+// unknown, and a call that is not idempotent could neither be retried nor be reported as
+// not run.
 func TestConnectionClosedBetweenCalls(t *testing.T) {
 	closed := make(chan struct{})
 	p := startServer(t, func(number int, c net.Conn, r *bufio.Reader) {
@@ -95,9 +96,9 @@
 	}
 }
 
-// A peer reads the whole request and dies before it responds. The order may have run, so
-// that sending it again, or reporting it as not run, could execute it twice. It is sent
-// once and reported as unknown.
+// A peer reads the whole request and closes the connection before it responds. The call
+// may have run, so sending it again, or reporting it as not run, could make it run twice.
+// It must be sent once and be reported as unknown.
 func TestCutAfterTheRequest(t *testing.T) {
 	p := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		_, _ = readRequestPath(r)
--- a/internal/call/kqsend/descriptor_test.go
+++ b/internal/call/kqsend/descriptor_test.go
@@ -26,9 +26,9 @@
 }
 
 // Guards against connect_failed for lack of a descriptor that is freed a moment later:
-// callers that had held all of a node's descriptors disconnected, connections waiting at
-// the entry took each one as it was freed, and none was left for an accepted call to
-// connect to its upstream.
+// callers that hold all of a node's descriptors disconnect, connections waiting at the
+// entry take each one as it is freed, and none is left for an accepted call to connect to
+// its upstream.
 func TestCallWaitsForADescriptor(t *testing.T) {
 	p := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if path, err := readRequestPath(r); err == nil {
--- a/internal/call/kqsend/exchange.go
+++ b/internal/call/kqsend/exchange.go
@@ -21,8 +21,9 @@
 	earlyResponseTimeout = 100 * time.Millisecond
 )
 
-// Do sends the call's request and reads its response. The outcome is Answered for any
-// complete response, whatever its status.
+// Do sends the call's request and reads its response. The outcome is Answered, whatever the
+// response's status, if the response has been read whole or, if its body is streamed, its
+// header has been read.
 func (c *Client) Do(call *kqcall.Call) kqcall.Outcome {
 	n, err := c.acquire(call)
 	if err != nil {
@@ -46,7 +47,8 @@
 	return o
 }
 
-// complete returns the exchange's outcome and keeps or closes its connection.
+// complete returns the exchange's outcome and keeps or closes its connection. A streamed
+// response keeps the connection until its body is closed.
 func (c *Client) complete(n *connection, call *kqcall.Call, err error) kqcall.Outcome {
 	if err != nil {
 		call.Cancel.SetConnection(nil)
@@ -75,12 +77,13 @@
 	call.Cancel.SetConnection(nil)
 	switch {
 	case peerCloses:
-		// The peer is shutting down and would close its other connections, possibly while a
-		// call is being sent on one of them.
+		// The peer may be shutting down and would then close its other connections, possibly
+		// while a call is being sent on one of them.
 		c.drop(n)
 		c.Close()
 	case cut, n.reader.Buffered() > 0, call.Cancel.Done():
-		// Unsolicited bytes would be read as the response to the next call.
+		// The rest of this response, or unsolicited bytes, would be read as the response to
+		// the next call. A cancellation may have closed the connection.
 		c.drop(n)
 	default:
 		c.release(n)
@@ -88,17 +91,17 @@
 }
 
 // isMismatched reports whether the response belongs to another call, because it came late
-// or unsolicited; HTTP itself cannot tell. A response without a call id is accepted unless
-// the client requires one.
+// or unsolicited; HTTP/1.1 itself does not show that. A response without a call id is
+// accepted unless the client requires one.
 func (c *Client) isMismatched(call *kqcall.Call) bool {
 	if c.matches != nil {
 		return !c.matches(call)
 	}
-	echo := call.Response.Header.Peek(kqcall.HeaderID)
-	if len(echo) == 0 {
+	responseID := call.Response.Header.Peek(kqcall.HeaderID)
+	if len(responseID) == 0 {
 		return c.requiresCallID
 	}
-	return string(echo) != string(call.ID)
+	return string(responseID) != string(call.ID)
 }
 
 func (n *connection) exchange(c *Client, call *kqcall.Call) error {
@@ -133,8 +136,8 @@
 		return writeErr
 	}
 	if s, ok := call.Response.BodyStream().(*responseStream); ok {
-		// The write has already met the reset, which may have truncated a body that ends
-		// with its connection.
+		// The peer has reset the connection, which may have truncated the body. One that
+		// ends with its connection would look complete.
 		s.closed = true
 		call.Response.Reset()
 		return writeErr
@@ -204,7 +207,7 @@
 
 // isUsable reports whether an idle connection can take a call. A connection that the peer
 // has closed must be found before the first byte is written; after that the outcome would
-// be unknown.
+// be unknown. Bytes that have arrived unsolicited would be read as the response.
 func (n *connection) isUsable() bool {
 	closed, readable := n.probe.Peek()
 	return !closed && !readable
--- a/internal/call/kqsend/response.go
+++ b/internal/call/kqsend/response.go
@@ -16,6 +16,8 @@
 	// for 100 concurrent calls. Larger bodies, and those of unknown length, are streamed.
 	MaxBufferedBody = 64 << 10
 
+	// chunkedLength and untilCloseLength are fasthttp's content lengths of chunked bodies
+	// and of bodies that end with their connection.
 	chunkedLength    = -1
 	untilCloseLength = -2
 )
@@ -35,8 +37,8 @@
 	peerCloses bool
 }
 
-// readResponse reads the response's header and a body of up to MaxBufferedBody; any other
-// body is left to be streamed.
+// readResponse reads the response's header, skipping interim responses (1xx), and a body
+// of up to MaxBufferedBody; any other body is left to be streamed.
 func (n *connection) readResponse(c *Client, call *kqcall.Call) error {
 	r := call.Response
 	r.Reset()
--- a/internal/call/kqsend/silence_linux_test.go
+++ b/internal/call/kqsend/silence_linux_test.go
@@ -20,10 +20,10 @@
 const pauseDuration = 3 * time.Second
 
 // Guards against giving up a paused peer while a call that is not idempotent waits for it.
-// The peer's process or server was stopped for a few seconds and then resumed; the sender
-// had given it up one second after its send window was full, or two after its last packet,
-// and the caller could not tell whether the call had run. An idempotent call is retried at
-// another upstream, but any other call only loses a response that comes a moment later.
+// The peer's process or server is stopped for a few seconds and then resumes. If the sender
+// gives it up one second after the send window is full, or two after the last packet, the
+// caller cannot tell whether the call ran. An idempotent call is retried at another
+// upstream, but any other call only loses a response that comes a moment later.
 func TestSilentPeerComesBack(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -106,9 +106,9 @@
 	_ = raw.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_DETACH_FILTER, 0) })
 }
 
-// Guards against truncated responses: a node was suspended for some seconds while it
-// streamed a large one, and the receiver gave up although the rest came as soon as the node
-// resumed. No other upstream can serve a response that has begun to arrive.
+// Guards against truncated responses: a node is suspended for some seconds while it streams
+// a large one, and the receiver gives up although the rest comes as soon as the node
+// resumes. No other upstream can serve a response that has begun to arrive.
 func TestStreamedResponseSurvivesSilentPeer(t *testing.T) {
 	const size = 4 * kqsend.MaxBufferedBody
 	p := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
