--- a/internal/call/kqacceptor/acceptor_test.go
+++ b/internal/call/kqacceptor/acceptor_test.go
@@ -9,8 +9,8 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqacceptor"
 )
 
-// failingListener has no descriptor for its first accepts, and is closed after one
-// connection.
+// failingListener fails its first accepts for lack of a file descriptor, accepts one
+// connection and is then closed.
 type failingListener struct {
 	net.Listener
 	failures, accepted int
--- a/internal/call/kqacceptor/doc.go
+++ b/internal/call/kqacceptor/doc.go
@@ -3,6 +3,6 @@
 //
 // HTTP servers take a failed Accept for the end of their listener, and a node leaves when
 // one of its servers ends. A process that is out of file descriptors for a moment, as when
-// very many callers connect at once, would then stop with all its calls just when it is
-// needed most, with "too many open files" as its last log line.
+// very many callers connect at once, would then stop, with all its calls, under its highest
+// load, and "too many open files" would be its last log line.
 package kqacceptor
