--- a/internal/call/kqbody/limiter.go
+++ b/internal/call/kqbody/limiter.go
@@ -19,14 +19,15 @@
 	connectionMemory = 32 << 10
 	// smallDivisor and minDivisor: small bodies have 1/smallDivisor of the capacity for
 	// large ones, in addition to it, and may always use 1/minDivisor of their own, however
-	// many connections are open.
+	// many connections are open. A body larger than the total of WithConnections is accepted
+	// only while connections take at most 1/minDivisor of that total.
 	smallDivisor, minDivisor = 2, 8
 )
 
 const (
 	smallBody class = iota
 	largeBody
-	classes
+	classCount
 )
 
 type (
@@ -34,14 +35,14 @@
 	// capacities, so that small calls need not wait for large ones, and many small
 	// bodies cannot take more than a few large ones may. It is safe for concurrent use.
 	Limiter struct {
-		capacity [classes]int
-		// total limits bodies and connections together, 0 for no limit, and open returns
-		// the number of open connections.
+		capacity [classCount]int
+		// total limits the bytes of bodies and connections together, 0 for no limit, and
+		// open returns the number of open connections.
 		total int
 		open  func() int
 
 		mu           sync.Mutex
-		used         [classes]int
+		used         [classCount]int
 		reservations map[any]reservation
 		// freed is closed and replaced when memory is released.
 		freed chan struct{}
@@ -73,7 +74,7 @@
 // for small ones.
 func New(capacity int, options ...Option) *Limiter {
 	l := &Limiter{
-		capacity: [classes]int{smallBody: capacity / smallDivisor, largeBody: capacity}, open: func() int { return 0 },
+		capacity: [classCount]int{smallBody: capacity / smallDivisor, largeBody: capacity}, open: func() int { return 0 },
 		reservations: make(map[any]reservation), freed: make(chan struct{}),
 	}
 	for _, o := range options {
@@ -82,18 +83,21 @@
 	return l
 }
 
-// Reserve reserves memory for a request's body and waits at most wait for it. A body
-// larger than the capacity is accepted while no other large one is held, since it would
-// otherwise never be. reading is how long the request may take to be read.
+// Reserve reserves memory for a request's body, waits at most wait for it and reports
+// whether it succeeded. A body larger than the capacity is accepted while no other large
+// one is held, since it would otherwise never be, but not if connections need the memory.
+// reading is how long the request may take to be read. A body of unknown length needs Grow
+// instead.
 func (l *Limiter) Reserve(h *fasthttp.RequestHeader, wait, reading time.Duration) bool {
 	size := bodyMemory(h.ContentLength())
 	return size == 0 || l.wait(h, size, reading, wait)
 }
 
 // Grow replaces the connection's reservation by one for the size that its request's body
-// has reached, and waits at most wait for memory. The length of such a body is known only
-// as it arrives; without this limit, callers that state no length could fill the
-// process's memory, and the kernel would kill it with all its calls.
+// has reached, waits at most wait for memory and reports whether there was enough. The
+// length of such a body is known only as it arrives; without this limit, callers that state
+// no length could fill the process's memory, and the kernel would kill it with all its
+// calls.
 func (l *Limiter) Grow(connection any, size int, wait time.Duration) bool {
 	size = growingBodyMemory(size)
 	return size == 0 || l.hasReserved(connection, size) || l.wait(connection, size, 0, wait)
@@ -106,22 +110,22 @@
 	l.release(connection)
 }
 
-// wait reserves memory, retrying until there is enough or the time is over. With a reading
-// time of 0 the reservation does not expire.
+// wait reserves memory, retrying until there is enough or the waiting time has passed. With
+// a reading time of 0 the reservation does not expire.
 func (l *Limiter) wait(holder any, size int, reading, wait time.Duration) bool {
-	taken, freed := l.tryReserve(holder, size, reading)
-	if taken || wait <= 0 {
-		return taken
+	reserved, freed := l.tryReserve(holder, size, reading)
+	if reserved || wait <= 0 {
+		return reserved
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	for !taken {
+	for !reserved {
 		select {
 		case <-freed:
 		case <-timer.C:
 			return false
 		}
-		taken, freed = l.tryReserve(holder, size, reading)
+		reserved, freed = l.tryReserve(holder, size, reading)
 	}
 	return true
 }
@@ -149,6 +153,8 @@
 	l.release(h)
 }
 
+// tryReserve reserves memory in place of the holder's current reservation. If there is not
+// enough, it returns false and a channel that is closed when memory is released.
 func (l *Limiter) tryReserve(holder any, size int, reading time.Duration) (bool, <-chan struct{}) {
 	now := time.Now()
 	open := l.open()
@@ -195,14 +201,14 @@
 		return used[c]+size <= l.capacity[c]/minDivisor
 	default:
 		// A body larger than the total is accepted only while connections take little of
-		// it.
+		// the total.
 		return alone && size > l.total && open*connectionMemory <= l.total/minDivisor
 	}
 }
 
 // releaseExpired releases the reservations of requests that should have been read by now.
-// fasthttp reports most, but not all, requests that it abandons while reading; those of
-// the others would never be released.
+// fasthttp reports most, but not all, requests that it abandons while reading; the
+// reservations of the others would never be released.
 func (l *Limiter) releaseExpired(now time.Time) {
 	for holder, s := range l.reservations {
 		if !s.readDeadline.IsZero() && now.After(s.readDeadline) {
@@ -230,7 +236,8 @@
 }
 
 // bodyMemory returns the memory that a body takes: fasthttp rounds its buffer up to a power
-// of two.
+// of two. A body of up to maxUncounted bytes counts as 0, and so does one of unknown length,
+// which is negative.
 func bodyMemory(length int) int {
 	if length <= maxUncounted {
 		return 0
@@ -239,8 +246,8 @@
 }
 
 // growingBodyMemory returns the memory that a body of unknown length takes once size bytes
-// have arrived: fasthttp copies a large one to a buffer of twice the size each time it
-// outgrows the old one.
+// have arrived: each time a large one outgrows its buffer, fasthttp copies it to a buffer
+// of twice the size.
 func growingBodyMemory(size int) int {
 	if size <= maxSmall {
 		return bodyMemory(size)
