--- a/internal/call/kqconnection/chunked_body_counter.go
+++ b/internal/call/kqconnection/chunked_body_counter.go
@@ -19,7 +19,7 @@
 	inData
 	// inTrailer is everything after the last chunk.
 	inTrailer
-	// malformed bodies have no valid chunk framing; all of their bytes count.
+	// malformed means that the chunk framing is invalid; all bytes from there on count.
 	malformed
 )
 
@@ -53,7 +53,7 @@
 	}
 }
 
-// addHeaderByte parses one byte of the line before a chunk's data.
+// addHeaderByte parses one byte of a chunk's header, the line before its data.
 func (c *chunkedBodyCounter) addHeaderByte(b byte) {
 	switch digit, hex := hexDigit(b); {
 	case b == '\n' && c.size == 0:
--- a/internal/call/kqconnection/doc.go
+++ b/internal/call/kqconnection/doc.go
@@ -11,4 +11,7 @@
 // Requests behind the current one are read in the meantime, and safe ones are started
 // before it has been answered. fasthttp still gets every request, and its response, in
 // order.
+//
+// The package only finds where requests end; fasthttp parses them. It also reserves memory
+// for bodies of unknown length, and closes connections so that the last response arrives.
 package kqconnection
--- a/internal/call/kqconnection/framer.go
+++ b/internal/call/kqconnection/framer.go
@@ -20,8 +20,8 @@
 	headEnd = []byte("\r\n\r\n")
 )
 
-// framer finds where requests end. It only decides how many bytes are returned at once: if
-// it is wrong, as within a chunked body, fasthttp still reads the same bytes.
+// framer finds where requests end. It only decides how many bytes one Read returns: if it
+// is wrong, as within a chunked body, fasthttp still reads the same bytes.
 type framer struct {
 	// bodyRemaining is the number of body bytes still to come, and matched the number of
 	// bytes of headEnd that have arrived.
--- a/internal/call/kqconnection/linger.go
+++ b/internal/call/kqconnection/linger.go
@@ -21,7 +21,8 @@
 // connection. If bytes were left unread at the close, the kernel would reset the connection
 // and the caller would lose the response: it would see a broken pipe and could not tell
 // that its call did not run. So the write side is closed first, and further input is read
-// and discarded.
+// and discarded. If maxLingering connections already linger, or the write side cannot be
+// closed, the connection is closed at once.
 func (c *connection) linger() error {
 	if c.listener.lingering.Add(1) > maxLingering || c.CloseWrite() != nil {
 		c.listener.lingering.Add(-1)
@@ -35,17 +36,17 @@
 	return nil
 }
 
-// discardInput reads until the caller closes the connection, falls silent or exceeds a
-// limit.
+// discardInput reads until the caller closes the connection, sends nothing for
+// lingerIdleTimeout, or reaches lingerTimeout or maxLingerBytes.
 func (c *connection) discardInput() {
 	buffer := make([]byte, lingerBufferSize)
-	last := time.Now().Add(lingerTimeout)
+	deadline := time.Now().Add(lingerTimeout)
 	for left := maxLingerBytes; left > 0; {
-		until := time.Now().Add(lingerIdleTimeout)
-		if until.After(last) {
-			until = last
+		readDeadline := time.Now().Add(lingerIdleTimeout)
+		if readDeadline.After(deadline) {
+			readDeadline = deadline
 		}
-		if c.SetReadDeadline(until) != nil {
+		if c.SetReadDeadline(readDeadline) != nil {
 			return
 		}
 		n, err := c.TCPConn.Read(buffer)
--- a/internal/call/kqconnection/linger_test.go
+++ b/internal/call/kqconnection/linger_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Guards against lost refusals: a node without memory for a large body responded and closed
-// the connection while the caller still had seconds of its body to send, as on a busy
-// server or over a slow link. The writes met a reset, and the caller saw a broken pipe
+// Guards against lost refusals: a node without memory for a large body responds and closes
+// the connection while the caller still has seconds of its body to send, as on a busy
+// server or over a slow link. If the writes meet a reset, the caller sees a broken pipe
 // instead of not_run. Here the caller sends for two seconds after the close and then reads.
 func TestRefusalArrivesWhileCallerStillSends(t *testing.T) {
 	server, caller, done := openConnection(t)
--- a/internal/call/kqconnection/listener.go
+++ b/internal/call/kqconnection/listener.go
@@ -44,7 +44,7 @@
 		// have been answered.
 		pipeliningDisabled atomic.Bool
 		// pipelined is the number of requests that have been started before earlier ones
-		// were answered, and have not become the current request since.
+		// were answered, and have not become the current request or been discarded since.
 		pipelined atomic.Int64
 
 		mu sync.Mutex
@@ -65,7 +65,8 @@
 		lastReadErr error
 		// sequential is set if requests are served one after the other.
 		sequential bool
-		group      conc.WaitGroup
+		// group runs the goroutines that serve pipelined requests and that linger.
+		group conc.WaitGroup
 
 		mu sync.Mutex
 		// buffered holds the bytes read behind the current request. Its first startedBytes
@@ -141,8 +142,8 @@
 	delete(l.unused, c)
 }
 
-// release removes a closed connection, frees its body's memory and reports whether it was
-// still open.
+// release removes a connection that is being closed, releases the memory reserved for its
+// body and reports whether it was still open.
 func (l *Listener) release(c *connection) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -239,7 +240,8 @@
 	return io.Copy(w, struct{ io.Reader }{c})
 }
 
-// Close implements net.Conn.
+// Close implements net.Conn. It closes the connection at once if reading ahead has failed;
+// any other connection lingers.
 func (c *connection) Close() error {
 	c.listener.markUsed(c)
 	if !c.listener.release(c) {
@@ -254,8 +256,8 @@
 	return c.linger()
 }
 
-// Pending reports whether bytes of another request have arrived. It must be called by the
-// goroutine that reads the connection.
+// Pending reports whether bytes behind the current request have arrived. It must be called
+// by the goroutine that reads the connection.
 func (c *connection) Pending() bool {
 	c.mu.Lock()
 	pending := len(c.buffered) > 0
--- a/internal/call/kqconnection/pipeline.go
+++ b/internal/call/kqconnection/pipeline.go
@@ -15,12 +15,13 @@
 	// maxPipelined limits the requests per connection that are served before earlier ones
 	// have been answered.
 	maxPipelined = 16
-	// maxReadAhead limits the bytes buffered behind the current request.
+	// maxReadAhead is how many bytes may be buffered behind the current request before
+	// reading ahead stops.
 	maxReadAhead = 64 << 10
 	// maxBufferedBody is the largest response body, in bytes, that is buffered whole until
 	// the earlier requests have been answered.
 	maxBufferedBody = 64 << 10
-	// readSize is the size of the read buffer, in bytes.
+	// readSize is the size of the buffer for reading ahead, in bytes.
 	readSize = 4 << 10
 )
 
@@ -52,9 +53,8 @@
 )
 
 // Serve returns a handler that serves a caller's pipelined requests concurrently, by
-// calling next for each, and returns the responses in order. One at a time, each would
-// wait for the one before it: a caller's third request of 200 ms would take 600 ms while
-// upstreams are idle.
+// calling next for each, and returns the responses in order. If they were served one after
+// the other, a caller's third request of 200 ms would take 600 ms while upstreams are idle.
 //
 // Only safe requests without a body are served before earlier ones have been answered. Any
 // other request waits for those before it and delays those behind it. A response closes
@@ -97,7 +97,8 @@
 	}
 }
 
-// readPipelined reads until it is stopped or has read enough.
+// readPipelined reads requests and starts serving them, until it is stopped, maxReadAhead
+// bytes are buffered or the connection cannot be read.
 func (c *connection) readPipelined(ctx *fasthttp.RequestCtx, next fasthttp.RequestHandler) {
 	b := make([]byte, readSize)
 	for c.startPipelined(ctx.Conn(), next) {
@@ -115,8 +116,8 @@
 	}
 }
 
-// startPipelined starts serving the requests that have arrived whole and reports whether to
-// read on.
+// startPipelined starts serving the next requests that have arrived whole, up to the first
+// that must not be served concurrently, and reports whether to read on.
 func (c *connection) startPipelined(conn net.Conn, next fasthttp.RequestHandler) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,8 +209,8 @@
 
 // bufferBody buffers a streamed body whole if it has at most maxBufferedBody bytes, else
 // its beginning. If it were not read until the earlier requests have been answered, the
-// call's deadline could pass first: the caller would lose a small response that is
-// already there, and with the connection all responses behind it.
+// call's deadline could pass first: the caller would lose a small response that has already
+// arrived and, since the connection breaks, all responses behind it.
 func (p *pipelined) bufferBody() {
 	r := &p.ctx.Response
 	if !r.IsBodyStream() {
--- a/internal/call/kqconnection/shutdown.go
+++ b/internal/call/kqconnection/shutdown.go
@@ -14,11 +14,11 @@
 	}
 }
 
-// DisablePipelining stops starting requests before earlier ones have been answered. A
-// server that shuts down closes each connection with the next response, so requests
-// served behind it would get none.
+// DisablePipelining makes connections start no more requests before earlier ones have been
+// answered. A server that shuts down closes each connection with the next response, so
+// requests served behind it would get none.
 func (l *Listener) DisablePipelining() { l.pipeliningDisabled.Store(true) }
 
 // PipelinedCount returns the number of requests that have been started before earlier
-// ones were answered, and have not become the current request since.
+// ones were answered, and have not become the current request or been discarded since.
 func (l *Listener) PipelinedCount() int { return int(l.pipelined.Load()) }
--- a/internal/call/kqconnection/unread_test.go
+++ b/internal/call/kqconnection/unread_test.go
@@ -7,9 +7,9 @@
 )
 
 // Guards against closing a connection whose call has arrived but has not been read. A
-// stopping node had accepted the connection and not read from it yet, as on a busy server
-// or after a pause. When it closed the connections without input, it checked only what it
-// had read, so the call met a reset and had no response.
+// stopping node has accepted the connection and not read from it yet, as on a busy server
+// or after a pause. If it checks only what it has read when it closes the connections
+// without input, the call meets a reset and gets no response.
 func TestConnectionWithUnreadBytesIsNotClosed(t *testing.T) {
 	l := listen(t)
 	defer func() { _ = l.Close() }()
