--- a/internal/call/kqdisconnect/doc.go
+++ b/internal/call/kqdisconnect/doc.go
@@ -6,4 +6,6 @@
 // overload most of the work would be for callers that have given up. Probing each
 // connection every 25 ms costs one system call per probe for calls that have lasted that
 // long, and none for shorter ones.
+//
+// Probe and SetUserTimeout also serve connections to upstreams and to other nodes.
 package kqdisconnect
--- a/internal/call/kqdisconnect/watcher.go
+++ b/internal/call/kqdisconnect/watcher.go
@@ -11,7 +11,9 @@
 
 const (
 	probeInterval = 25 * time.Millisecond
-	shards        = 16
+	// shards is the number of parts, each with its own lock, that the watched calls are
+	// divided into.
+	shards = 16
 )
 
 type (
@@ -23,12 +25,12 @@
 
 	// WatchedCall is one call with its caller's connection.
 	WatchedCall struct {
-		caller net.Conn
-		probe  *Probe
-		call   *kqcall.Cancel
-		since  time.Time
-		shard  *shard
-		index  int
+		caller       net.Conn
+		probe        *Probe
+		cancellation *kqcall.Cancel
+		since        time.Time
+		shard        *shard
+		index        int
 	}
 
 	shard struct {
@@ -41,10 +43,10 @@
 func New() *Watcher { return &Watcher{} }
 
 // Track watches the caller's connection of a call until Untrack. The caller of Track
-// allocates the WatchedCall.
-func (w *Watcher) Track(c *WatchedCall, number uint64, caller net.Conn, call *kqcall.Cancel, now time.Time) {
+// allocates the WatchedCall. The call's number selects its shard.
+func (w *Watcher) Track(c *WatchedCall, number uint64, caller net.Conn, cancellation *kqcall.Cancel, now time.Time) {
 	s := &w.shards[number%shards]
-	*c = WatchedCall{caller: caller, call: call, since: now, shard: s}
+	*c = WatchedCall{caller: caller, cancellation: cancellation, since: now, shard: s}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.index = len(s.calls)
@@ -75,17 +77,17 @@
 }
 
 // CancelAll cancels all calls in flight with the given reason.
-func (w *Watcher) CancelAll(why kqcall.Reason) {
+func (w *Watcher) CancelAll(reason kqcall.Reason) {
 	for i := range w.shards {
-		w.shards[i].cancel(why)
+		w.shards[i].cancel(reason)
 	}
 }
 
-func (s *shard) cancel(why kqcall.Reason) {
+func (s *shard) cancel(reason kqcall.Reason) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.calls {
-		c.call.Trigger(why)
+		c.cancellation.Trigger(reason)
 	}
 }
 
@@ -133,6 +135,6 @@
 		c.probe = NewProbe(c.caller)
 	}
 	if closed, _ := c.probe.Peek(); closed {
-		c.call.Trigger(kqcall.Cancelled)
+		c.cancellation.Trigger(kqcall.Cancelled)
 	}
 }
