--- a/internal/config/kqcommit/collect.go
+++ b/internal/config/kqcommit/collect.go
@@ -18,7 +18,8 @@
 		Delete(ctx context.Context, key string, expected kqstore.Revision) error
 	}
 
-	// CollectStats counts what one garbage collection deleted or trimmed.
+	// CollectStats counts the objects that one garbage collection deleted, and the
+	// history records (Roots) and intents that it trimmed.
 	CollectStats struct {
 		// Objects includes objects that were gone by the time of their deletion.
 		Objects int `json:"objects"`
@@ -47,21 +48,24 @@
 	}
 )
 
-// CollectGarbage deletes objects that are referenced neither by the current root, nor by
-// a root replaced after cutoff, nor by an intent written after cutoff. It returns
-// kqstore.ErrConflict if a commit
-// interfered, with nothing deleted unless that was after the deletions had begun;
-// it can then be called again.
+// CollectGarbage deletes the objects of expired roots and intents, unless the current
+// root or a root or intent that has not expired references them too. A root expires
+// when it was replaced before cutoff, an intent when its request was made before
+// cutoff. CollectGarbage then trims the history records and intents that have expired.
+// It returns kqstore.ErrConflict if a commit or another collection interfered, and can
+// then be called again. Nothing has been deleted in that case, unless the conflict came
+// after the deletions, when the intents were trimmed.
 //
-// The order of steps prevents a race: a commit could rewrite an old object while
+// The order of steps prevents a race: a commit could write an old object again while
 // it is being collected and then swap in a root whose object has been deleted,
 // and no node could apply that version. The revisions of old objects are read
 // first. Then the swap of the intent index proves that no commit has added an
-// intent to it since the intents were read, and the rewrite of the root fails the
-// swap of any commit whose intent was too old to protect its objects. Only then
-// are the objects deleted, conditional on their revisions. A commit that adds its
-// intent later writes each object again: before the deletion, its new revision
-// makes the deletion fail; after it, the object is recreated.
+// intent to it since the intents were read, and the rewrite of the root, if there is
+// one, fails the swap of any commit whose intent was too old to protect its objects.
+// Only then are the objects deleted, conditional on their revisions. A commit that adds
+// its intent later writes each object that the current root lacks again: before the
+// deletion, the object's new revision makes the deletion fail; after it, the object is
+// recreated.
 func (c *Committer) CollectGarbage(ctx context.Context, deleter Deleter, cutoff time.Time) (CollectStats, error) {
 	run := &collection{
 		committer: c, deleter: deleter, cutoff: cutoff,
@@ -76,8 +80,9 @@
 }
 
 // readRoots walks from the current root back to the newest one that an earlier
-// collection has trimmed. The age of a root counts from when it was replaced,
-// since a lagging node may still apply it until then.
+// collection has trimmed, and finds the roots that have expired. The age of a root
+// counts from when its successor was committed, since it was the current root until
+// then.
 func (c *collection) readRoots(ctx context.Context) error {
 	var err error
 	c.root, c.rootRevision, err = c.committer.Root(ctx)
@@ -104,6 +109,8 @@
 	return nil
 }
 
+// readIntents reads the intents in the index. The objects of intents that have not
+// expired are live; those of expired intents and roots are candidates for deletion.
 func (c *collection) readIntents(ctx context.Context) error {
 	var err error
 	c.intentIndex, c.intentIndexRevision, err = c.committer.readIntentIndex(ctx)
@@ -140,6 +147,8 @@
 	}
 }
 
+// readCandidates reads the revisions of the candidates and drops those that are live
+// or do not exist any longer.
 func (c *collection) readCandidates(ctx context.Context) error {
 	for _, d := range slices.SortedFunc(maps.Keys(c.candidates), kqresource.Digest.Compare) {
 		if c.live[d] {
@@ -160,7 +169,7 @@
 }
 
 // fenceCommits makes commits in flight fail or write their objects again; see
-// CollectGarbage.
+// CollectGarbage. It does nothing if no root or intent has expired.
 func (c *collection) fenceCommits(ctx context.Context) error {
 	if len(c.expiredIntents) == 0 && len(c.expiredRoots) == 0 {
 		return nil
@@ -181,9 +190,9 @@
 	return nil
 }
 
-// sweep deletes the old objects and then trims the roots and intents that
-// referenced them. In this order, the next collection finds again whatever an
-// interrupted one left.
+// sweep deletes the candidates and then trims the roots and intents that referenced
+// them. If it is interrupted, the next collection finds the remaining objects through
+// the roots and intents that are not trimmed yet.
 func (c *collection) sweep(ctx context.Context) error {
 	for _, d := range slices.SortedFunc(maps.Keys(c.candidates), kqresource.Digest.Compare) {
 		err := c.deleter.Delete(ctx, ObjectKey(d), c.candidates[d])
@@ -202,7 +211,7 @@
 	return c.trimIntents(ctx)
 }
 
-// trimRoots reduces old roots to their metadata, such as author and reason. It
+// trimRoots reduces expired roots to their metadata, such as author and reason. It
 // goes from the oldest to the newest, because readRoots stops at the first
 // trimmed root.
 func (c *collection) trimRoots(ctx context.Context) error {
@@ -222,8 +231,9 @@
 	return nil
 }
 
-// trimIntents removes old intents from the index. Their records stay, without
-// the objects, so that a used request ID is recognized forever.
+// trimIntents removes expired intents from the index. Their records stay, without
+// the objects, so that a used request ID is recognized forever. An intent that a
+// repeated commit has renewed meanwhile is left as it is.
 func (c *collection) trimIntents(ctx context.Context) error {
 	if len(c.expiredIntents) == 0 {
 		return nil
--- a/internal/config/kqcommit/collect_test.go
+++ b/internal/config/kqcommit/collect_test.go
@@ -13,15 +13,16 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
-// A commit writes its objects and then loses the race for the root. Once they
-// are old enough, collection must delete its objects and those of replaced
-// versions, while the current document stays readable and the history keeps its
-// authors and reasons.
+// A commit writes its objects, but another one replaces the root first. Collection
+// must delete its objects and those of replaced versions once they are old enough;
+// otherwise they would stay in the platform forever. The current document must stay
+// readable, and the history must keep its authors and reasons.
 func TestCollectDeletesOrphansAndKeepsLiveObjects(t *testing.T) {
 	platform := kqfakestore.New()
 	mustCommit(t, platform, request("first", 0, document("store")))
 	raced := false
 	store := &hookedStore{Fake: platform, before: func(write int) {
+		// Write 3 is the first object, after the intent and its index.
 		if write == 3 && !raced {
 			raced = true
 			mustCommit(t, platform, request("second", 1, document("store", "yard")))
@@ -68,7 +69,7 @@
 	}
 }
 
-// staleIntentStore returns stale reads of intents, from before they were written.
+// staleIntentStore answers reads of intents as if none had been written yet.
 type staleIntentStore struct{ *kqfakestore.Fake }
 
 func (f staleIntentStore) Get(ctx context.Context, key string) (kqstore.Entry, error) {
@@ -89,6 +90,7 @@
 	mustCommit(t, platform, request("next", 1, document("store")))
 	var collected kqcommit.CollectStats
 	store := &hookedStore{Fake: platform, before: func(write int) {
+		// Write 6 is the swap of the root.
 		if write == 6 {
 			collected, _ = committer(staleIntentStore{platform}).CollectGarbage(t.Context(), platform, start.Add(90*time.Minute))
 		}
--- a/internal/config/kqcommit/commit.go
+++ b/internal/config/kqcommit/commit.go
@@ -20,19 +20,23 @@
 
 	// Committed means that the document took effect as Outcome.Version.
 	Committed Status = "committed"
-	// Conflict means that another commit won and this one will never take
-	// effect; Outcome.Difference holds the changes since the base.
+	// Conflict means that the current version is not the request's base and the
+	// commit will never take effect.
 	Conflict Status = "conflict"
-	// Unknown means that responses were lost and the result could not be
-	// determined; call ResolveOutcome, or repeat the commit with the same ID.
+	// Unknown means that the result could not be determined, for example because
+	// responses were lost, and the commit may still take effect. Call
+	// ResolveOutcome, or repeat the commit with the same ID.
 	Unknown Status = "unknown"
 
 	objectPrefix = "kumquatgw/object/"
 
+	// maxCommitAttempts bounds the attempts of a commit that garbage collection
+	// interrupts by rewriting the root, and maxSwapAttempts the swaps of one attempt.
 	maxCommitAttempts = 3
 	maxSwapAttempts   = 4
 	defaultBackoff    = 50 * time.Millisecond
-	maxTextBytes      = 1024
+	// maxTextBytes limits the author and the reason of a request.
+	maxTextBytes = 1024
 )
 
 var (
@@ -49,6 +53,8 @@
 	// ErrUnknownRequest means that no commit has been started with a request ID.
 	ErrUnknownRequest = namespace.NewType("not_begun").New("no commit was begun under this request id")
 
+	// errRootRewritten means that garbage collection rewrote the root, so that the
+	// swap of this attempt cannot take effect and its objects may have been deleted.
 	errRootRewritten = errors.New("root was rewritten during the commit")
 )
 
@@ -68,9 +74,11 @@
 		// ID is the idempotency key; each ID is committed at most once.
 		ID string
 		// Base is the version that the operator edited; 0 is the empty document.
-		Base     kqname.ConfigVersion
-		Author   string
-		Reason   string
+		Base   kqname.ConfigVersion
+		Author string
+		Reason string
+		// At is the time of the request. Garbage collection computes the ages of
+		// versions and intents from it.
 		At       time.Time
 		Document kqdocument.Document
 	}
@@ -79,10 +87,15 @@
 	Outcome struct {
 		Status    Status `json:"status"`
 		RequestID string `json:"request_id"`
-		// Version is the committed version or, with Conflict, the current one.
-		Version    kqname.ConfigVersion `json:"version"`
-		Problems   []kqdocument.Problem `json:"problems,omitempty"`
-		Difference []kqdocument.Change  `json:"difference,omitempty"`
+		// Version is the committed version, with Conflict the current one and with
+		// Unknown the one that the commit would create.
+		Version kqname.ConfigVersion `json:"version"`
+		// Problems accompanies ErrInvalid.
+		Problems []kqdocument.Problem `json:"problems,omitempty"`
+		// Difference is set by Commit with Conflict: the changes since the base or,
+		// if the base cannot be read, those from the current document to the
+		// request's. It is empty if the current document cannot be read.
+		Difference []kqdocument.Change `json:"difference,omitempty"`
 	}
 
 	// Committer commits documents. It keeps no state between calls.
@@ -96,17 +109,21 @@
 
 	// attempt is the state of one try to commit a request.
 	attempt struct {
-		request  Request
-		intent   intent
-		objects  kqresource.Objects
-		content  kqresource.Root
+		request Request
+		intent  intent
+		objects kqresource.Objects
+		// content is the root of the request's document, still without version,
+		// parent and the request's ID, author, reason and time.
+		content kqresource.Root
+		// base and revision are the current root and its revision, as read at the
+		// beginning of the attempt.
 		base     kqresource.Root
 		revision kqstore.Revision
 	}
 )
 
-// WithBackoff sets the delay before the first retry after a lost response or a
-// lost race; it grows linearly with each retry.
+// WithBackoff sets the delay before the first retry of a write that failed; the n-th
+// retry waits n times d, at most 4 times d.
 func WithBackoff(d time.Duration) Option { return func(c *Committer) { c.backoff = d } }
 
 // New returns a Committer that uses store.
@@ -121,9 +138,10 @@
 // ObjectKey returns the store key of an object.
 func ObjectKey(d kqresource.Digest) string { return objectPrefix + d.String() }
 
-// Commit validates the document and makes it the current version. An error (ErrInvalid,
-// ErrInvalidRequest, ErrRequestIDReused or one of kqstore's) means that this call has
-// committed nothing; otherwise the outcome is final or Unknown.
+// Commit validates the document and makes it the current version. An error, such as
+// ErrInvalid, ErrInvalidRequest, ErrRequestIDReused, kqresource.ErrTooLarge or one of
+// kqstore's, means that this call has committed nothing; otherwise the outcome is final
+// or Unknown.
 func (c *Committer) Commit(ctx context.Context, q Request) (Outcome, error) {
 	if err := q.check(); err != nil {
 		return Outcome{RequestID: q.ID}, err
@@ -159,17 +177,19 @@
 	}
 }
 
+// commitOnce makes one attempt to commit a request. It returns errRootRewritten if
+// another attempt is needed.
 func (c *Committer) commitOnce(ctx context.Context, a *attempt) (Outcome, error) {
 	content, err := contentDigest(a.content)
 	if err != nil {
 		return Outcome{}, err
 	}
-	known, found, err := c.lookupRequest(ctx, a.request.ID, content)
+	known, version, err := c.lookupRequest(ctx, a.request.ID, content)
 	if err != nil {
 		return Outcome{}, err
 	}
-	if found != 0 {
-		return a.committed(found), nil
+	if version != 0 {
+		return a.committed(version), nil
 	}
 	a.base, a.revision, err = c.Root(ctx)
 	if err != nil {
@@ -213,9 +233,9 @@
 	return Outcome{Status: Committed, RequestID: a.request.ID, Version: v}
 }
 
-// conflict returns an outcome with the changes since the operator's base or, if
-// the base can no longer be read, with those that the operator's document would
-// have made.
+// conflict returns an outcome with the changes since the request's base. If the base
+// cannot be read, it returns the changes from the current document to the request's,
+// and none if the current document cannot be read either.
 func (c *Committer) conflict(ctx context.Context, a *attempt) Outcome {
 	o := Outcome{Status: Conflict, RequestID: a.request.ID, Version: a.base.Version}
 	current, root, err := c.Document(ctx)
--- a/internal/config/kqcommit/commit_test.go
+++ b/internal/config/kqcommit/commit_test.go
@@ -75,7 +75,7 @@
 
 // The platform applies a write but its response is lost, for each write of a
 // commit in turn. A retry with the same ID must report the change as committed,
-// and the history must hold it once, not twice.
+// and the history must hold it once; otherwise operators could not safely retry.
 func TestAnswerLostAtEachWrite(t *testing.T) {
 	for n := 1; ; n++ {
 		platform := kqfakestore.New()
@@ -188,8 +188,8 @@
 	}
 }
 
-// The platform returns stale reads, from before the last write, after the response
-// to a write was lost. The outcome may be unknown but must never be wrong.
+// The response to a write is lost, and all later reads return the values from before
+// the last write of each key. The outcome may be unknown but must never be wrong.
 func TestOutcomeIsCorrectDespiteStaleReads(t *testing.T) {
 	platform := kqfakestore.New()
 	mustCommit(t, platform, request("first", 0, document("store")))
--- a/internal/config/kqcommit/history.go
+++ b/internal/config/kqcommit/history.go
@@ -27,8 +27,8 @@
 	Root kqresource.Root `cbor:"1,keyasint"`
 	// Digest is that of the complete root, also when Root has been trimmed.
 	Digest kqresource.Digest `cbor:"2,keyasint"`
-	// Trimmed is set once the version's objects have been collected; Root then
-	// keeps only the metadata, such as author and reason.
+	// Trimmed is set once collection has deleted the objects that only expired
+	// versions referenced; Root then keeps only metadata, such as author and reason.
 	Trimmed bool `cbor:"3,keyasint"`
 }
 
@@ -56,9 +56,9 @@
 	return d, root, err
 }
 
-// DocumentAt returns the document of a past version or the current one. It
-// returns kqstore.ErrNotFound for a version that never existed and ErrCollected
-// for one whose objects have been deleted.
+// DocumentAt returns the document of a past version or the current one; that of
+// version 0 is empty. It returns kqstore.ErrNotFound for a version that never existed
+// and ErrCollected for one whose objects have been deleted.
 func (c *Committer) DocumentAt(ctx context.Context, v kqname.ConfigVersion) (kqdocument.Document, error) {
 	current, _, err := c.Root(ctx)
 	if err != nil {
@@ -80,9 +80,10 @@
 	return c.joinDocument(ctx, historyRecord.Root)
 }
 
-// History returns up to limit versions, from the current one backwards. If a
-// record does not match the parent digest in its successor, it returns
-// ErrHistoryMismatch and the newer records.
+// History returns up to limit versions, but at least the current one, from which it
+// goes backwards. If an older record cannot be read, it returns the newer records with
+// the error, which is ErrHistoryMismatch if the record does not match the parent digest
+// in its successor.
 func (c *Committer) History(ctx context.Context, limit int) ([]HistoryRecord, error) {
 	root, _, err := c.Root(ctx)
 	if err != nil || root.Version == 0 {
@@ -138,17 +139,18 @@
 	return d, nil
 }
 
-// historyRecord reads the history record of a version and verifies it.
+// historyRecord reads the history record of a version and verifies its version and
+// digest. The digest of a trimmed record cannot be verified.
 func (c *Committer) historyRecord(ctx context.Context, v kqname.ConfigVersion) (HistoryRecord, error) {
 	var h HistoryRecord
 	if _, err := c.readValue(ctx, HistoryKey(v), &h); err != nil {
 		return HistoryRecord{}, fmt.Errorf("read version %d: %w", v, err)
 	}
-	whole, err := newHistoryRecord(h.Root)
+	recomputed, err := newHistoryRecord(h.Root)
 	if err != nil {
 		return HistoryRecord{}, fmt.Errorf("read version %d: %w", v, err)
 	}
-	if h.Root.Version != v || !h.Trimmed && whole.Digest != h.Digest {
+	if h.Root.Version != v || !h.Trimmed && recomputed.Digest != h.Digest {
 		return HistoryRecord{}, fmt.Errorf("read version %d: %w", v, ErrHistoryMismatch)
 	}
 	return h, nil
--- a/internal/config/kqcommit/intent.go
+++ b/internal/config/kqcommit/intent.go
@@ -13,32 +13,36 @@
 )
 
 const (
-	intentPrefix     = "kumquatgw/intent/"
-	intentIndexKey   = "kumquatgw/intents"
+	intentPrefix   = "kumquatgw/intent/"
+	intentIndexKey = "kumquatgw/intents"
+	// maxIndexAttempts bounds the attempts to add an intent to the index.
 	maxIndexAttempts = 20
 )
 
 type (
 	// intent records what a request is about to write. It binds the request ID
-	// to its content, and lists objects that no root may ever reference, so that
-	// the collector can find them.
+	// to its content and lists the objects, since otherwise the collector could not
+	// find those of a commit that never took effect.
 	intent struct {
-		ID      string                 `cbor:"1,keyasint"`
-		Content kqresource.Digest      `cbor:"2,keyasint"`
-		Bases   []kqname.ConfigVersion `cbor:"3,keyasint"`
-		At      time.Time              `cbor:"4,keyasint"`
-		Objects []kqresource.Digest    `cbor:"5,keyasint"`
+		ID      string            `cbor:"1,keyasint"`
+		Content kqresource.Digest `cbor:"2,keyasint"`
+		// Bases holds the base of each commit that was begun with this ID.
+		Bases []kqname.ConfigVersion `cbor:"3,keyasint"`
+		// At is the time of the latest request with this ID.
+		At      time.Time           `cbor:"4,keyasint"`
+		Objects []kqresource.Digest `cbor:"5,keyasint"`
 	}
 
 	// intentIndex holds the time of each request by its ID, because the platform
-	// cannot list the keys of the intents.
+	// cannot list the keys of the intents. The collector removes expired ones.
 	intentIndex struct {
 		Intents map[string]time.Time `cbor:"1,keyasint"`
 	}
 )
 
 // lookupRequest returns the intent of a request ID, empty if there is none, and
-// the version that it was committed as, or 0.
+// the version that it was committed as, or 0. It returns ErrRequestIDReused if the
+// intent is for other content.
 func (c *Committer) lookupRequest(ctx context.Context, id string, content kqresource.Digest) (intent, kqname.ConfigVersion, error) {
 	known, _, err := c.readIntent(ctx, id)
 	if errors.Is(err, kqstore.ErrNotFound) {
@@ -54,8 +58,8 @@
 	if err != nil {
 		return intent{}, 0, err
 	}
-	found, err := c.findVersion(ctx, known, current)
-	return known, found, err
+	version, err := c.findVersion(ctx, known, current)
+	return known, version, err
 }
 
 func (c *Committer) readIntent(ctx context.Context, id string) (intent, kqstore.Revision, error) {
@@ -147,7 +151,7 @@
 }
 
 // contentDigest returns the digest of a document's content, independent of the
-// author and time of the commit.
+// version, author, reason and time of the commit.
 func contentDigest(r kqresource.Root) (kqresource.Digest, error) {
 	data, err := kqresource.Encode(kqresource.Root{Hosts: r.Hosts, Services: r.Services, Ownership: r.Ownership})
 	if err != nil {
--- a/internal/config/kqcommit/race_test.go
+++ b/internal/config/kqcommit/race_test.go
@@ -32,9 +32,11 @@
 type turnStore struct {
 	*kqfakestore.Fake
 	turn, done chan struct{}
-	lose       *bool
+	// lose makes the store lose the response to a write in this turn.
+	lose *bool
 }
 
+// awaitTurn waits for the participant's turn and returns a function that ends it.
 func (p *turnStore) awaitTurn() func() {
 	<-p.turn
 	if *p.lose {
@@ -117,7 +119,8 @@
 	})
 }
 
-// check checks the current document, the history and each outcome against it.
+// check verifies that the current document and the history are readable, and compares
+// each outcome with the history.
 func check(t *rapid.T, platform *kqfakestore.Fake, outcomes []kqcommit.Outcome, errs []error) {
 	ctx := context.Background()
 	if _, root, err := committer(platform).Document(ctx); err != nil {
--- a/internal/config/kqcommit/settle.go
+++ b/internal/config/kqcommit/settle.go
@@ -14,7 +14,8 @@
 // swapRoot replaces the root and resolves lost responses. An unchanged root does
 // not prove that the swap failed, since it may still be in flight. The same swap
 // is therefore retried: whichever of the two is applied first makes the other
-// fail on its revision, so the commit takes effect at most once.
+// fail on its revision, so the commit takes effect at most once. The outcome is
+// Unknown if maxSwapAttempts tries do not resolve it.
 func (c *Committer) swapRoot(ctx context.Context, a *attempt) (Outcome, error) {
 	data, err := a.encodeRoot()
 	if err != nil {
@@ -39,7 +40,8 @@
 	return Outcome{Status: Unknown, RequestID: a.request.ID, Version: a.request.Base + 1}, nil
 }
 
-// resolveSwap reads the root and reports whether it shows how the swap ended.
+// resolveSwap reads the root and reports whether it shows how the swap ended. It
+// returns errRootRewritten if a new attempt is needed.
 func (c *Committer) resolveSwap(ctx context.Context, a *attempt) (Outcome, bool, error) {
 	current, revision, err := c.Root(ctx)
 	switch {
@@ -66,9 +68,11 @@
 	}
 }
 
-// ResolveOutcome returns the outcome of an earlier commit whose response was lost. It
-// returns ErrUnknownRequest for an ID that has not been used, and kqstore's errors if
-// the platform is unavailable; the call can then be retried.
+// ResolveOutcome returns the outcome of an earlier commit whose response was lost,
+// without its Difference. The outcome is Unknown while a base of the commit is still
+// the current version, since a swap may be in flight. ResolveOutcome returns
+// ErrUnknownRequest for an ID that has not been used, and kqstore's errors if the
+// platform is unavailable; the call can then be retried.
 func (c *Committer) ResolveOutcome(ctx context.Context, id string) (Outcome, error) {
 	known, _, err := c.readIntent(ctx, id)
 	if errors.Is(err, kqstore.ErrNotFound) {
