--- a/internal/config/kqorigin/doc.go
+++ b/internal/config/kqorigin/doc.go
@@ -1,5 +1,10 @@
 // Package kqorigin builds configuration versions from keys that operators write
 // directly to the store: a whole document, and separate rollout orders. It replaces
-// commits where operators do not use this program's console. Every node that reads
-// the same keys builds the same root and objects, so that peers can exchange objects.
+// kqcommit where operators do not use this program's console and API, and writes
+// nothing to the store. Nodes that accept the same entries build the same objects, so
+// that peers can exchange them.
+//
+// The version of a root is the store revision of the newest entry that was applied, or
+// of the listing that showed the deletion of an order, if that is higher. The operators'
+// own number for a document serves only to refuse older documents.
 package kqorigin
--- a/internal/config/kqorigin/errors.go
+++ b/internal/config/kqorigin/errors.go
@@ -7,6 +7,8 @@
 	// sentinels, so they carry no stack trace.
 	namespace = errorx.NewNamespace("kqorigin").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
+	// errNotNewer means that the operators' number for a document does not exceed that
+	// of the current one.
 	errNotNewer = namespace.NewType("old").New("not newer than the current document")
 	errInvalid  = namespace.NewType("invalid").New("document is invalid")
 )
--- a/internal/config/kqorigin/origin.go
+++ b/internal/config/kqorigin/origin.go
@@ -21,16 +21,20 @@
 )
 
 const (
+	// watchWait is how long one watch waits for a change.
 	watchWait = 20 * time.Second
-	// pollInterval is the mean pause between two polls of one follower, and pollJitter
-	// the largest deviation from it. A store can leave all watches silent for seconds;
-	// even then, in 99 of 100 cases, at least one of three followers that reach the
-	// store polls within two seconds. The store gets 0.4 calls per second and
-	// follower, regardless of the size of the fleet.
+	// pollInterval is the mean pause between two polls of one follower, which is a node
+	// that runs an Origin, and pollJitter the largest deviation from it. A store can
+	// leave all watches silent for seconds; even then, in 99 of 100 cases, at least one
+	// of three followers that reach the store polls within two seconds. The store gets
+	// 0.4 calls per second and follower. The number of followers does not grow with the
+	// fleet.
 	pollInterval = 2500 * time.Millisecond
 	pollJitter   = 500 * time.Millisecond
-	minBackoff   = 100 * time.Millisecond
-	maxBackoff   = time.Second
+	// The pause after a failed list or watch is random, up to a limit that doubles from
+	// minBackoff to maxBackoff with each failure in a row.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = time.Second
 	// maxKeptVersions is the number of versions whose objects are kept for peers that
 	// lag behind.
 	maxKeptVersions = 4
@@ -41,11 +45,11 @@
 	Decoder interface {
 		// Prefix returns the common prefix of the operators' keys.
 		Prefix() string
-		// Document decodes an entry that holds the document and its version. It
-		// returns false for other entries.
+		// Document decodes an entry that holds the document and its version. The bool
+		// reports whether the entry has the document's key, also with an error.
 		Document(e kqstore.Entry) (kqdocument.Document, kqname.ConfigVersion, bool, error)
-		// Order decodes an entry that holds a rollout order. It returns false for
-		// other entries.
+		// Order decodes an entry that holds a rollout order. The bool reports whether
+		// the entry has the key of an order, also with an error.
 		Order(e kqstore.Entry) (kqdocument.Rollout, bool, error)
 	}
 
@@ -61,18 +65,23 @@
 		mu              sync.Mutex
 		document        kqdocument.Document
 		documentVersion kqname.ConfigVersion
-		orders          map[string]kqdocument.Rollout
+		// orders holds the rollout orders by their keys.
+		orders map[string]kqdocument.Rollout
 		// seenRevisions maps each key to the revision that was processed last.
 		seenRevisions map[string]kqstore.Revision
-		revision      kqstore.Revision
-		root          kqresource.Root
-		objects       []kqresource.Objects
+		// revision is that of the newest entry that was applied or, if higher, of the
+		// listing that showed the deletion of an order. It becomes the version of the next
+		// root.
+		revision kqstore.Revision
+		root     kqresource.Root
+		// objects holds the objects of recent versions, the newest first.
+		objects []kqresource.Objects
 	}
 )
 
 // New returns an Origin. onRoot is called with the root of each version, onRefused
-// once for each entry or combination of entries that is rejected, and onFailure for
-// each failed call to the store.
+// with the key of each entry that is rejected, or with the decoder's prefix if the
+// entries are invalid together, and onFailure for each failed call to the store.
 func New(store kqstore.Lister, decoder Decoder, onRoot func(context.Context, kqresource.Root),
 	onRefused func(key string, err error), onFailure func(error),
 ) *Origin {
@@ -91,8 +100,8 @@
 	group.Wait()
 }
 
-// Fetch returns objects of recent versions. If it does not hold all of them, it lists
-// the keys again.
+// Fetch returns the wanted objects that belong to a recent version. If some are
+// missing, it lists the keys again; the result may still lack some.
 func (o *Origin) Fetch(ctx context.Context, wanted []kqresource.Digest) (kqresource.Objects, error) {
 	if found := o.BuiltObjects(wanted); len(found) == len(wanted) {
 		return found, nil
@@ -143,8 +152,8 @@
 	}
 }
 
-// watchOnce applies the next change and returns the revision to watch from, or 0 if
-// the keys must be listed again.
+// watchOnce waits for changes, applies them and returns the revision to watch from, or
+// 0 if the keys must be listed again.
 func (o *Origin) watchOnce(ctx context.Context, after kqstore.Revision) (kqstore.Revision, error) {
 	l, err := o.store.Follow(ctx, o.decoder.Prefix(), after, watchWait)
 	switch {
@@ -179,7 +188,8 @@
 	return err
 }
 
-// listAndApply applies all entries and returns the revision to watch from.
+// listAndApply lists and applies all entries and returns the revision to watch from,
+// which is at least 1, since 0 makes watchLoop list the keys again.
 func (o *Origin) listAndApply(ctx context.Context) (kqstore.Revision, error) {
 	l, err := o.store.List(ctx, o.decoder.Prefix())
 	if err != nil {
@@ -217,6 +227,7 @@
 	}
 	for key := range o.orders {
 		removed := slices.Contains(l.Deleted, key)
+		// A listing that is older than the order does not show that it was deleted.
 		if complete && l.Revision > o.seenRevisions[key] {
 			removed = !slices.ContainsFunc(l.Entries, func(e kqstore.Entry) bool { return e.Key == key })
 		}
@@ -232,8 +243,9 @@
 	return o.root, o.root.Version > 0
 }
 
-// acceptEntry applies one entry and reports whether it did. An entry that is rejected
-// leaves the current document and orders unchanged.
+// acceptEntry applies one entry and reports whether it did. An entry that is rejected,
+// or is neither a document nor an order, leaves the current document and orders
+// unchanged.
 func (o *Origin) acceptEntry(e kqstore.Entry) bool {
 	d, documentVersion, ok, err := o.decoder.Document(e)
 	if ok {
@@ -262,7 +274,8 @@
 }
 
 // buildVersion builds the root and the objects of the current document and orders. It
-// returns false if they are invalid together or cannot be split into objects.
+// returns false and keeps the previous root if they are invalid together or cannot be
+// split into objects.
 func (o *Origin) buildVersion() bool {
 	d := o.document
 	known := make(map[kqname.Service]bool, len(d.Services))
--- a/internal/config/kqorigin/origin_test.go
+++ b/internal/config/kqorigin/origin_test.go
@@ -30,7 +30,7 @@
 		Document kqdocument.Document
 	}
 
-	// testOrigin is an Origin on a stand-in store, with the roots that it published and
+	// testOrigin is an Origin on a fake store, with the roots that it published and
 	// the keys that it refused.
 	testOrigin struct {
 		*kqorigin.Origin
@@ -159,8 +159,9 @@
 	await(t, "second document is published", func() bool { n, _ := s.count(); return n == 2 })
 }
 
-// An order is written before the document has its service, and deleted later. It must
-// take effect once the document has the service, and disappear after its deletion.
+// A rollout order is written before the document has its service, and deleted later.
+// It must take effect once the document has the service, and disappear after its
+// deletion; otherwise a rollout would never start, or never stop.
 func TestOrderWaitsForItsService(t *testing.T) {
 	s := start(t)
 	s.write(t, "o/order/b", kqdocument.Rollout{Name: "x", Team: "t", Service: "b", To: "v2", Policy: "p", DurationMS: 5000})
