--- a/internal/config/kqdelta/delta.go
+++ b/internal/config/kqdelta/delta.go
@@ -25,7 +25,8 @@
 	RemovedServices []kqname.Service `cbor:"5,keyasint,omitempty"`
 }
 
-// Between returns the delta from old to next. The digests are those of the two roots.
+// Between returns the delta from old to next, whose digests are oldDigest and
+// nextDigest.
 func Between(old, next kqresource.Root, oldDigest, nextDigest kqresource.Digest) Delta {
 	d := Delta{Base: oldDigest, Result: nextDigest, Changed: next}
 	d.Changed.Hosts, d.RemovedHosts = diffMaps(old.Hosts, next.Hosts, equalParts)
@@ -39,17 +40,17 @@
 // node can hold a mixture of roots.
 func (d Delta) Apply(old kqresource.Root, digest kqresource.Digest) (kqresource.Root, []byte, error) {
 	if digest != d.Base {
-		return kqresource.Root{}, nil, fmt.Errorf("apply delta to version %d: %w", d.Changed.Version, ErrWrongBase)
+		return kqresource.Root{}, nil, fmt.Errorf("apply delta that yields version %d: %w", d.Changed.Version, ErrWrongBase)
 	}
 	next := d.Changed
 	next.Hosts = mergeMaps(old.Hosts, d.Changed.Hosts, d.RemovedHosts)
 	next.Services = mergeMaps(old.Services, d.Changed.Services, d.RemovedServices)
 	data, err := kqresource.Encode(next)
 	if err != nil {
-		return kqresource.Root{}, nil, fmt.Errorf("apply delta to version %d: %w", next.Version, err)
+		return kqresource.Root{}, nil, fmt.Errorf("apply delta that yields version %d: %w", next.Version, err)
 	}
 	if kqresource.DigestOf(data) != d.Result {
-		return kqresource.Root{}, nil, fmt.Errorf("apply delta to version %d: %w", next.Version, kqresource.ErrDigestMismatch)
+		return kqresource.Root{}, nil, fmt.Errorf("apply delta that yields version %d: %w", next.Version, kqresource.ErrDigestMismatch)
 	}
 	return next, data, nil
 }
@@ -75,7 +76,7 @@
 	return changed, removed
 }
 
-// mergeMaps returns old without the removed keys and with the changed entries.
+// mergeMaps returns old without the removed keys and with the new and changed entries.
 func mergeMaps[K comparable, V any](old, changed map[K]V, removed []K) map[K]V {
 	result := make(map[K]V, len(old)+len(changed))
 	maps.Copy(result, old)
--- a/internal/config/kqdelta/delta_test.go
+++ b/internal/config/kqdelta/delta_test.go
@@ -11,8 +11,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// root returns a root with a host and a service for each given mark, which determines
-// their digests.
+// root returns a root with a host and a service for each given mark. The mark
+// determines their digests.
 func root(t testing.TB, version int, marks ...int) (kqresource.Root, kqresource.Digest, []byte) {
 	t.Helper()
 	r := kqresource.Root{
@@ -30,6 +30,9 @@
 	return r, kqresource.DigestOf(data), data
 }
 
+// Hosts and services are changed, removed and added between two roots, or neither. The
+// delta applied to the older root must give exactly the bytes of the newer one;
+// otherwise a node would have to pull the whole root.
 func TestAppliedDeltaGivesNewerRoot(t *testing.T) {
 	old, oldDigest, _ := root(t, 3, 1, 2, 3, 4)
 	for _, marks := range [][]int{{1, 2, 3, 4}, {1, 9, 3, 4}, {1, 2}, {1, 2, 3, 4, 5, 6}, nil} {
