--- a/internal/config/kqdistribute/apply.go
+++ b/internal/config/kqdistribute/apply.go
@@ -12,6 +12,8 @@
 )
 
 const (
+	// The pause after a version could not be applied is random, up to a limit that
+	// doubles from minBackoff to maxBackoff with each failure in a row.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 5 * time.Second
 	// startPollInterval is how often a starting node checks whether it may apply its
@@ -71,8 +73,8 @@
 	return applyCtx, d.newest()
 }
 
-// waitForApply waits until there may be a root to apply, for at most maxWait unless
-// that is 0.
+// waitForApply waits until there may be a root to apply. It waits for at most maxWait,
+// where 0 sets no limit.
 func (d *Distributor) waitForApply(ctx context.Context, maxWait time.Duration) {
 	var timeout <-chan time.Time
 	if maxWait > 0 {
--- a/internal/config/kqdistribute/distribute.go
+++ b/internal/config/kqdistribute/distribute.go
@@ -30,7 +30,7 @@
 )
 
 type (
-	// Replica applies versions.
+	// Replica applies versions, for which it fetches the objects that it lacks.
 	Replica interface {
 		ApplyRoot(ctx context.Context, root kqresource.Root) error
 	}
@@ -40,8 +40,8 @@
 		Neighbours() []kqmember.Member
 	}
 
-	// Budget limits bulk transfers. Delay returns how long one must wait, 0 if it
-	// may be sent now.
+	// Budget limits bulk transfers. Delay returns how long a transfer must wait, or 0
+	// if it may be sent now.
 	Budget interface {
 		Delay(now time.Time) time.Duration
 	}
@@ -57,16 +57,19 @@
 		onFailure func(version kqname.ConfigVersion, err error)
 		group     conc.WaitGroup
 
-		mu               sync.Mutex
-		roots            []rootRecord
-		hints            map[kqname.Address]hint
+		mu sync.Mutex
+		// roots holds the newest roots in ascending order of their versions.
+		roots []rootRecord
+		hints map[kqname.Address]hint
+		// answeredPeers holds the failure domains of the peers that have answered before
+		// the node started to apply versions; started is set once it may do so.
 		answeredPeers    map[kqname.Node]kqname.Domain
 		platformAnswered bool
 		started          bool
 		pullWake         chan struct{}
 		applyWake        chan struct{}
 		// cancelApply cancels the apply in flight at once; startSupersedeGrace starts the
-		// time supersedeGrace, after which it is cancelled.
+		// timer that cancels it after supersedeGrace.
 		cancelApply, startSupersedeGrace func()
 	}
 
@@ -77,8 +80,8 @@
 		data   []byte
 	}
 
-	// hint is the version that a peer reported to hold and, if it was busy, the time
-	// after which it may be called again.
+	// hint is the version whose root a peer reported to hold and, if the peer refused a
+	// pull because it was busy, the time after which it may be called again.
 	hint struct {
 		version    kqname.ConfigVersion
 		retryAfter time.Time
@@ -86,8 +89,8 @@
 )
 
 // New returns a Distributor that serves peers on server and calls them through
-// client. onFailure is called for each version that could not be applied, encoded or
-// built from a delta.
+// client. onFailure is called for each failure to apply or encode a version, or to build
+// it from a delta.
 func New(server *kqrpc.Server, client *kqrpc.Client, table *kqmember.Table, overlay Overlay, budget Budget,
 	replica Replica, onFailure func(kqname.ConfigVersion, error),
 ) *Distributor {
@@ -116,8 +119,8 @@
 	return d.newest().root.Version
 }
 
-// VersionSeen records that a peer reports to hold a version, and triggers a pull if the
-// version is newer than this node's.
+// VersionSeen records that a peer reports to hold a version, and triggers a pull. It
+// ignores versions that are not newer than this node's.
 func (d *Distributor) VersionSeen(v kqname.ConfigVersion, from kqname.Address) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -130,8 +133,8 @@
 	wake(d.pullWake)
 }
 
-// PeerAnswered records that a peer has answered; a starting node needs such answers
-// before it applies its first version.
+// PeerAnswered records that a peer has answered; unless the platform answers, a
+// starting node needs such answers before it applies its first version.
 func (d *Distributor) PeerAnswered(n kqname.Node, _ kqname.ConfigVersion) {
 	m, ok := d.table.Find(n)
 	if !ok {
@@ -145,7 +148,8 @@
 	}
 }
 
-// AcceptRoot adds a root that was read from the platform.
+// AcceptRoot adds a root that was read from the platform, or built from what was read
+// there, and records that the platform has answered.
 func (d *Distributor) AcceptRoot(ctx context.Context, root kqresource.Root) {
 	data, err := kqresource.Encode(root)
 	if err != nil {
@@ -159,7 +163,7 @@
 	d.addRoot(ctx, rootRecord{root: root, digest: kqresource.DigestOf(data), data: data}, "")
 }
 
-// addRoot adds a root that is newer than all held, and pushes it at once, so that
+// addRoot adds a root if it is newer than all held, and pushes it at once, so that
 // neighbours need not wait until this node has fetched its objects.
 func (d *Distributor) addRoot(ctx context.Context, r rootRecord, from kqname.Address) {
 	d.mu.Lock()
@@ -171,9 +175,9 @@
 	if len(d.roots) > maxRoots {
 		d.roots = append([]rootRecord(nil), d.roots[len(d.roots)-maxRoots:]...)
 	}
-	for to, h := range d.hints {
+	for peer, h := range d.hints {
 		if h.version <= r.root.Version {
-			delete(d.hints, to)
+			delete(d.hints, peer)
 		}
 	}
 	d.startSupersedeGrace()
@@ -190,7 +194,10 @@
 	return d.roots[len(d.roots)-1]
 }
 
-// isStarting reports whether the node must not apply its first version yet.
+// isStarting reports whether the node must not apply its first version yet, and records
+// it in started once the node may. The node first pulls each newer version that a peer
+// has reported, unless that peer was busy, and then needs the answers that
+// kqstart.Evidence requires.
 func (d *Distributor) isStarting() bool {
 	known := make(map[kqname.Node]kqname.Domain)
 	self := d.table.Self().Node
--- a/internal/config/kqdistribute/exchange.go
+++ b/internal/config/kqdistribute/exchange.go
@@ -18,6 +18,7 @@
 )
 
 type (
+	// push announces a version to a neighbour.
 	push struct {
 		Version kqname.ConfigVersion `cbor:"1,keyasint"`
 		Digest  kqresource.Digest    `cbor:"2,keyasint"`
@@ -29,10 +30,11 @@
 		Held kqresource.Digest `cbor:"1,keyasint"`
 	}
 
+	// rootAnswer is empty if the peer holds no root.
 	rootAnswer struct {
 		Version kqname.ConfigVersion `cbor:"1,keyasint"`
 		// Whole is the encoded root; alternatively, Delta is its difference from the
-		// root that the caller holds.
+		// root that the request named.
 		Whole []byte         `cbor:"2,keyasint,omitempty"`
 		Delta *kqdelta.Delta `cbor:"3,keyasint,omitempty"`
 		// RetryAfterMS is set, and nothing else, if the peer is over its send budget: the
@@ -43,7 +45,8 @@
 	empty struct{}
 )
 
-// push sends the version to the neighbours that lack it, except the one it came from.
+// push announces a version to the neighbours that have not reported to have applied it
+// or a newer one, except the one it came from.
 func (d *Distributor) push(ctx context.Context, r rootRecord, from kqname.Address) {
 	if ctx.Err() != nil {
 		return
@@ -69,6 +72,9 @@
 	return empty{}, nil
 }
 
+// handleRoot answers with a delta from the root that the request names or, if this node
+// does not hold that one, with the whole root. Only whole roots are subject to the
+// budget.
 func (d *Distributor) handleRoot(_ context.Context, _ kqname.Node, q rootRequest) (rootAnswer, error) {
 	d.mu.Lock()
 	roots := d.roots
@@ -109,28 +115,29 @@
 	}
 }
 
-// choosePeer returns the peer with the highest version above this node's; if there is
-// none, ok is false and wait is the time until a busy one may be called again.
+// choosePeer returns the peer with the highest version above this node's. If there is
+// none, ok is false and wait is the time until a busy peer may be called again, or 0 if
+// none is busy.
 func (d *Distributor) choosePeer(now time.Time) (from kqname.Address, wait time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var best kqname.ConfigVersion
-	for to, h := range d.hints {
+	for peer, h := range d.hints {
 		switch {
 		case h.version <= d.newest().root.Version:
-			delete(d.hints, to)
+			delete(d.hints, peer)
 		case h.retryAfter.After(now):
 			if left := h.retryAfter.Sub(now); wait == 0 || left < wait {
 				wait = left
 			}
 		case h.version > best:
-			from, best, ok = to, h.version, true
+			from, best, ok = peer, h.version, true
 		}
 	}
 	return from, wait, ok
 }
 
-// pullFrom pulls the newest root of a peer.
+// pullFrom pulls the newest root of a peer and adds it.
 func (d *Distributor) pullFrom(ctx context.Context, from kqname.Address) {
 	d.mu.Lock()
 	old := d.newest()
