--- a/internal/config/kqsnapshot/build.go
+++ b/internal/config/kqsnapshot/build.go
@@ -28,10 +28,11 @@
 func WithPrevious(s *Snapshot) BuildOption { return func(b *builder) { b.previous = s } }
 
 // Build builds the snapshot of a root, which names every object of one version, for the
-// given hosts and services and the services that the hosts' routes name. If objects
-// are missing, it returns ErrIncomplete and their digests; if the content violates the rules of
-// kqdocument.Validate, ErrInvalid. Hosts and services that the root does not name
-// are skipped.
+// given hosts and services and the services that the hosts' routes name. If objects are
+// missing, it returns ErrIncomplete and their digests. It returns ErrInvalid if an
+// object is malformed or belongs to another host or service, if a route names a service
+// that the root lacks, or if the content violates the rules of kqdocument.Validate.
+// Given hosts and services that the root lacks are skipped.
 func Build(root kqresource.Root, objects kqresource.Objects, hosts []kqname.Host, services []kqname.Service, options ...BuildOption) (*Snapshot, []kqresource.Digest, error) {
 	b := &builder{
 		objects:  objects,
@@ -67,7 +68,8 @@
 	return b.snapshot, nil, nil
 }
 
-// addHost adds a host's index, or the digests of its missing objects to b.missing.
+// addHost adds a host's index, or the digests of its missing objects to b.missing. It
+// skips a host that the root lacks.
 func (b *builder) addHost(name kqname.Host) error {
 	parts, ok := b.snapshot.root.Hosts[name]
 	if !ok {
@@ -100,8 +102,8 @@
 	return b.index(name, newIndex(decoded))
 }
 
-// decodePart decodes the object of one of a host's parts, each of which holds some of
-// its routes, and checks that it is for that host.
+// decodePart decodes an object that holds some of a host's routes, and checks that it
+// belongs to that host.
 func decodePart(name kqname.Host, data []byte) ([]kqdocument.Route, error) {
 	var h kqresource.Host
 	if err := kqresource.Decode(data, &h); err != nil {
--- a/internal/config/kqsnapshot/index.go
+++ b/internal/config/kqsnapshot/index.go
@@ -9,15 +9,16 @@
 )
 
 // index finds a host's routes by path prefix. Instead of a comparison with each of
-// possibly hundreds of routes, a call costs one map lookup per distinct prefix
-// length.
+// possibly hundreds of routes, a call costs one map lookup per distinct prefix length
+// and a comparison with the routes of the prefixes that match.
 type index struct {
 	// parts holds the decoded routes by the digest of the object that contains them:
 	// a host's routes may be split over several objects. The next version reuses
 	// most of them.
 	parts map[kqresource.Digest][]kqdocument.Route
-	// lengths are those of the prefixes, longest first.
-	lengths  []int
+	// lengths are the distinct lengths of the prefixes, longest first.
+	lengths []int
+	// prefixes holds the routes by their prefix, the most specific first.
 	prefixes map[string][]kqdocument.Route
 }
 
--- a/internal/config/kqsnapshot/index_test.go
+++ b/internal/config/kqsnapshot/index_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// BenchmarkMatch measures the worst case: all 2,000 routes of 89 services on one host.
+// BenchmarkMatch matches in the worst case: all 2,000 routes of 89 services on one host.
 func BenchmarkMatch(b *testing.B) {
 	var routes []kqdocument.Route
 	for i := range 2000 {
--- a/internal/config/kqsnapshot/snapshot.go
+++ b/internal/config/kqsnapshot/snapshot.go
@@ -39,7 +39,7 @@
 	}
 )
 
-// Version returns the snapshot's configuration version; the empty one is 0.
+// Version returns the snapshot's configuration version, which is 0 for an empty one.
 func (s *Snapshot) Version() kqname.ConfigVersion { return s.root.Version }
 
 // Root returns the root that the snapshot was built from.
