--- a/internal/config/kqfetch/fetch.go
+++ b/internal/config/kqfetch/fetch.go
@@ -26,7 +26,7 @@
 	// hedgeDelay is the time after which a hedged call to the next peer is started,
 	// and ownerTimeout how long a reader waits for the other readers before it reads
 	// from the platform itself. A partitioned peer is detected only after some
-	// seconds: called one after the other, two of them would keep a node on an old
+	// seconds: without hedged calls, two such peers would keep a node on an old
 	// version for twice peerTimeout. An answer takes 2 to 200 ms, the longest over a
 	// link of 10 Mbit/s.
 	hedgeDelay   = 250 * time.Millisecond
@@ -35,19 +35,20 @@
 	// maxPeerPasses bounds how often the list of peers is tried while some of them
 	// are busy, before the platform is called.
 	maxPeerPasses = 3
-	// maxAnswerBytes bounds the objects of one answer, which has at least one; the
-	// caller requests the rest again.
+	// maxAnswerBytes bounds the total size of the objects in one answer, except that
+	// the first object is sent whatever its size. The caller requests the rest again.
 	maxAnswerBytes = 256 << 10
 	// readerBurst and burst are the token bucket sizes, in platform calls, of a
 	// reader and of any other node.
 	readerBurst = 32
 	burst       = 4
-	// assumedReaders is the least number of readers that a reader divides the rate
-	// by. After many nodes restart together, no reader knows of any other, and each
-	// would otherwise use the readers' whole rate.
+	// assumedReaders is the least number of readers that a reader divides the readers'
+	// rate by. After many nodes restart together, no reader knows of any other, and
+	// each would otherwise use the whole of it.
 	assumedReaders = 8
-	// recent is the number of objects last read from the platform that are cached,
-	// to serve peers before the replica holds them.
+	// recent is the largest number of objects in the field recent of a Fetcher. It
+	// caches those last read from the platform, to serve peers before the replica
+	// holds them.
 	recent = 32
 	// maxOtherPeers bounds how many readers of other failure domains and how many
 	// peers of the same service are called.
@@ -67,7 +68,8 @@
 		Fetch(ctx context.Context, wanted []kqresource.Digest) (kqresource.Objects, error)
 	}
 
-	// LocalConfig gives the objects and the hosts that this node holds.
+	// LocalConfig returns the objects that this node holds and the hosts that its
+	// traffic uses, the most recently used first.
 	LocalConfig interface {
 		Object(d kqresource.Digest) ([]byte, bool)
 		Hosts() []kqname.Host
@@ -79,18 +81,19 @@
 		BuiltObjects(wanted []kqresource.Digest) kqresource.Objects
 	}
 
-	// Budget limits bulk transfers. Delay returns how long one must wait, 0 if it
-	// may be sent now.
+	// Budget limits bulk transfers. Delay returns how long a transfer must wait, or 0
+	// if it may be sent now.
 	Budget interface {
 		Delay(now time.Time) time.Duration
 	}
 
 	// Fetcher fetches objects. It is safe for concurrent use.
 	//
-	// The rate of platform calls is limited for the whole fleet: the readers divide
-	// half of it by their number, and all other nodes the other half by the number
-	// of members, so that neither many new nodes at once nor a growing fleet can
-	// exceed it.
+	// The rate of platform calls is limited for the whole fleet. A reader uses half of
+	// it divided by the number of readers, but at least by assumedReaders; any other
+	// node uses half of it divided by the number of members, but at least by the
+	// expected number of nodes. Apart from bursts, neither many new nodes at once nor
+	// a growing fleet can therefore exceed the rate.
 	Fetcher struct {
 		client        *kqrpc.Client
 		table         *kqmember.Table
@@ -102,16 +105,19 @@
 		// builder is set if the platform returns all objects of a version in one call.
 		builder ObjectBuilder
 
-		mu    sync.Mutex
+		mu sync.Mutex
+		// local is set before peers are served and then only read; mu guards the
+		// fields below it.
 		local LocalConfig
-		// wholeRead is the read in flight of all objects of a version.
+		// wholeRead is the read in flight of all objects of a version, or nil.
 		wholeRead   *sharedRead
 		reads       map[kqresource.Digest]*sharedRead
 		recent      map[kqresource.Digest][]byte
 		recentOrder []kqresource.Digest
 	}
 
-	// sharedRead is a platform read in flight that several callers wait for.
+	// sharedRead is a platform read in flight that several callers wait for. data is
+	// set only for the read of a single object.
 	sharedRead struct {
 		done chan struct{}
 		data []byte
@@ -153,7 +159,8 @@
 // stay on an old version for seconds while it serves newer ones.
 func (f *Fetcher) UseBuilder(b ObjectBuilder) { f.builder = b }
 
-// ServeFrom sets the local configuration that is served to peers.
+// ServeFrom sets the local configuration that is served to peers. It must be called
+// before the server accepts connections.
 func (f *Fetcher) ServeFrom(l LocalConfig) { f.local = l }
 
 // Fetch returns all wanted objects, or those found and an error.
@@ -181,7 +188,8 @@
 
 // fetchAsReader fetches each object from the reader that owns it by rendezvous
 // hashing, so that all readers together read each object from the platform about
-// once.
+// once. It reads from the platform the objects that this node owns and those that
+// their owner did not return in time.
 func (f *Fetcher) fetchAsReader(ctx context.Context, self kqname.Node, wanted []kqresource.Digest, found kqresource.Objects) error {
 	readers := f.readers()
 	owned := make(map[kqname.Address][]kqresource.Digest)
@@ -216,8 +224,9 @@
 	return f.fetchFromPlatform(ctx, missing(wanted, found), found)
 }
 
-// answer returns the requested objects that this node holds; a reader also fetches
-// missing ones from the platform.
+// answer returns the requested objects that this node holds, up to maxAnswerBytes; a
+// reader also fetches missing ones from the platform. A node that is over its send
+// budget returns only a retry delay.
 func (f *Fetcher) answer(ctx context.Context, _ kqname.Node, q request) (answer, error) {
 	if wait := f.budget.Delay(time.Now()); wait > 0 {
 		return answer{RetryAfterMS: wait.Milliseconds() + 1}, nil
@@ -251,7 +260,8 @@
 	return a, nil
 }
 
-// fetchFromPlatform adds the wanted objects to found, or returns an error.
+// fetchFromPlatform reads the wanted objects from the platform and adds them to found.
+// On an error, found still gets the objects that were read.
 func (f *Fetcher) fetchFromPlatform(ctx context.Context, wanted []kqresource.Digest, found kqresource.Objects) error {
 	if f.builder != nil {
 		return f.fetchWholeVersion(ctx, wanted, found)
@@ -266,7 +276,8 @@
 	return nil
 }
 
-// fetchObject reads an object from the platform; concurrent callers share one read.
+// fetchObject returns a cached object or reads it from the platform; concurrent
+// callers share one read.
 func (f *Fetcher) fetchObject(ctx context.Context, d kqresource.Digest) ([]byte, error) {
 	f.mu.Lock()
 	if data, ok := f.recent[d]; ok {
@@ -294,8 +305,9 @@
 	return own.data, own.err
 }
 
-// finishRead ends a read for all who wait for it. It must run even after a panic;
-// otherwise all present and later callers for the object would wait forever.
+// finishRead ends a read for all callers that wait for it. It must run even after a
+// panic; otherwise all present and later callers for the object would wait until their
+// contexts end, and no caller would read it again.
 func (f *Fetcher) finishRead(d kqresource.Digest, own *sharedRead) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -306,7 +318,8 @@
 	close(own.done)
 }
 
-// addRecent caches an object and evicts the oldest one over the limit.
+// addRecent caches an object and evicts the oldest one if there are more than
+// the constant recent. It requires f.mu.
 func (f *Fetcher) addRecent(d kqresource.Digest, data []byte) {
 	f.recent[d] = data
 	if f.recentOrder = append(f.recentOrder, d); len(f.recentOrder) > recent {
--- a/internal/config/kqfetch/hedge.go
+++ b/internal/config/kqfetch/hedge.go
@@ -12,16 +12,17 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// reply holds the objects that one peer returned, or the time after which a busy
+// reply holds the objects that one peer returned, or the delay after which a busy
 // peer may be called again.
 type reply struct {
 	objects    kqresource.Objects
 	retryAfter time.Duration
 }
 
-// fetchFromPeers calls the peers in turn until all objects are found, and returns
-// the longest retry delay that a busy peer stated. If a peer does not answer within
-// hedgeDelay, a hedged call to the next one is started.
+// fetchFromPeers calls the peers in turn until all objects are found or all calls have
+// ended. It returns the longest retry delay that a busy peer stated, or 0 if none was
+// busy. If a peer does not answer within hedgeDelay, a hedged call to the next one is
+// started.
 func (f *Fetcher) fetchFromPeers(ctx context.Context, peers []kqname.Address, wanted []kqresource.Digest, found kqresource.Objects) time.Duration {
 	var group conc.WaitGroup
 	defer group.Wait()
@@ -65,8 +66,8 @@
 	return time.After(hedgeDelay)
 }
 
-// fetchFromPeer adds the objects that a peer has to found. It returns the retry
-// delay if the peer is busy, else 0.
+// fetchFromPeer requests objects from a peer and adds those that it returns to found. It
+// returns the retry delay if the peer is busy, and 0 otherwise, also if the call fails.
 func (f *Fetcher) fetchFromPeer(ctx context.Context, to kqname.Address, wanted []kqresource.Digest, found kqresource.Objects) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
--- a/internal/config/kqfetch/hedge_test.go
+++ b/internal/config/kqfetch/hedge_test.go
@@ -32,9 +32,9 @@
 	silentPlatform struct{}
 )
 
-func (s *objectHolder) Object(d kqresource.Digest) ([]byte, bool) {
-	s.once.Do(func() { close(s.requested) })
-	return s.data, d == s.digest
+func (h *objectHolder) Object(d kqresource.Digest) ([]byte, bool) {
+	h.once.Do(func() { close(h.requested) })
+	return h.data, d == h.digest
 }
 
 func (*objectHolder) Hosts() []kqname.Host { return nil }
@@ -103,6 +103,6 @@
 	f := kqfetch.New(kqrpc.NewServer(nil), client, table, silentPlatform{}, silentPlatform{}, 1000, 1)
 	found, err := f.Fetch(t.Context(), []kqresource.Digest{objects.digest})
 	if err != nil || string(found[objects.digest]) != string(data) {
-		t.Errorf("got %d objects, %v", len(found), err)
+		t.Errorf("got %d objects and error %v, want the requested object", len(found), err)
 	}
 }
--- a/internal/config/kqfetch/hosts.go
+++ b/internal/config/kqfetch/hosts.go
@@ -11,8 +11,8 @@
 
 const (
 	methodHosts = "c.h"
-	// A starting node requests the hosts of up to maxHostPeers peers and adopts at
-	// most maxHosts of them.
+	// A starting node calls up to maxHostPeers peers and prefetches at most maxHosts
+	// of the hosts that they return. One answer has at most maxHosts, too.
 	maxHostPeers = 2
 	maxHosts     = 64
 )
@@ -25,9 +25,9 @@
 	}
 )
 
-// PeerHosts returns the hosts that peers of the same service hold, each peer's most
-// recently used first, so that a starting node can prefetch what its traffic will
-// likely need.
+// PeerHosts returns up to maxHosts hosts that the traffic of some peers of the same
+// service uses, each peer's most recently used first, so that a starting node can
+// prefetch what its traffic will likely need.
 func (f *Fetcher) PeerHosts(ctx context.Context) []kqname.Host {
 	self := f.table.Self()
 	var peers []kqname.Address
@@ -56,7 +56,7 @@
 	return hosts
 }
 
-// answerHosts returns the hosts that this node holds, at most maxHosts.
+// answerHosts returns the hosts that this node's traffic uses, at most maxHosts.
 func (f *Fetcher) answerHosts(context.Context, kqname.Node, hostsRequest) (hostsAnswer, error) {
 	hosts := f.local.Hosts()
 	return hostsAnswer{Hosts: hosts[:min(len(hosts), maxHosts)]}, nil
--- a/internal/config/kqfetch/peers.go
+++ b/internal/config/kqfetch/peers.go
@@ -31,7 +31,7 @@
 	return slices.Concat(localReaders, remoteReaders[:min(len(remoteReaders), maxOtherPeers)], peers[:min(len(peers), maxOtherPeers)])
 }
 
-// readers returns the readers, this node included, that are not dead.
+// readers returns the readers that are not dead, including this node if it is one.
 func (f *Fetcher) readers() []kqmember.Member {
 	var list []kqmember.Member
 	for _, m := range f.table.Members() {
--- a/internal/config/kqfetch/shared_read_test.go
+++ b/internal/config/kqfetch/shared_read_test.go
@@ -25,21 +25,21 @@
 	built kqresource.Objects
 }
 
-func (r *countingPlatform) Fetch(_ context.Context, _ []kqresource.Digest) (kqresource.Objects, error) {
-	r.calls.Add(1)
+func (p *countingPlatform) Fetch(_ context.Context, _ []kqresource.Digest) (kqresource.Objects, error) {
+	p.calls.Add(1)
 	time.Sleep(20 * time.Millisecond)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.built = r.objects
-	return r.objects, nil
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.built = p.objects
+	return p.objects, nil
 }
 
-func (r *countingPlatform) BuiltObjects(wanted []kqresource.Digest) kqresource.Objects {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (p *countingPlatform) BuiltObjects(wanted []kqresource.Digest) kqresource.Objects {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	found := make(kqresource.Objects)
 	for _, d := range wanted {
-		if data, ok := r.built[d]; ok {
+		if data, ok := p.built[d]; ok {
 			found[d] = data
 		}
 	}
@@ -67,7 +67,7 @@
 	for range 20 {
 		group.Go(func() {
 			if found, err := f.Fetch(t.Context(), []kqresource.Digest{digest}); err != nil || len(found) != 1 {
-				t.Errorf("got %d objects, %v", len(found), err)
+				t.Errorf("got %d objects and error %v, want 1 object", len(found), err)
 			}
 		})
 	}
--- a/internal/config/kqfetch/whole.go
+++ b/internal/config/kqfetch/whole.go
@@ -18,8 +18,8 @@
 	return f.builder.BuiltObjects(wanted)
 }
 
-// fetchWholeVersion fetches the wanted objects that this node has not built from the
-// platform in one call. Concurrent fetches wait for it and then read only what this
+// fetchWholeVersion fetches, in one platform call, the wanted objects that this node
+// has not built. Concurrent fetches wait for that call and then read only what this
 // node still has not built.
 func (f *Fetcher) fetchWholeVersion(ctx context.Context, wanted []kqresource.Digest, found kqresource.Objects) error {
 	for {
@@ -42,7 +42,9 @@
 	}
 }
 
-// finishWholeRead ends a read of all objects; it must run even after a panic.
+// finishWholeRead ends a read of all objects for all fetches that wait for it. It must
+// run even after a panic; otherwise all present and later fetches would wait until their
+// contexts end.
 func (f *Fetcher) finishWholeRead(own *sharedRead) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -50,10 +52,10 @@
 	close(own.done)
 }
 
-// joinWholeRead starts a read of all objects as own, or returns the one in flight as
-// other. Many peers request a new version from a reader at once: one read serves
-// those whose objects this node has built by then, whereas one each would cost as many
-// platform calls as the domain has nodes.
+// joinWholeRead registers a new read of all objects and returns it as own, or returns
+// the one in flight as other. Many peers request a new version from a reader at once:
+// one read serves every peer whose objects this node has built when the read ends,
+// whereas a read for each peer would cost as many platform calls as the domain has nodes.
 func (f *Fetcher) joinWholeRead() (own, other *sharedRead) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
