--- a/internal/config/kqfollower/follower.go
+++ b/internal/config/kqfollower/follower.go
@@ -44,11 +44,14 @@
 		Run(ctx context.Context)
 	}
 
-	// Follower runs the watcher while this node is chosen in its failure domain.
+	// Follower runs the watcher while this node is chosen in its failure domain, and for
+	// stopDelay after that.
 	Follower struct {
 		members Members
 		watcher Watcher
-		// onFollow is called when this node starts and stops following.
+		// onFollow is called with true when this node starts to follow, and with false
+		// when it stops because it is no longer chosen. The call for a start may block
+		// until its context ends.
 		onFollow func(ctx context.Context, on bool)
 		// activeRun is the run in progress, or nil, and lastChosen is when this node was
 		// last chosen. Only Run uses them.
@@ -65,8 +68,8 @@
 	return &Follower{members: members, watcher: watcher, onFollow: onFollow}
 }
 
-// IsChosen reports whether the node is among the first PerDomain live members of its
-// failure domain. A node that knows no other member is chosen.
+// IsChosen reports whether fewer than PerDomain other alive members of the node's failure
+// domain precede it by compareFollowers. A node that knows no other member is chosen.
 func IsChosen(self kqmember.Member, members []kqmember.Member) bool {
 	before := 0
 	for _, m := range members {
@@ -94,7 +97,8 @@
 	}
 }
 
-// update starts or stops following, as required.
+// update starts following if this node is chosen, and stops it once the node has not been
+// chosen for stopDelay.
 func (f *Follower) update(ctx context.Context, group *conc.WaitGroup, now time.Time) {
 	if IsChosen(f.members.Self(), f.members.Members()) {
 		f.lastChosen = now
--- a/internal/config/kqfollower/follower_test.go
+++ b/internal/config/kqfollower/follower_test.go
@@ -87,20 +87,20 @@
 	countingWatcher struct{ runs atomic.Int64 }
 )
 
-func (a *lateMembers) Self() kqmember.Member { return a.self }
+func (m *lateMembers) Self() kqmember.Member { return m.self }
 
-func (a *lateMembers) Members() []kqmember.Member {
-	switch n := a.calls.Add(1); {
+func (m *lateMembers) Members() []kqmember.Member {
+	switch n := m.calls.Add(1); {
 	case n <= 3:
-		return []kqmember.Member{a.self}
+		return []kqmember.Member{m.self}
 	case n > 8:
-		a.done()
+		m.done()
 	}
-	return append([]kqmember.Member{a.self}, a.peers...)
+	return append([]kqmember.Member{m.self}, m.peers...)
 }
 
-func (c *countingWatcher) Run(ctx context.Context) {
-	c.runs.Add(1)
+func (w *countingWatcher) Run(ctx context.Context) {
+	w.runs.Add(1)
 	<-ctx.Done()
 }
 
