--- a/internal/config/kqinterest/doc.go
+++ b/internal/config/kqinterest/doc.go
@@ -1,3 +1,3 @@
 // Package kqinterest records which hosts a node's traffic uses, and when each was last
-// used.
+// used. Package kqreplica holds the routes of these hosts.
 package kqinterest
--- a/internal/config/kqinterest/interest.go
+++ b/internal/config/kqinterest/interest.go
@@ -40,7 +40,8 @@
 	return i
 }
 
-// Renew updates the time of last use of a host. It does not add a host.
+// Renew updates the time of last use of a host if it is more than timeResolution old. It
+// does not add a host.
 func (i *Interests) Renew(host kqname.Host, now time.Time) {
 	s := i.shard(host)
 	s.mu.RLock()
