--- a/internal/config/kqreader/close_test.go
+++ b/internal/config/kqreader/close_test.go
@@ -15,7 +15,7 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// frozenPlatform accepts requests and never answers.
+// frozenPlatform never answers a Get; the call ends only when it is cancelled.
 type frozenPlatform struct {
 	*kqfakestore.Fake
 	requested    chan struct{}
@@ -32,9 +32,9 @@
 	return kqstore.Entry{}, ctx.Err()
 }
 
-// A stopping node was killed because its shutdown took too long: Close waited, without
-// a bound, for an earlier request to a frozen platform before it released the slot. Close
-// must cancel the request in flight.
+// A node shuts down while a request to a frozen platform is in flight. Close must cancel
+// the request. If it waited for the answer before it released the slot, the shutdown
+// would have no bound and the node would be killed.
 func TestCloseDoesNotWaitForAFrozenPlatform(t *testing.T) {
 	f := &frozenPlatform{Fake: kqfakestore.New(), requested: make(chan struct{}, 1)}
 	table := kqmember.NewTable(kqmember.Member{Node: "a", Domain: "one", Control: "127.0.0.1:1"})
--- a/internal/config/kqreader/reader.go
+++ b/internal/config/kqreader/reader.go
@@ -24,7 +24,8 @@
 	// maxUnknownReads is how often a node may find that a slot's holder is unknown or
 	// dead; the next time, it takes the slot over.
 	maxUnknownReads = 2
-	// maxIsolatedDelay bounds the random delay of a node that knows no other member.
+	// maxIsolatedDelay bounds the random delay before a node that knows no other member
+	// tries to acquire a slot.
 	maxIsolatedDelay = 2 * time.Second
 	closeTimeout     = time.Second
 )
@@ -52,8 +53,9 @@
 		// probe is called with the control address of each slot holder that is
 		// unknown or dead.
 		probe func(ctx context.Context, to kqname.Address)
-		// onReading is called when this node starts and stops to hold the whole
-		// document for its peers.
+		// onReading is called with true when this node starts to hold the whole document
+		// for its peers, and with false when it stops. The call for a start may block
+		// until its context ends.
 		onReading     func(ctx context.Context, on bool)
 		onFailure     func(error)
 		maxStartDelay time.Duration
@@ -65,12 +67,14 @@
 		closed bool
 		// servesPeers is set from onReading(true) to onReading(false); it may outlast
 		// the lease.
-		servesPeers  bool
-		holder       kqlease.Holder
-		lease        kqstore.Lease
-		key          string
-		revision     kqstore.Revision
-		stopWatch    context.CancelFunc
+		servesPeers bool
+		holder      kqlease.Holder
+		lease       kqstore.Lease
+		key         string
+		revision    kqstore.Revision
+		stopWatch   context.CancelFunc
+		// unknownReads counts, by slot key and holder address, how often the holder was
+		// found unknown or dead since this node last took a slot.
 		unknownReads map[string]int
 		group        conc.WaitGroup
 	}
@@ -132,7 +136,8 @@
 	_ = r.store.Delete(ctx, r.key, r.revision)
 }
 
-// step performs the next action that the lease requires.
+// step performs the next action that the lease requires. A node without a slot stops
+// holding the whole document once its domain has enough other readers.
 func (r *Reader) step(ctx context.Context) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -151,7 +156,7 @@
 			// orders them instead.
 			kqsleep.For(ctx, rand.N(maxIsolatedDelay))
 		}
-		r.findSlot(ctx)
+		r.acquireSlot(ctx)
 	case kqlease.Renew:
 		if situation.Readers >= kqlease.ReadersPerDomain && r.hasLostSlot(ctx) {
 			r.stopWatching()
@@ -163,8 +168,9 @@
 	}
 }
 
-// situation returns the number of other readers in this failure domain, this node's
-// rank among the candidates, and whether any other member that is not dead is known.
+// situation returns the number of other alive readers in this failure domain, this
+// node's rank among the candidates, and whether any other member that is not dead is
+// known.
 func (r *Reader) situation() (kqlease.Situation, bool) {
 	var s kqlease.Situation
 	self := r.table.Self()
@@ -188,9 +194,10 @@
 	return s, known
 }
 
-// findSlot reads the slots, from a random one on, and takes the first that is free or
-// whose holder was found unknown or dead more than maxUnknownReads times.
-func (r *Reader) findSlot(ctx context.Context) {
+// acquireSlot reads the slots, from a random one on, and takes the first that is free or
+// whose holder was found unknown or dead more than maxUnknownReads times. It stops at
+// the first slot that cannot be read.
+func (r *Reader) acquireSlot(ctx context.Context) {
 	self := r.table.Self()
 	first := rand.IntN(kqlease.ReadersPerDomain)
 	for i := range kqlease.ReadersPerDomain {
@@ -226,9 +233,9 @@
 	return false
 }
 
-// takeSlot acquires a slot and starts reading. The slot of an unknown holder is taken
-// over before its lease expires: two readers at once do no harm, whereas nodes that
-// lost all their readers together would have to wait for the leases.
+// takeSlot acquires a slot, starts reading and reports whether it did. The slot of an
+// unknown holder is taken over before its lease expires: two readers at once do no harm,
+// whereas nodes that lost all their readers together would have to wait for the leases.
 func (r *Reader) takeSlot(ctx context.Context, key string, expected kqstore.Revision) bool {
 	sent := time.Now()
 	lease, err := r.store.Grant(ctx, kqlease.TTL)
@@ -270,10 +277,11 @@
 	}
 }
 
-// hasLostSlot reports whether another node holds the slot. When many nodes start at
-// once, a reader that they do not know loses its slot although its lease can still be
-// renewed. Without this check it would read forever, and the platform's load would grow
-// with every such event. It is called only if the domain has more readers than slots.
+// hasLostSlot reports whether the slot is free or another node has taken it. If the slot
+// cannot be read, it returns false. When many nodes start at once, a reader that they do
+// not know loses its slot although its lease can still be renewed. Without this check the
+// reader would read forever, and the platform's load would grow with every such event.
+// The check is made only if the domain has more readers than slots.
 func (r *Reader) hasLostSlot(ctx context.Context) bool {
 	e, err := r.store.Get(ctx, r.key)
 	if errors.Is(err, kqstore.ErrNotFound) {
@@ -286,8 +294,9 @@
 	return e.Revision != r.revision
 }
 
-// stopWatching stops the calls to the platform. The node continues to hold the whole
-// document for its peers until other nodes do: while the platform is down, no reader can
+// stopWatching stops the watch and records that the lease is lost; step may acquire a
+// slot again later. The node continues to hold the whole document for its peers until
+// enough other readers of the domain do: while the platform is down, no reader can
 // keep its lease, and a host held by no other node would be unavailable.
 func (r *Reader) stopWatching() {
 	r.stopWatch()
--- a/internal/config/kqreader/reader_test.go
+++ b/internal/config/kqreader/reader_test.go
@@ -17,9 +17,9 @@
 // countingWatcher counts its calls of Run in progress.
 type countingWatcher struct{ running *atomic.Int64 }
 
-func (i countingWatcher) Run(ctx context.Context) {
-	i.running.Add(1)
-	defer i.running.Add(-1)
+func (w countingWatcher) Run(ctx context.Context) {
+	w.running.Add(1)
+	defer w.running.Add(-1)
 	<-ctx.Done()
 }
 
@@ -34,77 +34,77 @@
 
 func start(t *testing.T) *readerFixture {
 	t.Helper()
-	d := &readerFixture{
+	f := &readerFixture{
 		platform: kqfakestore.New(),
 		table:    kqmember.NewTable(kqmember.Member{Node: "a", Domain: "one", Control: "127.0.0.1:1"}),
 	}
-	d.reader = kqreader.New(d.platform, d.table, countingWatcher{&d.running}, 0, func(context.Context, kqname.Address) {},
-		func(_ context.Context, on bool) { d.isReading.Store(on) }, func(error) {})
+	f.reader = kqreader.New(f.platform, f.table, countingWatcher{&f.running}, 0, func(context.Context, kqname.Address) {},
+		func(_ context.Context, on bool) { f.isReading.Store(on) }, func(error) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	var group conc.WaitGroup
-	group.Go(func() { d.reader.Run(ctx) })
+	group.Go(func() { f.reader.Run(ctx) })
 	t.Cleanup(func() {
 		cancel()
 		group.Wait()
 	})
-	await(t, "reader watches and holds the whole document", func() bool { return d.isReading.Load() && d.running.Load() == 1 })
-	return d
+	await(t, "reader watches and holds the whole document", func() bool { return f.isReading.Load() && f.running.Load() == 1 })
+	return f
 }
 
 // A reader is paused for longer than its lease lasts, and other nodes take the slots.
 // When it resumes, the platform rejects its renewal and it must stop watching; otherwise
 // the platform's load would grow with every pause.
 func TestReaderStopsWatchingAfterLeaseExpires(t *testing.T) {
-	d := start(t)
+	f := start(t)
 
-	d.platform.SetFaults(kqfakestore.Faults{LapseLeases: true})
+	f.platform.SetFaults(kqfakestore.Faults{LapseLeases: true})
 	for slot := range 2 {
 		// Other nodes now hold both slots.
-		if _, err := d.platform.Swap(t.Context(), kqreader.SlotKey("one", slot), 0, []byte("127.0.0.1:2"), ""); err != nil {
+		if _, err := f.platform.Swap(t.Context(), kqreader.SlotKey("one", slot), 0, []byte("127.0.0.1:2"), ""); err != nil {
 			t.Fatal(err)
 		}
 	}
-	d.table.Merge(kqmember.Member{Node: "b", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
-	d.table.Merge(kqmember.Member{Node: "c", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
-	await(t, "reader stops watching and holding the whole document", func() bool { return !d.isReading.Load() && d.running.Load() == 0 })
+	f.table.Merge(kqmember.Member{Node: "b", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
+	f.table.Merge(kqmember.Member{Node: "c", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
+	await(t, "reader stops watching and holding the whole document", func() bool { return !f.isReading.Load() && f.running.Load() == 0 })
 }
 
 // Many nodes start at once, and some take a reader's slot although its lease is still
 // valid. It must detect this and stop watching; otherwise each such event would leave
 // surplus readers, and the platform's load would keep growing.
 func TestReaderStopsWatchingAfterSlotIsTaken(t *testing.T) {
-	d := start(t)
+	f := start(t)
 	for slot := range 2 {
-		if _, err := d.platform.Put(t.Context(), kqreader.SlotKey("one", slot), []byte("127.0.0.1:2"), ""); err != nil {
+		if _, err := f.platform.Put(t.Context(), kqreader.SlotKey("one", slot), []byte("127.0.0.1:2"), ""); err != nil {
 			t.Fatal(err)
 		}
 	}
-	d.table.Merge(kqmember.Member{Node: "b", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
-	d.table.Merge(kqmember.Member{Node: "c", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
-	await(t, "reader stops watching and holding the whole document", func() bool { return !d.isReading.Load() && d.running.Load() == 0 })
+	f.table.Merge(kqmember.Member{Node: "b", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
+	f.table.Merge(kqmember.Member{Node: "c", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
+	await(t, "reader stops watching and holding the whole document", func() bool { return !f.isReading.Load() && f.running.Load() == 0 })
 }
 
 // The platform is down for longer than the leases last, so every reader stops watching.
 // A server that is replaced meanwhile needs hosts that only readers hold, so the readers
 // must continue to serve their peers; otherwise calls to these hosts would fail.
 func TestReadersServePeersWhileThePlatformIsDown(t *testing.T) {
-	d := start(t)
-	d.platform.SetFaults(kqfakestore.Faults{Down: true})
-	await(t, "reader stops watching", func() bool { return d.running.Load() == 0 })
-	if !d.isReading.Load() {
+	f := start(t)
+	f.platform.SetFaults(kqfakestore.Faults{Down: true})
+	await(t, "reader stops watching", func() bool { return f.running.Load() == 0 })
+	if !f.isReading.Load() {
 		t.Fatal("the reader no longer holds the whole document")
 	}
-	d.platform.SetFaults(kqfakestore.Faults{})
-	await(t, "reader watches again", func() bool { return d.running.Load() == 1 })
+	f.platform.SetFaults(kqfakestore.Faults{})
+	await(t, "reader watches again", func() bool { return f.running.Load() == 1 })
 }
 
 // A reader that shuts down must release its slot, so that its successor need not wait
 // until the lease expires.
 func TestLeavingReaderFreesItsSlot(t *testing.T) {
-	d := start(t)
-	d.reader.Close(t.Context())
+	f := start(t)
+	f.reader.Close(t.Context())
 	for slot := range 2 {
-		if e, err := d.platform.Get(t.Context(), kqreader.SlotKey("one", slot)); err == nil {
+		if e, err := f.platform.Get(t.Context(), kqreader.SlotKey("one", slot)); err == nil {
 			t.Errorf("slot %d is still held by %s", slot, e.Value)
 		}
 	}
