--- a/internal/config/kqreplica/apply.go
+++ b/internal/config/kqreplica/apply.go
@@ -13,10 +13,11 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// hostInterest is a host to hold in addition to the current ones.
+// hostInterest is a host to hold in addition to the current ones; an empty host means
+// none.
 type hostInterest struct {
-	host kqname.Host
-	used time.Time
+	host     kqname.Host
+	lastUsed time.Time
 }
 
 // fetchAndApply fetches the objects that the snapshot of a root lacks and makes
@@ -44,7 +45,8 @@
 
 // apply builds a snapshot from the objects available and then replaces one
 // pointer, so that no call ever sees a partial version. If objects are missing,
-// it returns them with kqsnapshot.ErrIncomplete.
+// it returns their digests with kqsnapshot.ErrIncomplete. It ignores a root that is
+// older than the current one.
 func (r *Replica) apply(root kqresource.Root, added hostInterest, fetchedObjects kqresource.Objects) ([]kqresource.Digest, error) {
 	r.applyMu.Lock()
 	defer r.applyMu.Unlock()
@@ -58,7 +60,7 @@
 		return missing, err
 	}
 	if _, held := snapshot.HostStatus(added.host); held {
-		r.interests.Add(added.host, added.used)
+		r.interests.Add(added.host, added.lastUsed)
 	}
 	r.retainObjects(root, snapshot, objects)
 	r.current.Store(snapshot)
@@ -85,7 +87,8 @@
 }
 
 // selectNeeded returns the hosts and services to hold and the objects available to
-// build them from.
+// build them from. With wholeDocument, these are all hosts and services of the root,
+// and only the fetched objects.
 func (r *Replica) selectNeeded(root kqresource.Root, added hostInterest, fetchedObjects kqresource.Objects) ([]kqname.Host, []kqname.Service, kqresource.Objects) {
 	if r.wholeDocument {
 		return slices.Collect(maps.Keys(root.Hosts)), slices.Collect(maps.Keys(root.Services)), fetchedObjects
@@ -102,10 +105,11 @@
 	return r.limitToMemory(root, hosts, objects), services, objects
 }
 
-// limitToMemory drops the least recently used hosts until the rest fit into the
-// memory budget; the first always stays. Otherwise a caller that requests every
-// host of a large fleet could fill a server's memory with routes that are never
-// used again.
+// limitToMemory drops the least recently used hosts, which are last in the list, until
+// the rest fit into the memory budget. The first host always stays. Objects that are not
+// available yet count as empty, and objects of services are not counted. Without the
+// limit, a caller that requests every host of a large fleet could fill a server's memory
+// with routes that are never used again.
 func (r *Replica) limitToMemory(root kqresource.Root, hosts []kqname.Host, objects kqresource.Objects) []kqname.Host {
 	size := 0
 	for i, h := range hosts {
--- a/internal/config/kqreplica/hold.go
+++ b/internal/config/kqreplica/hold.go
@@ -9,10 +9,12 @@
 	"github.com/kumquatgw/kumquatgw/internal/config/kqsnapshot"
 )
 
-// HoldAll sets whether the replica holds every object of the current version,
-// regardless of the node's own traffic. A node that reads versions from the store
-// for other nodes does so to serve them.
-// Objects that are held only for other nodes are not decoded.
+// HoldAll sets whether the replica holds every object of the current version that
+// fits into the memory budget, regardless of the node's own traffic. A node that reads
+// versions from the store for other nodes turns it on, to serve them. HoldAll itself
+// neither fetches nor drops objects: FetchMissing and ApplyRoot fetch them, and when it
+// is off, building the next snapshot drops them. Objects that are held only for other
+// nodes are not decoded.
 func (r *Replica) HoldAll(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/config/kqreplica/replica.go
+++ b/internal/config/kqreplica/replica.go
@@ -18,9 +18,10 @@
 )
 
 const (
-	// maxFetchRounds bounds how often missing objects are fetched for one
-	// version: the first round fetches the hosts, the second the services that
-	// their routes name, and the third what a host added meanwhile needs.
+	// maxFetchRounds bounds how often a snapshot of one version is built and its
+	// missing objects are fetched: the first round fetches the hosts, the second the
+	// services that their routes name, and the third what a host added meanwhile
+	// needs. The fourth builds the complete snapshot.
 	maxFetchRounds = 4
 	// hostFetchTimeout bounds the shared fetch of a host, independent of the
 	// deadlines of the callers that wait for it.
@@ -54,7 +55,7 @@
 		onMemoryLimit func()
 		memoryBudget  int
 		supervisor    *kqsupervisor.Supervisor
-		// wholeDocument makes each version fetch all its objects again.
+		// wholeDocument makes the snapshot hold all hosts and services of a version.
 		wholeDocument bool
 
 		// applyMu is held while a snapshot is built and made current; it makes
@@ -83,7 +84,8 @@
 // does so for the service of its own upstream.
 func WithService(s kqname.Service) Option { return func(r *Replica) { r.services[s] = true } }
 
-// WithOnChange calls f with each snapshot that becomes current.
+// WithOnChange calls f with each snapshot that becomes current, also if only its hosts
+// differ from those of the previous one.
 func WithOnChange(f func(*kqsnapshot.Snapshot)) Option {
 	return func(r *Replica) { r.onChange = append(r.onChange, f) }
 }
@@ -101,8 +103,9 @@
 	return func(r *Replica) { r.memoryBudget, r.onMemoryLimit = bytes, onMemoryLimit }
 }
 
-// WithWholeDocument fetches every object again for each version, regardless of
-// the node's traffic. It is the baseline for measuring partial replication.
+// WithWholeDocument holds all hosts and services of each version, regardless of the
+// node's traffic and the memory budget. It fetches every object that differs from the
+// current snapshot's. It is the baseline that partial replication is compared with.
 func WithWholeDocument() Option { return func(r *Replica) { r.wholeDocument = true } }
 
 // New returns a Replica that holds the empty version 0.
@@ -129,7 +132,8 @@
 
 // ApplyRoot applies a newer root. It ignores an older version, and for the current
 // one calls FetchMissing. If the version is invalid or cannot be fetched, it returns an
-// error and keeps the current version.
+// error and keeps the current version. If HoldAll is on, it then fetches all other
+// objects of the version; an error of that fetch leaves the new version current.
 func (r *Replica) ApplyRoot(ctx context.Context, root kqresource.Root) error {
 	if v := r.Current().Version(); root.Version < v {
 		return nil
@@ -186,8 +190,9 @@
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), hostFetchTimeout)
 		defer cancel()
 		f.err = errPanicked
-		// Deferred to run even after a panic; otherwise all present and later
-		// callers for the host would wait for this fetch forever.
+		// Deferred to run even after a panic; otherwise all present and later callers
+		// for the host would wait until their contexts end, and no caller would fetch
+		// it again.
 		defer func() {
 			r.mu.Lock()
 			defer r.mu.Unlock()
--- a/internal/config/kqreplica/replica_test.go
+++ b/internal/config/kqreplica/replica_test.go
@@ -64,7 +64,7 @@
 // newRoot adds a version's objects to the source and returns its root. Each host
 // routes to a service of its own and to that of the next host; mark makes the
 // objects of versions differ.
-func newRoot(t interface{ Fatal(...any) }, s *source, number, mark int) kqresource.Root {
+func newRoot(t interface{ Fatal(...any) }, s *source, version, mark int) kqresource.Root {
 	d := kqdocument.Document{Teams: []kqdocument.Team{{Name: "lab"}}}
 	for i := range hosts {
 		name := kqname.Service(fmt.Sprintf("service-%d", i))
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	root.Version = kqname.ConfigVersion(number)
+	root.Version = kqname.ConfigVersion(version)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for digest, data := range objects {
@@ -219,7 +219,7 @@
 	for range 20 {
 		group.Go(func() {
 			if got, err := r.EnsureHost(t.Context(), host(2), time.Unix(1, 0)); err != nil || checkComplete(got) != nil {
-				t.Errorf("want: %v", err)
+				t.Errorf("host is not held with its routes and services, error %v", err)
 			}
 		})
 	}
