--- a/internal/config/kqresource/resource.go
+++ b/internal/config/kqresource/resource.go
@@ -17,8 +17,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// MaxObjectBytes limits the size of one object; the platform's service stores values
-// of up to 1 MB.
+// MaxObjectBytes limits the size of one encoded object or root; the platform's service
+// stores values of up to 1 MB.
 const MaxObjectBytes = 1 << 20
 
 var (
@@ -114,7 +114,7 @@
 }
 
 // Decode decodes a root or an object into value. It rejects unknown fields, duplicate
-// keys and trailing bytes.
+// keys, items of indefinite length and trailing bytes.
 func Decode(data []byte, value any) error {
 	if len(data) > MaxObjectBytes {
 		return fmt.Errorf("decode %T of %d bytes: %w", value, len(data), ErrTooLarge)
--- a/internal/config/kqresource/split.go
+++ b/internal/config/kqresource/split.go
@@ -11,8 +11,8 @@
 )
 
 // Split turns a document into a root and its objects. Documents that are equal up to
-// the order of their items give equal digests. The commit sets the root's version,
-// parent, request ID, author, reason and time.
+// the order of their items give equal digests. The caller sets the root's version,
+// parent, request ID, author, reason and time, which Split leaves unset.
 func Split(d kqdocument.Document) (Root, Objects, error) {
 	d = Sorted(d)
 	root := Root{
@@ -47,7 +47,8 @@
 	return root, objects, nil
 }
 
-// Join returns the document that was split into a root and its objects.
+// Join returns the document that was split into a root and its objects, in the form
+// that Sorted returns.
 func Join(root Root, objects Objects) (kqdocument.Document, error) {
 	var d kqdocument.Document
 	for _, name := range slices.Sorted(maps.Keys(root.Hosts)) {
