--- a/internal/config/kqwatch/watch.go
+++ b/internal/config/kqwatch/watch.go
@@ -45,7 +45,9 @@
 func WithPollInterval(every time.Duration) Option { return func(w *Watcher) { w.pollInterval = every } }
 
 // New returns a Watcher. onRoot is called with each root read, also repeatedly with the
-// same one, and onFailure with the error of each failed call.
+// same one. onFailure is called with the error of each failed call other than
+// kqstore.ErrNotFound, and of each root that cannot be decoded. The watch and the poll
+// may call them concurrently.
 func New(store Store, onRoot func(context.Context, kqresource.Root), onFailure func(error), options ...Option) *Watcher {
 	w := &Watcher{store: store, onRoot: onRoot, onFailure: onFailure, pollInterval: defaultPollInterval}
 	for _, o := range options {
@@ -97,7 +99,8 @@
 
 // repeat calls step until ctx ends, with a pause after each success and an exponential
 // backoff with full jitter after failures, so that nodes which lost the platform together
-// do not retry together.
+// do not retry together. kqstore.ErrNotFound, which a watch returns if nothing has
+// changed, is not a failure.
 func (w *Watcher) repeat(ctx context.Context, pause time.Duration, step func() error) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
@@ -112,8 +115,8 @@
 		} else {
 			backoff = minBackoff
 			if err != nil {
-				// Otherwise a service that answers at once that nothing has changed
-				// would be called in a busy loop.
+				// Without this minimum, a service that answers at once that nothing
+				// has changed would be called in a busy loop.
 				wait = max(wait, minBackoff)
 			}
 		}
