--- a/internal/peer/kqmember/member.go
+++ b/internal/peer/kqmember/member.go
@@ -12,7 +12,8 @@
 const (
 	// Alive members take calls.
 	Alive State = iota
-	// Suspect members have missed heartbeats; they still take calls and can refute.
+	// Suspect members have missed heartbeats. They still take calls, and can refute the
+	// suspicion with a higher incarnation.
 	Suspect
 	// Leaving members finish their calls in flight and take no new ones.
 	Leaving
@@ -37,14 +38,17 @@
 		WarmFrom time.Time `cbor:"6,keyasint,omitzero"`
 	}
 
-	// Member is one node's record. Of two records the one with the higher
+	// Member is one node's record. Of two records of a node, the one with the higher
 	// incarnation wins; at equal incarnations the higher state wins.
 	Member struct {
-		Node        kqname.Node          `cbor:"1,keyasint"`
-		Domain      kqname.Domain        `cbor:"2,keyasint"`
-		Region      kqname.Region        `cbor:"3,keyasint"`
-		Control     kqname.Address       `cbor:"4,keyasint"`
-		Gate        kqname.Address       `cbor:"5,keyasint"`
+		Node    kqname.Node    `cbor:"1,keyasint"`
+		Domain  kqname.Domain  `cbor:"2,keyasint"`
+		Region  kqname.Region  `cbor:"3,keyasint"`
+		Control kqname.Address `cbor:"4,keyasint"`
+		Gate    kqname.Address `cbor:"5,keyasint"`
+		// Incarnation begins at the start time of the node's process, in milliseconds
+		// since 1970. Only the node itself raises it, when it publishes a changed record
+		// or refutes a peer's record of it.
 		Incarnation uint64               `cbor:"6,keyasint"`
 		State       State                `cbor:"7,keyasint"`
 		HeldVersion kqname.ConfigVersion `cbor:"8,keyasint"`
@@ -65,7 +69,8 @@
 		Process uint64 `cbor:"14,keyasint,omitempty"`
 	}
 
-	// Candidate is an upstream that a call may be sent to, with its node's location.
+	// Candidate is an upstream that a call may be sent to, with its node's location and
+	// gate address.
 	Candidate struct {
 		Upstream
 		Node   kqname.Node
@@ -84,8 +89,8 @@
 		liveCount  int
 		// deadSince is when PruneDead first saw each dead member.
 		deadSince map[kqname.Node]time.Time
-		// pruned holds the incarnations of dead members that were dropped. Without
-		// it, peers that still hold such a record would add it again forever.
+		// pruned holds the incarnations of the dead members that PruneDead dropped.
+		// Without it, peers that still hold such a record would add it again forever.
 		pruned map[kqname.Node]uint64
 		// summary and sorted are derived from members; sorted is nil until the next
 		// call of Members.
@@ -146,9 +151,10 @@
 	return m
 }
 
-// SetHeldVersion raises the configuration version that a member holds. Subscribers are
-// not notified, since versions travel on heartbeats: flooding a record for each
-// node and version would cost a quadratic number of messages per change.
+// SetHeldVersion raises the configuration version in a member's record. It ignores
+// lower versions and unknown members. Subscribers are not notified, since heartbeats
+// carry the versions: flooding a record for each node and version would cost a
+// quadratic number of messages per change.
 func (t *Table) SetHeldVersion(n kqname.Node, v kqname.ConfigVersion) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -158,10 +164,10 @@
 	}
 }
 
-// Merge merges a record received from a peer and reports whether the table
-// changed. A record of this node itself that would supersede its own, such as a
-// suspicion, is refuted by raising the own incarnation above it: a node that was
-// only slow would otherwise stay excluded forever.
+// Merge merges a record received from a peer and reports whether the table changed. It
+// ignores invalid records. A record of this node itself that would supersede its own,
+// such as a suspicion, is refuted by raising the own incarnation above it: a node that
+// was only slow would otherwise stay excluded forever.
 func (t *Table) Merge(m Member) bool {
 	if !m.isValid() {
 		return false
@@ -203,8 +209,11 @@
 	return changed
 }
 
-// merge stores m if it supersedes the current record, and returns the record to
-// announce and whether the table changed.
+// merge stores m if it supersedes the current record, and returns the record to pass to
+// the subscribers and whether the table changed. A record of this node itself is never
+// stored; one that would supersede the own record raises the own incarnation. A dead
+// record of a pruned member is ignored unless its incarnation is higher than the pruned
+// one.
 func (t *Table) merge(m Member) (Member, bool) {
 	old, ok := t.members[m.Node]
 	if m.Node == t.self {
@@ -230,7 +239,7 @@
 }
 
 // PruneDead drops the members that have been dead since before the given time. A
-// dead member that no earlier call has seen is recorded as having died now.
+// member that is found dead for the first time counts as dead since now.
 func (t *Table) PruneDead(before, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -280,8 +289,8 @@
 	return slices.Clone(t.sorted)
 }
 
-// Upstreams returns the upstreams of a service that take new calls. The caller
-// must not modify the returned slice.
+// Upstreams returns the upstreams of a service that take new calls, sorted by node
+// name. The caller must not modify the returned slice.
 func (t *Table) Upstreams(service kqname.Service) []Candidate {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/internal/peer/kqmember/member_test.go
+++ b/internal/peer/kqmember/member_test.go
@@ -24,9 +24,9 @@
 	return kqmember.Member{Node: kqname.Node(fmt.Sprintf("node-%d", n)), Control: "127.0.0.1:1", Incarnation: incarnation, State: state}
 }
 
-// Guards against tables whose summaries stay different: callers of one node would be
-// sent to upstreams that have gone. Records arrive in any order, duplicated or lost, and
-// the two tables then exchange their buckets as nodes do.
+// Guards against two tables that stay different although nodes compare them: calls of
+// one node would be sent to upstreams that have gone. Records arrive in any order,
+// duplicated or lost, and the two tables then exchange all buckets.
 func TestTablesConvergeWhateverTheOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := kqmember.NewTable(member(100, 1, kqmember.Alive)), kqmember.NewTable(member(101, 1, kqmember.Alive))
--- a/internal/peer/kqmember/restart_test.go
+++ b/internal/peer/kqmember/restart_test.go
@@ -6,9 +6,9 @@
 	"github.com/kumquatgw/kumquatgw/internal/peer/kqmember"
 )
 
-// Guards against a late record of a node's former process (leaving or dead) that arrives
-// while the next process serves. If it were merged, the running process's upstreams would
-// leave the candidate list and calls that they could serve would be refused.
+// Guards against a late record of a node's former process that arrives while the next
+// process serves. If it were merged, the running process's upstreams would be removed
+// from the candidates, and calls that they could serve would be refused.
 func TestLateRecordsOfFormerProcessAreIgnored(t *testing.T) {
 	record := func(incarnation uint64, s kqmember.State) kqmember.Member {
 		return kqmember.Member{
@@ -26,9 +26,10 @@
 	}
 }
 
-// Guards against a restarted node that stays unused because its server's clock was set
-// back: its incarnation is then lower than that of its former process, which left as dead.
-// Once it merges the peers' record of itself, it must become a candidate again.
+// Guards against a restarted node that gets no calls because its server's clock was set
+// back: its incarnation is then lower than that of its former process, which peers hold
+// as dead. Once the node merges a peer's record of itself, its upstream must become a
+// candidate again.
 func TestNodeRejoinsAfterItsClockWasSetBack(t *testing.T) {
 	former := kqmember.Member{Node: "goes", Control: "127.0.0.1:1", Gate: "127.0.0.1:2", Incarnation: 5003, State: kqmember.Dead}
 	peer := kqmember.NewTable(kqmember.Member{Node: "stays", Control: "127.0.0.1:3"})
--- a/internal/peer/kqmember/summary.go
+++ b/internal/peer/kqmember/summary.go
@@ -13,10 +13,13 @@
 const Buckets = 64
 
 type (
-	// Summary holds hashes of a table: one for each bucket of records, and one for
-	// the configuration versions that members hold. Equal tables have equal summaries.
+	// Summary holds hashes of a table without its dead members. Equal tables have equal
+	// summaries.
 	Summary struct {
-		Records        [Buckets]uint64
+		// Records holds one hash for each bucket, of the names, incarnations and states
+		// of the members in it.
+		Records [Buckets]uint64
+		// VersionHolders is the hash of the configuration versions that members hold.
 		VersionHolders uint64
 	}
 
@@ -41,8 +44,8 @@
 	return t.summary
 }
 
-// toggle adds a record to the hashes, or removes it if it was added before. Dead members
-// are left out, since nodes drop them at different times.
+// toggle adds a record to the hashes by XOR, or removes it if it was added before. Dead
+// members are left out, since nodes drop them at different times.
 func (s *Summary) toggle(m Member) {
 	if m.State == Dead {
 		return
@@ -65,7 +68,8 @@
 	return list
 }
 
-// VersionHolders returns which members hold which configuration version.
+// VersionHolders returns which members hold which configuration version, without the
+// dead ones.
 func (t *Table) VersionHolders() VersionHolders {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/internal/peer/kqmembersync/flood.go
+++ b/internal/peer/kqmembersync/flood.go
@@ -16,7 +16,8 @@
 	// batchDelay is how long the flood waits, so that records which change at about
 	// the same time share one message per link.
 	batchDelay = 20 * time.Millisecond
-	maxBatch   = 64
+	// maxBatch bounds the records in one message.
+	maxBatch = 64
 	// maxQueue bounds the queued records. The queue holds one record per node, so
 	// only a fleet of this size could fill it.
 	maxQueue = 4096
@@ -48,8 +49,8 @@
 }
 
 // enqueue queues a record for the flood, replacing an older one of the same node.
-// If the queue is full, the record is dropped, and a later comparison of tables
-// repairs it.
+// If the queue is full, the record is dropped; peers then get it through a later
+// comparison of tables.
 func (s *Synchronizer) enqueue(m kqmember.Member) {
 	s.mu.Lock()
 	if _, ok := s.queue[m.Node]; ok || len(s.queue) < maxQueue {
@@ -106,8 +107,8 @@
 	}
 }
 
-// send sends a batch to all neighbours and waits until each has answered or
-// callTimeout has passed.
+// send sends a batch, unless it is empty, to all neighbours and waits until each has
+// answered or failed, or callTimeout has passed.
 func (s *Synchronizer) send(ctx context.Context, batch []kqmember.Member) {
 	if len(batch) == 0 {
 		return
--- a/internal/peer/kqmembersync/heartbeat.go
+++ b/internal/peer/kqmembersync/heartbeat.go
@@ -16,9 +16,9 @@
 )
 
 type (
-	// heartbeat holds the sender's incarnation, the hash of its member table, the
-	// newest configuration version whose root it holds, and the version in its own
-	// record.
+	// heartbeat holds the sender's incarnation, the combined hash of the records in its
+	// member table, the newest configuration version whose root it holds, and the version
+	// in its own record.
 	heartbeat struct {
 		Incarnation uint64               `cbor:"1,keyasint"`
 		Records     uint64               `cbor:"2,keyasint"`
@@ -26,30 +26,33 @@
 		HeldVersion kqname.ConfigVersion `cbor:"4,keyasint"`
 	}
 
-	// heartbeatAnswer holds the receiver's own heartbeat. VersionHolders is the hash of
-	// the versions that the members of its table hold.
+	// heartbeatAnswer holds the receiver's own heartbeat and name. VersionHolders is the
+	// hash of the versions that the members of its table hold.
 	heartbeatAnswer struct {
 		heartbeat
 		Node           kqname.Node `cbor:"5,keyasint"`
 		VersionHolders uint64      `cbor:"6,keyasint"`
-		// Unknown reports that the receiver has no record of the sender, has one of
+		// NeedsComparison reports that the receiver has no record of the sender, has one of
 		// another incarnation, or holds it suspect or dead.
-		Unknown bool `cbor:"7,keyasint,omitempty"`
+		NeedsComparison bool `cbor:"7,keyasint,omitempty"`
 	}
 
-	// comparison requests the records of the buckets whose hashes differ.
+	// comparison requests the records of the buckets whose hashes differ. Records holds
+	// the sender's hash of each bucket.
 	comparison struct {
 		Records        []uint64                `cbor:"1,keyasint"`
 		VersionHolders kqmember.VersionHolders `cbor:"2,keyasint"`
 	}
 
+	// comparisonAnswer holds the numbers of the buckets that differ, and the receiver's
+	// records in them. VersionHolders covers the receiver's whole table.
 	comparisonAnswer struct {
 		Buckets        []int                   `cbor:"1,keyasint"`
 		Members        []kqmember.Member       `cbor:"2,keyasint"`
 		VersionHolders kqmember.VersionHolders `cbor:"3,keyasint"`
-		// Busy is how long the receiver's budget stays exhausted, in milliseconds.
+		// BusyMS is how long the receiver's budget stays exhausted, in milliseconds.
 		// If it is set, all other fields are empty.
-		Busy int64 `cbor:"4,keyasint,omitempty"`
+		BusyMS int64 `cbor:"4,keyasint,omitempty"`
 	}
 )
 
@@ -74,8 +77,8 @@
 	})
 }
 
-// heartbeat sends a heartbeat, records the answer, and compares tables if
-// either node does not know the other or the hashes differ.
+// heartbeat sends a heartbeat and records the answer. It compares tables if the peer
+// asks for it or is not in the table, or if the hashes differ and mayCompare allows it.
 func (s *Synchronizer) heartbeat(ctx context.Context, to kqname.Address) {
 	summary := s.table.Summary()
 	a, err := kqrpc.Call[heartbeat, heartbeatAnswer](ctx, s.client, to, methodHeartbeat, s.ownHeartbeat(summary))
@@ -85,7 +88,7 @@
 	s.recordHeartbeat(a.Node, a.heartbeat, to)
 	s.versions.PeerAnswered(a.Node, a.Newest)
 	_, known := s.table.Find(a.Node)
-	if a.Unknown || !known {
+	if a.NeedsComparison || !known {
 		s.compare(ctx, to)
 		return
 	}
@@ -107,12 +110,12 @@
 	summary := s.table.Summary()
 	return heartbeatAnswer{
 		heartbeat: s.ownHeartbeat(summary), Node: s.table.Self().Node, VersionHolders: summary.VersionHolders,
-		Unknown: !ok || m.Incarnation != q.Incarnation || m.State == kqmember.Suspect || m.State == kqmember.Dead,
+		NeedsComparison: !ok || m.Incarnation != q.Incarnation || m.State == kqmember.Suspect || m.State == kqmember.Dead,
 	}, nil
 }
 
-// recordHeartbeat passes a peer's heartbeat to the failure detector, the table and
-// the configuration versions.
+// recordHeartbeat passes a heartbeat, or the one in an answer, of the peer at an address
+// to the failure detector, the table and versions.
 func (s *Synchronizer) recordHeartbeat(n kqname.Node, b heartbeat, at kqname.Address) {
 	s.mu.Lock()
 	s.detector.RecordHeartbeat(n, time.Now())
@@ -121,9 +124,10 @@
 	s.versions.VersionSeen(b.Newest, at)
 }
 
-// mayCompare limits this node to one comparison per compareBeats heartbeats and
-// to its budget. Right after a change all tables differ until the flood has reached
-// them, so comparing more often would only cost traffic.
+// mayCompare reports whether tables whose hashes differ may be compared now: at most
+// once per compareBeats heartbeats, and only while the budget allows bulk traffic. Right
+// after a change all tables differ until the flood has reached them, so comparing more
+// often would only cost traffic. If it returns true, the interval starts again.
 func (s *Synchronizer) mayCompare(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,12 +138,13 @@
 	return true
 }
 
-// compare merges this table and a peer's so that both hold the newer records. The
-// records received are not flooded, since other nodes compare too.
+// compare merges this table and a peer's so that both hold the newer records. Neither
+// node floods the records that it receives, since other nodes compare too. A node that
+// learns of its first members sends heartbeats to them at once.
 func (s *Synchronizer) compare(ctx context.Context, to kqname.Address) {
 	own := s.table.Summary()
 	a, err := kqrpc.Call[comparison, comparisonAnswer](ctx, s.client, to, methodCompare, comparison{Records: own.Records[:], VersionHolders: s.table.VersionHolders()})
-	if err != nil || a.Busy > 0 {
+	if err != nil || a.BusyMS > 0 {
 		return
 	}
 	wasAlone := len(s.table.Members()) == 1
@@ -166,14 +171,14 @@
 		}
 	}
 	if len(newer) > 0 {
-		// The error is ignored: the next comparison repeats what is lost.
+		// The error is ignored: the next comparison sends the records again.
 		_, _ = kqrpc.Call[updates, empty](ctx, s.client, to, methodUpdates, updates{Members: newer, NoForward: true})
 	}
 }
 
 func (s *Synchronizer) answerCompare(_ context.Context, _ kqname.Node, q comparison) (comparisonAnswer, error) {
 	if wait := s.budget.Delay(time.Now()); wait > 0 {
-		return comparisonAnswer{Busy: wait.Milliseconds() + 1}, nil
+		return comparisonAnswer{BusyMS: wait.Milliseconds() + 1}, nil
 	}
 	s.table.MergeVersionHolders(q.VersionHolders)
 	own := s.table.Summary()
--- a/internal/peer/kqmembersync/synchronizer.go
+++ b/internal/peer/kqmembersync/synchronizer.go
@@ -17,16 +17,18 @@
 )
 
 const (
+	// callTimeout bounds a request to a peer.
 	callTimeout = time.Second
-	// compareBeats is the least time between two comparisons, in heartbeats.
+	// compareBeats is the minimum time between two comparisons that differing hashes
+	// cause, in heartbeat intervals.
 	compareBeats = 2
-	// probeBeats is the interval between probes of dead members that would be
-	// neighbours, in heartbeats. Every randomProbeBeats heartbeats one random dead
-	// member and one random contact are probed.
+	// probeBeats is the interval between probes of the dead members that would be
+	// neighbours if they were alive, in heartbeats. Every randomProbeBeats heartbeats one
+	// random dead member and one random contact are probed.
 	probeBeats       = 4
 	randomProbeBeats = 20
-	// deadRetention is how long a dead member is probed: a server that returns
-	// within a day during an outage of the platform is found again.
+	// deadRetention is how long a dead member is kept and probed, so that a server which
+	// returns within a day is found again even during an outage of the platform.
 	deadRetention = 24 * time.Hour
 	// idleBeats is how long a connection may be idle before it is closed, in
 	// heartbeats.
@@ -39,8 +41,8 @@
 	Versions interface {
 		// Newest returns the highest version whose root this node holds.
 		Newest() kqname.ConfigVersion
-		// VersionSeen is called with the newest version in each heartbeat, or answer to
-		// one, of a peer.
+		// VersionSeen is called with the newest version in each heartbeat of a member of
+		// the table and in each answer to a heartbeat, and with the peer's address.
 		VersionSeen(v kqname.ConfigVersion, from kqname.Address)
 		// PeerAnswered is called with each peer that answered a heartbeat and the newest
 		// version in the answer.
@@ -82,10 +84,9 @@
 )
 
 // New returns a synchronizer that registers its methods on server and sends through
-// client, with a heartbeat to each neighbour per interval. Contacts are addresses
-// that get heartbeats while every known peer is dead or none is known, and one of them
-// from time to time later on, so that two parts of a fleet that dropped each other
-// join again.
+// client, with a heartbeat to each neighbour per interval. All contacts get heartbeats
+// while every known peer is dead or none is known. A random contact also gets one from
+// time to time, so that two parts of a fleet that dropped each other join again.
 func New(server *kqrpc.Server, client *kqrpc.Client, table *kqmember.Table, overlay *kqoverlay.Overlay,
 	versions Versions, budget Budget, contacts []kqname.Address, interval time.Duration,
 ) *Synchronizer {
@@ -132,14 +133,15 @@
 	}
 }
 
-// FlushUpdates sends all queued records to the neighbours at once, and returns when
-// each has received them or has failed. A leaving node uses it, since it cannot
-// wait for the next flood.
+// FlushUpdates sends all queued records to the neighbours at once, whatever the budget,
+// and returns when each has received them or has failed. A leaving node uses it, since
+// it cannot wait for the next flood.
 func (s *Synchronizer) FlushUpdates(ctx context.Context) { s.send(ctx, s.dequeue(maxQueue)) }
 
-// tick sends the heartbeats that are due on a beat: to all neighbours, to a random
-// member that is not dead or, without one, to all contacts, and to the members to be
-// probed. It also prunes dead members and closes idle connections.
+// tick detects failures and sends the heartbeats that are due on a beat: to all
+// neighbours, to a random member that is not dead or, if there is none, to all contacts,
+// and to the dead members and the contact to be probed. It also prunes dead members and
+// closes idle connections.
 func (s *Synchronizer) tick(ctx context.Context, beat int, now time.Time) {
 	neighbours := s.overlay.Neighbours()
 	s.detectFailures(neighbours, now)
@@ -154,7 +156,7 @@
 		}
 	}
 	if beat%probeBeats == probeBeats-1 {
-		for _, m := range s.overlay.Lost() {
+		for _, m := range s.overlay.DeadNeighbours() {
 			s.sendHeartbeat(ctx, m.Control)
 		}
 	}
--- a/internal/peer/kqoverlay/overlay.go
+++ b/internal/peer/kqoverlay/overlay.go
@@ -15,10 +15,10 @@
 		table   *kqmember.Table
 		chooser kqneighbour.Chooser
 
-		mu         sync.Mutex
-		stale      bool
-		neighbours []kqname.Node
-		lost       []kqname.Node
+		mu             sync.Mutex
+		stale          bool
+		neighbours     []kqname.Node
+		deadNeighbours []kqname.Node
 	}
 )
 
@@ -40,21 +40,21 @@
 	return o.records(neighbours)
 }
 
-// Lost returns the dead members that would be neighbours if they were alive. This
-// node probes them, so that a few nodes probe each dead member however large the
-// fleet is.
-func (o *Overlay) Lost() []kqmember.Member {
-	_, lost := o.choose()
-	return o.records(lost)
+// DeadNeighbours returns the dead members that would be neighbours if no member were
+// dead. This node probes them, so that only a few nodes probe each dead member, however
+// large the fleet is.
+func (o *Overlay) DeadNeighbours() []kqmember.Member {
+	_, deadNeighbours := o.choose()
+	return o.records(deadNeighbours)
 }
 
-// choose returns the names of the neighbours and of the lost members, recomputed
-// if the table has changed.
-func (o *Overlay) choose() (neighbours, lost []kqname.Node) {
+// choose returns the names of the neighbours and of the dead neighbours, recomputed if
+// the table has changed.
+func (o *Overlay) choose() (neighbours, deadNeighbours []kqname.Node) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.stale {
-		return o.neighbours, o.lost
+		return o.neighbours, o.deadNeighbours
 	}
 	o.stale = false
 	self := chooserMember(o.table.Self())
@@ -68,16 +68,16 @@
 			live = append(live, chooserMember(m))
 		}
 	}
-	o.neighbours, o.lost = o.chooser.Choose(self, live), nil
+	o.neighbours, o.deadNeighbours = o.chooser.Choose(self, live), nil
 	if len(dead) == 0 {
-		return o.neighbours, o.lost
+		return o.neighbours, o.deadNeighbours
 	}
 	for _, n := range o.chooser.Choose(self, all) {
 		if dead[n] {
-			o.lost = append(o.lost, n)
+			o.deadNeighbours = append(o.deadNeighbours, n)
 		}
 	}
-	return o.neighbours, o.lost
+	return o.neighbours, o.deadNeighbours
 }
 
 func (o *Overlay) records(nodes []kqname.Node) []kqmember.Member {
