--- a/internal/peer/kqdiscovery/discovery.go
+++ b/internal/peer/kqdiscovery/discovery.go
@@ -17,24 +17,25 @@
 
 const (
 	prefix = "kumquatgw/nodes/"
-	// TTL is the lease time of an entry. It only has to exceed the time of a node's
-	// restart. The entry of a dead node does little harm: a starting node contacts one
-	// address that does not answer.
+	// TTL is the time to live of an entry's lease. It only has to exceed the time that a
+	// node takes to restart. The entry of a dead node does little harm: a starting node
+	// contacts one address that does not answer.
 	TTL           = 20 * time.Second
 	renewInterval = TTL / 3
-	// retryPause is the mean pause after a failed call. Entries whose leases lapsed
-	// during an outage of the store are written again within twice this time.
+	// retryPause is the mean pause before a failed write or renewal of the entry is
+	// retried. When an outage of the store ends, a node that is retrying writes its entry
+	// again within twice this time.
 	retryPause = 800 * time.Millisecond
 	// firstLookupJitter bounds the random delay of a node's first lookup, so that
 	// the nodes of a restarted fleet do not all look up in the same millisecond.
 	firstLookupJitter = 50 * time.Millisecond
-	// isolatedInterval is the mean pause between lookups of a node without peers.
-	// lookupInterval is that of other nodes: within it, two parts of a fleet that
-	// were started separately find each other.
+	// isolatedInterval is the mean pause between lookups of a node without peers, and
+	// lookupInterval the base of that of other nodes. Nodes with peers also look up, so
+	// that two parts of a fleet that were started separately find each other.
 	isolatedInterval = 300 * time.Millisecond
 	lookupInterval   = 15 * time.Second
 	// intervalPerPeer is added to lookupInterval for each peer, so that all nodes
-	// together do about one lookup per second, whatever the size of the fleet.
+	// together do at most about one lookup per second, whatever the size of the fleet.
 	intervalPerPeer = time.Second
 	// maxContacts is the number of addresses that one lookup contacts.
 	maxContacts = 6
@@ -54,18 +55,19 @@
 		store   Store
 		node    kqname.Node
 		control kqname.Address
-		// known returns the number of live peers and whether the address is one of
-		// theirs. An empty address is passed for the number alone.
+		// known returns the number of peers that are not dead, and whether the address
+		// is that of one of them. An empty address is passed to get only the number.
 		known   func(kqname.Address) (peers int, known bool)
 		contact func(context.Context, kqname.Address)
 		onError func(error)
-		// wake triggers a renewal of the entry at once.
+		// wake ends the wait for the next renewal of the entry.
 		wake chan struct{}
 	}
 )
 
 // New returns the Discovery of the node at a control address. It calls contact with
-// addresses in the store that are not known, and onError with each failed call.
+// addresses in the store that are not known, and onError with the error of each failed
+// call to the store except a lapsed lease.
 func New(store Store, node kqname.Node, control kqname.Address,
 	known func(kqname.Address) (int, bool), contact func(context.Context, kqname.Address), onError func(error),
 ) *Discovery {
@@ -74,59 +76,59 @@
 
 // RenewNow triggers a renewal of the entry at once. It is called when the store is
 // available again, since the lease may have lapsed during the outage.
-func (r *Discovery) RenewNow() {
+func (d *Discovery) RenewNow() {
 	select {
-	case r.wake <- struct{}{}:
+	case d.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Run maintains the entry and looks up peers until ctx ends.
-func (r *Discovery) Run(ctx context.Context) {
+func (d *Discovery) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	supervisor := kqsupervisor.From(ctx)
-	group.Go(func() { supervisor.RunWithRestart(ctx, "register", func() { r.maintainEntry(ctx) }) })
-	group.Go(func() { supervisor.RunWithRestart(ctx, "look", func() { r.lookUpPeers(ctx) }) })
+	group.Go(func() { supervisor.RunWithRestart(ctx, "register", func() { d.maintainEntry(ctx) }) })
+	group.Go(func() { supervisor.RunWithRestart(ctx, "look", func() { d.lookUpPeers(ctx) }) })
 	group.Wait()
 }
 
-// maintainEntry renews or rewrites the entry until ctx ends. A lapsed lease is
-// replaced without a pause.
-func (r *Discovery) maintainEntry(ctx context.Context) {
+// maintainEntry writes the entry and renews its lease until ctx ends. If the lease has
+// lapsed, it writes the entry under a new one without a pause.
+func (d *Discovery) maintainEntry(ctx context.Context) {
 	lease := kqstore.NoLease
 	for ctx.Err() == nil {
-		next, err := r.renewOrWrite(ctx, lease)
+		next, err := d.renewOrWrite(ctx, lease)
 		lease = next
 		if err == nil {
-			r.awaitRenewal(ctx)
+			d.awaitRenewal(ctx)
 			continue
 		}
 		if errors.Is(err, kqstore.ErrLeaseLapsed) {
 			continue
 		}
 		if ctx.Err() == nil {
-			r.onError(err)
+			d.onError(err)
 		}
 		kqsleep.For(ctx, retryPause/2+rand.N(retryPause))
 	}
 }
 
 // awaitRenewal waits until the next renewal is due or RenewNow is called.
-func (r *Discovery) awaitRenewal(ctx context.Context) {
+func (d *Discovery) awaitRenewal(ctx context.Context) {
 	timer := time.NewTimer(renewInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-r.wake:
+	case <-d.wake:
 	case <-timer.C:
 	}
 }
 
-// renewOrWrite renews the lease or, without one, writes the entry under a new
-// lease. It returns the lease in force, NoLease if there is none.
-func (r *Discovery) renewOrWrite(ctx context.Context, lease kqstore.Lease) (kqstore.Lease, error) {
+// renewOrWrite renews the lease or, if it is NoLease, writes the entry under a new
+// lease. It returns the lease to renew next, or NoLease if the entry must be written.
+func (d *Discovery) renewOrWrite(ctx context.Context, lease kqstore.Lease) (kqstore.Lease, error) {
 	if lease != kqstore.NoLease {
-		err := r.store.Renew(ctx, lease)
+		err := d.store.Renew(ctx, lease)
 		if errors.Is(err, kqstore.ErrLeaseLapsed) {
 			lease = kqstore.NoLease
 		}
@@ -135,44 +137,45 @@
 		}
 		return lease, nil
 	}
-	lease, err := r.store.Grant(ctx, TTL)
+	lease, err := d.store.Grant(ctx, TTL)
 	if err != nil {
 		return kqstore.NoLease, fmt.Errorf("write entry: %w", err)
 	}
-	if _, err := r.store.Put(ctx, prefix+string(r.node), []byte(r.control), lease); err != nil {
+	if _, err := d.store.Put(ctx, prefix+string(d.node), []byte(d.control), lease); err != nil {
 		return kqstore.NoLease, fmt.Errorf("write entry: %w", err)
 	}
 	return lease, nil
 }
 
-// lookUpPeers lists the entries periodically and contacts up to maxContacts random
-// addresses that are not known.
-func (r *Discovery) lookUpPeers(ctx context.Context) {
+// lookUpPeers lists the entries periodically until ctx ends, and contacts up to
+// maxContacts random addresses that are not known. A failed lookup is not retried
+// before the next is due.
+func (d *Discovery) lookUpPeers(ctx context.Context) {
 	kqsleep.For(ctx, rand.N(firstLookupJitter))
-	for ; ctx.Err() == nil; r.awaitLookup(ctx) {
-		l, err := r.store.List(ctx, prefix)
+	for ; ctx.Err() == nil; d.awaitLookup(ctx) {
+		l, err := d.store.List(ctx, prefix)
 		if err != nil {
 			if ctx.Err() == nil {
-				r.onError(fmt.Errorf("look up peers: %w", err))
+				d.onError(fmt.Errorf("look up peers: %w", err))
 			}
 			continue
 		}
 		left := maxContacts
 		for _, i := range rand.Perm(len(l.Entries)) {
 			to := kqname.Address(l.Entries[i].Value)
-			if _, known := r.known(to); known || to == r.control || left == 0 {
+			if _, known := d.known(to); known || to == d.control || left == 0 {
 				continue
 			}
 			left--
-			r.contact(ctx, to)
+			d.contact(ctx, to)
 		}
 	}
 }
 
 // awaitLookup waits until the next lookup is due; the pause depends on the number
 // of live peers.
-func (r *Discovery) awaitLookup(ctx context.Context) {
-	peers, _ := r.known("")
+func (d *Discovery) awaitLookup(ctx context.Context) {
+	peers, _ := d.known("")
 	interval := lookupInterval + time.Duration(peers)*intervalPerPeer
 	if peers == 0 {
 		interval = isolatedInterval
--- a/internal/peer/kqdiscovery/discovery_test.go
+++ b/internal/peer/kqdiscovery/discovery_test.go
@@ -36,15 +36,15 @@
 func start(t *testing.T, store *kqfakestore.Fake, node string) (*peers, *kqdiscovery.Discovery) {
 	t.Helper()
 	p := &peers{found: make(map[kqname.Address]bool)}
-	r := kqdiscovery.New(store, kqname.Node(node), kqname.Address(node+":1"), p.known, p.contact, func(error) {})
+	d := kqdiscovery.New(store, kqname.Node(node), kqname.Address(node+":1"), p.known, p.contact, func(error) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	var group conc.WaitGroup
-	group.Go(func() { r.Run(ctx) })
+	group.Go(func() { d.Run(ctx) })
 	t.Cleanup(func() {
 		cancel()
 		group.Wait()
 	})
-	return p, r
+	return p, d
 }
 
 func await(t *testing.T, what string, done func() bool) {
@@ -76,7 +76,7 @@
 // the store: a node that starts then would discover no peer.
 func TestEntryIsRewrittenAfterItsLeaseLapsed(t *testing.T) {
 	store := kqfakestore.New()
-	_, r := start(t, store, "a")
+	_, d := start(t, store, "a")
 	listed := func() int {
 		l, err := store.List(t.Context(), "kumquatgw/nodes/")
 		if err != nil {
@@ -89,6 +89,6 @@
 	if listed() != 0 {
 		t.Fatal("the entry outlives its lease")
 	}
-	r.RenewNow()
+	d.RenewNow()
 	await(t, "the entry is written again", func() bool { return listed() == 1 })
 }
