--- a/internal/peer/kqdeparture/departure.go
+++ b/internal/peer/kqdeparture/departure.go
@@ -24,26 +24,29 @@
 	methodFetch     = "d.a"
 
 	prefix = "kumquatgw/departures/"
-	// retention is how long a departure is kept; upstreams end some seconds after
-	// they have announced it.
+	// retention is how long a departure is kept. Upstreams exit some seconds after they
+	// have announced it.
 	retention = time.Minute
-	// maxDepartures bounds the departures that are kept: enough for 550 servers that
-	// all leave at once and whose replacements also leave within the retention.
+	// maxDepartures bounds the number of departures that are kept. It suffices if the
+	// upstreams of 550 servers all leave at once and their replacements also leave within
+	// the retention.
 	maxDepartures = 2000
 	// minPeers is how many peers must hold a departure while the store does not: two
-	// peers are seldom lost together with the node that sent it.
+	// peers are seldom lost together with the node that sent it. It is also how many
+	// peers must answer a starting node that cannot read the store.
 	minPeers = 2
-	// maxPeers is how many peers are contacted.
+	// maxPeers bounds the number of peers that are contacted.
 	maxPeers = 4
-	// replicateTimeout bounds the wait before the acknowledgement; an upstream gives
-	// up on one that takes a second.
+	// replicateTimeout bounds the wait before a departure is acknowledged to the
+	// upstream, which gives up after a second.
 	replicateTimeout = 600 * time.Millisecond
-	// learnTimeout bounds how long a starting node uses no upstream while neither
-	// the store nor enough peers answer. A node that can reach none of them gets no
-	// calls from them either and serves only its own callers, so it may continue
-	// without knowing the departures.
+	// learnTimeout bounds how long a starting node uses no upstream while it waits for
+	// the store and the peers. A node that can reach none of them gets no calls from
+	// peers either and serves only its own callers, so it may continue without knowing
+	// the departures.
 	learnTimeout = 1500 * time.Millisecond
-	learnPause   = 50 * time.Millisecond
+	// learnPause is the pause before the store and the peers are asked again.
+	learnPause = 50 * time.Millisecond
 	// storeRetryPause is the pause before a failed write to the store is retried.
 	storeRetryPause = time.Second
 )
@@ -56,9 +59,8 @@
 		List(ctx context.Context, prefix string) (kqstore.Listing, error)
 	}
 
-	// Departure records that an upstream instance leaves. It covers every process of
-	// the instance that started at StartedMS, in milliseconds of the upstream's clock,
-	// or before.
+	// Departure records that an upstream instance leaves. It covers every process of the
+	// instance that started at StartedMS, in milliseconds since 1970, or earlier.
 	Departure struct {
 		Instance  kqname.Instance `cbor:"1,keyasint"`
 		StartedMS int64           `cbor:"2,keyasint"`
@@ -77,6 +79,8 @@
 		known map[Departure]time.Time
 	}
 
+	// departureList holds the departures in a request to replicate or an answer to a
+	// fetch.
 	departureList struct {
 		Departures []Departure `cbor:"1,keyasint"`
 	}
@@ -97,10 +101,10 @@
 	return d
 }
 
-// Replicate records a departure and replicates it. It returns when the store or
-// minPeers peers hold it, or after replicateTimeout; the write to the store continues
-// in the background. A departure that is already known, or for which the set has no
-// room, is not sent.
+// Replicate records a departure and sends it to the store and to peers. It returns when
+// the store or minPeers peers hold it, when replicateTimeout has passed or when ctx
+// ends; outstanding requests continue in the background. If the departure is already
+// known, or if maxDepartures are, it returns at once and sends nothing.
 func (d *Departures) Replicate(ctx context.Context, departure Departure) {
 	if !d.add([]Departure{departure}, time.Now()) {
 		return
@@ -133,8 +137,9 @@
 	}
 }
 
-// persist writes a departure to the store and retries until it succeeds or half of
-// the retention has passed. A departure that only peers hold would be lost with them.
+// persist writes a departure to the store, signals stored, and retries a failed write
+// until half of the retention has passed. Without it, a departure that only peers hold
+// would be lost with them.
 func (d *Departures) persist(ctx context.Context, departure Departure, stored chan<- struct{}) {
 	ctx, cancel := context.WithTimeout(ctx, retention/2)
 	defer cancel()
@@ -147,9 +152,9 @@
 	}
 }
 
-// Learn reads the departures that the store and the peers hold. It returns all known
-// departures when minPeers peers have answered, when the store and one peer have,
-// or after learnTimeout.
+// Learn reads the departures that the store and the peers hold, until minPeers peers
+// have answered, the store and at least one peer have, or learnTimeout has passed. It
+// returns all departures that are known by then.
 func (d *Departures) Learn(ctx context.Context) []Departure {
 	ctx, cancel := context.WithTimeout(ctx, learnTimeout)
 	defer cancel()
@@ -166,7 +171,8 @@
 	return d.list(time.Now())
 }
 
-// write stores a departure once, under a lease of the length of the retention.
+// write writes a departure to the store, without retries, under a lease that lapses
+// after the retention.
 func (d *Departures) write(ctx context.Context, departure Departure) error {
 	lease, err := d.store.Grant(ctx, retention)
 	if err != nil {
@@ -196,8 +202,8 @@
 	return nil
 }
 
-// fetch adds the departures of the peers that have not answered yet, and marks those
-// that do as answered.
+// fetch requests the departures that peers hold from those that are not in answered,
+// adds the departures received, and adds the peers that answer to answered.
 func (d *Departures) fetch(ctx context.Context, answered map[kqname.Address]bool) {
 	for _, to := range d.peers() {
 		if answered[to] {
@@ -213,9 +219,9 @@
 	}
 }
 
-// peers returns the addresses of the first maxPeers live peers by name. As long
-// as the membership does not change, the choice is the same, so that a restarted node
-// asks the peers that hold its departures.
+// peers returns the addresses of the first maxPeers alive peers by name. The choice
+// changes only with the membership, so that a restarted node asks the peers that hold
+// its departures.
 func (d *Departures) peers() []kqname.Address {
 	var list []kqname.Address
 	self := d.table.Self().Node
