--- a/internal/peer/kqbroadcast/broadcaster.go
+++ b/internal/peer/kqbroadcast/broadcaster.go
@@ -21,12 +21,12 @@
 	sendTimeout = time.Second
 	// batchDelay is how long a message waits so that others can share its frame.
 	batchDelay = 20 * time.Millisecond
-	// maxSeenIDs is the number of recent message ids kept to drop duplicates that
-	// arrive over several links; the ring of ids takes 64 KB, and the set of the same
-	// ids comes on top. At 500 messages a
-	// second an id is kept for 16 s, and a message crosses the fleet in under 1 s.
+	// maxSeenIDs is the number of recent message ids that are kept to detect duplicates,
+	// which arrive over other links. At 500 messages a second an id is kept for 16 s,
+	// and a message crosses the fleet in under 1 s. The ring of ids takes 64 KB, and the
+	// set of the same ids is additional.
 	maxSeenIDs = 8192
-	// maxQueueBytes bounds the total payload size of the messages to be forwarded.
+	// maxQueueBytes bounds the total payload size of the queued messages.
 	maxQueueBytes = 1 << 20
 )
 
@@ -57,12 +57,13 @@
 		receivers map[Topic][]Receiver
 		seen      map[messageID]bool
 		// recent is a ring of the ids in seen; next is the index to overwrite.
-		recent      []messageID
-		next        int
+		recent []messageID
+		next   int
+		// queue holds the messages to be flooded, and queuedBytes their payload size.
 		queue       []message
 		queuedBytes int
 		wake        chan struct{}
-		// busy holds the peers to which a message of SendDirect is in flight.
+		// busy holds the peers to which SendDirect has a message in flight.
 		busy    map[kqname.Address]bool
 		sending conc.WaitGroup
 	}
@@ -82,6 +83,7 @@
 		IDs []messageID `cbor:"1,keyasint"`
 	}
 
+	// delivery holds the messages that a peer lacks.
 	delivery struct {
 		Messages []message `cbor:"1,keyasint"`
 	}
@@ -90,8 +92,8 @@
 )
 
 // New returns a broadcaster that registers its methods on server and sends through
-// client. It calls onDrop for each message that it does not forward because the
-// queue is full, and for each peer that SendDirect skips.
+// client. It calls onDrop for each message that it does not flood because the queue
+// is full, and for each peer that SendDirect skips.
 func New(server *kqrpc.Server, client *kqrpc.Client, self kqname.Node, overlay Overlay, onDrop func()) *Broadcaster {
 	b := &Broadcaster{
 		client: client, self: self, overlay: overlay, onDrop: onDrop, receivers: make(map[Topic][]Receiver),
@@ -114,8 +116,8 @@
 	return b
 }
 
-// Subscribe registers r to be called with each message of a topic, including
-// those that this node publishes.
+// Subscribe registers r to be called with each message of a topic that this node
+// receives or publishes.
 func (b *Broadcaster) Subscribe(t Topic, r Receiver) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -128,8 +130,9 @@
 	b.accept(message{ID: messageID(rand.Uint64()), From: b.self, Topic: t, Payload: payload})
 }
 
-// accept delivers a message to the local receivers and queues it for the
-// neighbours, unless it was accepted before.
+// accept delivers a message to the local receivers and queues it for the neighbours,
+// unless it was accepted before. If the queue is full, the message is delivered but
+// not flooded.
 func (b *Broadcaster) accept(m message) {
 	b.mu.Lock()
 	if b.seen[m.ID] {
--- a/internal/peer/kqbroadcast/direct.go
+++ b/internal/peer/kqbroadcast/direct.go
@@ -8,9 +8,9 @@
 )
 
 // SendDirect sends a message to the given nodes only, which do not forward it. It does
-// not wait for them. A node with a message of SendDirect still in flight is skipped and
-// the drop is counted, so a slow peer holds at most one message in memory here;
-// use it only for messages of which a later one makes a dropped one obsolete.
+// not wait for them. A node to which an earlier direct message is still in flight is
+// skipped and the drop is counted, so that each slow node causes at most one message to
+// be held in memory. Use it only if a later message makes a dropped one obsolete.
 func (b *Broadcaster) SendDirect(ctx context.Context, t Topic, payload []byte, to []kqname.Address) {
 	m := message{From: b.self, Topic: t, Payload: payload}
 	for _, address := range to {
@@ -38,6 +38,7 @@
 	return true
 }
 
+// release marks a peer as free again.
 func (b *Broadcaster) release(to kqname.Address) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/peer/kqbroadcast/doc.go
+++ b/internal/peer/kqbroadcast/doc.go
@@ -1,3 +1,4 @@
-// Package kqbroadcast broadcasts small messages to every node by flooding. A message
-// may arrive late or not at all, so its content must tolerate delay and loss.
+// Package kqbroadcast broadcasts small messages to every node by flooding, and sends
+// direct messages to single nodes. Delivery is best-effort: a message may arrive late
+// or not at all, and is not sent again, so callers must tolerate delay and loss.
 package kqbroadcast
--- a/internal/peer/kqbroadcast/flood.go
+++ b/internal/peer/kqbroadcast/flood.go
@@ -15,7 +15,8 @@
 // maxBatchBytes bounds the total size of the payloads in one frame.
 const maxBatchBytes = 256 << 10
 
-// Run forwards queued messages to the neighbours until ctx ends.
+// Run floods queued messages to the neighbours until ctx ends, and then waits for the
+// direct messages in flight.
 func (b *Broadcaster) Run(ctx context.Context) {
 	defer b.sending.Wait()
 	for {
--- a/internal/peer/kqbudget/budget.go
+++ b/internal/peer/kqbudget/budget.go
@@ -6,8 +6,8 @@
 	"golang.org/x/time/rate"
 )
 
-// burstSeconds is the size of the burst in seconds of the sustained rate: after
-// an idle time, a change or a restarted neighbour may cause that much traffic at once.
+// burstSeconds is the bucket's size in seconds of the sustained rate: after an idle
+// time, a change or a restarted neighbour may cause that much traffic at once.
 const burstSeconds = 30
 
 type (
@@ -17,11 +17,10 @@
 		Received(bytes int)
 	}
 
-	// Budget is a token bucket that charges sent bytes, at most one burst at a time,
-	// and tells senders of bulk traffic how long to wait while it is empty.
-	// Heartbeats and announcements are charged but do not wait:
-	// they are small, and without them peers would declare this node dead. It is
-	// safe for concurrent use.
+	// Budget is a token bucket that charges sent bytes and tells senders of bulk traffic
+	// how long to wait while it is empty. Heartbeats and announcements are charged but do
+	// not wait: they are small, and without them peers would declare this node dead.
+	// Budget is safe for concurrent use.
 	Budget struct {
 		next      Meter
 		limiter   *rate.Limiter
@@ -35,7 +34,8 @@
 	return &Budget{next: next, limiter: rate.NewLimiter(rate.Limit(perSecond), perSecond*burstSeconds), onLimited: onLimited}
 }
 
-// Sent charges sent bytes, at most one burst; it may overdraw the budget.
+// Sent charges sent bytes, but not more than one burst per call, and reports them to
+// the next meter. It may overdraw the budget.
 func (b *Budget) Sent(bytes int) {
 	b.next.Sent(bytes)
 	if bytes > 0 {
@@ -47,8 +47,8 @@
 // senders can limit them.
 func (b *Budget) Received(bytes int) { b.next.Received(bytes) }
 
-// Delay returns 0 if bulk traffic may be sent now, and otherwise how long to wait.
-// It charges nothing.
+// Delay returns 0 if bulk traffic may be sent now, and otherwise how long to wait. It
+// charges nothing; Sent does that when the traffic is sent.
 func (b *Budget) Delay(now time.Time) time.Duration {
 	tokens := b.limiter.TokensAt(now)
 	if tokens > 0 {
--- a/internal/peer/kqrpc/client.go
+++ b/internal/peer/kqrpc/client.go
@@ -12,6 +12,7 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
+// dialTimeout bounds the opening of a connection, including its ClientGuard.
 const dialTimeout = time.Second
 
 type (
@@ -63,9 +64,9 @@
 	return c
 }
 
-// Call sends a request to a method of a peer and waits for the answer. If that
-// fails, it closes the connection: on a reused one, a late answer could be taken
-// for the answer to the next request.
+// Call sends a request to a method of a peer and waits for the answer. If the request
+// fails, Call closes the connection: if it were reused, a late answer could be taken for
+// the answer to the next request.
 func Call[Req, Resp any](ctx context.Context, c *Client, to kqname.Address, method string, request Req) (Resp, error) {
 	var response Resp
 	p := c.peerConn(to)
@@ -87,7 +88,8 @@
 	return response, nil
 }
 
-// Disconnect closes and removes the connection to a peer.
+// Disconnect closes and removes the connection to a peer. It waits for a request in
+// flight.
 func (c *Client) Disconnect(to kqname.Address) {
 	c.mu.Lock()
 	p, ok := c.conns[to]
@@ -121,7 +123,7 @@
 	}
 }
 
-// Close closes every connection.
+// Close closes and removes every connection. It waits for requests in flight.
 func (c *Client) Close() {
 	c.mu.Lock()
 	conns := c.conns
--- a/internal/peer/kqrpc/panic_test.go
+++ b/internal/peer/kqrpc/panic_test.go
@@ -10,8 +10,9 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Guards against a panic in a method that ends the process and cuts all calls in flight,
-// since the drpc library does not recover it. Only the request that panicked may fail.
+// Guards against a panic in a method's handler that ends the process and aborts all calls
+// in flight, since the drpc library does not recover it. Only the request that panicked
+// may fail.
 func TestPanicInAMethodFailsOneRequest(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/peer/kqrpc/server.go
+++ b/internal/peer/kqrpc/server.go
@@ -67,11 +67,13 @@
 		Received(bytes int)
 	}
 
+	// envelope is a request with the name of its sender.
 	envelope[T any] struct {
 		From kqname.Node `cbor:"1,keyasint"`
 		Body T           `cbor:"2,keyasint"`
 	}
 
+	// method receives a request from a stream, handles it and sends the answer.
 	method func(stream drpc.Stream) error
 )
 
@@ -88,8 +90,8 @@
 }
 
 // Handle registers f as the handler of a method. Requests and answers are encoded
-// as CBOR. from is the sender as the request names it; with a guard it is checked
-// against the authenticated node.
+// as CBOR. from is the sender's name in the request; with a Guard, a request whose
+// sender is not the authenticated node fails with ErrSender before f is called.
 func Handle[Req, Resp any](s *Server, name string, f func(ctx context.Context, from kqname.Node, request Req) (Resp, error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,13 +153,13 @@
 	}
 }
 
-// serveOne serves one connection. No request reaches a method before the peer has
-// been authenticated.
+// serveOne serves one connection. With a Guard, no request reaches a method before the
+// peer has been authenticated.
 func (s *Server) serveOne(ctx context.Context, server *drpcserver.Server, conn net.Conn) {
 	var secured net.Conn = meteredConn{Conn: conn, meter: s.meter}
 	if s.guard != nil {
-		limited, cancel := context.WithTimeout(ctx, guardTimeout)
-		guarded, sender, err := s.guard(limited, secured)
+		guardCtx, cancel := context.WithTimeout(ctx, guardTimeout)
+		guarded, sender, err := s.guard(guardCtx, secured)
 		cancel()
 		if err != nil {
 			_ = conn.Close()
