--- a/internal/store/kqfakestore/count.go
+++ b/internal/store/kqfakestore/count.go
@@ -9,7 +9,8 @@
 )
 
 // Counts holds the number of calls received since the start. Refused calls count as
-// reads or writes too.
+// reads or writes too; calls that are cancelled during the delay of Faults.Slow do not
+// count.
 type Counts struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
@@ -33,9 +34,10 @@
 	return s.counts
 }
 
-// admit applies the delay of the fault Slow, counts the call and refuses it under the
-// faults Down, MaxReads and MaxWrites. If it returns nil, it has deleted expired
-// leases and holds the lock, which the caller must release.
+// admit applies the delay of the fault Slow, counts the call with count, and refuses it
+// under the fault Down or if count reports that it is over its limit. If admit returns
+// nil, it has deleted expired leases with their keys and has locked s.mu, which the
+// caller must unlock.
 func (s *Fake) admit(ctx context.Context, count func(*Fake) bool) error {
 	if slow := s.Faults().Slow; slow > 0 {
 		select {
--- a/internal/store/kqfakestore/fake.go
+++ b/internal/store/kqfakestore/fake.go
@@ -21,7 +21,7 @@
 		// changed is closed and replaced at each change, to wake the watches.
 		changed chan struct{}
 		// deleted holds the deletions since the last compaction, and compactedAt the
-		// revision at that time.
+		// revision at which it took place.
 		deleted     []deletion
 		compactedAt kqstore.Revision
 		faults      Faults
@@ -33,15 +33,15 @@
 	Faults struct {
 		// Down refuses every call with ErrUnavailable.
 		Down bool `json:"down"`
-		// Slow is the delay of each call.
+		// Slow is the delay of each call, and of each time that a waiting watch is woken.
 		Slow time.Duration `json:"slow"`
-		// LoseResponses is the number of writes that take effect but return
-		// ErrUnavailable.
+		// LoseResponses is how many of the next writes take effect but return
+		// ErrUnavailable. Grants and renewals of leases count as writes.
 		LoseResponses int `json:"lose_answers"`
 		// SilentWatch keeps watches waiting although their key has changed.
 		SilentWatch bool `json:"silent_watch"`
-		// StaleReads makes reads and watches return the value of each key before
-		// its last write; a key that was written once reads as absent.
+		// StaleReads makes reads and watches return the entry of each key before its last
+		// write; a key that was written only once reads as absent.
 		StaleReads bool `json:"stale_reads"`
 		// LapseLeases expires every lease once, when the faults are set, as if its
 		// holder had been paused for longer than its ttl.
@@ -55,12 +55,14 @@
 	// Option configures a Fake.
 	Option func(*Fake)
 
+	// deletion is a deleted key with the revision of its deletion.
 	deletion struct {
 		key      string
 		revision kqstore.Revision
 	}
 
-	// record is a key's entry with the entry before its last write, nil if none.
+	// record is a key's entry, with the entry before its last write, or nil, and the
+	// lease that the key was written under.
 	record struct {
 		entry    kqstore.Entry
 		previous *kqstore.Entry
@@ -201,7 +203,8 @@
 	return r.entry, true
 }
 
-// write stores a value under the next revision and wakes the watches.
+// write stores a value under the next revision and wakes the watches. It refuses values
+// that are too large and leases that have lapsed.
 func (s *Fake) write(key string, value []byte, id kqstore.Lease) (kqstore.Revision, error) {
 	if len(value) > kqstore.MaxValueBytes {
 		return 0, fmt.Errorf("write %s of %d bytes: %w", key, len(value), kqstore.ErrTooLarge)
--- a/internal/store/kqfakestore/serve.go
+++ b/internal/store/kqfakestore/serve.go
@@ -12,9 +12,11 @@
 )
 
 const (
+	// maxRequestBytes leaves room for the largest value in base64, which makes it a third
+	// longer, and for the other fields of an Operation.
 	maxRequestBytes = 2*kqstore.MaxValueBytes + 4096
-	// maxWait bounds the wait of a watch, as on the platform: a longer one would
-	// keep a dead connection in use for long. It also bounds the ttl of a lease.
+	// maxWait bounds the wait of a watch, as on the platform, so that the connection of a
+	// client that has gone is not kept for longer. It also bounds the ttl of a lease.
 	maxWait = 5 * time.Minute
 )
 
@@ -62,7 +64,7 @@
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, r *http.Request) {
 		var f Faults
 		dec := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes))
-		// Without this, a misspelled fault would silently switch all faults off.
+		// If unknown fields were ignored, a misspelled fault would switch all faults off.
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&f); err != nil {
 			http.Error(w, "read faults: "+err.Error(), http.StatusBadRequest)
--- a/internal/store/kqstoreclient/client.go
+++ b/internal/store/kqstoreclient/client.go
@@ -12,6 +12,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
+// defaultTimeout bounds a call unless WithTimeout sets another timeout.
 const defaultTimeout = 2 * time.Second
 
 type (
@@ -81,8 +82,9 @@
 	return a.Entry, err
 }
 
-// request posts one operation and decodes its result. An unreachable service, and an
-// answer that cannot be read or has an unknown error code, give ErrUnavailable.
+// request posts one operation and decodes its result. It returns ErrUnavailable if the
+// service cannot be reached, or if its answer cannot be read or has an unknown error
+// code. The HTTP status is not evaluated.
 func (c *Client) request(ctx context.Context, verb string, request kqfakestore.Operation, wait time.Duration) (kqfakestore.Result, error) {
 	var a kqfakestore.Result
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+wait)
--- a/internal/store/kqstoreclient/contract_test.go
+++ b/internal/store/kqstoreclient/contract_test.go
@@ -73,6 +73,9 @@
 	}
 }
 
+// Guards against a swap or delete that ignores the expected revision, with which one of
+// two writers would silently undo the other's change. Also checks that values are refused
+// only above the size limit.
 func TestOperations(t *testing.T) {
 	forBoth(t, func(t *testing.T, fx *fixture) {
 		ctx := t.Context()
@@ -121,8 +124,9 @@
 	})
 }
 
-// Checks the faults of single calls: an outage, a rate limit, a slow service, a stale
-// read, and the lost answer of a write, which must still have taken effect.
+// Guards against injected faults that have no effect: tests that inject them would then
+// pass without checking anything. The faults are an outage, a rate limit, a slow service,
+// a stale read, and the lost answer of a write, which must still have taken effect.
 func TestCallFaults(t *testing.T) {
 	forBoth(t, func(t *testing.T, fx *fixture) {
 		ctx := t.Context()
@@ -197,20 +201,20 @@
 // Guards against a misspelled fault in a request: if unknown fields were ignored, the
 // request would switch all faults off. It must be refused and change nothing.
 func TestMistypedFaultChangesNothing(t *testing.T) {
-	fx := kqfakestore.New()
-	fx.SetFaults(kqfakestore.Faults{Down: true})
-	server := httptest.NewServer(fx.Handler())
+	fake := kqfakestore.New()
+	fake.SetFaults(kqfakestore.Faults{Down: true})
+	server := httptest.NewServer(fake.Handler())
 	defer server.Close()
-	q, err := http.NewRequestWithContext(t.Context(), http.MethodPut, server.URL+"/faults", strings.NewReader(`{"dwon":false}`))
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodPut, server.URL+"/faults", strings.NewReader(`{"dwon":false}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := server.Client().Do(q)
+	resp, err := server.Client().Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = a.Body.Close() }()
-	if a.StatusCode != http.StatusBadRequest || !fx.Faults().Down {
-		t.Errorf("status %d, faults %+v, want 400 and only Down", a.StatusCode, fx.Faults())
+	defer func() { _ = resp.Body.Close() }()
+	if resp.StatusCode != http.StatusBadRequest || !fake.Faults().Down {
+		t.Errorf("status %d, faults %+v, want 400 and only Down", resp.StatusCode, fake.Faults())
 	}
 }
--- a/internal/store/kqstoreclient/fault.go
+++ b/internal/store/kqstoreclient/fault.go
@@ -12,19 +12,20 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 )
 
+// maxResponseBytes bounds a response with faults, counts or an error text.
 const maxResponseBytes = 64 << 10
 
 var errRefused = errors.New("fake store refused the request")
 
-// SetFaults replaces the injected faults of a fake store and returns those in
-// force.
+// SetFaults replaces the injected faults of a fake store and returns the faults that it
+// then reports.
 func (c *Client) SetFaults(ctx context.Context, f kqfakestore.Faults) (kqfakestore.Faults, error) {
 	var set kqfakestore.Faults
 	body, err := json.Marshal(f)
 	if err != nil {
 		return set, fmt.Errorf("set faults: %w", err)
 	}
-	if err := c.testRequest(ctx, http.MethodPut, "/faults", body, &set); err != nil {
+	if err := c.requestFakeStore(ctx, http.MethodPut, "/faults", body, &set); err != nil {
 		return set, fmt.Errorf("set faults: %w", err)
 	}
 	return set, nil
@@ -33,14 +34,14 @@
 // Counts returns how many calls a fake store has received.
 func (c *Client) Counts(ctx context.Context) (kqfakestore.Counts, error) {
 	var counts kqfakestore.Counts
-	if err := c.testRequest(ctx, http.MethodGet, "/counts", nil, &counts); err != nil {
+	if err := c.requestFakeStore(ctx, http.MethodGet, "/counts", nil, &counts); err != nil {
 		return counts, fmt.Errorf("read counts: %w", err)
 	}
 	return counts, nil
 }
 
-// testRequest sends a request to the faults or counts of a fake store.
-func (c *Client) testRequest(ctx context.Context, method, path string, body []byte, into any) error {
+// requestFakeStore sends a request to the faults or counts of a fake store.
+func (c *Client) requestFakeStore(ctx context.Context, method, path string, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.url+path, bytes.NewReader(body))
