--- a/internal/run/kqcommand/document.go
+++ b/internal/run/kqcommand/document.go
@@ -16,8 +16,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// defaultPlatformURL is the address that the stand-in for the platform listens on by
-// default.
+// defaultPlatformURL is the URL of the stand-in for the platform at its default listen
+// address.
 const defaultPlatformURL = "http://127.0.0.1:7070"
 
 var errInvalidDocument = errors.New("document has problems")
--- a/internal/run/kqcommand/keys.go
+++ b/internal/run/kqcommand/keys.go
@@ -27,7 +27,7 @@
 
 var (
 	errCAExists      = errors.New("there is an authority already")
-	errReservedName  = errors.New("the files of that name are the CA's; no node may have it")
+	errReservedName  = errors.New("the name is reserved for the files of the CA; no node may have it")
 	errNoCertificate = errors.New("file has no certificate in PEM format")
 )
 
--- a/internal/run/kqcommand/measure_nodes.go
+++ b/internal/run/kqcommand/measure_nodes.go
@@ -26,7 +26,7 @@
 		for _, text := range strings.Split(*counts, ",") {
 			n, err := strconv.Atoi(strings.TrimSpace(text))
 			if err != nil || n < 1 {
-				return fmt.Errorf("count %q is not a number above 0", text)
+				return fmt.Errorf("measure nodes: --counts: %q is not a whole number above 0", text)
 			}
 			plan.Counts = append(plan.Counts, n)
 		}
--- a/internal/run/kqcommand/measure_rollouts.go
+++ b/internal/run/kqcommand/measure_rollouts.go
@@ -41,18 +41,18 @@
 	})
 }
 
-// recordTraces simulates a few rollouts of each kind and writes the shortest trace of
-// those that ended as they should.
+// recordTraces simulates tracesPerKind rollouts of each kind and writes the shortest
+// trace of those that ended as they should. If none of a kind did, its file is empty.
 func recordTraces(directory string, seed uint64) error {
 	for _, kind := range kqrolloutsim.Kinds {
 		var shortest []byte
 		for index := range uint64(tracesPerKind) {
 			var trace bytes.Buffer
-			right, err := kqsurvey.Record(&trace, kind, seed, index, kqdocument.PreferTakingBack)
+			asExpected, err := kqsurvey.Record(&trace, kind, seed, index, kqdocument.PreferTakingBack)
 			if err != nil {
 				return err
 			}
-			if right && (shortest == nil || trace.Len() < len(shortest)) {
+			if asExpected && (shortest == nil || trace.Len() < len(shortest)) {
 				shortest = trace.Bytes()
 			}
 		}
--- a/internal/run/kqcommand/memory.go
+++ b/internal/run/kqcommand/memory.go
@@ -11,17 +11,17 @@
 // further calls would take the same amount of memory again.
 const maxPooledBody = 64 << 10
 
-// heapShare is the share of the process's memory up to which the garbage collector lets
-// the heap grow. The rest is for stacks of the operating system's threads, the program
-// itself, and overshoot of the collector.
-const heapShare = 0.75
+// runtimeMemoryShare is the share of the process's memory that the Go runtime is limited
+// to, for the heap and the stacks of goroutines. The rest is for the stacks of the
+// operating system's threads, the program itself, and overshoot of the garbage collector.
+const runtimeMemoryShare = 0.75
 
 // limitMemory limits the pooling of bodies, and makes the garbage collector keep the
-// process within its memory in bytes, 0 for no limit. By default the heap grows to
-// twice the live memory, and a server kills a process that exceeds its memory.
+// process within the given memory in bytes; 0 sets no limit. Without a limit the heap
+// grows to twice the live memory, and a server kills a process that exceeds its memory.
 func limitMemory(bytes int) {
 	fasthttp.SetBodySizePoolLimit(maxPooledBody, maxPooledBody)
 	if bytes > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(bytes)))
+		debug.SetMemoryLimit(int64(runtimeMemoryShare * float64(bytes)))
 	}
 }
--- a/internal/run/kqcommand/node.go
+++ b/internal/run/kqcommand/node.go
@@ -28,13 +28,13 @@
 	clause := c.app.Command("node", "Run a node as the sidecar of an upstream.")
 	file := clause.Flag("settings", "INI file with the node's settings.").Required().String()
 	c.register(clause, func(ctx context.Context) error {
-		// The signals are handled until the process ends: the default action of each
-		// ends the process, which would cut the calls in flight of a node that starts
-		// or drains.
+		// The signals are handled until the process ends. The default action of each
+		// would end a node that starts or drains and cut off its calls in flight.
 		signals := make(chan os.Signal, 8)
 		signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, os.Interrupt)
-		// Without this the first write after the log collector has gone would end the
-		// process. Now the write fails, and the line is counted as dropped.
+		// With SIGPIPE ignored, a write after the log collector has closed the output
+		// fails, and the line is counted as dropped. By default the first such write
+		// would end the process.
 		signal.Ignore(syscall.SIGPIPE)
 		if stopsHandlingReload {
 			context.AfterFunc(ctx, func() { signal.Reset(syscall.SIGHUP) })
@@ -61,18 +61,18 @@
 		printAddresses(n, s.Log.Format, output, logger)
 		var group conc.WaitGroup
 		defer group.Wait()
-		watching, stop := context.WithCancel(context.WithoutCancel(ctx))
+		watchCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 		defer stop()
 		group.Go(func() {
-			n.RunWithRestart(watching, "settings", func() { watchSettings(watching, signals, *file, n, logger) })
+			n.RunWithRestart(watchCtx, "settings", func() { watchSettings(watchCtx, signals, *file, n, logger) })
 		})
 		return n.Run(ctx)
 	})
 }
 
-// printAddresses writes the addresses that the node listens on: as "name address"
-// lines in the text format, or as one log line in the JSON format, whose readers may
-// accept JSON only.
+// printAddresses writes the addresses that the node listens on, without that for
+// readiness probes: as "name address" lines in the text format, or as one log line in
+// the JSON format, whose readers may accept JSON only.
 func printAddresses(n *kqnode.Node, format string, output io.Writer, logger *kqlog.Logger) {
 	addresses := []struct {
 		name    string
@@ -91,8 +91,9 @@
 }
 
 // watchSettings logs the signals that arrive. It reloads the settings when their file
-// has changed, which it checks on each signal, such as SIGHUP, and at intervals. A file
-// that cannot be read or is invalid changes nothing.
+// has changed, which it checks on each signal, such as SIGHUP, and every
+// settingsInterval. Only the settings that Node.Reload covers change. A file that cannot
+// be read or is invalid changes nothing.
 func watchSettings(ctx context.Context, signals <-chan os.Signal, file string, n *kqnode.Node, logger *kqlog.Logger) {
 	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
@@ -123,8 +124,9 @@
 	}
 }
 
-// connect returns the store of the platform that the settings name, with the
-// settings and the adapter for it.
+// connect returns the settings with the limits of the platform applied, the platform's
+// store, and the node's adapter to the platform. Without an adapter in the settings, it
+// returns them unchanged with a client of the platform's key-value service.
 func (c *Command) connect(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
 	if s.Platform.Adapter == "" {
 		return s, kqstoreclient.New(s.Platform.URL, kqstoreclient.WithTimeout(s.Platform.Timeout)), kqnode.Adapter{}, nil
--- a/internal/run/kqcommand/platform.go
+++ b/internal/run/kqcommand/platform.go
@@ -56,7 +56,7 @@
 	clause.Flag("max-writes", "Refuse writes beyond this many per second; 0 sets no limit.").IntVar(&f.MaxWrites)
 	c.register(clause, func(ctx context.Context) error {
 		if f.Slow < 0 || f.LoseResponses < 0 || f.MaxReads < 0 || f.MaxWrites < 0 {
-			return errors.New("set faults: a time or a count is negative")
+			return errors.New("set faults: --slow, --lose-answers, --max-reads and --max-writes must not be negative")
 		}
 		set, err := kqstoreclient.New(*url).SetFaults(ctx, f)
 		if err != nil {
--- a/internal/run/kqcommand/progress.go
+++ b/internal/run/kqcommand/progress.go
@@ -16,14 +16,15 @@
 )
 
 // withProgress runs a long command and shows its elapsed time on one line of the
-// terminal. It shows nothing if out is a file, where the line would clutter the output.
+// terminal. It shows nothing if out is not a terminal, such as a file or a pipe, where
+// the line would clutter the output.
 func withProgress(ctx context.Context, out io.Writer, name string, run func(context.Context) error) error {
 	if !isTerminal(out) {
 		return run(ctx)
 	}
-	shown, stop := context.WithCancel(ctx)
+	progressCtx, stop := context.WithCancel(ctx)
 	var group conc.WaitGroup
-	group.Go(func() { showProgress(shown, out, name) })
+	group.Go(func() { showProgress(progressCtx, out, name) })
 	defer group.Wait()
 	defer stop()
 	return run(ctx)
--- a/internal/run/kqcommand/rollout.go
+++ b/internal/run/kqcommand/rollout.go
@@ -69,7 +69,7 @@
 }
 
 // stateSummary returns the states and steps of all rollouts. --watch prints the
-// rollouts again only if it changes, and not on every further call.
+// rollouts again only if this summary changes, not when only the counts of calls do.
 func stateSummary(list []kqtracker.Status) string {
 	text := ""
 	for _, s := range list {
--- a/internal/run/kqcommand/upstream.go
+++ b/internal/run/kqcommand/upstream.go
@@ -37,7 +37,7 @@
 		case !(*fail >= 0 && *fail <= 1):
 			return fmt.Errorf("upstream: --fail-share %v is not from 0 to 1", *fail)
 		case *work < 0 || *cold < 0 || *coldWork < 0 || *servesOn < 0:
-			return errors.New("upstream: a time is negative")
+			return errors.New("upstream: --work, --cold-for, --cold-work and --serves-on must not be negative")
 		case err != nil || host == "" || port == "":
 			return fmt.Errorf("upstream: --node %q is not an address like 127.0.0.1:8081", *node)
 		}
