--- a/internal/run/kqevents/doc.go
+++ b/internal/run/kqevents/doc.go
@@ -1,4 +1,4 @@
 // Package kqevents keeps the few recent events of a process that explain most problems
-// of its callers: its start, signals, the steps of its shutdown, and peers that restarted
-// without announcing their departure.
+// of its callers, such as its start, signals, panics, the steps of its shutdown and
+// restarts of its peers. It does not write them to the log; its user does.
 package kqevents
--- a/internal/run/kqevents/history.go
+++ b/internal/run/kqevents/history.go
@@ -10,8 +10,8 @@
 	// maxEvents is how many events are kept: enough for those of a shutdown and of a
 	// rolling restart of a fleet.
 	maxEvents = 12
-	// maxAge is how long an event is repeated. Log collectors that keep a limited number
-	// of bytes of each process keep a minute's worth of lines at normal rates.
+	// maxAge is how long an event is repeated. A log collector that keeps a limited
+	// number of bytes of each process has room for about a minute of lines at normal rates.
 	maxAge = time.Minute
 )
 
