--- a/internal/run/kqexplain/explain.go
+++ b/internal/run/kqexplain/explain.go
@@ -43,7 +43,7 @@
 		return []string{text}
 	case "ended":
 		list := []string{fmt.Sprintf("%s entry: %s matched route %q of service %s by version %d%s.", at, one.ID, one.Route, one.Service, one.Version, l.entryKnowledge(one))}
-		for i, t := range one.Tries {
+		for i, t := range one.Attempts {
 			text := fmt.Sprintf("  attempt %d to %s with %.0f ms left (load reported %.0f ms before: %d running, %d waiting, %d slots; %d in flight from this entry): %s after %.0f ms",
 				i+1, t.To, t.TimeLeft, t.LoadAge, t.Running, t.Waiting, t.Slots, t.InFlight, outcomeText(t.Result, t.Reason, t.Status), t.Took)
 			if t.Ejected {
@@ -61,18 +61,20 @@
 }
 
 // entryKnowledge describes, from earlier log lines, what the entry's node knew when
-// the call arrived: how long its configuration had been in force, whether the
-// store was unreachable, and the states of the upstreams' nodes.
+// the call arrived: for how long its configuration had been in force and the store had
+// been unreachable, and the states of the nodes that the call was sent to. It returns ""
+// if there are no such lines.
 func (l *Log) entryKnowledge(one line) string {
 	began := one.Time.Add(-time.Duration(one.Took * float64(time.Millisecond)))
 	var list []string
 	if v, ok := l.lastLine(one.Node, began, func(o line) bool { return o.Event == "applied" }); ok {
 		list = append(list, fmt.Sprintf("version in force for %s", began.Sub(v.Time).Round(time.Millisecond)))
 	}
+	// Of the lines of event "store", only "Store does not answer." has "does not".
 	if s, ok := l.lastLine(one.Node, began, func(o line) bool { return o.Event == "store" }); ok && strings.Contains(s.Text, "does not") {
 		list = append(list, fmt.Sprintf("store unreachable for %s", began.Sub(s.Time).Round(time.Millisecond)))
 	}
-	for _, t := range one.Tries {
+	for _, t := range one.Attempts {
 		if m, ok := l.lastLine(one.Node, began, func(o line) bool { return o.Event == "member" && o.Member == t.To }); ok {
 			list = append(list, fmt.Sprintf("%s %s for %s", t.To, m.State, began.Sub(m.Time).Round(time.Millisecond)))
 		}
@@ -86,8 +88,8 @@
 // cause describes why the call ended as it did.
 func (l *Log) cause(end line, lines []line) string {
 	var last attempt
-	if n := len(end.Tries); n > 0 {
-		last = end.Tries[n-1]
+	if n := len(end.Attempts); n > 0 {
+		last = end.Attempts[n-1]
 	}
 	switch end.Reason {
 	case "":
@@ -96,7 +98,7 @@
 		return fmt.Sprintf("overload. The gates of %s had refused most calls of class %q in the seconds before, so the entry refused it unsent.", end.Service, end.Class)
 	case "queue_full":
 		return fmt.Sprintf("overload. %d gates of %s had no room within the time that the request could wait; the last, %s, had %d of %d slots in use and %d calls waiting.",
-			len(end.Tries), end.Service, last.To, last.Running, last.Slots, last.Waiting)
+			len(end.Attempts), end.Service, last.To, last.Running, last.Slots, last.Waiting)
 	case "late":
 		return fmt.Sprintf("overload. It waited at the gate of %s until it was too late to start, and was refused without reaching the upstream.", last.To)
 	case "no_upstream":
@@ -116,8 +118,8 @@
 	}
 }
 
-// answeredCause describes the cause of an answer: none unless its status is an
-// error, else a failed call that the call caused, or the upstream itself.
+// answeredCause describes the cause of an answer: none if its status is under 500, else
+// the first failed call that the call caused, or the upstream itself if there is none.
 func (l *Log) answeredCause(end line, last attempt, lines []line) string {
 	if end.Status < 500 {
 		return "none; the request was answered."
@@ -130,8 +132,9 @@
 	return fmt.Sprintf("the upstream at %s, which answered %d itself after %.0f ms; %s.", last.To, end.Status, last.Took, noRetryReason(end))
 }
 
-// laterMemberState describes the state that the entry's node recorded for another
-// node up to 5 s after the call ended, unless that node was alive.
+// laterMemberState describes the last state that the entry's node logged for another
+// node no later than 5 s after the call ended. It returns "" if that is alive or there
+// is none.
 func (l *Log) laterMemberState(end line, node string) string {
 	const window = 5 * time.Second
 	m, ok := l.lastLine(end.Node, end.Time.Add(window), func(o line) bool { return o.Event == "member" && o.Member == node })
@@ -141,8 +144,8 @@
 	return fmt.Sprintf("; that node was marked %s at %s", m.State, m.Time.Format("15:04:05.000"))
 }
 
-// unavailableMembers describes how many members the entry's node did not know as
-// alive when the call ended.
+// unavailableMembers describes how many members were not alive by the last state that
+// the entry's node logged for each until the call ended. It returns "" if there are none.
 func (l *Log) unavailableMembers(end line) string {
 	states := make(map[string]string)
 	for _, one := range l.lines {
@@ -165,8 +168,8 @@
 // noRetryReason describes why the call was not retried, or not once more.
 func noRetryReason(end line) string {
 	switch {
-	case len(end.Tries) > 1:
-		return fmt.Sprintf("%d upstreams were tried", len(end.Tries))
+	case len(end.Attempts) > 1:
+		return fmt.Sprintf("%d upstreams were tried", len(end.Attempts))
 	case end.TimeLeft <= 0:
 		return "no time was left for a retry"
 	default:
@@ -186,7 +189,8 @@
 	return text
 }
 
-// retryAdvice describes the Retry-After that the caller got.
+// retryAdvice describes after how many milliseconds the caller was told to retry. It
+// returns "" for 0, which means that it was not told.
 func retryAdvice(ms float64) string {
 	if ms == 0 {
 		return ""
--- a/internal/run/kqexplain/explain_test.go
+++ b/internal/run/kqexplain/explain_test.go
@@ -32,8 +32,8 @@
 	return &l
 }
 
-// For a refused, a failed and a disconnected call, the logs alone must show an
-// on-call engineer the cause.
+// The logs alone must show an on-call engineer the cause of a refusal, of a cut
+// connection, and of a failure that comes from a call that the call caused.
 func TestExplainStatesCause(t *testing.T) {
 	for id, want := range map[string][]string{
 		"r1": {"Cause: overload. 1 gates of front had no room", "caller told to retry after 250 ms", "b alive for", "version in force for"},
--- a/internal/run/kqexplain/read.go
+++ b/internal/run/kqexplain/read.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// maxLineBytes bounds one line. Nodes write no longer ones; a file that has one cannot
-// be read.
+// maxLineBytes is the maximum length of a line in bytes. Nodes write no longer lines,
+// and Read fails on a file that has one.
 const maxLineBytes = 1 << 20
 
 type (
@@ -24,6 +24,7 @@
 	}
 
 	// line is one line of a node's log. Fields that its event does not have are zero.
+	// Durations are in milliseconds.
 	line struct {
 		Time   time.Time `json:"time"`
 		Node   string    `json:"node"`
@@ -42,7 +43,7 @@
 		Took       float64   `json:"took_ms"`
 		TimeLeft   float64   `json:"left_ms"`
 		RetryAfter float64   `json:"retry_after_ms"`
-		Tries      []attempt `json:"tries"`
+		Attempts   []attempt `json:"tries"`
 
 		Instance string  `json:"instance"`
 		Running  int     `json:"running"`
@@ -57,6 +58,7 @@
 	}
 
 	// attempt is one attempt to send a call to an upstream, as the entry logged it.
+	// Durations are in milliseconds.
 	attempt struct {
 		To       string  `json:"to"`
 		Result   string  `json:"result"`
@@ -121,14 +123,14 @@
 	return list
 }
 
-// lastLine returns the last line of a node, no later than before, for which
-// matches returns true, and whether there is one. Lines from before the node's last restart do
-// not count.
-func (l *Log) lastLine(node string, before time.Time, matches func(line) bool) (line, bool) {
+// lastLine returns the last line of a node for which matches returns true, and whether
+// there is one. It ignores lines later than until, and those before the node's last
+// start.
+func (l *Log) lastLine(node string, until time.Time, matches func(line) bool) (line, bool) {
 	var best, started line
 	for _, one := range l.lines {
 		switch {
-		case one.Node != node || one.Time.After(before):
+		case one.Node != node || one.Time.After(until):
 		case one.Event == "started" && !one.Time.Before(started.Time):
 			started = one
 		case matches(one) && !one.Time.Before(best.Time):
