--- a/internal/run/kqlog/log.go
+++ b/internal/run/kqlog/log.go
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// Part returns the logger of one part of a node, such as "entry". Its lines have
+// Part returns the logger of one part of a node, such as "gate". Its lines have
 // the field "part" and, if the node's name is set, "node".
 func (l *Logger) Part(name string) *logrus.Entry {
 	entry := l.base.WithField("part", name)
