--- a/internal/run/kqmetric/metric.go
+++ b/internal/run/kqmetric/metric.go
@@ -104,11 +104,13 @@
 func (m *Metrics) PlatformFailed() { m.platformFailed.Inc() }
 
 // BudgetExceeded counts one time that a control budget was exceeded: "send" delayed
-// bulk traffic, or "memory" evicted a host's configuration.
+// bulk traffic, or "memory" evicted a host's configuration or cut a fetch of all objects
+// short.
 func (m *Metrics) BudgetExceeded(budget string) { m.budgetExceeded.WithLabelValues(budget).Inc() }
 
-// BroadcastDropped counts a broadcast message that was dropped: the forwarding queue
-// was full, or the receiver was still busy with the one before.
+// BroadcastDropped counts a message to peers that was dropped: a broadcast that did not
+// fit into the forwarding queue, or a direct message to a peer to which the previous one
+// was still in flight.
 func (m *Metrics) BroadcastDropped() { m.broadcastDropped.Inc() }
 
 // CountStoreCall counts a call to the store by kind and status; both come from the
--- a/internal/run/kqmetric/security.go
+++ b/internal/run/kqmetric/security.go
@@ -6,8 +6,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Security holds the metrics of certificates and operators: refused connections
-// and requests, reloads that failed, and committed changes.
+// Security holds the metrics of certificates, operators and forged headers: refused
+// connections and requests, reloads that failed, committed changes, calls from outside
+// with internal headers, and the certificate's expiry.
 type Security struct {
 	peerRefused    prometheus.Counter
 	reloadFailed   *prometheus.CounterVec
@@ -61,5 +62,6 @@
 // AdminRefused counts an operator's request that was refused.
 func (s *Security) AdminRefused(reason string) { s.adminRefused.WithLabelValues(reason).Inc() }
 
-// AdminCommitted counts a committed operator's change; way is how it was requested.
+// AdminCommitted counts an operator's change that was committed; way is the interface
+// that it was requested through, "api" or "console".
 func (s *Security) AdminCommitted(way string) { s.adminCommitted.WithLabelValues(way).Inc() }
