--- a/internal/run/kqrecord/record.go
+++ b/internal/run/kqrecord/record.go
@@ -44,9 +44,9 @@
 	}
 )
 
-// New returns a recorder that logs one in sampleEvery successes, or none if it is
-// 0, and at most linesPerReason lines a second for each reason; counter counts the
-// suppressed lines.
+// New returns a recorder that logs one in sampleEvery routine successes, or none if it
+// is 0, and at most linesPerReason lines of other calls a second for each reason; counter
+// counts the suppressed lines.
 func New(callLog, gateLog *logrus.Entry, sampleEvery, linesPerReason int, counter Counter) *Recorder {
 	r := &Recorder{callLog: callLog, gateLog: gateLog, counter: counter, windows: make(map[string]*rateWindow)}
 	r.SetLimits(sampleEvery, linesPerReason)
@@ -109,10 +109,11 @@
 	r.gateLog.WithFields(fields).Info("Call ended at the gate.")
 }
 
-// shouldLog reports whether to write a call's line. Routine successes are sampled,
-// other calls are limited to linesPerReason a second. The first such call of a
-// later second logs, in the call log for gate lines too, how many lines of its reason were
-// suppressed.
+// shouldLog reports whether to write a call's line. Routine successes are sampled.
+// Other calls are limited to linesPerReason lines a second for each reason, which here is
+// "call" or "gate" and the reason of the outcome. On the first such call of a later
+// second, shouldLog also logs how many lines of the reason were suppressed; this line goes
+// to the call log for both kinds of reasons.
 func (r *Recorder) shouldLog(id kqcall.ID, reason string, routine bool, now time.Time) bool {
 	if routine {
 		sampleEvery := r.sampleEvery.Load()
@@ -142,25 +143,25 @@
 
 // attemptFields returns the log fields of a call's attempts.
 func attemptFields(list []kqentry.Attempt) []map[string]any {
-	lines := make([]map[string]any, 0, len(list))
+	all := make([]map[string]any, 0, len(list))
 	for _, t := range list {
-		line := map[string]any{
+		fields := map[string]any{
 			"to": t.To, "sent": t.InFlight, "running": t.Load.Running, "waiting": t.Load.Waiting, "slots": t.Load.Slots,
 			"load_age_ms": milliseconds(t.LoadAge), "left_ms": milliseconds(t.TimeLeft), "took_ms": milliseconds(t.Took), "result": t.Outcome.Result,
 			"again": t.Resent, "upstream_version": t.Version,
 		}
 		if t.Outcome.Reason != kqcall.NoReason {
-			line["reason"] = t.Outcome.Reason
+			fields["reason"] = t.Outcome.Reason
 		}
 		if t.Status > 0 {
-			line["status"] = t.Status
+			fields["status"] = t.Status
 		}
 		if t.Ejected {
-			line["ejected"] = true
+			fields["ejected"] = true
 		}
-		lines = append(lines, line)
+		all = append(all, fields)
 	}
-	return lines
+	return all
 }
 
 // milliseconds returns d in milliseconds, truncated to a tenth.
