--- a/internal/run/kqsettings/combinations.go
+++ b/internal/run/kqsettings/combinations.go
@@ -8,9 +8,10 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// checkCombinations reports settings that are valid alone but not together.
-// Settings that are missing or invalid by themselves are skipped: they still
-// hold their default, which the file does not state.
+// checkCombinations reports settings that are valid alone but not together, and
+// addresses of the platform and of seeds that are malformed. The checks of listen
+// addresses and of pairs skip settings that are missing or invalid by themselves:
+// these still hold their default, which the file does not state.
 func (r *fileReader) checkCombinations(s Settings) {
 	if s.Member.UpstreamTTL < 2*s.Member.Heartbeat {
 		r.addPairError("member", "upstream_ttl", "heartbeat", "must be at least twice heartbeat, or upstreams may expire and reappear")
@@ -32,7 +33,8 @@
 }
 
 // checkListenAddresses reports listen addresses that are empty, used twice, or
-// beyond loopback without the protection that their listener needs.
+// beyond loopback without the protection that their listener needs. The admin and the
+// readiness server may have none, and several listeners may use port 0.
 func (r *fileReader) checkListenAddresses(s Settings) {
 	used := make(map[kqname.Address]string)
 	for _, a := range []struct {
--- a/internal/run/kqsettings/field.go
+++ b/internal/run/kqsettings/field.go
@@ -148,8 +148,8 @@
 }
 
 // number parses a duration to nanoseconds, a size with a suffix of
-// sizeUnits to bytes, or a plain whole number. Only a size may have a decimal
-// point.
+// sizeUnits to bytes, or a plain whole number. Only a size in KB, MB or GB may have a
+// decimal point.
 func (f field) number(text string) (int64, error) {
 	if f.value.Type() == durationType {
 		d, err := time.ParseDuration(text)
@@ -168,6 +168,7 @@
 		}
 	}
 	text = strings.TrimSpace(text)
+	// Below 1<<30 the product fits into an int64, as the largest unit is 1<<30 bytes.
 	if decimal, err := strconv.ParseFloat(text, 64); err == nil && multiplier > 1 && strings.Contains(text, ".") && math.Abs(decimal) < 1<<30 {
 		return int64(decimal * float64(multiplier)), nil
 	}
--- a/internal/run/kqsettings/settings.go
+++ b/internal/run/kqsettings/settings.go
@@ -89,7 +89,8 @@
 	}
 
 	// TLS configures mutual authentication of nodes. Without the three files TLS
-	// is off, which is allowed only on loopback addresses or in a trusted network.
+	// is off; the gate, control and admin servers must then listen on loopback
+	// addresses or in a trusted network.
 	TLS struct {
 		CA             string        `key:"ca" doc:"PEM file with the certificate of the fleet's CA; read again when it changes."`
 		Certificate    string        `key:"certificate" doc:"PEM file with this node's certificate, which names it; read again when it changes."`
