--- a/internal/run/kqnode/adapter.go
+++ b/internal/run/kqnode/adapter.go
@@ -15,24 +15,27 @@
 )
 
 type (
-	// Adapter connects a node to a platform whose operators, upstreams and callers
-	// use formats of their own. With a nil Dialect or
-	// Announcements the program's own format is used; without OperatorDecoder the console's
-	// commits are read instead of operators' entries, without Reports no reports are written.
+	// Adapter connects a node to a platform whose operators, upstreams and callers use
+	// formats of their own. Each field may be nil, but OperatorDecoder requires Lister.
+	// Without Dialect or Announcements, the program's own format is used; without
+	// OperatorDecoder, the console's commits are read; without Reports, no reports are
+	// written.
 	Adapter struct {
-		// Dialect reads and writes the headers of callers and upstreams. With it,
-		// callers and the local upstream share one listener, the entry's.
+		// Dialect reads and writes the headers of callers and upstreams. With it, the
+		// local upstream makes its calls through the entry's listener, as callers do.
 		Dialect kqcall.Dialect
-		// Announcements parses the local upstream's announcements.
+		// Announcements parses the local upstream's announcements. With it, the local
+		// listener serves announcements only.
 		Announcements Announcements
 		// OperatorDecoder decodes the document and the rollout orders that operators write
-		// to the store directly; Lister lists and follows those entries.
+		// to the store directly. Lister lists and follows those entries, and those through
+		// which nodes find each other and share departures of upstreams.
 		OperatorDecoder kqorigin.Decoder
 		Lister          kqstore.Lister
 		// OnResponse registers f, which is called after each call to the store with the
 		// call's kind and the answer's status, or 0 without an answer.
 		OnResponse func(f func(call string, status int))
-		// Reports encodes the state of a rollout order for operators.
+		// Reports encodes the state of a rollout order, which operators read in the store.
 		Reports Reports
 	}
 
@@ -52,9 +55,9 @@
 // WithAdapter connects the node to a platform with formats of its own.
 func WithAdapter(a Adapter) Option { return func(n *Node) { n.adapter = a } }
 
-// recordStoreCall counts a call to the store, and logs when the store becomes
-// unavailable, which includes answers with status 429 or 503, and when it is available
-// again; the latter also renews the node's registration.
+// recordStoreCall counts a call to the store. It logs when the store becomes unavailable
+// and when it is available again, and then renews the node's discovery entry, whose lease
+// may have expired. Answers with status 429 or 503 count as unavailable.
 func (n *Node) recordStoreCall(call string, status int) {
 	n.metrics.CountStoreCall(call, status)
 	unavailable := status == 0 || status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests
@@ -66,8 +69,8 @@
 		entry.Warn("Store does not answer.")
 	} else {
 		entry.Info("Store answers again.")
-		if n.distribution.register != nil {
-			n.distribution.register.RenewNow()
+		if n.distribution.discovery != nil {
+			n.distribution.discovery.RenewNow()
 		}
 	}
 }
--- a/internal/run/kqnode/admin.go
+++ b/internal/run/kqnode/admin.go
@@ -19,27 +19,27 @@
 	if n.settings.Admin.Tokens != "" {
 		reloader, err := kqreload.New([]string{n.settings.Admin.Tokens}, operators.Load,
 			kqreload.WithInterval(n.settings.TLS.ReloadEvery), kqreload.WithFailureHandler(func(err error) {
-				n.security.ReloadFailed("tokens")
+				n.securityMetrics.ReloadFailed("tokens")
 				log.WithError(err).Warn("Cannot load the operators' token file; the current tokens stay in use.")
 			}))
 		if err != nil {
-			return fmt.Errorf("join admin: %w", err)
+			return fmt.Errorf("set up admin server: %w", err)
 		}
-		n.tokens = reloader
+		n.tokenReloader = reloader
 	}
 	var err error
 	n.admin, err = kqadmin.New(kqadmin.Parts{
-		Node: n, Store: n.store, Operators: operators, Registry: n.metrics.Registry(), Counter: n.security, Log: log,
+		Node: n, Store: n.store, Operators: operators, Registry: n.metrics.Registry(), Counter: n.securityMetrics, Log: log,
 	})
 	if err != nil {
-		return fmt.Errorf("join admin: %w", err)
+		return fmt.Errorf("set up admin server: %w", err)
 	}
 	return nil
 }
 
 func (n *Node) runAdmin(ctx context.Context, supervise func(part string, f func())) {
-	if n.tokens != nil {
-		supervise("tokens", func() { n.tokens.Run(ctx) })
+	if n.tokenReloader != nil {
+		supervise("tokens", func() { n.tokenReloader.Run(ctx) })
 	}
 	if n.admin != nil {
 		supervise("admin", func() { n.admin.Run(ctx) })
--- a/internal/run/kqnode/announce.go
+++ b/internal/run/kqnode/announce.go
@@ -22,7 +22,8 @@
 }
 
 // serveAnnouncement serves an announcement in the platform's own format. It refuses
-// one that cannot be parsed or that names another service.
+// one that cannot be parsed, is invalid or names another service, and answers 404 to any
+// other request.
 func (n *Node) serveAnnouncement(ctx *fasthttp.RequestCtx) {
 	a, ok, err := n.adapter.Announcements.Read(string(ctx.Request.Header.RequestURI()), ctx.PostBody())
 	if !ok {
@@ -44,8 +45,10 @@
 	ctx.SetBodyString("{}")
 }
 
-// announce applies an announcement. A departure takes effect, and is stored outside
-// this process, before the upstream gets its answer.
+// announce applies an announcement, or holds it until earlier departures are known. An
+// announcement with Gone or Draining is a departure: it takes effect before the upstream
+// gets its answer, and the answer also waits, for a limited time, until the store or peers
+// hold it.
 func (n *Node) announce(a kqlocal.Announcement) error {
 	now := time.Now()
 	leaves := a.Gone || a.Draining
@@ -75,8 +78,8 @@
 	return nil
 }
 
-// learnDepartures learns which upstreams left before this process started, and then
-// applies the announcements held meanwhile.
+// learnDepartures applies the departures that were announced before this process started,
+// and then the announcements held meanwhile.
 func (n *Node) learnDepartures(ctx context.Context) {
 	now := time.Now()
 	for _, d := range n.distribution.departures.Learn(ctx) {
@@ -89,7 +92,8 @@
 	}
 }
 
-// hold holds an announcement unless departures are known, and reports whether it did.
+// hold holds an announcement unless earlier departures are known, and reports whether it
+// did.
 func (p *pendingAnnouncements) hold(a kqlocal.Announcement) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/run/kqnode/announce_test.go
+++ b/internal/run/kqnode/announce_test.go
@@ -44,9 +44,9 @@
 	return kqdocument.Rollout{}, false, nil
 }
 
-// startAdapted starts a node for an upstream of the service "store", with an adapter to
-// a platform. kill ends it without a drain.
-func startAdapted(t *testing.T, name string, store *kqfakestore.Fake) (node *kqnode.Node, kill func()) {
+// startWithAdapter starts a node for an upstream of the service "store", with an adapter to
+// a platform. kill ends the node without a drain.
+func startWithAdapter(t *testing.T, name string, store *kqfakestore.Fake) (node *kqnode.Node, kill func()) {
 	t.Helper()
 	s := kqsettings.Default()
 	s.Node.Name, s.Node.Domain, s.Node.Service = kqname.Node(name), "one", "store"
@@ -93,7 +93,7 @@
 func TestDepartureWhileAnnouncementsAreHeld(t *testing.T) {
 	store := kqfakestore.New()
 	store.SetFaults(kqfakestore.Faults{Down: true})
-	node, kill := startAdapted(t, "a", store)
+	node, kill := startWithAdapter(t, "a", store)
 	defer kill()
 	sendAnnouncement(t, node, "one ready")
 	sendAnnouncement(t, node, "one gone")
@@ -111,12 +111,12 @@
 // ends within seconds.
 func TestGoodbyeOutlivesTheProcess(t *testing.T) {
 	store := kqfakestore.New()
-	node, kill := startAdapted(t, "a", store)
+	node, kill := startWithAdapter(t, "a", store)
 	sendAnnouncement(t, node, "one ready")
 	await(t, "the upstream is announced", func() bool { return hasUpstream(node) })
 	sendAnnouncement(t, node, "one gone")
 	kill()
-	node, kill = startAdapted(t, "a", store)
+	node, kill = startWithAdapter(t, "a", store)
 	defer kill()
 	sendAnnouncement(t, node, "one ready")
 	sendAnnouncement(t, node, "two ready")
@@ -128,11 +128,11 @@
 }
 
 // The first message of an upstream to a new node is its departure, without a start time,
-// and an announcement delayed for seconds follows. If the node accepted it, calls would
-// reach an upstream that is about to end.
+// and an earlier announcement arrives after it. If the node accepted that announcement,
+// calls would reach an upstream that is about to end.
 func TestLateAnnouncementAfterDeparture(t *testing.T) {
 	store := kqfakestore.New()
-	node, kill := startAdapted(t, "a", store)
+	node, kill := startWithAdapter(t, "a", store)
 	defer kill()
 	sendAnnouncement(t, node, "two ready")
 	await(t, "an upstream is listed", func() bool { return hasUpstream(node) })
--- a/internal/run/kqnode/body.go
+++ b/internal/run/kqnode/body.go
@@ -18,8 +18,8 @@
 	// has read and is not garbage-collected yet may take as much as the bodies
 	// themselves, and the process needs the rest.
 	bodyMemoryDivisor = 4
-	// entryBodyWait is how long a caller's body waits for memory: about the time of
-	// forwarding one body.
+	// entryBodyWait is how long a caller's body waits for memory: about as long as it
+	// takes to forward one body.
 	entryBodyWait = 250 * time.Millisecond
 	// noMemoryRetryAfter is the Retry-After of a call refused for lack of body memory.
 	noMemoryRetryAfter = time.Second
--- a/internal/run/kqnode/call.go
+++ b/internal/run/kqnode/call.go
@@ -48,16 +48,16 @@
 func (l debugLogger) Printf(format string, args ...any) { l.log.Debugf(format, args...) }
 
 // setUpCalls assembles the call flow: match a route, admit, pick an upstream, send,
-// judge the result and answer.
+// classify the result and answer.
 func (n *Node) setUpCalls() {
 	n.local = kqlocal.New(n.settings.Member.UpstreamTTL, func(list []kqmember.Upstream) {
 		n.table.Update(func(m *kqmember.Member) { m.Upstreams = list })
 	})
-	n.callWatch = kqdisconnect.New()
-	gate := []kqgate.Option{kqgate.WithWithdrawer(n.local), kqgate.WithObserver(n.rollouts), kqgate.WithGuard(n.rollouts), kqgate.WithDisconnectWatcher(n.callWatch), kqgate.WithCounter(n.metrics), kqgate.WithSupervisor(n.supervisor)}
+	n.disconnectWatcher = kqdisconnect.New()
+	gate := []kqgate.Option{kqgate.WithWithdrawer(n.local), kqgate.WithObserver(n.rollouts), kqgate.WithGuard(n.rollouts), kqgate.WithDisconnectWatcher(n.disconnectWatcher), kqgate.WithCounter(n.metrics), kqgate.WithSupervisor(n.supervisor)}
 	entry := append(n.entryTLSOptions(), kqentry.WithCounter(n.metrics), kqentry.WithSplitter(n.rollouts),
-		kqentry.WithDomain(n.settings.Node.Domain), kqentry.WithDisconnectWatcher(n.callWatch),
-		kqentry.WithForged(n.security.ForgedHeaders), kqentry.WithSupervisor(n.supervisor))
+		kqentry.WithDomain(n.settings.Node.Domain), kqentry.WithDisconnectWatcher(n.disconnectWatcher),
+		kqentry.WithForged(n.securityMetrics.ForgedHeaders), kqentry.WithSupervisor(n.supervisor))
 	nesting := kqnesting.New()
 	gate, entry = append(gate, kqgate.WithNesting(nesting)), append(entry, kqentry.WithNesting(nesting))
 	if n.settings.Call.Slots == slotsExact {
@@ -85,6 +85,8 @@
 	}
 }
 
+// newServer returns a server of calls. count gets the outcomes of the calls that handler
+// does not count itself: those that cannot be read, and those that panic.
 func (n *Node) newServer(handler fasthttp.RequestHandler, count func(kqcall.Outcome), bodyWait time.Duration) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler: kqconnection.Serve(n.recoverPanics(handler, count)), Name: "kumquatgw", ReadTimeout: n.settings.Call.ReadTimeout, IdleTimeout: serverIdleTimeout,
@@ -93,7 +95,8 @@
 	}
 }
 
-// serveLocal serves the local upstream's announcements and calls.
+// serveLocal serves the local upstream's announcements and calls, or only announcements if
+// the platform has a format of its own for them.
 func (n *Node) serveLocal(ctx *fasthttp.RequestCtx) {
 	if n.adapter.Announcements != nil {
 		n.serveAnnouncement(ctx)
@@ -108,7 +111,7 @@
 	if err == nil {
 		now := time.Now()
 		err = n.local.Announce(a, now)
-		// A drain must take effect before the upstream gets its answer.
+		// A departure must take effect before the upstream gets its answer.
 		n.gate.Sweep(now)
 	}
 	if err != nil {
--- a/internal/run/kqnode/collect.go
+++ b/internal/run/kqnode/collect.go
@@ -16,8 +16,8 @@
 	collectMinAge = 24 * time.Hour
 )
 
-// collect periodically deletes old objects from the platform. Without it the ledger of
-// commits would reach the platform's limit on a value's size within weeks, and every
+// collect periodically deletes old objects from the platform. Without it the index of
+// commit intents would reach the platform's limit on a value's size within weeks, and every
 // further commit would fail. Only nodes with an admin server collect, so that the
 // platform's load does not grow with the fleet; concurrent collections are harmless.
 // The pause is random, so that nodes which start together collect at different times.
--- a/internal/run/kqnode/config.go
+++ b/internal/run/kqnode/config.go
@@ -33,16 +33,19 @@
 // prefetchPoll is how often a starting node checks whether it has a version.
 const prefetchPoll = 20 * time.Millisecond
 
-// maxFillPause is the longest pause before a reader retries to fetch what it lacks.
-const maxFillPause = 2 * time.Second
+// maxRefetchPause is the longest pause before a reader retries to fetch the objects that it
+// lacks.
+const maxRefetchPause = 2 * time.Second
 
-// distribution holds the parts that receive versions and pass them on to other nodes.
+// distribution holds the parts that receive versions and pass them on to other nodes. With
+// an adapter's lister, the follower decides in place of the reader whether this node reads
+// versions from the platform; follower, discovery and departures are nil without one.
 type distribution struct {
 	distributor *kqdistribute.Distributor
 	reader      *kqreader.Reader
 	watcher     kqreader.Watcher
 	follower    *kqfollower.Follower
-	register    *kqdiscovery.Discovery
+	discovery   *kqdiscovery.Discovery
 	departures  *kqdeparture.Departures
 	fetcher     *kqfetch.Fetcher
 	direct      bool
@@ -68,8 +71,8 @@
 	var receive func(context.Context, kqresource.Root)
 	store, watcher := n.newVersionSource(func(ctx context.Context, r kqresource.Root) { receive(ctx, r) }, platformFailed)
 	fetcher := kqfetch.New(n.peers, n.client, n.table, store, n.budget, c.PlatformRate, c.ExpectedNodes)
-	if maker, ok := store.(kqfetch.ObjectBuilder); ok {
-		fetcher.UseBuilder(maker)
+	if builder, ok := store.(kqfetch.ObjectBuilder); ok {
+		fetcher.UseBuilder(builder)
 	}
 	n.replica = kqreplica.New(n.replicaSource(direct, store, fetcher), n.replicaOptions(direct)...)
 	fetcher.ServeFrom(n.replica)
@@ -85,12 +88,12 @@
 			}
 		}
 	}
-	n.exchange = kqmembersync.New(n.peers, n.client, n.table, overlay, d, n.budget, n.seedAddresses(), n.settings.Member.Heartbeat)
+	n.memberSync = kqmembersync.New(n.peers, n.client, n.table, overlay, d, n.budget, n.seedAddresses(), n.settings.Member.Heartbeat)
 	n.broadcaster = kqbroadcast.New(n.peers, n.client, n.settings.Node.Name, overlay, n.metrics.BroadcastDropped)
-	reader := kqreader.New(n.store, n.table, watcher, c.StartSpread, n.exchange.Probe, n.setReader, platformFailed)
+	reader := kqreader.New(n.store, n.table, watcher, c.StartSpread, n.memberSync.Probe, n.setReader, platformFailed)
 	n.distribution = distribution{distributor: d, reader: reader, watcher: watcher, fetcher: fetcher, direct: direct}
 	if n.adapter.Lister != nil {
-		n.distribution.register = n.newRegister(platformFailed)
+		n.distribution.discovery = n.newDiscovery(platformFailed)
 		n.distribution.follower = kqfollower.New(n.table, watcher, n.setReader)
 		n.distribution.departures = kqdeparture.New(n.storeWithLister(), n.peers, n.client, n.table)
 	}
@@ -115,9 +118,9 @@
 // storeWithLister returns the store combined with the adapter's lister.
 func (n *Node) storeWithLister() listerStore { return listerStore{n.store, n.adapter.Lister} }
 
-// newRegister returns a register through which the node finds its peers in the store,
-// for platforms that provide no seeds.
-func (n *Node) newRegister(failed func(error)) *kqdiscovery.Discovery {
+// newDiscovery returns the discovery through which the node finds its peers in the store,
+// for platforms that provide no seed addresses.
+func (n *Node) newDiscovery(failed func(error)) *kqdiscovery.Discovery {
 	self := n.table.Self()
 	known := func(to kqname.Address) (peers int, known bool) {
 		for _, m := range n.table.Members() {
@@ -128,7 +131,7 @@
 		}
 		return peers, known
 	}
-	return kqdiscovery.New(n.storeWithLister(), self.Node, self.Control, known, n.exchange.Probe, failed)
+	return kqdiscovery.New(n.storeWithLister(), self.Node, self.Control, known, n.memberSync.Probe, failed)
 }
 
 func (n *Node) replicaOptions(direct bool) []kqreplica.Option {
@@ -171,7 +174,7 @@
 		n.logger.Part("config").WithError(err).Debug("The whole document is not held yet.")
 		select {
 		case <-ctx.Done():
-		case <-time.After(rand.N(maxFillPause)):
+		case <-time.After(rand.N(maxRefetchPause)):
 		}
 	}
 }
@@ -201,10 +204,10 @@
 }
 
 func (n *Node) runConfig(ctx context.Context, supervise func(part string, f func())) {
-	supervise("exchange", func() { n.exchange.Run(ctx) })
+	supervise("exchange", func() { n.memberSync.Run(ctx) })
 	supervise("spread", func() { n.broadcaster.Run(ctx) })
-	if n.distribution.register != nil {
-		supervise("register", func() { n.distribution.register.Run(ctx) })
+	if n.distribution.discovery != nil {
+		supervise("register", func() { n.distribution.discovery.Run(ctx) })
 	}
 	if n.distribution.direct {
 		supervise("watch", func() { n.distribution.watcher.Run(ctx) })
--- a/internal/run/kqnode/distribution_test.go
+++ b/internal/run/kqnode/distribution_test.go
@@ -229,8 +229,9 @@
 
 // Two regions are partitioned from each other, and one of them from the platform too, long
 // enough for each to consider the other's nodes dead. Each region continues with its own
-// upstreams and version. After the partition, the other region's records must not take a
-// region's own upstreams out of service, and the newest version must be in force everywhere.
+// upstreams and version. After the partition, no node may consider a node of its own region
+// dead because of the other region's records: that would take the region's own upstreams out
+// of service. The newest version must be in force everywhere.
 func TestRegionsRejoinAfterPartition(t *testing.T) {
 	f := newRegionalFleet(t, 8)
 	// A failure domain, here one in each region, has no reader for about a second after its
@@ -287,7 +288,8 @@
 }
 
 // All readers' leases expire at once, as after a pause of all of them, and a change is
-// committed at that moment. It must still reach all nodes through the next readers.
+// committed at that moment. It must still reach all nodes, and each failure domain must have
+// a reader again.
 func TestChangeWhileAllLeasesLapse(t *testing.T) {
 	f := newRegionalFleet(t, 6)
 	for range 3 {
@@ -306,7 +308,7 @@
 	})
 }
 
-// A node that is shut down must announce its departure, so that the other nodes stop
+// A node that is shut down must announce that it leaves, so that the other nodes stop
 // counting it as alive.
 func TestLeavingNodeIsKnownEverywhere(t *testing.T) {
 	f := newRegionalFleet(t, 8)
@@ -314,5 +316,5 @@
 	leaver.stop(context.Canceled)
 	<-leaver.done
 	f.nodes = append(f.nodes[:3:3], f.nodes[4:]...)
-	f.await("no node sees the departed node as alive", func() bool { return f.allAlive(7) })
+	f.await("no node sees the node that left as alive", func() bool { return f.allAlive(7) })
 }
--- a/internal/run/kqnode/doc.go
+++ b/internal/run/kqnode/doc.go
@@ -1,6 +1,7 @@
-// Package kqnode assembles one node from its parts: listeners, configuration
-// flow, call flow, membership and admin server.
+// Package kqnode assembles one node from its parts: listeners, configuration,
+// calls, rollouts, membership and admin server. It also connects them to a
+// platform's own formats, starts them, and drains and stops them.
 //
-// config.go, call.go and admin.go assemble one flow each; node.go starts and
-// stops them.
+// Routing, admission, the verification of versions and the weighing of evidence
+// are not implemented here but in the packages that it assembles.
 package kqnode
--- a/internal/run/kqnode/drain.go
+++ b/internal/run/kqnode/drain.go
@@ -21,13 +21,16 @@
 	acceptGrace = 100 * time.Millisecond
 	// minCallerGrace is the shortest time that callers from outside get to move to
 	// other nodes when the node leaves: the readiness probe runs once a second and
-	// must fail twice. callerQuietPeriod without a call means that they have moved.
-	// If too few other nodes are ready they stay, and are served until closeMargin
-	// before the end, which is time enough for all but the slowest calls.
-	minCallerGrace    = 2200 * time.Millisecond
+	// must fail twice.
+	minCallerGrace = 2200 * time.Millisecond
+	// callerQuietPeriod is the time without a call after which callers have moved.
 	callerQuietPeriod = 700 * time.Millisecond
-	closeMargin       = 2300 * time.Millisecond
-	drainPoll         = 10 * time.Millisecond
+	// closeMargin is how long before the drain timeout new calls are refused even if
+	// callers have not moved, because too few other nodes are ready. It is time enough
+	// for all but the slowest calls to finish.
+	closeMargin = 2300 * time.Millisecond
+	// drainPoll is the interval of the checks for calls and connections.
+	drainPoll = 10 * time.Millisecond
 	// noProbeGrace is how long callers get to close their connections if nothing
 	// probes the node's readiness.
 	noProbeGrace = time.Second
@@ -40,11 +43,11 @@
 	adminShutdownTimeout = 2 * time.Second
 )
 
-// drainCalls ends the call flow without cutting off a call. Closing a connection that
-// looks idle may race with a call on its way, whose caller could not tell whether it
-// ran. So each response first asks for its connection to be closed, and the gate's
-// server waits until other nodes have closed theirs, at most until their idle
-// connections have timed out after kqsend.IdleFor.
+// drainCalls stops the servers without cutting off a call that ends by ctx's deadline.
+// Closing a connection that looks idle may race with a call on its way, whose caller could
+// not tell whether it ran. Each response therefore asks for its connection to be closed
+// first, and the gate's server waits until other nodes have closed theirs. It waits no
+// longer than until their idle connections have timed out after kqsend.DefaultIdleTimeout.
 func (n *Node) drainCalls(ctx context.Context) error {
 	n.gate.Drain()
 	n.stopAccepting(ctx, RoleEntry, RoleLocal)
@@ -52,7 +55,7 @@
 	n.entry.Close()
 	n.awaitNoConnections(ctx, kqsend.DefaultIdleTimeout+sweepPeriod, RoleGate)
 	n.stopAccepting(ctx, RoleGate)
-	return errors.Join(err, n.drainServers(ctx, n.callWatch.Count, map[Role]*fasthttp.Server{RoleGate: n.servers.gate}))
+	return errors.Join(err, n.drainServers(ctx, n.disconnectWatcher.Count, map[Role]*fasthttp.Server{RoleGate: n.servers.gate}))
 }
 
 // drainServers shuts servers down. Calls that exceed ctx's deadline are cancelled and
@@ -82,7 +85,7 @@
 		n.logEvent(logrus.Fields{"event": "leaving", "step": "cancelled"}, "Leaving: calls that take longer are cancelled.")
 		err = fmt.Errorf("drain: calls were cancelled: %w", context.DeadlineExceeded)
 	}
-	n.callWatch.CancelAll(kqcall.Draining)
+	n.disconnectWatcher.CancelAll(kqcall.Draining)
 	for role := range servers {
 		if l, ok := n.connections[role]; ok {
 			l.InterruptReads(time.Now())
@@ -96,8 +99,8 @@
 	return errors.Join(err, shutdownServers(ctx, servers))
 }
 
-// pipelinedCalls returns how many pipelined calls are served, or wait with their answers,
-// ahead of their turn on their connections.
+// pipelinedCalls returns how many pipelined calls were started before the calls ahead of
+// them on their connections had been answered, and have not had their turn since.
 func (n *Node) pipelinedCalls(servers map[Role]*fasthttp.Server) int {
 	count := 0
 	for role := range servers {
@@ -110,9 +113,9 @@
 
 // awaitIdle closes listeners and returns once no call has been in flight for acceptGrace,
 // or ctx ends. A server that is shutting down closes each connection with its next
-// answer, even if the caller has pipelined two calls; until then the entry answers both.
-// Connections that have sent nothing by then are closed, since the HTTP library would
-// wait for them.
+// answer, even if the caller has pipelined two calls; until it shuts down, it answers both.
+// At the end awaitIdle closes the connections that have sent nothing, since the HTTP library
+// would wait for them.
 func (n *Node) awaitIdle(ctx context.Context, calls func() int, servers map[Role]*fasthttp.Server) {
 	for role := range servers {
 		if l, ok := n.connections[role]; ok {
@@ -135,12 +138,13 @@
 	}
 }
 
-// awaitCallersGone returns once callers from outside have stopped calling, or when it is
-// time to close.
+// awaitCallersGone returns once callers from outside have stopped calling, or closeMargin
+// before ctx's deadline. Without a platform's dialect it returns once they have closed their
+// connections, or after noProbeGrace.
 func (n *Node) awaitCallersGone(ctx context.Context) {
 	began := time.Now()
 	if n.adapter.Dialect == nil {
-		// Without a platform's dialect, callers learn of the leave only from answers.
+		// No probe tells these callers that the node leaves, only its answers do.
 		n.awaitNoConnections(ctx, noProbeGrace, RoleEntry)
 		return
 	}
@@ -177,7 +181,7 @@
 	}
 }
 
-// shutdownServers closes idle connections and waits for the calls in flight.
+// shutdownServers closes idle connections and waits for the calls in flight until ctx ends.
 func shutdownServers(ctx context.Context, servers map[Role]*fasthttp.Server) error {
 	var errs []error
 	for _, server := range servers {
@@ -188,9 +192,10 @@
 	return errors.Join(errs...)
 }
 
-// stopAccepting blocks new connections to the roles' listeners and waits until the calls
-// of those just made have begun. Closed without it, a listener would reset connections
-// that it has not accepted yet and cut off the calls on them.
+// stopAccepting blocks new connections to the roles' listeners and waits for acceptGrace,
+// until the calls on the connections just made have begun. A listener that is closed without
+// this resets the connections that it has not accepted yet, which cuts off the calls on them.
+// If new connections cannot be blocked, it returns at once.
 func (n *Node) stopAccepting(ctx context.Context, roles ...Role) {
 	for _, role := range roles {
 		l, ok := n.callListeners[role]
--- a/internal/run/kqnode/fuzz_test.go
+++ b/internal/run/kqnode/fuzz_test.go
@@ -15,7 +15,8 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 )
 
-// peerMethods are the RPC methods that peers may call.
+// peerMethods are RPC methods that peers may call. Not among them are direct broadcast
+// (s.1), the node's report, and those of departures, which need an adapter.
 var peerMethods = []string{"m.b", "m.c", "m.n", "c.p", "c.r", "c.o", "c.h", "s.o", "s.d"}
 
 // rawEncoding sends and receives bytes unchanged.
@@ -25,7 +26,7 @@
 func (rawEncoding) Unmarshal(data []byte, m drpc.Message) error { *m.(*[]byte) = data; return nil }
 
 // FuzzPeerMessages sends messages that a faulty peer could send. The node may reject them
-// but must not panic, which would end all calls of its server.
+// but must not panic, which would cut off all calls on its server, nor become ready.
 func FuzzPeerMessages(f *testing.F) {
 	s := kqsettings.Default()
 	s.Node.Name, s.Node.Domain = "fuzzed", "one"
--- a/internal/run/kqnode/leave.go
+++ b/internal/run/kqnode/leave.go
@@ -11,9 +11,10 @@
 )
 
 // leave first waits for callers to move to other nodes. The local upstream stays in use
-// meanwhile: it is healthy, and out of reach once its node is gone. Then leave announces
-// the departure, so that other nodes stop sending, and waits for the calls in flight. In
-// the reverse order, calls would reach a closed gate.
+// meanwhile: it is healthy, and unreachable once its node has stopped. Then leave announces
+// that the node leaves, so that other nodes stop sending to it, and waits for the calls in
+// flight. In the reverse order, calls would reach a closed gate. Last, it announces the end
+// of the process and shuts the admin server down.
 func (n *Node) leave() error {
 	n.leaving.Store(true)
 	n.logEvent(logrus.Fields{"event": "leaving", "step": "begun", "within_ms": n.drainTimeout().Milliseconds()}, "Leaving.")
@@ -29,15 +30,15 @@
 	return errors.Join(err, n.shutdownAdmin(ctx))
 }
 
-// divertTraffic waits for callers to move to other nodes, and then announces the
-// departure to those nodes.
+// divertTraffic waits for callers to move to other nodes and then refuses new calls,
+// announces to other nodes that this one leaves, and releases its rollouts' leases.
 func (n *Node) divertTraffic(ctx context.Context) {
 	n.entry.Drain()
 	n.awaitCallersGone(ctx)
 	n.entry.RefuseAll()
 	n.logLeaveStep("callers have gone, or had the time to")
 	n.table.Update(func(m *kqmember.Member) { m.State = kqmember.Leaving })
-	n.exchange.FlushUpdates(ctx)
+	n.memberSync.FlushUpdates(ctx)
 	n.rollouts.releaseLeases(ctx)
 	n.logLeaveStep("the others know")
 }
@@ -48,7 +49,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), finalAnnounceTimeout)
 	defer cancel()
 	n.table.Update(func(m *kqmember.Member) { m.State = kqmember.Dead })
-	n.exchange.FlushUpdates(ctx)
+	n.memberSync.FlushUpdates(ctx)
 }
 
 // shutdownAdmin waits for the answers to operators' requests. Its timeout is short, since
@@ -66,8 +67,9 @@
 	return nil
 }
 
-// drainTimeout returns how long calls in flight may take at shutdown. It ends before the
-// process is killed, which would cut them off and skip the final announcement.
+// drainTimeout returns how long diverting callers and finishing the calls in flight may take
+// together. It ends before the process is killed, which would cut calls off and skip the
+// final announcement.
 func (n *Node) drainTimeout() time.Duration {
 	s := n.settings.Node
 	if s.KillAfter == 0 {
--- a/internal/run/kqnode/listen.go
+++ b/internal/run/kqnode/listen.go
@@ -12,6 +12,7 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
+// listen opens the listeners whose address is set. Those for calls track their connections.
 func (n *Node) listen() error {
 	s := n.settings.Node
 	// Blocking new connections requires plain TCP; see kqquiesce.
@@ -36,12 +37,12 @@
 		if err != nil {
 			return fmt.Errorf("listen on %s: %w", l.at, err)
 		}
-		bare := opened
+		inner := opened
 		if tcp, ok := opened.(*net.TCPListener); ok && l.role != RoleControl && l.role != RoleAdmin && l.role != RoleReady {
 			n.callListeners[l.role], n.connections[l.role] = tcp, kqconnection.New(tcp, kqconnection.WithBodyLimiter(n.bodies, entryBodyWait))
-			bare = n.connections[l.role]
+			inner = n.connections[l.role]
 		}
-		*l.to = kqacceptor.New(n.wrap(l.role, bare), func(err error) { n.logAcceptFailure(l.role, err) })
+		*l.to = kqacceptor.New(n.wrapListener(l.role, inner), func(err error) { n.logAcceptFailure(l.role, err) })
 	}
 	return nil
 }
--- a/internal/run/kqnode/node.go
+++ b/internal/run/kqnode/node.go
@@ -57,12 +57,12 @@
 	peerDiscoveryTimeout = 3 * time.Second
 	// storeCallsLogPeriod is the pause between two log lines that count the calls to the store.
 	storeCallsLogPeriod = 10 * time.Second
-	// killMargin is the part of the time until the kill that is reserved for the final
-	// announcement and the process's exit on a slow server.
+	// killMargin is the part of the time until the kill that is reserved for answering
+	// cancelled calls, the final announcement and the process's exit on a slow server.
 	killMargin = 700 * time.Millisecond
 	// recentEventsLogPeriod is the pause between two log lines that repeat the latest
-	// events. Calls that fail at the highest rate the settings allow fill the 125 KB
-	// that log collectors keep of a node in four seconds.
+	// events. Log collectors keep the last 125 KB of a node's log, which the lines of
+	// failed calls fill in four seconds at the highest rate that the settings allow.
 	recentEventsLogPeriod = 3 * time.Second
 )
 
@@ -87,7 +87,7 @@
 		peers                *kqrpc.Server
 		client               *kqrpc.Client
 		broadcaster          *kqbroadcast.Broadcaster
-		exchange             *kqmembersync.Synchronizer
+		memberSync           *kqmembersync.Synchronizer
 		replica              *kqreplica.Replica
 		budget               *kqbudget.Budget
 		distribution         distribution
@@ -95,16 +95,16 @@
 		local                *kqlocal.Upstreams
 		gate                 *kqgate.Gate
 		entry                *kqentry.Entry
-		callWatch            *kqdisconnect.Watcher
+		disconnectWatcher    *kqdisconnect.Watcher
 		servers              callServers
 		rollouts             *rollouts
 		admin                *kqadmin.AdminServer
 		identity             *kqidentity.Identity
-		security             *kqmetric.Security
-		tokens               *kqreload.Reloader
+		securityMetrics      *kqmetric.Security
+		tokenReloader        *kqreload.Reloader
 		leaving              atomic.Bool
 		started              time.Time
-		wrap                 func(Role, net.Listener) net.Listener
+		wrapListener         func(Role, net.Listener) net.Listener
 		adapter              Adapter
 		pendingAnnouncements pendingAnnouncements
 		recorder             *kqrecord.Recorder
@@ -143,10 +143,10 @@
 	return func(n *Node) { n.unwrittenLines = count; n.metrics.RegisterUnwrittenLines(count) }
 }
 
-// WithListener replaces each listener that the node opens by the result of wrap, so
-// that a test can break its connections.
-func WithListener(wrap func(Role, net.Listener) net.Listener) Option {
-	return func(n *Node) { n.wrap = wrap }
+// WithListener replaces each listener that the node opens by the result of wrapListener,
+// so that a test can break its connections.
+func WithListener(wrapListener func(Role, net.Listener) net.Listener) Option {
+	return func(n *Node) { n.wrapListener = wrapListener }
 }
 
 // WithPeerOptions sets the options of the client that connects to peers.
@@ -158,7 +158,7 @@
 func New(settings kqsettings.Settings, store kqstore.Store, options ...Option) (*Node, error) {
 	n := &Node{
 		settings: settings, store: store, logger: kqlog.Discard(), metrics: kqmetric.New(), started: time.Now(),
-		wrap:          func(_ Role, l net.Listener) net.Listener { return l },
+		wrapListener:  func(_ Role, l net.Listener) net.Listener { return l },
 		callListeners: make(map[Role]*net.TCPListener), connections: make(map[Role]*kqconnection.Listener),
 		unwrittenLines: func() uint64 { return 0 },
 	}
@@ -204,8 +204,9 @@
 	return n, nil
 }
 
-// Run serves until ctx ends and then drains, unless the cause is ErrKilled: new
-// calls are diverted to other nodes first, and calls in flight finish.
+// Run serves until ctx ends or a listener fails, and then leaves: new calls are diverted
+// to other nodes first, and calls in flight finish or, after the drain timeout, are
+// cancelled. If the cause of ctx is ErrKilled, Run returns without leaving.
 func (n *Node) Run(ctx context.Context) error {
 	n.log.WithFields(logrus.Fields{"event": "started", "settings": n.settings.NonDefaults()}).Infof("Started as %s in %s.", n.settings.Node.Name, n.settings.Node.Domain)
 	n.recentEvents.Add("started", n.started)
@@ -222,7 +223,7 @@
 	if n.adapter.OnResponse != nil {
 		supervise("store_calls", func() { runEvery(background, storeCallsLogPeriod, n.logStoreCalls) })
 	}
-	supervise("hangup", func() { n.callWatch.Run(background) })
+	supervise("hangup", func() { n.disconnectWatcher.Run(background) })
 	supervise("tls", func() { n.runTLS(background) })
 	n.runAdmin(background, supervise)
 	n.rollouts.run(background, supervise)
@@ -261,8 +262,8 @@
 	return err
 }
 
-// Reload applies the settings that may change while the node runs: those of the
-// log.
+// Reload applies the settings that may change while the node runs: the log's level and
+// its limits on the lines about calls. The others take effect when the node is restarted.
 func (n *Node) Reload(s kqsettings.Settings) error {
 	if err := n.logger.SetLevel(s.Log.Level); err != nil {
 		return fmt.Errorf("reload settings: %w", err)
@@ -272,7 +273,7 @@
 	return nil
 }
 
-// logMember logs the new state of a member.
+// logMember logs a member's changed record, and its restart if it runs a new process.
 func (n *Node) logMember(m kqmember.Member) {
 	n.logRestart(m)
 	upstreams := make([]string, 0, len(m.Upstreams))
@@ -295,9 +296,9 @@
 }
 
 // peerDiscoveryDone reports whether the node knows an upstream on another node or has
-// waited peerDiscoveryTimeout for one; only a node with a platform's dialect waits.
-// Without the wait, a node that has just started would refuse all calls between
-// receiving its configuration and its peers' answers.
+// waited peerDiscoveryTimeout for one. Without the wait, a node that has just started
+// would refuse all calls between receiving its configuration and its peers' answers. A
+// node without a platform's dialect does not wait.
 func (n *Node) peerDiscoveryDone(now time.Time) bool {
 	if n.adapter.Dialect == nil || now.Sub(n.started) >= peerDiscoveryTimeout {
 		return true
@@ -351,6 +352,9 @@
 	return listenAddress(n.listeners.admin)
 }
 
+// sweep removes what has expired: upstreams that no longer announce themselves, idle
+// connections and unused hosts. It also closes the idle connections to nodes that are
+// leaving, which wait for that, and to dead ones.
 func (n *Node) sweep(now time.Time) {
 	n.local.Sweep(now)
 	n.gate.Sweep(now)
@@ -363,6 +367,8 @@
 	n.replica.Sweep(now.Add(-n.settings.Config.InterestIdle))
 }
 
+// advertisedAddress returns the address that other nodes connect to: the configured one,
+// or else the listener's own.
 func advertisedAddress(set kqname.Address, l net.Listener) kqname.Address {
 	if set != "" {
 		return set
--- a/internal/run/kqnode/panic.go
+++ b/internal/run/kqnode/panic.go
@@ -11,8 +11,8 @@
 	"github.com/kumquatgw/kumquatgw/internal/call/kqcall"
 )
 
-// recordPanic counts a recovered panic, and logs it if it has a stack: repeated panics of
-// a part come without one.
+// recordPanic counts a recovered panic and logs it if it has a stack. Repeated panics of a
+// part within a second come without one.
 func (n *Node) recordPanic(p kqsupervisor.Panic) {
 	n.metrics.Panicked(p.Part)
 	if p.Stack == "" {
@@ -26,8 +26,9 @@
 	n.supervisor.RunWithRestart(ctx, part, f)
 }
 
-// recoverPanics limits a panic to the request that caused it. The HTTP library does not
-// recover panics, so one would end the process. Whether the call ran is unknown then.
+// recoverPanics limits a panic to the request that caused it: the HTTP library does not
+// recover panics, so one would end the process. After a panic it is unknown whether the call
+// ran. The returned handler also releases the memory reserved for the request's body.
 func (n *Node) recoverPanics(handler fasthttp.RequestHandler, count func(kqcall.Outcome)) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		n.bodies.MarkRead(&ctx.Request.Header)
--- a/internal/run/kqnode/recent_events.go
+++ b/internal/run/kqnode/recent_events.go
@@ -39,7 +39,7 @@
 func (n *Node) logEvent(fields logrus.Fields, text string) {
 	now := time.Now()
 	n.recentEvents.Add(text, now)
-	fields["calls"], fields["callers"] = n.callWatch.Count(), n.openConnections(RoleEntry)
+	fields["calls"], fields["callers"] = n.disconnectWatcher.Count(), n.openConnections(RoleEntry)
 	fields["up_ms"] = now.Sub(n.started).Milliseconds()
 	n.log.WithFields(fields).Info(text)
 }
@@ -59,6 +59,8 @@
 	n.logEvent(fields, "Stopped.")
 }
 
+// logRecentEvents repeats the recent events in one log line, so that they stay in a log of
+// which only the last lines are kept. It adds how many lines were lost since the last call.
 func (n *Node) logRecentEvents(now time.Time) {
 	lines := n.unwrittenLines()
 	if more := lines - n.loggedUnwritten; more > 0 {
@@ -71,8 +73,8 @@
 }
 
 // logRestart logs that a member runs a new process, with the last known state of the
-// previous one. If that was not dead, the process ended without a final announcement and
-// its calls were cut off.
+// previous one. If that state is not dead, the previous process ended without a final
+// announcement and its calls were cut off.
 func (n *Node) logRestart(m kqmember.Member) {
 	now := time.Now()
 	previous, restarted := n.memberProcesses.observe(m, now)
@@ -87,8 +89,8 @@
 	}).Info(text)
 }
 
-// observe records a member's process. It returns the one last known and whether that was
-// another process.
+// observe records a member's process. It returns the one known before and whether the
+// member's process differs from it.
 func (p *memberProcesses) observe(m kqmember.Member, now time.Time) (memberProcess, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/run/kqnode/rollout.go
+++ b/internal/run/kqnode/rollout.go
@@ -28,11 +28,13 @@
 	// it or have just started.
 	progressPeriod = time.Second
 	// offlineStepDelay is how long a node must have known a plan before it may step
-	// the plan while the platform is down.
+	// the plan while its calls to the platform fail.
 	offlineStepDelay = 3 * time.Second
 )
 
 type (
+	// rollouts runs the rollouts of the services that a node holds, and connects their
+	// tracker to the node's calls, its peers and the platform.
 	rollouts struct {
 		node    *Node
 		tracker *kqtracker.Tracker
@@ -43,7 +45,9 @@
 		progressSentAt map[kqplan.ID]time.Time
 		// reportedStates holds the state of each order last reported to operators; only
 		// syncPlatform uses it.
-		reportedStates   map[kqplan.ID]kqtracker.State
+		reportedStates map[kqplan.ID]kqtracker.State
+		// lastAnswer is when this node last answered a peer that lacked progress, in
+		// nanoseconds since 1970.
 		lastAnswer       atomic.Int64
 		relayed          statusRelay
 		oldVersionDrains *oldVersionDrains
@@ -59,7 +63,7 @@
 	n.metrics.Registry().MustRegister(r.stateGauge())
 	n.broadcaster.Subscribe(topicEvidence, r.handleEvidence)
 	n.broadcaster.Subscribe(topicProgress, r.handleProgress)
-	n.broadcaster.Subscribe(topicWorking, r.handleWorking)
+	n.broadcaster.Subscribe(topicInFlight, r.handleInFlight)
 	return r
 }
 
@@ -97,7 +101,9 @@
 	supervise("rollout_work", func() { runEvery(ctx, rolloutTick, func(now time.Time) { r.syncPlatform(ctx, now) }) })
 }
 
-// tick weighs the evidence for each plan, and steps the plans that this node owns.
+// tick reports this gate's evidence for each plan, weighs all gates' evidence for the plans
+// whose evidence this node receives, steps the plans that it may step, and publishes their
+// progress.
 func (r *rollouts) tick(now time.Time) {
 	for _, v := range r.tracker.PlanSnapshots(now) {
 		id := v.Plan.ID
@@ -123,7 +129,7 @@
 			r.progressSentAt[id] = now
 			r.publishProgress(id, owner, now)
 		}
-		r.sendWorking(v, now)
+		r.sendInFlight(v, now)
 	}
 }
 
@@ -139,16 +145,16 @@
 	}
 }
 
-// mayStep reports whether this node may step a plan. It may if it holds the lease. While
-// the platform is down, a node that has known the plan for offlineStepDelay may if it was
-// the last owner or, after kqowner.TTL without a message from another owner, if it is the
-// first of the service's nodes by name.
+// mayStep reports whether this node may step a plan. It may if it holds the lease. While its
+// calls to the platform fail, a node that has known the plan for offlineStepDelay may, too,
+// if it was the last owner or, after kqowner.LeaseTTL without a message from another owner,
+// if it is the first of the service's nodes by name.
 func (r *rollouts) mayStep(v kqtracker.PlanSnapshot, now time.Time) bool {
-	holds, down := r.owner.HoldsLease(v.Plan.ID, now)
+	holds, syncFailed := r.owner.HoldsLease(v.Plan.ID, now)
 	if holds {
 		return true
 	}
-	if !down || now.Sub(v.KnownSince) < offlineStepDelay {
+	if !syncFailed || now.Sub(v.KnownSince) < offlineStepDelay {
 		return false
 	}
 	self := r.node.settings.Node.Name
@@ -194,8 +200,11 @@
 	}
 }
 
-// syncPlatform makes each plan's calls to the platform, in a goroutine of its own: the
-// platform may be slow, and tick must not wait for it.
+// syncPlatform makes each plan's calls to the platform. It runs in a goroutine of its own,
+// because the platform may be slow and tick must not wait for it. A node is a candidate for
+// a plan's lease if it has a local upstream of the service and no other node has announced
+// itself as the owner within kqowner.LeaseTTL, or that owner has left. Nodes that are later
+// by name become candidates later, so that not all request a new plan's lease at once.
 func (r *rollouts) syncPlatform(ctx context.Context, now time.Time) {
 	if r.node.leaving.Load() {
 		return
@@ -207,7 +216,7 @@
 		if err := r.owner.Sync(ctx, v, candidate, now); err != nil {
 			r.node.logger.Part("rollout").WithError(err).Debug("Platform calls for a rollout failed.")
 		}
-		r.reportOrder(ctx, v, rank, now)
+		r.reportOrderState(ctx, v, rank, now)
 	}
 }
 
--- a/internal/run/kqnode/rollout_drain.go
+++ b/internal/run/kqnode/rollout_drain.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	topicWorking kqbroadcast.Topic = "rollout.working"
+	topicInFlight kqbroadcast.Topic = "rollout.working"
 
 	// doneSpreadTime is the time allowed for all nodes to learn that a rollout is done: its
 	// owner publishes it within a tick, and the flood takes some tens of milliseconds.
 	doneSpreadTime = 5 * rolloutTick
-	// workingTTL is how long a gate's message that calls are in flight is valid; it is sent
-	// each tick, and two in a row may be lost.
-	workingTTL = 3 * rolloutTick
-	// maxWorkingWatch bounds how long a node checks for calls in flight at the old version.
-	maxWorkingWatch = 10 * time.Second
+	// inFlightTTL is how long a gate's message that calls are in flight is valid. The message
+	// is repeated each tick, and two in a row may be lost.
+	inFlightTTL = 3 * rolloutTick
+	// maxInFlightChecks bounds how long after a rollout is done a node checks for calls in
+	// flight at the old version.
+	maxInFlightChecks = 10 * time.Second
 	// postDeadlineParts divides the time between an ordered rollout's deadline and the end
-	// of its duration: calls in flight are awaited for one part, and two are left for
-	// writing to the store.
+	// of its duration into equal parts: calls in flight are awaited for one, and two are left
+	// for writing the state to the store.
 	postDeadlineParts = 3
 )
 
@@ -36,18 +37,19 @@
 	// cut off every call there. It is safe for concurrent use.
 	oldVersionDrains struct {
 		mu sync.Mutex
-		// doneSince is when this node first knew that a rollout was done, and lastWorking
+		// doneSince is when this node first knew that a rollout was done, and lastInFlight
 		// when it last learned of a call in flight at the old version.
-		doneSince, lastWorking map[kqplan.ID]time.Time
+		doneSince, lastInFlight map[kqplan.ID]time.Time
 	}
 
-	workingMessage struct {
+	// inFlightMessage says that calls are in flight at the old version of a plan's rollout.
+	inFlightMessage struct {
 		Plan kqplan.ID `cbor:"1,keyasint"`
 	}
 )
 
 func newOldVersionDrains() *oldVersionDrains {
-	return &oldVersionDrains{doneSince: make(map[kqplan.ID]time.Time), lastWorking: make(map[kqplan.ID]time.Time)}
+	return &oldVersionDrains{doneSince: make(map[kqplan.ID]time.Time), lastInFlight: make(map[kqplan.ID]time.Time)}
 }
 
 // markDone records that the rollout is done, and returns when this node first knew it.
@@ -60,15 +62,15 @@
 	return s.doneSince[id]
 }
 
-// markWorking records that a call is in flight at the rollout's old version.
-func (s *oldVersionDrains) markWorking(id kqplan.ID, now time.Time) {
+// markInFlight records that a call is in flight at the rollout's old version.
+func (s *oldVersionDrains) markInFlight(id kqplan.ID, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastWorking[id] = now
+	s.lastInFlight[id] = now
 }
 
 // isOver reports whether no call is in flight at the old version of a rollout that is
-// done, or the time to wait for such calls is over.
+// done, as far as this node knows, or the time to wait for such calls is over.
 func (s *oldVersionDrains) isOver(p kqplan.Plan, now time.Time) bool {
 	done := s.markDone(p.ID, now)
 	s.mu.Lock()
@@ -77,28 +79,28 @@
 	if !now.Before(p.Deadline.Add(reserve / postDeadlineParts)) {
 		return true
 	}
-	return now.Sub(done) >= doneSpreadTime && now.Sub(s.lastWorking[p.ID]) >= workingTTL
+	return now.Sub(done) >= doneSpreadTime && now.Sub(s.lastInFlight[p.ID]) >= inFlightTTL
 }
 
-// sendWorking notifies the nodes that report a finished rollout of calls in flight at its
+// sendInFlight notifies the nodes that report a finished rollout of calls in flight at its
 // old version on this server.
-func (r *rollouts) sendWorking(v kqtracker.PlanSnapshot, now time.Time) {
+func (r *rollouts) sendInFlight(v kqtracker.PlanSnapshot, now time.Time) {
 	if r.node.adapter.Reports == nil || v.Plan.Duration == 0 || v.Progress.Final != kqprogress.Done {
 		return
 	}
-	if now.Sub(r.oldVersionDrains.markDone(v.Plan.ID, now)) > maxWorkingWatch || !r.node.gate.HasCalls(v.Plan.Service, v.Plan.IsOld) {
+	if now.Sub(r.oldVersionDrains.markDone(v.Plan.ID, now)) > maxInFlightChecks || !r.node.gate.HasCalls(v.Plan.Service, v.Plan.IsOld) {
 		return
 	}
-	r.oldVersionDrains.markWorking(v.Plan.ID, now)
-	r.sendToService(v, reportingNodes, topicWorking, workingMessage{v.Plan.ID})
+	r.oldVersionDrains.markInFlight(v.Plan.ID, now)
+	r.sendToService(v, reportingNodes, topicInFlight, inFlightMessage{v.Plan.ID})
 }
 
-func (r *rollouts) handleWorking(_ kqname.Node, payload []byte) {
-	var m workingMessage
+func (r *rollouts) handleInFlight(_ kqname.Node, payload []byte) {
+	var m inFlightMessage
 	if cbor.Unmarshal(payload, &m) != nil {
 		return
 	}
 	if _, known := r.tracker.Progress(m.Plan); known {
-		r.oldVersionDrains.markWorking(m.Plan, time.Now())
+		r.oldVersionDrains.markInFlight(m.Plan, time.Now())
 	}
 }
--- a/internal/run/kqnode/rollout_fault_test.go
+++ b/internal/run/kqnode/rollout_fault_test.go
@@ -37,6 +37,8 @@
 	return sum
 }
 
+// rolloutShare returns the new version's share of the traffic as a server's node reports it,
+// or 0 if the node does not know the rollout.
 func rolloutShare(s *kqfleet.Server) float64 {
 	list := s.Node.Rollouts()
 	if len(list) != 1 {
@@ -91,9 +93,9 @@
 		}
 	}
 	before := upstreamRuns(f.newVersion)
-	again := f.Servers()[0]
-	again.Stop()
-	fresh, err := f.Restart(again)
+	restarted := f.Servers()[0]
+	restarted.Stop()
+	fresh, err := f.Restart(restarted)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +111,7 @@
 }
 
 // All upstreams of the new version and one of the old one drain at once while a rollout
-// runs. The remaining upstreams must serve all calls.
+// runs. The remaining upstreams must serve all calls, and the rollout must not end as done.
 func TestNewUpstreamsDieInAHerd(t *testing.T) {
 	t.Parallel()
 	f := newRolloutFleet(t, kqupstream.Behaviour{Work: 2 * time.Millisecond})
@@ -121,7 +123,7 @@
 		s.Upstream.Drain()
 	}
 	f.Servers()[2].Upstream.Drain()
-	f.awaitAll("no new upstream is left", func(s *kqfleet.Server) bool { return s.Node.Version() > 0 })
+	f.awaitAll("all servers have a configuration", func(s *kqfleet.Server) bool { return s.Node.Version() > 0 })
 	s := f.awaitEnd()
 	if n := f.failed.Load(); n > 0 {
 		t.Errorf("%d calls failed", n)
@@ -133,7 +135,7 @@
 
 // A version is more than ten times slower from its first call, and its upstreams have just
 // started. If that were attributed to a cold start, the slow answers would not count as
-// evidence for most of a minute.
+// evidence for 30 seconds, a third of the time until the rollout's deadline.
 func TestFarSlowerIsToldFromAColdStart(t *testing.T) {
 	t.Parallel()
 	f := newRolloutFleet(t, kqupstream.Behaviour{Work: 30 * time.Millisecond})
--- a/internal/run/kqnode/rollout_message.go
+++ b/internal/run/kqnode/rollout_message.go
@@ -31,8 +31,8 @@
 	// of the fleet each gate's report once a tick: ten gates of two routes cost some 4 KB/s
 	// of the 16 KB/s that a node has for all control traffic.
 	collectingNodes = 5
-	// maxRelayed bounds the statuses kept of rollouts whose services this node does not
-	// hold.
+	// maxRelayed bounds the statuses that a node keeps of the rollouts that other nodes
+	// publish; those of further rollouts are ignored.
 	maxRelayed = 1000
 )
 
@@ -45,7 +45,7 @@
 	progressMessage struct {
 		Plan     kqplan.ID           `cbor:"1,keyasint"`
 		Progress kqprogress.Progress `cbor:"2,keyasint"`
-		// Owner is true if the sender owns the rollout. Status then holds what operators
+		// Owner is true if the sender steps the rollout. Status then holds what operators
 		// read of it, for nodes that do not hold its service.
 		Owner  bool              `cbor:"3,keyasint,omitempty"`
 		Status *kqtracker.Status `cbor:"4,keyasint,omitempty"`
@@ -114,8 +114,8 @@
 	}
 }
 
-// handleProgress merges a peer's progress, and answers a peer that lacks some: a
-// restarted node must not send calls to a version that was rolled back.
+// handleProgress merges a peer's progress, and answers if the peer lacks some: a restarted
+// node must not send calls to a version that was rolled back.
 func (r *rollouts) handleProgress(from kqname.Node, payload []byte) {
 	var m progressMessage
 	if cbor.Unmarshal(payload, &m) != nil {
@@ -133,6 +133,8 @@
 	}
 }
 
+// answerStale publishes a plan's progress for a peer that lacks some of it, if this node is
+// among the answeringNodes of the service and has not answered within answerPeriod.
 func (r *rollouts) answerStale(id kqplan.ID, now time.Time) {
 	s, ok := r.tracker.Status(id, now)
 	if rank := r.rank(s.Service); !ok || rank < 0 || rank >= answeringNodes {
--- a/internal/run/kqnode/rollout_report.go
+++ b/internal/run/kqnode/rollout_report.go
@@ -16,11 +16,13 @@
 // final state of an order, so that it is reported even if one of them cannot.
 const reportingNodes = 3
 
-// reportOrder writes the state of an order to the store, on platforms where operators
-// read it there. A final state is reported only once it is settled, so that all nodes
-// report the same one. A rollout is reported as done only once no call is in flight at
-// its old version, since operators then stop the old upstreams.
-func (r *rollouts) reportOrder(ctx context.Context, v kqtracker.PlanSnapshot, rank int, now time.Time) {
+// reportOrderState writes the state of an order, which is a rollout with a duration instead
+// of fixed times, to the store, on platforms where operators read it there. Only the owner
+// reports an order as running. A final state is reported only once it is settled, so that
+// all nodes report the same one. A rollout is reported as done only once no call is in
+// flight at its old version or the time to wait for such calls is over, since operators then
+// stop the old upstreams. An order that was removed from the document is not reported.
+func (r *rollouts) reportOrderState(ctx context.Context, v kqtracker.PlanSnapshot, rank int, now time.Time) {
 	if r.node.adapter.Reports == nil || v.Plan.Duration == 0 || v.Removed {
 		return
 	}
@@ -38,7 +40,7 @@
 	if state == kqtracker.Done && !r.oldVersionDrains.isOver(v.Plan, now) {
 		return
 	}
-	if err := r.writeReport(ctx, v, state); err != nil {
+	if err := r.writeOrderState(ctx, v, state); err != nil {
 		r.node.logger.Part("rollout").WithError(err).Debug("Order state was not reported.")
 		return
 	}
@@ -46,7 +48,7 @@
 	r.node.logger.Part("rollout").Infof("Reported that order %s of %s is %s.", v.Plan.Name, v.Plan.Service, state)
 }
 
-func (r *rollouts) writeReport(ctx context.Context, v kqtracker.PlanSnapshot, state kqtracker.State) error {
+func (r *rollouts) writeOrderState(ctx context.Context, v kqtracker.PlanSnapshot, state kqtracker.State) error {
 	key, value, err := r.node.adapter.Reports.Report(v.Plan.Service, v.Plan.To, state)
 	if err != nil {
 		return fmt.Errorf("report order %s: %w", v.Plan.Name, err)
--- a/internal/run/kqnode/rollout_test.go
+++ b/internal/run/kqnode/rollout_test.go
@@ -121,12 +121,13 @@
 	}
 }
 
-// awaitEnd waits until every node reports the same final state.
+// awaitEnd waits until every node but the killed one reports the same final state.
 func (f *rolloutFleet) awaitEnd() kqtracker.Status {
 	f.t.Helper()
 	return f.await(kqtracker.Done, kqtracker.FinalRollback)
 }
 
+// await waits until every node but the killed one reports the same state, one of want.
 func (f *rolloutFleet) await(want ...kqtracker.State) kqtracker.Status {
 	f.t.Helper()
 	servers := slices.DeleteFunc(f.Servers(), func(s *kqfleet.Server) bool { return s == f.killed })
@@ -171,7 +172,7 @@
 }
 
 // A new version fails half of its calls. Callers see errors while it gets traffic, so the
-// rollout must be rolled back automatically on all nodes.
+// rollout must be rolled back automatically on all nodes, at its first step at the latest.
 func TestFailingVersionIsTakenBack(t *testing.T) {
 	t.Parallel()
 	f := newRolloutFleet(t, kqupstream.Behaviour{Work: 2 * time.Millisecond, FailShare: 0.5})
--- a/internal/run/kqnode/tls.go
+++ b/internal/run/kqnode/tls.go
@@ -16,7 +16,7 @@
 // setUpTLS loads the node's identity, if the settings name one, and makes the gate's
 // listener require mutual TLS.
 func (n *Node) setUpTLS() error {
-	n.security = kqmetric.NewSecurity(n.metrics.Registry(), n.certificateExpiry)
+	n.securityMetrics = kqmetric.NewSecurity(n.metrics.Registry(), n.certificateExpiry)
 	if !n.settings.TLS.On() {
 		return nil
 	}
@@ -24,11 +24,11 @@
 	files := kqidentity.Files{CA: n.settings.TLS.CA, Certificate: n.settings.TLS.Certificate, Key: n.settings.TLS.Key}
 	identity, err := kqidentity.New(n.settings.Node.Name, files,
 		kqidentity.WithRefusalHandler(func(err error) {
-			n.security.PeerRefused()
+			n.securityMetrics.PeerRefused()
 			log.WithError(err).Warn("Refused a peer's certificate.")
 		}),
 		kqidentity.WithReload(kqreload.WithInterval(n.settings.TLS.ReloadEvery), kqreload.WithFailureHandler(func(err error) {
-			n.security.ReloadFailed("certificate")
+			n.securityMetrics.ReloadFailed("certificate")
 			log.WithError(err).Warn("Cannot load the certificate files; the current certificate stays in use.")
 		})))
 	if err != nil {
--- a/internal/run/kqnode/tls_test.go
+++ b/internal/run/kqnode/tls_test.go
@@ -175,9 +175,9 @@
 	ctx, stop := context.WithCancel(t.Context())
 	var group conc.WaitGroup
 	var answered, lost atomic.Int64
-	// Each further caller needs another connection to the gate, so that the replaced
-	// certificates are used, and not only connections from before.
-	more := func() {
+	// Each further caller needs another connection to the gate, so that calls use the
+	// replaced certificates and not only the connections opened before.
+	addCallers := func() {
 		for range 8 {
 			group.Go(func() {
 				for ctx.Err() == nil {
@@ -190,9 +190,9 @@
 			})
 		}
 	}
-	more()
+	addCallers()
 	change(func() {
-		more()
+		addCallers()
 		reached := answered.Load()
 		await(t, "50 more calls are answered", func() bool { return answered.Load() > reached+50 })
 	})
@@ -269,7 +269,8 @@
 	return certificate
 }
 
-// callGate sends a call with internal headers straight to a gate.
+// callGate sends a call with internal headers straight to a gate, and returns the beginning
+// of the answer.
 func callGate(c *tls.Config, gate kqname.Address, work string) (string, error) {
 	conn, err := tls.DialWithDialer(&net.Dialer{Timeout: awaitTimeout}, "tcp", string(gate), c)
 	if err != nil {
--- a/internal/run/kqnode/unwritten_test.go
+++ b/internal/run/kqnode/unwritten_test.go
@@ -9,8 +9,8 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 )
 
-// Log lines are lost when the log's collector stalls. The log itself cannot show that, so
-// a metric must count them.
+// Log lines are lost when the log's collector stalls. The log itself cannot show the loss,
+// so a metric must count the lost lines.
 func TestUnwrittenLinesAreCounted(t *testing.T) {
 	s := kqsettings.Default()
 	s.Node.Name, s.Node.Domain = "counted", "one"
