--- a/internal/security/kqauthority/authority.go
+++ b/internal/security/kqauthority/authority.go
@@ -35,10 +35,10 @@
 
 var (
 	// ErrPEM is returned if a file is not a PEM block of the expected type, or a key
-	// does not belong to its certificate.
+	// is not an ECDSA key or does not belong to its certificate.
 	ErrPEM = errors.New("PEM block is missing, of the wrong type or mismatched")
-	// ErrName is returned if a node's name is not valid by kqname.Valid, which takes 1
-	// to 64 of a-z, 0-9, dot, dash and underscore.
+	// ErrName is returned if kqname.Valid refuses a node's name: it accepts 1 to 64 of
+	// a-z, 0-9, dot, dash and underscore, with a letter or digit at both ends.
 	ErrName = errors.New("node's name is not a plain name")
 )
 
--- a/internal/security/kqauthority/files.go
+++ b/internal/security/kqauthority/files.go
@@ -18,9 +18,9 @@
 	return filepath.Join(folder, name+".pem"), filepath.Join(folder, name+".key")
 }
 
-// Write writes the pair to NAME.pem and NAME.key in a folder; only the owner can read
-// the key. Each file is replaced atomically, since a node that reads it at the same
-// time could otherwise see half a certificate.
+// Write writes the pair to NAME.pem and NAME.key in a folder, which it creates if
+// necessary; only the owner can read the key. Each file is replaced atomically, since a
+// node that reads it at the same time could otherwise see half a certificate.
 func (p KeyPair) Write(folder, name string) error {
 	certificate, key := Paths(folder, name)
 	if err := os.MkdirAll(folder, folderMode); err != nil {
--- a/internal/security/kqidentity/identity.go
+++ b/internal/security/kqidentity/identity.go
@@ -21,10 +21,12 @@
 
 var (
 	// ErrPeerCertificate is returned if a peer's certificate is missing, is not signed
-	// by the fleet's CA, has expired, or names no node.
+	// by the fleet's CA, has expired, is not for the peer's role as client or server, or
+	// names no node.
 	ErrPeerCertificate = errors.New("certificate is missing or not valid in this fleet")
-	// ErrFiles is returned if the files are unreadable or do not belong together, or
-	// the certificate is for another node.
+	// ErrFiles is returned if the files have unusable content or do not belong
+	// together, or the certificate has expired or does not name this node. A file that
+	// kqreload cannot read is reported without ErrFiles.
 	ErrFiles = errors.New("certificate files are not usable")
 )
 
@@ -222,7 +224,8 @@
 	}
 }
 
-// load reads the files and checks that they belong together and to this node.
+// load reads the files and checks that they belong together, that the certificate
+// names this node and that it has not expired.
 func (i *Identity) load() error {
 	certificate, err := tls.LoadX509KeyPair(i.files.Certificate, i.files.Key)
 	if err != nil {
--- a/internal/security/kqoperator/operator.go
+++ b/internal/security/kqoperator/operator.go
@@ -22,9 +22,11 @@
 	// Member is the role of operators who may change what their team owns.
 	Member Role = "member"
 
-	noTeam        = "-"
-	tokenPrefix   = "kq_"
-	tokenBytes    = 32
+	noTeam      = "-"
+	tokenPrefix = "kq_"
+	// secretBytes is the number of random bytes in a token.
+	secretBytes = 32
+	// maxTokenBytes bounds the length of a text that is hashed as a token.
 	maxTokenBytes = 128
 	columns       = 4
 )
@@ -94,8 +96,8 @@
 	return nil
 }
 
-// HashOf returns the hash of a token, or ErrToken if the text does not have the form
-// of a token.
+// HashOf returns the hash of a token, or ErrToken if the text lacks tokenPrefix or is
+// longer than maxTokenBytes.
 func HashOf(token string) (Hash, error) {
 	if len(token) > maxTokenBytes || !strings.HasPrefix(token, tokenPrefix) {
 		return Hash{}, ErrToken
@@ -119,7 +121,7 @@
 	if err := operator.validate(); err != nil {
 		return "", "", err
 	}
-	secret := make([]byte, tokenBytes)
+	secret := make([]byte, secretBytes)
 	if _, err := rand.Read(secret); err != nil {
 		return "", "", fmt.Errorf("generate token: %w", err)
 	}
--- a/internal/security/kqreload/doc.go
+++ b/internal/security/kqreload/doc.go
@@ -1,2 +1,3 @@
-// Package kqreload reloads files when their content changes.
+// Package kqreload polls files and calls a function that loads them when their content
+// changes.
 package kqreload
--- a/internal/security/kqreload/reload.go
+++ b/internal/security/kqreload/reload.go
@@ -35,8 +35,8 @@
 // of Run. The content loaded before stays in use.
 func WithFailureHandler(f func(error)) Option { return func(r *Reloader) { r.onFailure = f } }
 
-// New calls load for the first time and returns the reloader and the error of reading
-// or loading the files.
+// New reads the files, calls load for the first time and returns the reloader. If
+// reading or loading fails, the reloader is returned with the error and can be run.
 func New(files []string, load func() error, options ...Option) (*Reloader, error) {
 	r := &Reloader{files: files, load: load, onFailure: func(error) {}, interval: defaultInterval}
 	for _, o := range options {
--- a/internal/security/kqthrottle/throttle.go
+++ b/internal/security/kqthrottle/throttle.go
@@ -56,8 +56,8 @@
 }
 
 // evict makes room for another source if there are maxSources. It removes all sources
-// that may again fail burst times; if none is, it removes an arbitrary one, which at
-// worst allows that source a new burst.
+// that may again fail burst times; if there is none, it removes an arbitrary one, which
+// at worst allows that source a new burst.
 func (t *Throttle) evict(now time.Time) {
 	if len(t.sources) < maxSources {
 		return
