--- a/pkg/kqdocument/diff.go
+++ b/pkg/kqdocument/diff.go
@@ -25,15 +25,16 @@
 		Kind ChangeKind `json:"kind"`
 		// Item identifies the item in the form "routes.checkout".
 		Item string `json:"item"`
-		// Before and After are the item's JSON in each document, nil if it is not
-		// there.
+		// Before and After are the item's JSON in each document, nil if the
+		// document lacks it.
 		Before json.RawMessage `json:"before,omitempty"`
 		After  json.RawMessage `json:"after,omitempty"`
 	}
 )
 
-// Diff returns the items that differ between two documents, sorted by kind of item
-// and then by name. The order of items within the documents is not compared.
+// Diff returns the items that differ between two documents: teams, policies, services,
+// routes and rollouts, each sorted by name. The order of items within the documents is
+// not compared. Of several items with the same name only the last is compared.
 func Diff(before, after Document) []Change {
 	var changes []Change
 	changes = append(changes, diff("teams", before.Teams, after.Teams, func(t Team) string { return string(t.Name) })...)
--- a/pkg/kqdocument/parse.go
+++ b/pkg/kqdocument/parse.go
@@ -16,15 +16,16 @@
 	// ErrTooLarge is returned if a document's JSON exceeds MaxBytes.
 	ErrTooLarge = errors.New("document is too large")
 	// ErrSyntax is returned if the data is not exactly one JSON document with known
-	// and unique fields.
+	// and unique fields and values of their types.
 	ErrSyntax = errors.New("document cannot be read")
 
 	errTrailing       = errors.New("more than one JSON value")
 	errDuplicateField = errors.New("duplicate field")
 )
 
-// Parse decodes one JSON document. It returns ErrSyntax for unknown fields, duplicate
-// fields and trailing data, and ErrTooLarge for more than MaxBytes.
+// Parse decodes one JSON document. It returns ErrSyntax for malformed JSON, values of
+// the wrong type, unknown fields, duplicate fields and trailing data, and ErrTooLarge
+// for more than MaxBytes.
 func Parse(data []byte) (Document, error) {
 	if len(data) > MaxBytes {
 		return Document{}, fmt.Errorf("read document: %w: %d bytes, at most %d are allowed", ErrTooLarge, len(data), MaxBytes)
@@ -63,9 +64,10 @@
 	return fmt.Sprintf("line %d: ", 1+bytes.Count(data[:min(offset, int64(len(data)))], []byte("\n")))
 }
 
-// checkUniqueFields refuses an object that has a field twice, ignoring case. The JSON
-// library would keep only the last one, and half of an operator's services could be
-// missing from a document that looks complete.
+// checkUniqueFields returns an error if an object has a field twice, ignoring case. The
+// JSON library would keep only the last one, so that part of an operator's services
+// could be missing from a document that looks complete. The header names of a route
+// count as fields too.
 func checkUniqueFields(dec *json.Decoder, path string) error {
 	token, err := dec.Token()
 	if err != nil {
--- a/pkg/kqdocument/validate.go
+++ b/pkg/kqdocument/validate.go
@@ -15,7 +15,7 @@
 	maxTimeoutMS = 600000
 	// defaultTimeoutMS applies to services whose TimeoutMS is 0.
 	defaultTimeoutMS = 10000
-	maxShare         = 0.05
+	maxSmallShare    = 0.05
 )
 
 type (
@@ -36,9 +36,8 @@
 // Error returns the path and the message.
 func (p Problem) Error() string { return p.Path + ": " + p.Message }
 
-// Validate returns all problems of the document, grouped by kind of check and within
-// each in the order of the document's items. The result depends only on the document,
-// so that it is the same on all nodes.
+// Validate returns all problems of the document. The problems and their order depend
+// only on the document, so that they are the same on all nodes.
 func Validate(d Document) []Problem {
 	c := &checker{}
 	c.checkCount("teams", len(d.Teams), maxTeams)
@@ -106,7 +105,7 @@
 	c.reportIf(p.Prefer != PreferFinishing && p.Prefer != PreferTakingBack,
 		at+".prefer", "must be finishing or taking_back")
 	// Negated so that NaN, for which every comparison is false, is refused too.
-	c.reportIf(!(p.SmallShare >= 0 && p.SmallShare <= maxShare), at+".small_share", fmt.Sprintf("must be from 0 to %v", maxShare))
+	c.reportIf(!(p.SmallShare >= 0 && p.SmallShare <= maxSmallShare), at+".small_share", fmt.Sprintf("must be from 0 to %v", maxSmallShare))
 }
 
 func (c *checker) checkQuotas(d Document) {
--- a/pkg/kqdocument/validate_rollout.go
+++ b/pkg/kqdocument/validate_rollout.go
@@ -9,17 +9,19 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// maxRolloutDuration is the longest duration of a rollout, since a rollout keeps two versions
-// of a service running.
+// maxRolloutDuration bounds the duration of a rollout, since two versions of the
+// service run until it ends.
 const maxRolloutDuration = 90 * 24 * time.Hour
 
 var (
-	// Times outside these bounds are mistakes, such as a year of two digits or
-	// milliseconds taken for seconds; some have no JSON form.
+	// earliest and latest bound the times of a rollout. Times outside these bounds are
+	// mistakes, such as a year of two digits or milliseconds taken for seconds; some
+	// have no JSON form.
 	earliest = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 	latest   = time.Date(2200, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
+// checkRollout checks a rollout that is given by From, Start and Deadline.
 func (c *checker) checkRollout(path string, r Rollout) {
 	c.reportIf(!kqname.Valid(r.From), path+".from", "is not a plain name")
 	c.reportIf(!kqname.Valid(r.To), path+".to", "is not a plain name")
@@ -43,11 +45,9 @@
 
 // checkSequence checks each service's rollouts in the order of their starts. It
 // refuses rollouts that overlap, since each would count the other's traffic as that of
-// its own old version and decide wrongly. It also refuses a rollout from a version
-// that cannot be serving at its start, since there would be nothing to compare the new
-// version with. Cancelled rollouts are exempt from the check for overlaps, but not from
-// that of From. Rollouts that are given by a duration are not checked, since they have
-// no start.
+// its own old version and decide wrongly. It also checks From by checkFrom. Cancelled
+// rollouts are exempt from the check for overlaps, but not from checkFrom. Rollouts
+// that are given by a duration are not checked, since they have no start.
 func (c *checker) checkSequence(rollouts []Rollout, services map[kqname.Service]Service) {
 	order := make([]int, len(rollouts))
 	for i := range order {
@@ -78,6 +78,10 @@
 	}
 }
 
+// checkFrom refuses a rollout from a version that cannot be serving at its start, since
+// there would be nothing to compare the new version with. served holds the versions of
+// the service's earlier rollouts. It also refuses a rollout of a service that states no
+// version, since the new version would get calls before the start.
 func (c *checker) checkFrom(path string, r Rollout, s Service, served []kqname.UpstreamVersion) {
 	if s.Version == "" {
 		c.reportIf(true, path+".service", "states no version, so the new version would serve before the start")
--- a/pkg/kqdocument/validate_route.go
+++ b/pkg/kqdocument/validate_route.go
@@ -12,6 +12,7 @@
 )
 
 const (
+	// maxPrefix, maxHeaderName and maxHeaderValue are lengths in bytes.
 	maxPrefix      = 512
 	maxHeaders     = 8
 	maxHeaderName  = 64
@@ -27,8 +28,8 @@
 )
 
 var (
-	// methods are the methods that a route may match; CONNECT and TRACE are not among
-	// them.
+	// methods are the methods that a route may match, where "" matches every method;
+	// CONNECT and TRACE are not among them.
 	methods = []string{
 		"", http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 		http.MethodPatch, http.MethodDelete, http.MethodOptions,
