--- a/internal/call/kqcall/call.go
+++ b/internal/call/kqcall/call.go
@@ -39,9 +39,9 @@
 	// Draining means that the upstream drains and takes no new work, or that a node that is
 	// stopping refused the call or stopped before the call ended.
 	Draining Reason = "draining"
-	// Shed means that the upstream refused the call and did not run it. It says so by the
+	// RefusedByUpstream means that the upstream refused the call and did not run it. It says so by the
 	// dialect, or by a 503 if its service's configuration states that this means "not run".
-	Shed Reason = "shed"
+	RefusedByUpstream Reason = "shed"
 	// ConnectFailed means that no connection could be made, or that it broke before any
 	// byte of the call was sent.
 	ConnectFailed Reason = "connect_failed"
@@ -58,9 +58,9 @@
 	Cut Reason = "cut"
 	// Cancelled means that the caller disconnected.
 	Cancelled Reason = "cancelled"
-	// Crossed means that the response is not the answer to this call: it carries another
+	// MismatchedResponse means that the response is not the answer to this call: it carries another
 	// call's id or no id where one is required, or the dialect rejects it.
-	Crossed Reason = "crossed"
+	MismatchedResponse Reason = "crossed"
 	// Misdirected means that another upstream has taken over the address and did not run the
 	// call.
 	Misdirected Reason = "moved"
@@ -162,8 +162,8 @@
 // Reasons returns every reason, for counters that need a bounded set of labels.
 func Reasons() []Reason {
 	return []Reason{
-		NoReason, NoRoute, NoConfig, NoUpstream, QueueFull, Overload, NotStartedInTime, RolledBack, Draining, Shed, ConnectFailed,
-		TooLarge, Malformed, TooSlow, Timeout, Cut, Cancelled, Crossed, Misdirected, NoMemory, Panicked,
+		NoReason, NoRoute, NoConfig, NoUpstream, QueueFull, Overload, NotStartedInTime, RolledBack, Draining, RefusedByUpstream, ConnectFailed,
+		TooLarge, Malformed, TooSlow, Timeout, Cut, Cancelled, MismatchedResponse, Misdirected, NoMemory, Panicked,
 	}
 }
 
--- a/internal/call/kqentry/serve.go
+++ b/internal/call/kqentry/serve.go
@@ -215,7 +215,7 @@
 // isOverload reports whether a call with that outcome was not served for lack of capacity.
 func isOverload(o kqcall.Outcome) bool {
 	switch o.Reason {
-	case kqcall.QueueFull, kqcall.Overload, kqcall.Shed, kqcall.NotStartedInTime:
+	case kqcall.QueueFull, kqcall.Overload, kqcall.RefusedByUpstream, kqcall.NotStartedInTime:
 		return true
 	default:
 		return false
@@ -253,7 +253,7 @@
 // reachedUpstream reports whether an attempt with that outcome may have reached an upstream.
 // The others ended at the upstream's gate or before it.
 func reachedUpstream(o kqcall.Outcome) bool {
-	return o.Result != kqcall.NotRun || o.Reason == kqcall.Shed || o.Reason == kqcall.Misdirected
+	return o.Result != kqcall.NotRun || o.Reason == kqcall.RefusedByUpstream || o.Reason == kqcall.Misdirected
 }
 
 // baselineRetries reports whether the entry is the baseline for measurements and the
--- a/internal/call/kqgate/gate.go
+++ b/internal/call/kqgate/gate.go
@@ -369,7 +369,7 @@
 		return o
 	}
 	if c.RefusalMeansNotRun && c.Response.StatusCode() == fasthttp.StatusServiceUnavailable {
-		return kqcall.Refuse(kqcall.Shed)
+		return kqcall.Refuse(kqcall.RefusedByUpstream)
 	}
 	return o
 }
@@ -377,7 +377,7 @@
 // upstreamStatus returns the HTTP status with which the upstream answered or shed the call,
 // 0 for any other outcome.
 func upstreamStatus(c *kqcall.Call, o kqcall.Outcome) int {
-	if o.Result != kqcall.Answered && o.Reason != kqcall.Shed {
+	if o.Result != kqcall.Answered && o.Reason != kqcall.RefusedByUpstream {
 		return 0
 	}
 	return c.Response.StatusCode()
--- a/internal/call/kqsend/client_test.go
+++ b/internal/call/kqsend/client_test.go
@@ -182,7 +182,7 @@
 	})
 	client := p.client()
 	for n := range int32(2) {
-		if o := client.Do(call("/one", callTimeout)); o != kqcall.UnknownOutcome(kqcall.Crossed) {
+		if o := client.Do(call("/one", callTimeout)); o != kqcall.UnknownOutcome(kqcall.MismatchedResponse) {
 			t.Errorf("outcome is %v, want unknown: crossed", o)
 		}
 		if got := p.opened.Load(); got != n+1 {
--- a/internal/call/kqsend/exchange.go
+++ b/internal/call/kqsend/exchange.go
@@ -59,7 +59,7 @@
 		call.Cancel.SetConnection(nil)
 		call.Response.Reset()
 		c.drop(n)
-		return kqcall.UnknownOutcome(kqcall.Crossed)
+		return kqcall.UnknownOutcome(kqcall.MismatchedResponse)
 	}
 	peerCloses := call.Response.ConnectionClose()
 	call.Response.Header.ResetConnectionClose()
--- a/internal/decide/kqpick/pick.go
+++ b/internal/decide/kqpick/pick.go
@@ -143,7 +143,7 @@
 	switch {
 	case isGone(outcome.Reason):
 		p.ejector.RecordUnreachable(&peer.state, now)
-	case outcome.Result == kqcall.Unknown && outcome.Reason != kqcall.Cancelled, failed, outcome.Reason == kqcall.Shed:
+	case outcome.Result == kqcall.Unknown && outcome.Reason != kqcall.Cancelled, failed, outcome.Reason == kqcall.RefusedByUpstream:
 		p.ejector.RecordFailure(&peer.state, len(p.peers), now)
 	default:
 		p.ejector.RecordSuccess(&peer.state, len(p.peers), peer.load.RecentDuration, p.ejectionMedian(now), now)
--- a/internal/decide/kqretry/retry.go
+++ b/internal/decide/kqretry/retry.go
@@ -49,9 +49,9 @@
 	switch o.Reason {
 	case kqcall.Draining, kqcall.RolledBack:
 		return true
-	case kqcall.ConnectFailed, kqcall.NoUpstream, kqcall.Cut, kqcall.Crossed, kqcall.Misdirected:
+	case kqcall.ConnectFailed, kqcall.NoUpstream, kqcall.Cut, kqcall.MismatchedResponse, kqcall.Misdirected:
 		tokens = &b.churn
-	case kqcall.QueueFull, kqcall.Shed:
+	case kqcall.QueueFull, kqcall.RefusedByUpstream:
 	default:
 		return false
 	}
--- a/internal/decide/kqretry/retry_test.go
+++ b/internal/decide/kqretry/retry_test.go
@@ -16,7 +16,7 @@
 // If every level retried, the last service would get thousands of times its load and could
 // never recover. The retries of all levels together must add at most a tenth.
 func TestRetriesAcrossLevelsAreBounded(t *testing.T) {
-	for _, reason := range []kqcall.Reason{kqcall.QueueFull, kqcall.Shed, kqcall.ConnectFailed, kqcall.NoUpstream, kqcall.Cut} {
+	for _, reason := range []kqcall.Reason{kqcall.QueueFull, kqcall.RefusedByUpstream, kqcall.ConnectFailed, kqcall.NoUpstream, kqcall.Cut} {
 		load := calls
 		for depth := range levels {
 			b := kqretry.New(depth == 0)
--- a/internal/rollout/kqtracker/failure_test.go
+++ b/internal/rollout/kqtracker/failure_test.go
@@ -94,7 +94,7 @@
 			f.countSuccesses(g, 4)
 			if g < oldGates {
 				for range 4 {
-					f.observe(g, kqcall.Refuse(kqcall.Shed), 503, time.Millisecond)
+					f.observe(g, kqcall.Refuse(kqcall.RefusedByUpstream), 503, time.Millisecond)
 				}
 			}
 		}
