--- a/internal/call/kqentry/entry.go
+++ b/internal/call/kqentry/entry.go
@@ -164,9 +164,9 @@
 // WithDisconnectWatcher sets the watcher that detects callers' disconnects.
 func WithDisconnectWatcher(w *kqdisconnect.Watcher) Option { return func(e *Entry) { e.watcher = w } }
 
-// WithForged sets a function that runs for each call from outside that carries internal
+// WithForgedHeadersHandler sets a function that runs for each call from outside that carries internal
 // headers of this project.
-func WithForged(f func()) Option { return func(e *Entry) { e.onForged = f } }
+func WithForgedHeadersHandler(f func()) Option { return func(e *Entry) { e.onForged = f } }
 
 // WithDialer replaces plain TCP for connections to other nodes' gates. The dialer must
 // complete any handshake, so that a call whose dial fails has certainly not run.
@@ -183,8 +183,8 @@
 // WithOrigin sets the service whose upstream runs on this entry's server.
 func WithOrigin(s kqname.Service) Option { return func(e *Entry) { e.origin = s } }
 
-// WithBound limits retries of each service to what operators allow over all nodes.
-func WithBound(b kqallowance.Bound, nodeCount func() int) Option {
+// WithRetryBound limits retries of each service to what operators allow over all nodes.
+func WithRetryBound(b kqallowance.Bound, nodeCount func() int) Option {
 	return func(e *Entry) { e.bound, e.nodeCount = b, nodeCount }
 }
 
--- a/internal/call/kqentry/record.go
+++ b/internal/call/kqentry/record.go
@@ -43,9 +43,9 @@
 		// Status is the HTTP status of the upstream's answer, 0 if the call was not
 		// answered.
 		Status int
-		// Resent reports whether a further attempt was allowed. None follows if no other
+		// RetryAllowed reports whether a further attempt was allowed. None follows if no other
 		// upstream is left.
-		Resent bool
+		RetryAllowed bool
 		// Ejected reports whether the upstream is ejected after this attempt.
 		Ejected bool
 	}
--- a/internal/call/kqentry/refusal_test.go
+++ b/internal/call/kqentry/refusal_test.go
@@ -115,7 +115,7 @@
 		})
 	}
 	bound := kqallowance.Bound{Ratio: 0.2, Slack: 50}
-	e := kqentry.New("self", fixedConfig{snapshot}, all, noLocal{}, kqentry.WithBound(bound, func() int { return 1 }))
+	e := kqentry.New("self", fixedConfig{snapshot}, all, noLocal{}, kqentry.WithRetryBound(bound, func() int { return 1 }))
 	listener := fasthttputil.NewInmemoryListener()
 	server := &fasthttp.Server{Handler: e.ServeOutside}
 	go func() { _ = server.Serve(listener) }()
--- a/internal/call/kqentry/serve.go
+++ b/internal/call/kqentry/serve.go
@@ -202,9 +202,9 @@
 			possibleRuns++
 		}
 		canRetry := sends < limit && len(tried) < maxGates && now.Before(c.Deadline) && !c.Cancel.Done()
-		attempt.Resent = canRetry && (s.spendRetry(c, last) || s.hasSpareGate(last, target, tried, now) || e.baselineRetries(c, last))
+		attempt.RetryAllowed = canRetry && (s.spendRetry(c, last) || s.hasSpareGate(last, target, tried, now) || e.baselineRetries(c, last))
 		f.sendAttempts = append(f.sendAttempts, attempt)
-		if !attempt.Resent {
+		if !attempt.RetryAllowed {
 			return combined(last, possibleRuns)
 		}
 		e.counter.Retried(last.Reason)
--- a/internal/run/kqnode/call.go
+++ b/internal/run/kqnode/call.go
@@ -57,7 +57,7 @@
 	gate := []kqgate.Option{kqgate.WithWithdrawer(n.local), kqgate.WithObserver(n.rollouts), kqgate.WithGuard(n.rollouts), kqgate.WithDisconnectWatcher(n.disconnectWatcher), kqgate.WithCounter(n.metrics), kqgate.WithSupervisor(n.supervisor)}
 	entry := append(n.entryTLSOptions(), kqentry.WithCounter(n.metrics), kqentry.WithSplitter(n.rollouts),
 		kqentry.WithDomain(n.settings.Node.Domain), kqentry.WithDisconnectWatcher(n.disconnectWatcher),
-		kqentry.WithForged(n.securityMetrics.ForgedHeaders), kqentry.WithSupervisor(n.supervisor))
+		kqentry.WithForgedHeadersHandler(n.securityMetrics.ForgedHeaders), kqentry.WithSupervisor(n.supervisor))
 	nesting := kqnesting.New()
 	gate, entry = append(gate, kqgate.WithNesting(nesting)), append(entry, kqentry.WithNesting(nesting))
 	if n.settings.Call.Slots == slotsExact {
@@ -73,7 +73,7 @@
 	}
 	if c := n.settings.Call; c.RepeatRatio > 0 {
 		bound := kqallowance.Bound{Ratio: c.RepeatRatio, Slack: c.RepeatSlack}
-		entry = append(entry, kqentry.WithBound(bound, n.table.LiveCount))
+		entry = append(entry, kqentry.WithRetryBound(bound, n.table.LiveCount))
 	}
 	n.gate = kqgate.New(n.local, gate...)
 	n.entry = kqentry.New(n.settings.Node.Name, n.replica, n.table, n.gate, entry...)
--- a/internal/run/kqrecord/record.go
+++ b/internal/run/kqrecord/record.go
@@ -148,7 +148,7 @@
 		fields := map[string]any{
 			"to": t.To, "sent": t.InFlight, "running": t.Load.Running, "waiting": t.Load.Waiting, "slots": t.Load.Slots,
 			"load_age_ms": milliseconds(t.LoadAge), "left_ms": milliseconds(t.TimeLeft), "took_ms": milliseconds(t.Took), "result": t.Outcome.Result,
-			"again": t.Resent, "upstream_version": t.Version,
+			"again": t.RetryAllowed, "upstream_version": t.Version,
 		}
 		if t.Outcome.Reason != kqcall.NoReason {
 			fields["reason"] = t.Outcome.Reason
