--- a/internal/call/kqlocal/upstreams.go
+++ b/internal/call/kqlocal/upstreams.go
@@ -35,8 +35,8 @@
 	maxWithdrawal = 8 * time.Second
 )
 
-// ErrAnnouncement means that an announcement is refused because it is invalid.
-var ErrAnnouncement = errors.New("announcement refused")
+// ErrInvalidAnnouncement means that an announcement is refused because it is invalid.
+var ErrInvalidAnnouncement = errors.New("announcement refused")
 
 type (
 	// Announcement is what an upstream posts to its node, first, as a renewal and as a
@@ -123,7 +123,7 @@
 		return nil
 	}
 	if !kqname.Valid(a.Service) || !kqname.Valid(a.Version) || a.Address == "" || a.Slots < 1 || a.Slots > MaxSlots {
-		return fmt.Errorf("announce %q %q at %q with %d slots: %w", a.Service, a.Version, a.Address, a.Slots, ErrAnnouncement)
+		return fmt.Errorf("announce %q %q at %q with %d slots: %w", a.Service, a.Version, a.Address, a.Slots, ErrInvalidAnnouncement)
 	}
 	if ignoresDraining {
 		a.Draining = false
@@ -185,9 +185,9 @@
 	u.goodbyes[a.Instance] = goodbye{startMS: max(startMS, u.goodbyes[a.Instance].startMS), receivedAt: now}
 }
 
-// ApplyGoodbye treats an upstream's departure, which an earlier process of this node
+// ApplyDeparture treats an upstream's departure, which an earlier process of this node
 // learned of, as a goodbye received now.
-func (u *Upstreams) ApplyGoodbye(instance kqname.Instance, startMS int64, now time.Time) {
+func (u *Upstreams) ApplyDeparture(instance kqname.Instance, startMS int64, now time.Time) {
 	u.recordGoodbye(Announcement{Instance: instance, StartedMS: startMS}, now)
 }
 
--- a/internal/run/kqnode/announce.go
+++ b/internal/run/kqnode/announce.go
@@ -31,7 +31,7 @@
 		return
 	}
 	if err == nil && !a.Gone && a.Service != n.settings.Node.Service {
-		err = fmt.Errorf("announcement for service %.64q: %w", string(a.Service), kqlocal.ErrAnnouncement)
+		err = fmt.Errorf("announcement for service %.64q: %w", string(a.Service), kqlocal.ErrInvalidAnnouncement)
 	}
 	if err == nil {
 		err = n.announce(a)
@@ -83,7 +83,7 @@
 func (n *Node) learnDepartures(ctx context.Context) {
 	now := time.Now()
 	for _, d := range n.distribution.departures.Learn(ctx) {
-		n.local.ApplyGoodbye(d.Instance, d.StartedMS, now)
+		n.local.ApplyDeparture(d.Instance, d.StartedMS, now)
 	}
 	for _, a := range n.pendingAnnouncements.release() {
 		if err := n.local.Announce(a, time.Now()); err != nil {
