--- a/internal/run/kqcommand/node.go
+++ b/internal/run/kqcommand/node.go
@@ -103,7 +103,7 @@
 		case <-ctx.Done():
 			return
 		case s := <-signals:
-			n.Signalled(s)
+			n.LogSignal(s)
 		case <-ticker.C:
 		}
 		data, err := os.ReadFile(file)
--- a/internal/run/kqnode/recent_events.go
+++ b/internal/run/kqnode/recent_events.go
@@ -28,9 +28,9 @@
 	}
 )
 
-// Signalled logs a signal sent to the process. Without the line, a process ended by a
+// LogSignal logs a signal sent to the process. Without the line, a process ended by a
 // signal cannot be distinguished from one that ended by itself.
-func (n *Node) Signalled(s os.Signal) {
+func (n *Node) LogSignal(s os.Signal) {
 	n.logEvent(logrus.Fields{"event": "signal", "signal": s.String(), "leaving": n.leaving.Load()}, fmt.Sprintf("Signal %v.", s))
 }
 
