--- a/internal/lab/kqrolloutsim/world.go
+++ b/internal/lab/kqrolloutsim/world.go
@@ -157,7 +157,7 @@
 }
 
 func (w *World) versionStates(at int, newShare float64, small bool) (old, next versionState) {
-	share := kqshare.Share{From: "old", To: "new", Fraction: newShare, Small: small}
+	share := kqshare.Share{From: "old", To: "new", Fraction: newShare, FewUpstreams: small}
 	old, next = w.conditions(at, true), w.conditions(at, false)
 	b := share.Distribution(w.liveCandidates(old.alive, next.alive))
 	serving := float64(w.Servers)
--- a/internal/rollout/kqshare/share.go
+++ b/internal/rollout/kqshare/share.go
@@ -21,8 +21,8 @@
 		From, To kqname.UpstreamVersion
 		// Fraction is the share of traffic for the new version, from 0 to 1.
 		Fraction float64
-		// Small is set if the share goes to few upstreams.
-		Small bool
+		// FewUpstreams is set if the share goes to few upstreams.
+		FewUpstreams bool
 		// MayGrow lets the share grow to the new version's part of all slots.
 		MayGrow bool
 		// ExcludedVersions are versions other than To that must get no calls. They are
@@ -77,7 +77,7 @@
 		toAll.Within = max(s.Fraction, float64(newSlots)/float64(newSlots+oldSlots))
 		return toAll
 	}
-	if !s.Small {
+	if !s.FewUpstreams {
 		// If many new upstreams have crashed, the full share would give the remaining
 		// ones more load than an old one, and they would be slow through no fault of
 		// their version.
--- a/internal/rollout/kqshare/share_test.go
+++ b/internal/rollout/kqshare/share_test.go
@@ -25,7 +25,7 @@
 				})
 			}
 		}
-		s := kqshare.Share{From: "v1", To: "v2", Fraction: 0.05, Small: true}
+		s := kqshare.Share{From: "v1", To: "v2", Fraction: 0.05, FewUpstreams: true}
 		d := s.Distribution(all)
 		random := rand.New(rand.NewPCG(1, 1))
 		const calls, second = 200000, 7
--- a/internal/rollout/kqtracker/traffic.go
+++ b/internal/rollout/kqtracker/traffic.go
@@ -72,7 +72,7 @@
 	}
 	if ps.cachedKey != k {
 		ps.cachedKey, ps.cachedSplit = k, distributionOf(kqshare.Share{
-			From: ps.plan.From, To: ps.plan.To, Fraction: kqstep.Share(ps.plan, step), Small: step <= kqstep.SmallShareStep, MayGrow: kqstep.MayExceedShare(ps.plan, step), ExcludedVersions: excludedVersions,
+			From: ps.plan.From, To: ps.plan.To, Fraction: kqstep.Share(ps.plan, step), FewUpstreams: step <= kqstep.SmallShareStep, MayGrow: kqstep.MayExceedShare(ps.plan, step), ExcludedVersions: excludedVersions,
 		}, all)
 	}
 	return ps.cachedSplit
