--- a/internal/run/kqnode/call.go
+++ b/internal/run/kqnode/call.go
@@ -60,13 +60,13 @@
 		kqentry.WithForgedHeadersHandler(n.securityMetrics.ForgedHeaders), kqentry.WithSupervisor(n.supervisor))
 	nesting := kqnesting.New()
 	gate, entry = append(gate, kqgate.WithNesting(nesting)), append(entry, kqentry.WithNesting(nesting))
-	if n.settings.Call.Slots == slotsExact {
+	if n.settings.Call.SlotMode == slotsExact {
 		gate = append(gate, kqgate.WithExactSlots())
 	}
 	if n.settings.Call.Policy == policyBaseline {
 		gate, entry = append(gate, kqgate.WithBaseline()), append(entry, kqentry.WithBaseline())
 	}
-	n.recorder = kqrecord.New(n.logger.Part("call"), n.logger.Part("gate"), n.settings.Log.Sample, n.settings.Log.PerReason, n.metrics)
+	n.recorder = kqrecord.New(n.logger.Part("call"), n.logger.Part("gate"), n.settings.Log.SampleEvery, n.settings.Log.PerReason, n.metrics)
 	gate, entry = append(gate, kqgate.WithRecorder(n.recorder)), append(entry, kqentry.WithRecorder(n.recorder))
 	if d := n.adapter.Dialect; d != nil {
 		gate, entry = append(gate, kqgate.WithDialect(d)), append(entry, kqentry.WithDialect(d), kqentry.WithOrigin(n.settings.Node.Service))
--- a/internal/run/kqnode/node.go
+++ b/internal/run/kqnode/node.go
@@ -268,7 +268,7 @@
 	if err := n.logger.SetLevel(s.Log.Level); err != nil {
 		return fmt.Errorf("reload settings: %w", err)
 	}
-	n.recorder.SetLimits(s.Log.Sample, s.Log.PerReason)
+	n.recorder.SetLimits(s.Log.SampleEvery, s.Log.PerReason)
 	n.logEvent(logrus.Fields{"event": "reload", "settings": s.NonDefaults()}, "Settings reloaded.")
 	return nil
 }
--- a/internal/run/kqsettings/settings.go
+++ b/internal/run/kqsettings/settings.go
@@ -78,7 +78,7 @@
 		BodyMemory  int           `key:"body_memory" default:"0" min:"0" max:"16GB" unit:"bytes" doc:"Bytes of request bodies over 64 KB that are held at once, and half as many of smaller ones beside them, further ones are refused; 0 takes a quarter of [node] memory, or 256MB where it states none."`
 		RepeatRatio float64       `key:"repeat_ratio" default:"0" min:"0" max:"1" doc:"Sendings beyond the first that all nodes together may add to a service's calls, as a part of them; 0 keeps to this program's own budget."`
 		RepeatSlack float64       `key:"repeat_slack" default:"0" min:"0" max:"1000000" doc:"How many may be added beside repeat_ratio in any window of some seconds."`
-		Slots       string        `key:"slots" default:"learnt" one_of:"learnt,exact" doc:"Whether upstreams may run fewer calls at once than they announce, which is then learnt from their latency, or run exactly as many."`
+		SlotMode    string        `key:"slots" default:"learnt" one_of:"learnt,exact" doc:"Whether upstreams may run fewer calls at once than they announce, which is then learnt from their latency, or run exactly as many."`
 		Policy      string        `key:"policy" default:"kumquatgw" one_of:"kumquatgw,baseline" doc:"Decisions under load; baseline (first-come queue, random choice, plain retries) is for comparison only."`
 	}
 
@@ -101,9 +101,9 @@
 
 	// Log configures the node's log.
 	Log struct {
-		Level     string `key:"level" default:"info" one_of:"debug,info,warning,error" doc:"Least severe level that is logged."`
-		Sample    int    `key:"sample" default:"64" min:"0" max:"1000000" doc:"One in that many calls that went well has lines, chosen by its id; 0 leaves out all."`
-		PerReason int    `key:"per_reason" default:"20" min:"0" max:"100000" doc:"Lines a second that a node writes for each reason of a refusal, retry or failure; the rest is counted."`
-		Format    string `key:"format" default:"text" one_of:"text,json" doc:"Form of a log line."`
+		Level       string `key:"level" default:"info" one_of:"debug,info,warning,error" doc:"Least severe level that is logged."`
+		SampleEvery int    `key:"sample" default:"64" min:"0" max:"1000000" doc:"One in that many calls that went well has lines, chosen by its id; 0 leaves out all."`
+		PerReason   int    `key:"per_reason" default:"20" min:"0" max:"100000" doc:"Lines a second that a node writes for each reason of a refusal, retry or failure; the rest is counted."`
+		Format      string `key:"format" default:"text" one_of:"text,json" doc:"Form of a log line."`
 	}
 )
