--- a/internal/admin/kqlinger/linger.go
+++ b/internal/admin/kqlinger/linger.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// After Close, a connection discards what still arrives until one of these
-// bounds is reached.
+// After Close, a connection discards incoming data until the peer closes it or one
+// of these bounds is reached.
 const (
 	lingerTimeout  = time.Second
 	maxLingerBytes = 8 << 20
@@ -18,14 +18,16 @@
 type (
 	// Listener accepts connections with lingering close and limits the open
 	// connections per remote address. The HTTP library's own limit is not used:
-	// it crashed the process when a connection was closed during a blocked read.
+	// it crashes the process when a connection is closed during a blocked read.
 	Listener struct {
 		net.Listener
 		maxPerAddress int
 
-		mu         sync.Mutex
+		mu sync.Mutex
+		// perAddress counts the connections of each remote address, including those
+		// that linger after Close.
 		perAddress map[string]int
-		// open holds the connections that were not closed yet.
+		// open holds the connections on which Close has not been called.
 		open map[*conn]struct{}
 	}
 
@@ -33,7 +35,8 @@
 	conn struct {
 		*net.TCPConn
 		once sync.Once
-		// onClose is called when Close begins, release after lingering has ended.
+		// onClose is called when Close begins, release when lingering has ended or
+		// the half-close has failed.
 		onClose func(*conn)
 		release func()
 		err     error
@@ -47,7 +50,8 @@
 	return &Listener{Listener: l, maxPerAddress: maxPerAddress, perAddress: make(map[string]int), open: make(map[*conn]struct{})}
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. It closes connections beyond the limit and
+// returns connections other than TCP without a limit or lingering close.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -79,7 +83,8 @@
 	}
 }
 
-// OpenConnections returns the number of connections that were not closed yet.
+// OpenConnections returns the number of connections on which Close has not been
+// called.
 func (l *Listener) OpenConnections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +106,8 @@
 }
 
 // Close half-closes the connection and closes it in the background, after
-// discarding incoming data up to lingerTimeout and maxLingerBytes.
+// discarding incoming data up to lingerTimeout and maxLingerBytes. If the
+// half-close fails, it closes the connection at once.
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		c.onClose(c)
@@ -131,7 +137,7 @@
 	return true
 }
 
-// releaseAddress uncounts a connection of source.
+// releaseAddress removes a connection of source from the count.
 func (l *Listener) releaseAddress(source string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/admin/kqlinger/linger_test.go
+++ b/internal/admin/kqlinger/linger_test.go
@@ -10,8 +10,9 @@
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqlinger"
 )
 
-// One address opens idle connections. Those beyond the limit must be closed, and
-// closing an earlier one must allow a new one.
+// One address opens idle connections, which could use up the server's connections.
+// Those beyond the limit must be closed, and closing an earlier one must allow a
+// new one.
 func TestConnectionLimitPerAddress(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,13 +42,13 @@
 		return c
 	}
 	first, _ := dial(), dial()
-	held := <-accepted
+	firstAccepted := <-accepted
 	<-accepted
 	if n, err := dial().Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Errorf("the third connection read %d bytes, error %v; want it closed", n, err)
 	}
 	_ = first.Close()
-	_ = held.Close()
+	_ = firstAccepted.Close()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		dial()
 		select {
@@ -56,5 +57,5 @@
 		default:
 		}
 	}
-	t.Error("no new connection was accepted after two were closed")
+	t.Error("no new connection was accepted after the first was closed")
 }
