--- a/internal/admin/kqadmin/api_test.go
+++ b/internal/admin/kqadmin/api_test.go
@@ -42,7 +42,7 @@
 		{"2 MB document", "ana", "PUT", "/v1/document", `{"base":1,"document":{"teams":[{"name":"` + strings.Repeat("a", 2<<20) + `"}]}}`, 413, kqproblem.TooLarge, ""},
 		{"route to a missing service", "mika", "PUT", "/v1/routes/sale", strings.Replace(newRoute, `"service":"store"`, `"service":"gone"`, 1), 422, kqproblem.Invalid, "/item/service"},
 		{"removal of a service that a route uses", "ana", "DELETE", "/v1/services/store", "", 422, kqproblem.Invalid, "/document/routes/1/service"},
-		{"more routes than the quota", "mika", "PUT", "/v1/document", `{"base":1,"document":` + overQuotaDocument() + `}`, 422, kqproblem.Quota, "/document/teams/0/max_routes"},
+		{"more routes than the quota", "mika", "PUT", "/v1/document", `{"base":1,"document":` + overQuotaDocument() + `}`, 422, kqproblem.OverQuota, "/document/teams/0/max_routes"},
 		{"stale version", "mika", "PUT", "/v1/routes/sale", strings.Replace(newRoute, "{", `{"base":0,`, 1), 409, kqproblem.StaleVersion, ""},
 		{"malformed JSON", "mika", "PUT", "/v1/routes/sale", `{"item":`, 400, kqproblem.Malformed, ""},
 		{"unknown field", "mika", "PUT", "/v1/routes/sale", strings.Replace(newRoute, "path_prefix", "path_perfix", 1), 400, kqproblem.Malformed, ""},
@@ -88,7 +88,8 @@
 
 // A script retries a change whose response was lost, and later sends a different
 // change with the same request ID by mistake. The retry must return the first
-// result without a second commit; the different change must be refused.
+// result without a second commit; the different change must be refused. The history
+// must show the commit and the audit log the refusal, and no token may be logged.
 func TestRetriedRequestIsCommittedOnce(t *testing.T) {
 	s := newTestServer(t)
 	for range 2 {
@@ -105,8 +106,8 @@
 		t.Errorf("retry after another change: response %d %v, want version 2", status, answer)
 	}
 	status, answer = s.request("mika", "PUT", "/v1/routes/sale", strings.Replace(newRoute, "/sale", "/other", 1))
-	if status != 409 || answer["code"] != string(kqproblem.Reused) || s.counter.refusedCount(kqproblem.Reused) != 1 {
-		t.Errorf("same request ID with other content: response %d %v, want %s counted once", status, answer, kqproblem.Reused)
+	if status != 409 || answer["code"] != string(kqproblem.RequestIDReused) || s.counter.refusedCount(kqproblem.RequestIDReused) != 1 {
+		t.Errorf("same request ID with other content: response %d %v, want %s counted once", status, answer, kqproblem.RequestIDReused)
 	}
 	if v := s.version(); v != 3 {
 		t.Errorf("version %d is in force, want 3", v)
@@ -130,9 +131,9 @@
 	}
 }
 
-// After 10 unknown tokens from one source, further requests of it must be
-// throttled even with a valid token. Each refusal must be logged without the
-// token that was sent.
+// An attacker guesses tokens. After 10 unknown tokens from one source, further
+// requests from it must be throttled, even with a valid token. Each unknown token
+// must be logged as a refusal, without the token itself.
 func TestFailedTokensAreThrottled(t *testing.T) {
 	s := newTestServer(t, kqadmin.WithNow(func() time.Time { return time.Unix(1_000_000, 0) }))
 	for range 10 {
@@ -150,7 +151,7 @@
 }
 
 // A connection that never finishes its headers, as in a slowloris attack, must
-// be refused with 408 after the read timeout, while other requests are served.
+// be refused with 408 after the read timeout, and later requests must be served.
 func TestSlowHeadersTimeOut(t *testing.T) {
 	s := newTestServer(t, kqadmin.WithReadTimeout(50*time.Millisecond))
 	conn, err := net.Dial("tcp", s.address)
@@ -160,22 +161,23 @@
 	defer func() { _ = conn.Close() }()
 	fmt.Fprint(conn, "GET /v1/fleet HTTP/1.1\r\nHost: a\r\nX-Slow: ")
 	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
-	a, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatalf("read response: %v", err)
 	}
-	_ = a.Body.Close()
-	if a.StatusCode != http.StatusRequestTimeout || s.counter.refusedCount(kqproblem.TooSlow) != 1 {
-		t.Errorf("status %d, counted %d; want 408 counted once", a.StatusCode, s.counter.refusedCount(kqproblem.TooSlow))
+	_ = response.Body.Close()
+	if response.StatusCode != http.StatusRequestTimeout || s.counter.refusedCount(kqproblem.TooSlow) != 1 {
+		t.Errorf("status %d, counted %d; want 408 counted once", response.StatusCode, s.counter.refusedCount(kqproblem.TooSlow))
 	}
 	if status, _ := s.request("ana", "GET", "/v1/fleet", ""); status != 200 {
 		t.Errorf("another request got %d, want 200", status)
 	}
 }
 
-// Other programs are generated from the OpenAPI document. Every described GET but
-// that of one rollout, of which the test document has none, must be served with
-// all required fields. A method that is not described must get 404.
+// Clients are generated from the OpenAPI document, so they fail where the served
+// operations differ from it. Every described GET but that of one rollout, of which
+// the test document has none, must be served with all required fields. A method
+// that is not described must get 404.
 func TestOpenAPIMatchesServedOperations(t *testing.T) {
 	s := newTestServer(t)
 	status, description := s.request("", "GET", "/v1/openapi.json", "")
--- a/internal/admin/kqaudit/audit.go
+++ b/internal/admin/kqaudit/audit.go
@@ -16,8 +16,8 @@
 const maxRecords = 500
 
 type (
-	// Record is one attempted change, or one request or login that was refused. It never
-	// contains a token.
+	// Record is one attempted change, or one request or login that was refused before
+	// its operator was known. It never contains a token.
 	Record struct {
 		At       time.Time   `json:"at"`
 		Operator string      `json:"operator,omitempty"`
@@ -65,7 +65,7 @@
 }
 
 // Records returns the records that the operator may see, newest first: all for
-// admins, those of operators of the same team for members.
+// admins, those of the same team's operators for members.
 func (a *Audit) Records(o kqoperator.Operator) []Record {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/admin/kqauth/auth.go
+++ b/internal/admin/kqauth/auth.go
@@ -79,8 +79,9 @@
 	return *s, nil
 }
 
-// Session returns an unexpired session and its operator. It looks the token up
-// again, so that removing a token from the file ends its sessions at once.
+// Session returns an unexpired session and its operator, and renews the session's
+// timeout. It looks the token up again, so that removing a token from the file ends
+// its sessions once the file is reloaded.
 func (a *Auth) Session(id string, now time.Time) (Session, kqoperator.Operator, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -104,7 +105,7 @@
 	delete(a.sessions, id)
 }
 
-// token authenticates a token and also returns its hash.
+// token authenticates a token: it returns its hash and the operator who owns it.
 func (a *Auth) token(token, source string, now time.Time) (kqoperator.Hash, kqoperator.Operator, *kqproblem.Problem) {
 	var noHash kqoperator.Hash
 	if wait := a.throttle.Wait(source, now); wait > 0 {
--- a/internal/admin/kqchange/change.go
+++ b/internal/admin/kqchange/change.go
@@ -61,14 +61,17 @@
 		// in force.
 		Base   *kqname.ConfigVersion
 		Reason string
-		// DryRun computes the difference without committing it.
+		// DryRun checks the change and computes its difference without committing
+		// it. Dry runs are not audited.
 		DryRun bool
 		Edit   Edit
 	}
 
 	// Result describes an accepted change.
 	Result struct {
-		RequestID  string               `json:"request_id"`
+		RequestID string `json:"request_id"`
+		// Version is the committed version, or the one in force if nothing was
+		// committed.
 		Version    kqname.ConfigVersion `json:"version"`
 		Committed  bool                 `json:"committed"`
 		Difference []kqdocument.Change  `json:"difference"`
@@ -136,10 +139,12 @@
 	return final(outcome, result)
 }
 
-// previousResult answers a request whose ID was committed before; it returns
-// false if the request must still be processed. The request is a retry after a
-// lost response if its edit yields the committed document; otherwise the ID
-// counts as reused, also if one of the documents to compare cannot be read.
+// previousResult answers a request whose ID was committed before, or refuses it if
+// that cannot be found out; it returns false if the request must still be processed.
+// The request is a retry after a lost response if it has the committed change's
+// base, or none, and its edit yields the committed document. Otherwise the ID counts
+// as reused, also if one of the documents to compare cannot be read. A retry gets the
+// result only if its operator may make the change.
 func (c *Changer) previousResult(ctx context.Context, q Request) (Result, *kqproblem.Problem, bool) {
 	outcome, err := c.committer.ResolveOutcome(ctx, q.ID)
 	if errors.Is(err, kqcommit.ErrUnknownRequest) || err == nil && outcome.Status != kqcommit.Committed {
@@ -166,8 +171,8 @@
 	return Result{RequestID: q.ID, Version: outcome.Version, Committed: true, Difference: kqdocument.Diff(before, after)}, nil, true
 }
 
-// staleProblem returns the refusal of an edit based on an old version, with the
-// changes committed since.
+// staleProblem returns the refusal of an edit that is not based on the version in
+// force. It has the changes committed since the base if the base can be read.
 func (c *Changer) staleProblem(ctx context.Context, base kqname.ConfigVersion, current kqdocument.Document, version kqname.ConfigVersion) *kqproblem.Problem {
 	p := kqproblem.New(kqproblem.StaleVersion, fmt.Sprintf("version %d was edited, version %d is in force", base, version))
 	p.Version = version
@@ -177,6 +182,8 @@
 	return p
 }
 
+// recordAudit adds an attempted change to the audit log. It counts the change if it
+// was committed, also by an earlier attempt of the same request.
 func (c *Changer) recordAudit(q Request, result Result, problem *kqproblem.Problem, now time.Time) {
 	r := kqaudit.Record{
 		At: now, Operator: q.Operator.Name, Team: q.Operator.Team, Source: q.Source, Way: q.Way,
@@ -226,7 +233,7 @@
 }
 
 func reusedProblem() *kqproblem.Problem {
-	return kqproblem.New(kqproblem.Reused, "take a new request id for a new change")
+	return kqproblem.New(kqproblem.RequestIDReused, "take a new request id for a new change")
 }
 
 func problemOf(err error) *kqproblem.Problem {
--- a/internal/admin/kqchange/kind.go
+++ b/internal/admin/kqchange/kind.go
@@ -15,10 +15,11 @@
 var (
 	// ErrItemNotFound is returned for an item that is not in the document.
 	ErrItemNotFound = errors.New("not in the document")
-	// ErrMalformedItem is returned for JSON that does not decode into an item.
+	// ErrMalformedItem is returned for JSON that does not decode into an item or
+	// has another name than the edited item.
 	ErrMalformedItem = errors.New("item cannot be read")
 
-	// Kinds maps the name of each list in the document to its kind of items.
+	// Kinds maps the name of each list in the document to the kind of its items.
 	Kinds = map[string]Kind{
 		"services": kind[kqdocument.Service, kqname.Service]{
 			items: func(d *kqdocument.Document) *[]kqdocument.Service { return &d.Services },
@@ -53,7 +54,8 @@
 		List(d kqdocument.Document) any
 		// Get returns one item, or ErrItemNotFound.
 		Get(d kqdocument.Document, name string) (any, error)
-		// Put replaces or adds the item with that name and returns its index.
+		// Put replaces or adds the item with that name and returns its index. The
+		// name in data, the item's JSON, must be the same or empty.
 		Put(d kqdocument.Document, name string, data []byte) (kqdocument.Document, int, error)
 		// Delete removes an item, or returns ErrItemNotFound.
 		Delete(d kqdocument.Document, name string) (kqdocument.Document, error)
--- a/internal/admin/kqchange/validation.go
+++ b/internal/admin/kqchange/validation.go
@@ -14,11 +14,11 @@
 // index and field.
 var pathPattern = regexp.MustCompile(`^([a-z_]+)\[(\d+)\]\.?(.*)$`)
 
-// validationProblem converts validation errors into a problem with JSON pointers
-// into the request body: into its item if the error is in the edited item, else
-// into the document.
+// validationProblem converts validation errors into a problem with JSON pointers:
+// below /item if the error is in the edited item, else below /document, which means
+// the edited document even if the request body has only an item.
 func validationProblem(e Edit, d kqdocument.Document, problems []kqdocument.Problem) *kqproblem.Problem {
-	code := kqproblem.Quota
+	code := kqproblem.OverQuota
 	fields := make([]kqproblem.Field, 0, len(problems))
 	for _, p := range problems {
 		if !strings.HasSuffix(p.Path, ".max_routes") && !strings.HasSuffix(p.Path, ".max_rollouts") {
--- a/internal/admin/kqproblem/problem.go
+++ b/internal/admin/kqproblem/problem.go
@@ -36,23 +36,26 @@
 	// ShuttingDown means that the node shut down before the whole request had
 	// arrived; nothing was changed.
 	ShuttingDown Code = "leaving"
-	// NotFound means that no operation or item has this path or name.
+	// NotFound means that no operation, item, request, version or node has this path
+	// or name, or that the version's document or the node's report cannot be read.
 	NotFound Code = "not_found"
 	// BadMethod means that the path does not support the method.
 	BadMethod Code = "bad_method"
 	// Invalid means that the changed document fails validation; Errors lists why.
 	Invalid Code = "invalid_document"
-	// Quota means that the change would exceed a team's quota.
-	Quota Code = "over_quota"
+	// OverQuota means that the change would exceed a team's quota.
+	OverQuota Code = "over_quota"
 	// StaleVersion means that the base version is no longer in force; Difference holds
 	// the changes since.
 	StaleVersion Code = "stale_version"
-	// Reused means that the request ID was already used with other content.
-	Reused Code = "request_id_reused"
+	// RequestIDReused means that the request ID was already used with other content,
+	// or that the committed documents to compare with cannot be read.
+	RequestIDReused Code = "request_id_reused"
 	// OutcomeUnknown means that the commit's outcome is not known yet; a retry must
 	// use the same request ID.
 	OutcomeUnknown Code = "unsettled"
-	// PlatformDown means that the platform's key-value service is unavailable.
+	// PlatformDown means that the platform's key-value service is unavailable, limits
+	// the rate or is contended, or that its data cannot be read.
 	PlatformDown Code = "platform_unavailable"
 	// Internal means a bug or an unexpected error in this program.
 	Internal Code = "internal"
@@ -64,7 +67,8 @@
 
 	// Field is an error in one field of the request.
 	Field struct {
-		// Pointer is a JSON pointer into the request's document or item.
+		// Pointer is a JSON pointer: into the edited document or item, or, for a
+		// change that is forbidden, the kind and name of the item.
 		Pointer string `json:"pointer"`
 		Detail  string `json:"detail"`
 	}
@@ -103,9 +107,9 @@
 	NotFound:        {http.StatusNotFound, "There is no such thing"},
 	BadMethod:       {http.StatusMethodNotAllowed, "The path does not take this method"},
 	Invalid:         {http.StatusUnprocessableEntity, "The document has problems"},
-	Quota:           {http.StatusUnprocessableEntity, "A team is over its quota"},
+	OverQuota:       {http.StatusUnprocessableEntity, "A team is over its quota"},
 	StaleVersion:    {http.StatusConflict, "The version that was edited is no longer in force"},
-	Reused:          {http.StatusConflict, "The request id was used with other content"},
+	RequestIDReused: {http.StatusConflict, "The request id was used with other content"},
 	OutcomeUnknown:  {http.StatusServiceUnavailable, "It is not known yet whether the change took effect"},
 	PlatformDown:    {http.StatusServiceUnavailable, "The platform's service did not answer"},
 	Internal:        {http.StatusInternalServerError, "A fault of this program"},
