--- a/internal/admin/kqadmin/admin.go
+++ b/internal/admin/kqadmin/admin.go
@@ -40,8 +40,8 @@
 	MaxHeaders = 8 << 10
 
 	defaultReadTimeout = 10 * time.Second
-	// refusalTimeout bounds the wait at shutdown for incomplete requests to be
-	// refused.
+	// refusalTimeout bounds the wait at shutdown until the connections of refused
+	// incomplete requests are closed.
 	refusalTimeout = 150 * time.Millisecond
 	idleTimeout    = time.Minute
 	maxConnections = 1024
@@ -126,7 +126,7 @@
 	var err error
 	a.console, err = kqconsole.New(kqconsole.Parts{Parts: shared, History: a.history})
 	if err != nil {
-		return nil, fmt.Errorf("make admin: %w", err)
+		return nil, fmt.Errorf("create admin server: %w", err)
 	}
 	a.registerRoutes(parts)
 	return a, nil
@@ -147,22 +147,22 @@
 		served = tls.NewListener(served, config)
 	}
 	if err := a.app.Listener(served); err != nil {
-		return fmt.Errorf("serve admin on %s: %w", l.Addr(), err)
+		return fmt.Errorf("serve admin server on %s: %w", l.Addr(), err)
 	}
 	return nil
 }
 
-// Shutdown stops the server once its requests are answered or ctx ends, and
-// after ctx's deadline waits up to refusalTimeout more.
-// Requests that are still incomplete at ctx's deadline are refused with an error
-// response; without it operators would not know whether their change was made.
+// Shutdown stops the server once its requests are answered or ctx ends. At ctx's
+// deadline it refuses requests that are still incomplete, which takes up to
+// refusalTimeout more: without an error response operators would not know whether
+// their change was made.
 func (a *AdminServer) Shutdown(ctx context.Context) error {
 	err := a.app.ShutdownWithContext(ctx)
 	if errors.Is(err, context.DeadlineExceeded) {
 		a.refuseIncomplete()
 	}
 	if err != nil {
-		return fmt.Errorf("stop admin: %w", err)
+		return fmt.Errorf("stop admin server: %w", err)
 	}
 	return nil
 }
@@ -220,7 +220,8 @@
 	return a.api.Refuse(c, kqproblem.New(code, err.Error()))
 }
 
-// codeOf maps an error of the HTTP library to a problem code.
+// codeOf maps an error of the HTTP library to a problem code. Any other error
+// maps to Internal.
 func codeOf(err error) kqproblem.Code {
 	var f *fiber.Error
 	var small *fasthttp.ErrSmallBuffer
--- a/internal/admin/kqadmin/console_test.go
+++ b/internal/admin/kqadmin/console_test.go
@@ -40,27 +40,27 @@
 
 func (b *browser) get(path string) (int, string) {
 	b.t.Helper()
-	a, err := b.http.Get(b.server.url + path)
-	return b.read(a, err)
+	response, err := b.http.Get(b.server.url + path)
+	return b.read(response, err)
 }
 
 func (b *browser) post(path string, form url.Values) (int, string) {
 	b.t.Helper()
-	a, err := b.http.PostForm(b.server.url+path, form)
-	return b.read(a, err)
+	response, err := b.http.PostForm(b.server.url+path, form)
+	return b.read(response, err)
 }
 
-func (b *browser) read(a *http.Response, err error) (int, string) {
+func (b *browser) read(response *http.Response, err error) (int, string) {
 	b.t.Helper()
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	defer func() { _ = a.Body.Close() }()
-	body, err := io.ReadAll(a.Body)
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	return a.StatusCode, string(body)
+	return response.StatusCode, string(body)
 }
 
 // changeForm returns the hidden fields that follow the start of the page's change form,
@@ -78,7 +78,9 @@
 }
 
 // An operator fills in a form, reviews the difference and commits. The review
-// must not change the document, and the committed change must show on all pages.
+// must not change the document and must escape the input. The committed change must
+// show in the overview, its form, the history and the audit log, and every other
+// page must show its own content.
 func TestConsoleCommitsAfterReview(t *testing.T) {
 	s := newTestServer(t)
 	b := newBrowser(t, s, "mika")
@@ -143,7 +145,8 @@
 }
 
 // Requests without a session, with an unknown token, with a wrong CSRF token or
-// for another team's item must be refused and change nothing.
+// for another team's item must be refused and change nothing. Responses must have
+// the security headers, and a session must need only one cookie.
 func TestConsoleRefusesUnauthorizedRequests(t *testing.T) {
 	s := newTestServer(t)
 	if _, page := newBrowser(t, s, "").get("/fleet"); !strings.Contains(page, "Your token") {
@@ -166,13 +169,13 @@
 	if s.version() != 1 {
 		t.Errorf("version %d is in force, want 1", s.version())
 	}
-	a, err := http.Get(s.url + "/login")
+	response, err := http.Get(s.url + "/login")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = a.Body.Close()
+	_ = response.Body.Close()
 	for _, name := range []string{"Content-Security-Policy", "X-Content-Type-Options", "X-Frame-Options", "Referrer-Policy"} {
-		if a.Header.Get(name) == "" {
+		if response.Header.Get(name) == "" {
 			t.Errorf("header %s is missing", name)
 		}
 	}
--- a/internal/admin/kqadmin/harness_test.go
+++ b/internal/admin/kqadmin/harness_test.go
@@ -174,18 +174,18 @@
 	} else if operatorOrToken != "" {
 		q.Header.Set("Authorization", "Bearer "+operatorOrToken)
 	}
-	a, err := http.DefaultClient.Do(q)
+	response, err := http.DefaultClient.Do(q)
 	if err != nil {
 		s.t.Fatalf("%s %s: %v", method, path, err)
 	}
-	defer func() { _ = a.Body.Close() }()
-	data, err := io.ReadAll(a.Body)
+	defer func() { _ = response.Body.Close() }()
+	data, err := io.ReadAll(response.Body)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	answer := map[string]any{}
 	_ = json.Unmarshal(data, &answer)
-	return a.StatusCode, answer
+	return response.StatusCode, answer
 }
 
 func (s *server) version() kqname.ConfigVersion {
--- a/internal/admin/kqapi/operations.go
+++ b/internal/admin/kqapi/operations.go
@@ -20,9 +20,11 @@
 type (
 	// Change holds the fields common to all change requests.
 	Change struct {
-		// RequestID is the idempotency key: one ID is committed at most once.
+		// RequestID is the idempotency key: one ID is committed at most once. If
+		// empty, a random one is generated.
 		RequestID string `json:"request_id,omitempty"`
-		// Base is the version that the change is based on.
+		// Base is the version that the change is based on. For a change of one item,
+		// nil means the version in force.
 		Base *kqname.ConfigVersion `json:"base,omitempty"`
 		// Reason is recorded in the history.
 		Reason string `json:"reason,omitempty"`
@@ -98,7 +100,7 @@
 			query: []string{"dry_run"}, body: DocumentChange{}, response: kqchange.Result{}, handle: a.putDocument,
 		},
 		{method: "GET", path: "/document/{version}", id: "get_past_document", summary: "The document of one version.", response: Document{}, handle: a.getDocumentAt},
-		{method: "GET", path: "/requests/{name}", id: "settle_request", summary: "How the change with this request id ended.", response: kqcommit.Outcome{}, handle: a.settle},
+		{method: "GET", path: "/requests/{name}", id: "settle_request", summary: "How the change with this request id ended.", response: kqcommit.Outcome{}, handle: a.requestOutcome},
 		{method: "GET", path: "/history", id: "get_history", summary: "The latest versions, who made them and why.", query: []string{"limit"}, response: Versions{}, handle: a.history},
 		{method: "GET", path: "/fleet", id: "get_fleet", summary: "Every node, its state and version.", response: kqview.Fleet{}, handle: a.fleet},
 		{method: "GET", path: "/fleet/{name}", id: "get_node", summary: "What one node tells of itself: its version, since when, and what it refused.", response: kqview.Report{}, handle: a.report},
@@ -149,7 +151,7 @@
 	}
 	d, err := a.parts.Committer.DocumentAt(q.UserContext(), kqname.ConfigVersion(version))
 	if err != nil {
-		// Every error counts as not found, also an unavailable store.
+		// Every error is reported as not found, also an unavailable store.
 		return nil, kqproblem.New(kqproblem.NotFound, err.Error())
 	}
 	return Document{Version: kqname.ConfigVersion(version), Document: d}, nil
@@ -169,9 +171,9 @@
 	})
 }
 
-// settle returns the outcome of the change whose request ID is in the path; it writes
-// nothing.
-func (a *API) settle(q request) (any, *kqproblem.Problem) {
+// requestOutcome returns the outcome of the change whose request ID is in the path.
+// It writes nothing to the store.
+func (a *API) requestOutcome(q request) (any, *kqproblem.Problem) {
 	name := q.Params("name")
 	if !kqname.Valid(name) {
 		return nil, kqproblem.New(kqproblem.Malformed, "the request id is not a plain name")
@@ -200,7 +202,7 @@
 func (a *API) report(q request) (any, *kqproblem.Problem) {
 	r, err := a.parts.View.Report(q.UserContext(), kqname.Node(q.Params("name")))
 	if err != nil {
-		// Every error counts as not found, also a known node's timeout.
+		// Every error is reported as not found, also a known node's timeout.
 		return nil, kqproblem.New(kqproblem.NotFound, err.Error())
 	}
 	return r, nil
--- a/internal/admin/kqconsole/change.go
+++ b/internal/admin/kqconsole/change.go
@@ -20,6 +20,7 @@
 	actionEdit   = "edit"
 	actionRemove = "remove"
 
+	// valuePrefix begins the input names of the item's fields in a form.
 	valuePrefix = "f_"
 )
 
@@ -66,7 +67,7 @@
 	}})
 }
 
-// showNew shows an empty form for a new item.
+// showNew shows the form of a new item, with only a route's path prefix filled in.
 func (c *Console) showNew(req request, kind string) error {
 	return c.formPage(req, kind, "", map[string]string{"path_prefix": "/"})
 }
@@ -88,7 +89,7 @@
 	return c.formPage(req, kind, req.Params("name"), values)
 }
 
-// formPage shows a form with values, based on the version in force.
+// formPage shows a newly opened form with values, based on the version in force.
 func (c *Console) formPage(req request, kind, name string, values map[string]string) error {
 	d, root, err := c.parts.Committer.Document(req.UserContext())
 	if err != nil {
@@ -100,8 +101,8 @@
 }
 
 // change handles a submitted form: depending on the action it shows the
-// difference for review, shows the form again, or commits. The review and
-// the form keep the inputs.
+// difference for review, shows the form again, or commits. A refused form is shown
+// again with its errors. The review and the form keep the inputs.
 func (c *Console) change(req request, kind string) error {
 	d, root, err := c.parts.Committer.Document(req.UserContext())
 	if err != nil {
--- a/internal/admin/kqconsole/console.go
+++ b/internal/admin/kqconsole/console.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	// plainCookie is the session cookie without TLS, which is used on loopback
-	// only. The __Host- prefix of secureCookie makes browsers accept it only
-	// over TLS and bind it to this host.
+	// plainCookie is the session cookie without TLS, which is allowed only on
+	// loopback or in a trusted network. The __Host- prefix of secureCookie makes
+	// browsers accept it only over TLS and bind it to this host.
 	plainCookie  = "kq_session"
 	secureCookie = "__Host-kq_session"
 
@@ -123,8 +123,9 @@
 }
 
 // requireSession redirects requests without a valid session to the login page
-// and refuses forms without the session's CSRF token. Otherwise another site
-// could make an operator's browser submit a change in the operator's name.
+// and refuses forms from another origin or without the session's CSRF token.
+// Otherwise another site could make an operator's browser submit a change in the
+// operator's name.
 func (c *Console) requireSession(handle func(request) error) fiber.Handler {
 	return func(q *fiber.Ctx) error {
 		q.Set(fiber.HeaderCacheControl, "no-store")
--- a/internal/admin/kqconsole/form.go
+++ b/internal/admin/kqconsole/form.go
@@ -22,7 +22,8 @@
 	typeCheck   inputType = "check"
 	typeHeaders inputType = "headers"
 
-	// timeLayout is the format of a datetime-local input; its values are UTC.
+	// timeLayout and timeSecondsLayout are the formats of a datetime-local input,
+	// without and with seconds; its values are UTC.
 	timeLayout        = "2006-01-02T15:04"
 	timeSecondsLayout = "2006-01-02T15:04:05"
 )
@@ -125,7 +126,7 @@
 }
 
 // value parses the submitted text into the field's JSON value; ok is false if
-// the text is empty.
+// the text is empty or invalid.
 func (f field) value(text string) (value any, ok bool, err error) {
 	text = strings.TrimSpace(text)
 	if text == "" {
@@ -226,7 +227,8 @@
 }
 
 // parseItem converts the submitted values into an item's JSON. It also returns
-// the error texts of invalid fields by field name.
+// the error texts of invalid fields and of required fields without a value, by field
+// name.
 func (f form) parseItem(values map[string]string) (json.RawMessage, map[string]string) {
 	all, fieldErrors := make(map[string]any), make(map[string]string)
 	for _, field := range f.Fields {
--- a/internal/admin/kqconsole/plot.go
+++ b/internal/admin/kqconsole/plot.go
@@ -8,6 +8,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqrollouthistory"
 )
 
+// The drawing area in units of the SVG's viewBox in pages/parts.html.
 const (
 	plotWidth  = 600.0
 	plotTop    = 8.0
--- a/internal/admin/kqconsole/view.go
+++ b/internal/admin/kqconsole/view.go
@@ -13,8 +13,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// historyPage is the number of versions on the history page.
-const historyPage = 50
+// historyPageSize is the number of versions on the history page.
+const historyPageSize = 50
 
 // rolloutView is a rollout's status with the plot of its history.
 type rolloutView struct {
@@ -76,7 +76,7 @@
 }
 
 func (c *Console) history(req request) error {
-	list, err := c.parts.View.History(req.UserContext(), historyPage)
+	list, err := c.parts.View.History(req.UserContext(), historyPageSize)
 	if err != nil {
 		return c.refuse(req, kqproblem.New(kqproblem.PlatformDown, err.Error()))
 	}
--- a/internal/admin/kqview/view.go
+++ b/internal/admin/kqview/view.go
@@ -40,7 +40,7 @@
 		Slots    int                    `json:"slots"`
 		Draining bool                   `json:"draining"`
 		Started  time.Time              `json:"started"`
-		// WarmFrom is the announced end of the cold start.
+		// WarmFrom is the announced end of the cold start, or zero without one.
 		WarmFrom time.Time `json:"warm,omitzero"`
 	}
 
@@ -112,7 +112,8 @@
 func (v *View) Ready() bool { return v.node.Ready() }
 
 // Fleet returns every node that this one knows. Versions come from the nodes'
-// heartbeats and are at most a few heartbeats old.
+// heartbeats and are at most a few heartbeats old, except those of suspect and dead
+// nodes.
 func (v *View) Fleet() Fleet {
 	f := Fleet{Version: v.node.Version(), Ready: v.node.Ready(), Members: []Member{}}
 	members := v.node.Members()
@@ -179,8 +180,8 @@
 	return list, nil
 }
 
-// Platform sends one request to the platform's service and measures how
-// long it took: since returns the time elapsed since began.
+// Platform sends one request to the platform's service. TookMS counts from began,
+// when the operator's request arrived; since returns the time elapsed since a time.
 func (v *View) Platform(ctx context.Context, began time.Time, since func(time.Time) time.Duration) Platform {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
