--- a/cmd/kumquatgw/callers_test.go
+++ b/cmd/kumquatgw/callers_test.go
@@ -59,7 +59,8 @@
 		entry string
 		stop  atomic.Bool
 		group sync.WaitGroup
-		next  atomic.Int64
+		// lastID is the number in the last call's id.
+		lastID atomic.Int64
 	}
 
 	// sentCall is a call and the time when its request was sent.
@@ -73,9 +74,9 @@
 func (f *fleet) callers(entry string) *callers { return &callers{f: f, entry: entry} }
 
 // add starts callers that call until end is called.
-func (c *callers) add(count int, m callerProfile) {
+func (c *callers) add(count int, p callerProfile) {
 	for range count {
-		c.group.Go(func() { c.run(m) })
+		c.group.Go(func() { c.run(p) })
 	}
 }
 
@@ -87,7 +88,7 @@
 }
 
 // run opens one connection after another until the group ends.
-func (c *callers) run(m callerProfile) {
+func (c *callers) run(p callerProfile) {
 	for !c.stop.Load() {
 		conn, err := net.DialTimeout("tcp", c.entry, time.Second)
 		if err != nil {
@@ -95,85 +96,85 @@
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
-		c.runConnection(conn, m)
+		c.runConnection(conn, p)
 		_ = conn.Close()
-		time.Sleep(m.pause)
+		time.Sleep(p.pause)
 	}
 }
 
-// refusalBackoff is the delay after a response with status 503.
+// refusalBackoff is a caller's delay after a response with status 503.
 const refusalBackoff = 10 * time.Millisecond
 
 // runConnection sends calls over one connection and reads their responses.
-func (c *callers) runConnection(conn net.Conn, m callerProfile) {
+func (c *callers) runConnection(conn net.Conn, p callerProfile) {
 	_ = conn.SetDeadline(time.Now().Add(30 * time.Second))
 	var source io.Reader = conn
-	if m.slow {
+	if p.slow {
 		_ = conn.(*net.TCPConn).SetReadBuffer(4096)
 		source = &slowReader{conn}
 	}
 	r := bufio.NewReaderSize(source, 4096)
-	for first := true; first || m.keepAlive && !c.stop.Load(); first = false {
+	for first := true; first || p.keepAlive && !c.stop.Load(); first = false {
 		calls := 1
-		if m.pipelined {
+		if p.pipelined {
 			calls = 2
 		}
 		var out bytes.Buffer
 		list := make([]sentCall, calls)
 		for i := range list {
-			list[i].id = fmt.Sprintf("w%d", c.next.Add(1))
-			c.write(&out, list[i].id, m)
+			list[i].id = fmt.Sprintf("w%d", c.lastID.Add(1))
+			c.write(&out, list[i].id, p)
 		}
-		err := c.send(conn, out.Bytes(), m)
+		err := c.send(conn, out.Bytes(), p)
 		for i := range list {
 			list[i].at = time.Now()
 		}
 		requestSent := err == nil
 		closes := false
 		for i, s := range list {
-			closes, err = c.readResponse(r, s, m)
+			closes, err = c.readResponse(r, s, p)
 			if err != nil {
-				c.recordBroken(list[i:], m, err, requestSent, first)
+				c.recordBroken(list[i:], p, err, requestSent, first)
 				return
 			}
 		}
-		if closes && !m.ignoresClose {
+		if closes && !p.ignoresClose {
 			return
 		}
-		time.Sleep(m.pause)
+		time.Sleep(p.pause)
 	}
 }
 
 // write appends a request to out.
-func (c *callers) write(out *bytes.Buffer, id string, m callerProfile) {
-	ms := m.minWork
-	if m.maxWork > m.minWork {
-		ms += rand.IntN(m.maxWork - m.minWork)
+func (c *callers) write(out *bytes.Buffer, id string, p callerProfile) {
+	ms := p.minWork
+	if p.maxWork > p.minWork {
+		ms += rand.IntN(p.maxWork - p.minWork)
 	}
 	method := "GET"
-	if m.body > 0 {
+	if p.body > 0 {
 		method = "POST"
 	}
-	fmt.Fprintf(out, "%s /?ms=%d&bytes=%d HTTP/1.1\r\nHost: store\r\n%s: %s\r\n", method, ms, m.answer, callIDHeader, id)
+	fmt.Fprintf(out, "%s /?ms=%d&bytes=%d HTTP/1.1\r\nHost: store\r\n%s: %s\r\n", method, ms, p.answer, callIDHeader, id)
 	switch {
-	case m.chunked:
+	case p.chunked:
 		out.WriteString("Transfer-Encoding: chunked\r\n\r\n")
-		for left := m.body; left > 0; left -= min(left, 1000) {
+		for left := p.body; left > 0; left -= min(left, 1000) {
 			n := min(left, 1000)
 			fmt.Fprintf(out, "%x\r\n%s\r\n", n, strings.Repeat("b", n))
 		}
 		out.WriteString("0\r\n\r\n")
-	case m.body > 0:
-		fmt.Fprintf(out, "Content-Length: %d\r\n\r\n%s", m.body, strings.Repeat("b", m.body))
+	case p.body > 0:
+		fmt.Fprintf(out, "Content-Length: %d\r\n\r\n%s", p.body, strings.Repeat("b", p.body))
 	default:
 		out.WriteString("\r\n")
 	}
 }
 
-// send writes data to the connection, in 20 pieces for a slow caller with a body.
-func (c *callers) send(conn net.Conn, data []byte, m callerProfile) error {
+// send writes data to the connection, in up to 20 pieces for a slow caller with a body.
+func (c *callers) send(conn net.Conn, data []byte, p callerProfile) error {
 	piece := len(data)
-	if m.slow && m.body > 0 {
+	if p.slow && p.body > 0 {
 		piece = len(data)/20 + 1
 	}
 	for len(data) > 0 {
@@ -188,9 +189,9 @@
 	return nil
 }
 
-// readResponse reads and counts the response to one call. closes reports whether the node
-// announces that it closes the connection.
-func (c *callers) readResponse(r *bufio.Reader, s sentCall, m callerProfile) (closes bool, err error) {
+// readResponse reads and counts the response to one call, and waits for refusalBackoff after
+// a 503. closes reports whether the node announces that it closes the connection.
+func (c *callers) readResponse(r *bufio.Reader, s sentCall, p callerProfile) (closes bool, err error) {
 	if _, err := r.Peek(1); err != nil {
 		return false, err
 	}
@@ -206,7 +207,7 @@
 		time.Sleep(refusalBackoff)
 	}
 	c.withLock(func(o *outcomes) {
-		want := fmt.Sprintf("%s %d ", s.id, m.body)
+		want := fmt.Sprintf("%s %d ", s.id, p.body)
 		switch {
 		case a.StatusCode == http.StatusOK && strings.HasPrefix(string(body), want):
 			o.complete++
@@ -225,9 +226,9 @@
 }
 
 // recordBroken counts calls whose connection ended before a complete response: as crossed
-// if they never ran, no byte of a response came, and the connection ended before or within
-// closeRaceWindow after they were sent; as failed otherwise.
-func (c *callers) recordBroken(list []sentCall, m callerProfile, err error, requestSent, first bool) {
+// if they never ran, no byte of a response came, and the connection ended before the whole
+// request was sent or within closeRaceWindow after; as failed otherwise.
+func (c *callers) recordBroken(list []sentCall, p callerProfile, err error, requestSent, first bool) {
 	c.withLock(func(o *outcomes) {
 		for _, s := range list {
 			took := time.Since(s.at)
@@ -237,7 +238,7 @@
 			case runCount == 0 && !truncated && (!requestSent || took < closeRaceWindow):
 				o.crossed++
 			default:
-				o.failures = append(o.failures, fmt.Sprintf("%s (%+v, first on its connection: %v) ran %d times, error %v after %d ms, reset: %v", s.id, m, first, runCount, err, took.Milliseconds(), errors.Is(err, syscall.ECONNRESET)))
+				o.failures = append(o.failures, fmt.Sprintf("%s (%+v, first on its connection: %v) ran %d times, error %v after %d ms, reset: %v", s.id, p, first, runCount, err, took.Milliseconds(), errors.Is(err, syscall.ECONNRESET)))
 			}
 		}
 	})
@@ -250,7 +251,8 @@
 	f(&c.outcomes)
 }
 
-// report logs the outcomes and fails the test for failed calls, of which it prints ten.
+// report logs the outcomes and fails the test for failed calls, of which it prints at most
+// ten.
 func (o *outcomes) report(t *testing.T, what string) {
 	t.Helper()
 	t.Logf("%s: %d complete, %d refused, %d unknown, %d without a connection, %d crossed the close, %d failed", what, o.complete, o.refused, o.unknown, o.unconnected, o.crossed, len(o.failures))
--- a/cmd/kumquatgw/connection_limits_test.go
+++ b/cmd/kumquatgw/connection_limits_test.go
@@ -30,7 +30,9 @@
 	}
 }
 
-// Checks that a caller's idle connection neither delays a drain nor makes it fail.
+// Guards against a drain that fails because of a caller's idle connection. The HTTP
+// library's shutdown waits for a connection that has sent nothing, up to the drain timeout,
+// so the node closes it first.
 func TestIdleCallerDoesNotFailTheDrain(t *testing.T) {
 	f := newFleet(t, "drain_timeout = 2s\n", "")
 	conn, err := net.Dial("tcp", f.entry)
@@ -42,8 +44,8 @@
 }
 
 // Checks the response to a caller that half-closes its connection after sending its call.
-// It is indistinguishable from a disconnect, so its call is cancelled, but the caller must
-// get a complete response that does not deny that the call ran.
+// A half-close is indistinguishable from a disconnect, so the call is cancelled, but the
+// caller must get a complete response that does not deny that the call ran.
 func TestHalfClosedCallerGetsACompleteResponse(t *testing.T) {
 	f := newFleet(t, "", "")
 	conn, err := net.Dial("tcp", f.entry)
@@ -102,7 +104,8 @@
 	}
 }
 
-// callPath sends a GET without keep-alive and returns the status, body and error as text.
+// callPath sends a GET for the host store without keep-alive and returns the status, body
+// and error as text.
 func callPath(t *testing.T, address, path string) string {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+path, nil)
--- a/cmd/kumquatgw/descriptor_limit_test.go
+++ b/cmd/kumquatgw/descriptor_limit_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// descriptorsVariable sets the descriptor limit of the test binary run as kumquatgw.
+// descriptorsVariable is the environment variable that sets the descriptor limit of the test
+// binary when it runs as kumquatgw.
 const descriptorsVariable = "KUMQUATGW_FILES"
 
 // limitDescriptors lowers this process's descriptor limit if descriptorsVariable is set.
@@ -23,9 +24,9 @@
 	}
 }
 
-// Checks a node whose descriptors are exhausted by idle connections, so that it can
-// neither accept nor connect. It must finish its in-flight calls, and recover once the
-// connections are closed: a listener that gave up would leave it out of service.
+// Guards against a listener that stops accepting after it ran out of descriptors. Idle
+// connections exhaust a node's descriptors, so that it can neither accept nor connect. It
+// must finish its in-flight calls, and serve again once the connections are closed.
 func TestNodeRecoversFromIdleConnectionFlood(t *testing.T) {
 	t.Setenv(descriptorsVariable, "64")
 	m := newMesh(t, 700*time.Millisecond)
--- a/cmd/kumquatgw/drain_count_test.go
+++ b/cmd/kumquatgw/drain_count_test.go
@@ -16,7 +16,7 @@
 	f := newFleet(t, "", "")
 	p := startNode(t, extendSettings(t, writeSettings(t, "last", f.platform, f.control, ""), "drain_timeout = 1s\n"))
 	entry := p.readAfter(t, "entry ")
-	// These calls keep no connection open, so that only the last one is counted.
+	// These calls keep no connection open, so that only the call below is counted.
 	for range 400 {
 		if strings.HasPrefix(callPath(t, entry, "/"), "200 ") {
 			break
--- a/cmd/kumquatgw/fleet_test.go
+++ b/cmd/kumquatgw/fleet_test.go
@@ -21,13 +21,15 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
+// callIDHeader is the header with a call's id, by which the upstream counts its runs.
 const callIDHeader = "Work-Id"
 
 type (
 	// fleet is two node processes, and an upstream local to the back one in the test's own
 	// process, so that the test knows which calls ran.
 	fleet struct {
-		t           *testing.T
+		t *testing.T
+		// platform is the URL of the platform's key-value service.
 		platform    string
 		front, back *process
 		// entry, local and control are the front node's entry address, the back
@@ -39,7 +41,8 @@
 	// testUpstream is an upstream that behaves as a call's query parameters say.
 	testUpstream struct {
 		*httptest.Server
-		mu   sync.Mutex
+		mu sync.Mutex
+		// runs counts the runs of each call, by its id.
 		runs map[string]int
 		// announceAddress is the address at which the node takes announcements.
 		announceAddress string
@@ -47,7 +50,7 @@
 )
 
 // newFleet starts a fleet and waits until it serves. front and back are further lines of
-// the [node] section of each node.
+// each node's settings, for extendSettings.
 func newFleet(t *testing.T, front, back string) *fleet {
 	t.Helper()
 	f := &fleet{t: t, platform: readAfter(t, startCommand(t, "platform", "--listen", "127.0.0.1:0"), "listens on ")}
@@ -86,8 +89,9 @@
 	f.t.Fatalf("last response %q, want the upstream's", last)
 }
 
-// extendSettings adds lines to the [node] section of a settings file and removes lines
-// with the same keys. It returns the file.
+// extendSettings adds lines to the end of the [node] section of a settings file, which may
+// begin further sections, and removes earlier lines with the same keys from all sections.
+// It returns the file's path.
 func extendSettings(t *testing.T, file, lines string) string {
 	t.Helper()
 	data, err := os.ReadFile(file)
@@ -109,7 +113,8 @@
 	return file
 }
 
-// newTestUpstream starts an upstream that announces itself to a node until the test ends.
+// newTestUpstream starts an upstream that announces itself to a node until the test ends,
+// even if its server is closed before.
 func newTestUpstream(t *testing.T, announceAddress string) *testUpstream {
 	t.Helper()
 	u := &testUpstream{runs: make(map[string]int), announceAddress: announceAddress}
@@ -144,18 +149,19 @@
 	}
 }
 
-// ServeHTTP implements http.Handler. The query parameter ms is the processing time, bytes
-// the size of the response, which begins with the call's id and the size of its body.
+// ServeHTTP implements http.Handler. The response body begins with the call's id and the
+// size of the request body. The query parameter ms is the processing time in milliseconds,
+// bytes the size to which the response body is padded.
 func (u *testUpstream) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(callIDHeader)
 	u.mu.Lock()
 	u.runs[id]++
 	u.mu.Unlock()
-	taken, _ := io.Copy(io.Discard, r.Body)
+	received, _ := io.Copy(io.Discard, r.Body)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("ms"))
 	time.Sleep(time.Duration(ms) * time.Millisecond)
 	size, _ := strconv.Atoi(r.URL.Query().Get("bytes"))
-	text := fmt.Sprintf("%s %d ", id, taken)
+	text := fmt.Sprintf("%s %d ", id, received)
 	if size > len(text) {
 		out.Header().Set("Content-Length", strconv.Itoa(size))
 	}
--- a/cmd/kumquatgw/graceful_stop_test.go
+++ b/cmd/kumquatgw/graceful_stop_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// rounds returns how often a test with random timing is repeated: CONNS_ROUNDS, or once.
+// rounds returns how often a test with random timing does its check: the value of the
+// environment variable CONNS_ROUNDS, or once.
 func rounds() int {
 	if n, err := strconv.Atoi(os.Getenv("CONNS_ROUNDS")); err == nil {
 		return n
@@ -50,8 +51,8 @@
 	}
 }
 
-// Guards against a stop that answers only the first of two pipelined calls. The node had
-// read both, but announced the close with the first response and closed the connection
+// Guards against a stop that answers only the first of two pipelined calls: the node has
+// read both, but announces the close with the first response and closes the connection
 // without answering the second.
 func TestStopAnswersBothOfTwoPipelinedCalls(t *testing.T) {
 	for range rounds() {
@@ -65,7 +66,7 @@
 }
 
 // Checks that no call is lost when an upstream's node is stopped and at once restarted at
-// the same addresses, repeatedly, while another node sends to it over persistent
+// the same addresses, rounds times, while another node sends to it over persistent
 // connections. The upstream keeps running.
 func TestRestartOfTheGateLosesNoCall(t *testing.T) {
 	lines := "entry_listen = " + freeAddress(t) + "\nlocal_listen = " + freeAddress(t) + "\ngate_listen = " + freeAddress(t) + "\ncontrol_listen = " + freeAddress(t) + "\n"
--- a/cmd/kumquatgw/limited_upstream_test.go
+++ b/cmd/kumquatgw/limited_upstream_test.go
@@ -98,7 +98,7 @@
 }
 
 // serve answers the calls of one connection. A call to /long runs until the connection is
-// closed, at most until its read deadline.
+// closed or sends a further byte, at most until its read deadline, and gets no response.
 func (u *limitedUpstream) serve(c net.Conn) {
 	defer func() {
 		_ = c.Close()
@@ -137,8 +137,9 @@
 	return f()
 }
 
-// newLimitedFleet starts a fleet whose only upstream serves at most maxConns connections at
-// once and announces slots slots.
+// newLimitedFleet starts a fleet and replaces its upstream by one that serves at most
+// maxConns connections at once and announces slots slots. The first upstream's server is
+// closed but still announced, so that the node now and then fails to connect to it.
 func newLimitedFleet(t *testing.T, maxConns, slots int) (*fleet, *limitedUpstream) {
 	t.Helper()
 	f := newFleet(t, "", "")
@@ -173,8 +174,9 @@
 
 // Guards against calls that are lost or run twice at an upstream that resets connections
 // while it is full. If it announces no more slots than it serves connections, it must
-// never reset a connection. If it announces more, a call may have been read before the
-// reset, and its outcome may be reported as unknown.
+// never get more connections and so never reset one. If it announces more, it must reset
+// some; the node cannot tell whether such a call was read, and may report its outcome as
+// unknown.
 func TestUpstreamThatResetsWhenFullLosesNoCall(t *testing.T) {
 	const maxConns = 3
 	for _, slots := range []int{maxConns, 2 * maxConns} {
@@ -210,7 +212,8 @@
 	}
 }
 
-// Guards against upstreams that keep processing calls whose callers have disconnected.
+// Guards against upstreams that keep processing calls whose callers have disconnected. The
+// node must close its connection to the upstream soon after the caller's.
 func TestUpstreamSeesItsCallerDisconnect(t *testing.T) {
 	f, u := newLimitedFleet(t, 3, 3)
 	for i := range 3 {
--- a/cmd/kumquatgw/log_test.go
+++ b/cmd/kumquatgw/log_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// Checks that the log shows why a node ended: each signal, each step of the drain and, in the
-// last line, that no call is in flight, with a repetition of recent events some time
-// after the first signal. Without
-// these lines the cause of calls that were cut during a drain could not be found.
+// Checks that the log shows why a node ended: each signal, each step of the drain and, in
+// the last line, that no call is in flight. A line with recent events repeats the first
+// signal some time after it. Without these lines the cause of calls that were cut during a
+// drain could not be found.
 func TestLogReportsSignalsAndDrainSteps(t *testing.T) {
 	platform := readAfter(t, startCommand(t, "platform", "--listen", "127.0.0.1:0"), "listens on ")
 	n := startNode(t, writeSettings(t, "front", platform, "", ""))
@@ -46,8 +46,8 @@
 }
 
 // Checks that the peers of a restarted node log whether its previous process had left
-// gracefully (goodbye=true). A killed process writes no last line itself, and its
-// in-flight calls were cut.
+// gracefully (goodbye=true). A killed process writes no last line itself, so only its
+// peers' logs show that its in-flight calls were cut.
 func TestPeersLogWhetherARestartedNodeHadLeftGracefully(t *testing.T) {
 	for _, c := range []struct {
 		end  os.Signal
--- a/cmd/kumquatgw/main.go
+++ b/cmd/kumquatgw/main.go
@@ -1,5 +1,6 @@
-// Command kumquatgw runs a service mesh: it distributes the mesh's configuration and
-// proxies its calls; see README.md.
+// Command kumquatgw distributes a service mesh's configuration and proxies its calls. It is
+// the node that runs beside each upstream, and the operators' command line; see README.md.
+// This package only connects the command line, which kqcommand implements, to the process.
 package main
 
 import (
--- a/cmd/kumquatgw/main_test.go
+++ b/cmd/kumquatgw/main_test.go
@@ -18,8 +18,10 @@
 )
 
 const (
+	// runVariable is the environment variable that makes the test binary run as kumquatgw.
 	runVariable = "KUMQUATGW_RUN"
-	document    = `{"teams":[{"name":"shop"}],"services":[{"name":"store","team":"shop"}],
+	// document is a configuration with one service, store, and a route to it.
+	document = `{"teams":[{"name":"shop"}],"services":[{"name":"store","team":"shop"}],
 		"routes":[{"name":"store","team":"shop","host":"store","path_prefix":"/","service":"store"}]}`
 )
 
@@ -65,7 +67,8 @@
 	t.Fatalf("last response %q, want the upstream's", last)
 }
 
-// writeSettings writes a settings file for a node and returns its path.
+// writeSettings writes a settings file for a node and returns its path. seed is the control
+// address of another node, service that of the node's upstream; either may be empty.
 func writeSettings(t *testing.T, name, platform, seed, service string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), name+".ini")
@@ -101,7 +104,8 @@
 	return c
 }
 
-// startCommand starts a kumquatgw command until the test ends and returns its output.
+// startCommand starts a kumquatgw command, which is killed when the test ends, and returns
+// its standard output.
 func startCommand(t *testing.T, arguments ...string) *bufio.Reader {
 	t.Helper()
 	c := command(t, arguments...)
@@ -131,7 +135,8 @@
 	}
 }
 
-// call sends a GET to a service's host and returns the status and body, or the error.
+// call sends a GET for the host to the address and returns the status and body, or the
+// error.
 func call(t *testing.T, address, host string) string {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+"/", nil)
--- a/cmd/kumquatgw/memory_large_bodies_test.go
+++ b/cmd/kumquatgw/memory_large_bodies_test.go
@@ -15,8 +15,8 @@
 const (
 	// largeBody is half of the max_body setting, in bytes.
 	largeBody = 32 << 20
-	// memoryBound is the memory limit of a node in bytes, the memory setting of these
-	// tests. Above it the kernel would kill the process.
+	// memoryBound is the memory setting of these tests' nodes, in bytes. On a server with
+	// that limit the kernel would kill a process that exceeds it.
 	memoryBound = 184 << 20
 )
 
@@ -87,8 +87,9 @@
 	}
 }
 
-// upload sends a body of size zero bytes with that content-length, or none for -1, and
-// returns the status and body of the response, or the error.
+// upload sends a body of size bytes, all of them zero, with length as its content-length,
+// or without one if length is -1. It returns the status and body of the response, or the
+// error.
 func (m *mesh) upload(t *testing.T, size, length int64) string {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+m.entry+"/", io.LimitReader(zeroes{}, size))
--- a/cmd/kumquatgw/memory_many_bodies_test.go
+++ b/cmd/kumquatgw/memory_many_bodies_test.go
@@ -54,11 +54,11 @@
 // write writes the request.
 func (p pieceSender) write(conn net.Conn) {
 	out := bufio.NewWriterSize(conn, 16<<10)
-	head := "transfer-encoding: chunked"
+	bodyHeader := "transfer-encoding: chunked"
 	if p.hasLength {
-		head = fmt.Sprintf("content-length: %d", p.size)
+		bodyHeader = fmt.Sprintf("content-length: %d", p.size)
 	}
-	_, _ = fmt.Fprintf(out, "POST / HTTP/1.1\r\nhost: store\r\n%s\r\n", head)
+	_, _ = fmt.Fprintf(out, "POST / HTTP/1.1\r\nhost: store\r\n%s\r\n", bodyHeader)
 	if p.splitHead {
 		_ = out.Flush()
 		time.Sleep(50 * time.Millisecond)
@@ -101,6 +101,8 @@
 	return answers
 }
 
+// smallMemorySettings sets a node's memory limit to memoryBound. It begins with a newline
+// because newMeshWith inserts it after a value.
 const smallMemorySettings = "\n[call]\nmax_body = 64MB\n[node]\nmemory = 184MB"
 
 // Guards against a process that exceeds its memory limit because of many concurrent small
@@ -133,7 +135,7 @@
 }
 
 // Guards against a valid request that is refused as malformed for lack of memory: its
-// caller would never retry it.
+// caller would never retry it. Each chunk holds one byte, and its framing takes five more.
 func TestBodiesInTinyChunksAreNotCalledMalformed(t *testing.T) {
 	// On a loaded server the bodies take longer than the default read timeout.
 	m := newMeshWith(t, 20*time.Millisecond, strings.Replace(smallMemorySettings, "[call]", "[call]\nread_timeout = 2m", 1))
--- a/cmd/kumquatgw/mesh_test.go
+++ b/cmd/kumquatgw/mesh_test.go
@@ -9,22 +9,24 @@
 	"time"
 )
 
-// mesh is two node processes, and an upstream of the back one that, unlike that of a
-// fleet, is a process too. Callers use the front node.
+// mesh is two node processes and a process of an upstream that is local to the back node;
+// a fleet's upstream runs in the test's own process instead. Callers use the front node.
 type mesh struct {
 	front, back *process
-	// local and control are the back node's and the front node's addresses.
+	// local is the back node's local address, control the front node's control address.
 	local, control string
-	entry          string
+	// entry is the front node's entry address.
+	entry string
 }
 
-// newMesh starts a mesh and waits until it serves. work is the duration of a call.
+// newMesh starts a mesh and waits until it serves. work is a call's processing time.
 func newMesh(t *testing.T, work time.Duration) *mesh {
 	t.Helper()
 	return newMeshWith(t, work, "")
 }
 
-// newMeshWith is newMesh with further settings, which follow the nodes' platform url.
+// newMeshWith is newMesh with further settings for both nodes. They are inserted after the
+// value of url in the [platform] section, so they begin with a newline.
 func newMeshWith(t *testing.T, work time.Duration, further string) *mesh {
 	t.Helper()
 	platform := readAfter(t, startCommand(t, "platform", "--listen", "127.0.0.1:0"), "listens on ")
@@ -88,7 +90,7 @@
 	}
 }
 
-// appendSettings adds text to the process's settings file, without a signal.
+// appendSettings adds text to the process's settings file, without a reload signal.
 func (p *process) appendSettings(t *testing.T, text string) {
 	t.Helper()
 	old, err := os.ReadFile(p.file)
--- a/cmd/kumquatgw/panic_adapters_test.go
+++ b/cmd/kumquatgw/panic_adapters_test.go
@@ -27,22 +27,25 @@
 )
 
 type (
+	// panickingDialect is the dialect of callPanicAdapter.
 	panickingDialect struct{}
 
+	// panickingStore is the store of storePanicAdapter.
 	panickingStore struct {
 		kqstore.Store
 
-		mu   sync.Mutex
+		mu sync.Mutex
+		// seen holds the operations that have panicked.
 		seen map[string]bool
 	}
 )
 
-// connectCallPanicAdapter implements kqcommand.Connector.
+// connectCallPanicAdapter is a kqcommand.Connector for callPanicAdapter.
 func connectCallPanicAdapter(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
 	return s, kqstoreclient.New(s.Platform.URL, kqstoreclient.WithTimeout(s.Platform.Timeout)), kqnode.Adapter{Dialect: panickingDialect{}}, nil
 }
 
-// connectStorePanicAdapter implements kqcommand.Connector.
+// connectStorePanicAdapter is a kqcommand.Connector for storePanicAdapter.
 func connectStorePanicAdapter(s kqsettings.Settings) (kqsettings.Settings, kqstore.Store, kqnode.Adapter, error) {
 	store := kqstoreclient.New(s.Platform.URL, kqstoreclient.WithTimeout(s.Platform.Timeout))
 	return s, &panickingStore{Store: store, seen: make(map[string]bool)}, kqnode.Adapter{}, nil
@@ -78,32 +81,33 @@
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
 
-// panicOnFirst panics in the first call with that verb, which may include a key.
-func (f *panickingStore) panicOnFirst(verb string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if !f.seen[verb] {
-		f.seen[verb] = true
-		panic("injected panic in " + verb)
+// panicOnFirst panics in the first call of an operation. A get of another key is another
+// operation.
+func (s *panickingStore) panicOnFirst(operation string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.seen[operation] {
+		s.seen[operation] = true
+		panic("injected panic in " + operation)
 	}
 }
 
-func (f *panickingStore) Get(ctx context.Context, key string) (kqstore.Entry, error) {
-	f.panicOnFirst("get " + key)
-	return f.Store.Get(ctx, key)
+func (s *panickingStore) Get(ctx context.Context, key string) (kqstore.Entry, error) {
+	s.panicOnFirst("get " + key)
+	return s.Store.Get(ctx, key)
 }
 
-func (f *panickingStore) Watch(ctx context.Context, key string, after kqstore.Revision, wait time.Duration) (kqstore.Entry, error) {
-	f.panicOnFirst("watch")
-	return f.Store.Watch(ctx, key, after, wait)
+func (s *panickingStore) Watch(ctx context.Context, key string, after kqstore.Revision, wait time.Duration) (kqstore.Entry, error) {
+	s.panicOnFirst("watch")
+	return s.Store.Watch(ctx, key, after, wait)
 }
 
-func (f *panickingStore) Grant(ctx context.Context, ttl time.Duration) (kqstore.Lease, error) {
-	f.panicOnFirst("grant")
-	return f.Store.Grant(ctx, ttl)
+func (s *panickingStore) Grant(ctx context.Context, ttl time.Duration) (kqstore.Lease, error) {
+	s.panicOnFirst("grant")
+	return s.Store.Grant(ctx, ttl)
 }
 
-func (f *panickingStore) Renew(ctx context.Context, l kqstore.Lease) error {
-	f.panicOnFirst("renew")
-	return f.Store.Renew(ctx, l)
+func (s *panickingStore) Renew(ctx context.Context, l kqstore.Lease) error {
+	s.panicOnFirst("renew")
+	return s.Store.Renew(ctx, l)
 }
--- a/cmd/kumquatgw/panic_test.go
+++ b/cmd/kumquatgw/panic_test.go
@@ -55,8 +55,8 @@
 }
 
 // Guards against a background task that a panic ends without notice while the node keeps
-// serving: the node would get no new versions or changes of the fleet. The first call of
-// each kind to the store panics here.
+// serving: the node would get no new versions or changes of the fleet. Here the first get
+// of each key and the first watch, grant and renewal at the store panic.
 func TestBackgroundTasksRecoverFromAPanic(t *testing.T) {
 	m := newMeshWith(t, 10*time.Millisecond, "\nadapter = "+storePanicAdapter)
 	assertAnswered(t, m.startCalls(t, 4)())
@@ -67,7 +67,7 @@
 }
 
 // callPanicking sends a call that panics in a step, and returns the status and the value of
-// the Kq-Result header.
+// the Kq-Result header, or 0 and the error.
 func (m *mesh) callPanicking(t *testing.T, step string) (int, string) {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+m.entry+"/", strings.NewReader("order"))
--- a/cmd/kumquatgw/process_test.go
+++ b/cmd/kumquatgw/process_test.go
@@ -9,25 +9,27 @@
 	"time"
 )
 
-// lineTimeout bounds the wait for a line of a process's output.
+// lineTimeout bounds the wait for an expected line of a process's output, including the
+// lines before it.
 const lineTimeout = 20 * time.Second
 
-// process is a node in a process whose output and exit a test checks.
+// process is a node's process, whose output and exit a test checks.
 type process struct {
 	command *exec.Cmd
 	// reader is this test's end of the process's standard output.
 	reader *os.File
 	lines  *bufio.Reader
-	// file is the path of the settings file.
+	// file is the path of the node's settings file.
 	file string
 
+	// mu serializes the calls of readAfter.
 	mu sync.Mutex
 	// ended is closed when the process has ended; err is then its exit error.
 	ended chan struct{}
 	err   error
 }
 
-// startNode starts a node with a settings file.
+// startNode starts a node with a settings file. It is killed when the test ends.
 func startNode(t *testing.T, file string) *process {
 	t.Helper()
 	r, w, err := os.Pipe()
--- a/cmd/kumquatgw/race_off_test.go
+++ b/cmd/kumquatgw/race_off_test.go
@@ -2,7 +2,8 @@
 
 package main_test
 
-// raceFactor multiplies memory limits and some timeouts under the race detector.
+// raceFactor multiplies the tests' memory bounds and some of their timeouts under the race
+// detector.
 const raceFactor = 1
 
 // loadDivisor reduces the load under the race detector, which needs some 200 KB for each
--- a/cmd/kumquatgw/race_on_test.go
+++ b/cmd/kumquatgw/race_on_test.go
@@ -2,9 +2,10 @@
 
 package main_test
 
-// raceFactor multiplies memory limits and some timeouts: the race detector is slower, and
-// its shadow memory and goroutine records count as memory of the process.
+// raceFactor multiplies the tests' memory bounds and some of their timeouts: the race
+// detector slows the process down, and its shadow memory and goroutine records count as
+// memory of the process.
 const raceFactor = 3
 
-// loadDivisor reduces the number and size of calls.
+// loadDivisor divides the number of callers or the size of their bodies.
 const loadDivisor = 10
--- a/cmd/kumquatgw/signal_test.go
+++ b/cmd/kumquatgw/signal_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Guards against a reload signal that ends a draining node. The node had stopped handling
-// SIGHUP when its drain began, and the default action of SIGHUP ends a process: a reload
+// Guards against a reload signal that ends a draining node. If the node stops handling
+// SIGHUP when its drain begins, the signal's default action ends the process: a reload
 // 1.4 s into the drain cut the connections of all in-flight calls. With that fault the
 // node exits here with "signal: hangup".
 func TestReloadSignalDoesNotEndADrainingNode(t *testing.T) {
@@ -24,7 +24,8 @@
 		t.Fatal(err)
 	}
 	out := bufio.NewReader(pipe)
-	// An open connection keeps the drain waiting for its caller.
+	// For an open connection the drain waits up to a second, so that it is still in progress
+	// when the reload signal comes.
 	caller, err := net.Dial("tcp", readAfter(t, out, "entry "))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/kumquatgw/soak_fault_test.go
+++ b/cmd/kumquatgw/soak_fault_test.go
@@ -17,7 +17,8 @@
 
 // Checks that the soak detects injected faults, each by its kind of violation: a node
 // that a reload ends during its drain, non-idempotent calls that run twice when a node or
-// an upstream dies, and calls to an upstream that has deregistered.
+// an upstream dies, and calls that begin at a draining upstream long after its node has
+// acknowledged that it drains (its goodbye).
 func TestSoakFindsFaultsPutInOnPurpose(t *testing.T) {
 	for _, c := range []struct {
 		fault     kqfault.Kind
--- a/cmd/kumquatgw/soak_test.go
+++ b/cmd/kumquatgw/soak_test.go
@@ -8,8 +8,8 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqsoakrun"
 )
 
-// soak runs the soak command with an additional environment variable (name=value, or
-// empty for none) and returns its report. Its error is that of the command.
+// soak runs the soak command with four nodes and an additional environment variable
+// (name=value, or empty for none), and returns its report and the command's error.
 func soak(t *testing.T, environment string, arguments ...string) (kqsoakrun.Report, error) {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), "kept")
@@ -23,8 +23,8 @@
 	return r, err
 }
 
-// Runs a short soak with real processes. It guards against calls that are lost or run
-// twice when a process or a connection ends, and must pass on a loaded server as well.
+// Guards against calls that are lost or run twice when a process or a connection ends, by a
+// short soak with real processes. The soak must pass on a loaded server as well.
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	r, err := soak(t, "", "--seed", "4", "--for", "8s")
