--- a/internal/lab/kqdemo/caller.go
+++ b/internal/lab/kqdemo/caller.go
@@ -19,12 +19,16 @@
 const (
 	// answered calls got the complete answer to their own request.
 	answered callResult = iota
+	// notRun calls were refused by a node, which stated that they did not run.
 	notRun
+	// unknown calls may have run: a node said so, or the call failed and its target
+	// was killed.
 	unknown
 	// lost calls failed with an error although their target was not killed, or
 	// got an answer without a result header.
 	lost
-	// crossed calls got an incomplete answer or the answer to another request.
+	// crossed calls got the answer to another request, an incomplete answer, or one
+	// with a status other than 200 or 500.
 	crossed
 
 	// forged is the call id that forged headers carry.
@@ -50,6 +54,8 @@
 		forged bool
 	}
 
+	// caller simulates a caller of a service: it sends calls one after another and
+	// records their results. It is not safe for concurrent use.
 	caller struct {
 		name       string
 		dep        deployment
@@ -165,8 +171,9 @@
 	}
 }
 
-// isOwnAnswer reports whether an answer is complete and belongs to this call.
-// Status 500, sent by bad versions, has no body to check but echoes the work id.
+// isOwnAnswer reports whether an answer is complete and belongs to this call. It
+// must not have the forged call id. Status 500, sent by bad versions, has no body
+// to check but echoes the work id.
 func (c *caller) isOwnAnswer(r record, resp *fasthttp.Response) bool {
 	if workID(resp) != r.workID || r.forged && string(resp.Header.Peek(kqcall.HeaderID)) == forged {
 		return false
@@ -180,7 +187,7 @@
 
 // setForgedHeaders sets internal headers as a malicious or faulty caller might:
 // to reach another service's new version, to be sent twice, to exhaust the
-// timeout or the call depth, and to pass for another call.
+// timeout or the call depth, and to be taken for another call.
 func setForgedHeaders(h *fasthttp.RequestHeader) {
 	h.Set(kqcall.HeaderID, forged)
 	h.Set(kqcall.HeaderTimeout, "1")
--- a/internal/lab/kqdemo/demo.go
+++ b/internal/lab/kqdemo/demo.go
@@ -20,7 +20,7 @@
 )
 
 type (
-	// Demo is the in-process deployment, with the state that the script changes.
+	// Demo is the in-process fleet, with the state that the script changes.
 	Demo struct {
 		fleet     *kqfleet.Fleet
 		keys      *keys
@@ -29,8 +29,9 @@
 		progress  io.Writer
 		started   time.Time
 
-		state state
-		// version is the last committed configuration version.
+		documentState documentState
+		// version is the newest configuration version that the demo knows to have
+		// written, valid or not. The next commit is based on it.
 		version    kqname.ConfigVersion
 		runLog     *runLog
 		targetPool *targetPool
@@ -54,7 +55,7 @@
 	return d
 }
 
-// Run starts the deployment, prints how to use it, and runs until ctx ends.
+// Run starts the fleet, prints how to use it, and runs until ctx ends.
 func (d *Demo) Run(ctx context.Context) error {
 	if err := d.start(ctx); err != nil {
 		return errors.Join(err, d.close())
@@ -83,7 +84,8 @@
 	return errors.Join(err, d.close())
 }
 
-// close stops the servers and deletes the keys.
+// close stops the servers and deletes the keys. It does nothing if the keys could
+// not be made, since no server has been started then.
 func (d *Demo) close() error {
 	if d.keys == nil {
 		return nil
@@ -96,7 +98,7 @@
 }
 
 // start starts the servers, commits the first document, and waits until every
-// service answers through every node.
+// service answers through every node, at most for readyTimeout.
 func (d *Demo) start(ctx context.Context) error {
 	var err error
 	if d.keys, err = newKeys(); err != nil {
@@ -130,11 +132,12 @@
 }
 
 // commit commits the document of the current state and returns the time at
-// which the commit began. A retry after a failure has the same request id.
+// which the commit began. A retry after a failure has the same request id, so that
+// it does not commit twice if the failed attempt was applied.
 func (d *Demo) commit(ctx context.Context, reason string) (time.Time, error) {
 	began := time.Now()
 	o, err := d.committer.Commit(ctx, kqcommit.Request{
-		ID: fmt.Sprintf("demo-%d", d.version+1), Base: d.version, Author: "demo", Reason: reason, At: began, Document: d.state.document(),
+		ID: fmt.Sprintf("demo-%d", d.version+1), Base: d.version, Author: "demo", Reason: reason, At: began, Document: d.documentState.document(),
 	})
 	if err != nil {
 		return began, fmt.Errorf("commit %s: %w", reason, err)
--- a/internal/lab/kqdemo/deployment.go
+++ b/internal/lab/kqdemo/deployment.go
@@ -32,30 +32,35 @@
 )
 
 type (
+	// deployment describes a service of the demo: its servers, its callers and the
+	// rollout of its new version.
 	deployment struct {
 		service kqname.Service
 		team    kqname.Team
 		region  kqname.Region
 		servers int
-		slots   int
-		work    time.Duration
-		// callers is the number of concurrent callers; each waits about pause
-		// between two calls.
+		// slots is the number of calls that an upstream announces to run at once;
+		// work is how long the old version takes for a call.
+		slots int
+		work  time.Duration
+		// callers is the number of concurrent callers; each waits half to one and a
+		// half times pause between two calls.
 		callers int
 		pause   time.Duration
 		policy  kqname.Policy
-		// newBehaviour is the behaviour of the new version; bad is set if its
-		// rollout must be rolled back.
+		// newBehaviour is the behaviour of the new version. bad is set if that
+		// version is faulty, so that its rollout must be rolled back.
 		newBehaviour kqupstream.Behaviour
 		bad          bool
 	}
 
-	// state holds the variable parts of the committed document.
-	state struct {
+	// documentState holds the variable parts of the committed document.
+	documentState struct {
 		// probes is the number of routes of the probe host.
 		probes int
-		// stockMoved routes the storefront's /stock/ to the woodshed.
-		stockMoved      bool
+		// stockMoved routes the storefront's /stock/ to the service woodshed.
+		stockMoved bool
+		// start and deadline are those of every rollout.
 		hasRollouts     bool
 		start, deadline time.Time
 	}
@@ -84,6 +89,8 @@
 	},
 }
 
+// spec returns the spec of the service's server with index i. It starts with the
+// old version.
 func (d deployment) spec(i int, admin bool) kqfleet.Spec {
 	return kqfleet.Spec{
 		Node:   kqname.Node(fmt.Sprintf("%s-%d", d.service, i+1)),
@@ -96,9 +103,9 @@
 func (d deployment) rolloutName() kqname.Rollout { return kqname.Rollout(string(d.service) + "-v2") }
 
 // Document returns the first document that the demo commits.
-func Document() kqdocument.Document { return state{}.document() }
+func Document() kqdocument.Document { return documentState{}.document() }
 
-func (s state) document() kqdocument.Document {
+func (s documentState) document() kqdocument.Document {
 	d := kqdocument.Document{
 		Teams: []kqdocument.Team{{Name: "kauri-ridge"}, {Name: "maison-diagne"}},
 		Policies: []kqdocument.Policy{
--- a/internal/lab/kqdemo/faults.go
+++ b/internal/lab/kqdemo/faults.go
@@ -27,16 +27,17 @@
 )
 
 type (
-	// drainedUpstream holds when an upstream was drained and when it last began
-	// a call.
+	// drainedUpstream holds when the drain of an upstream began and when the upstream
+	// last began a call.
 	drainedUpstream struct {
-		node    kqname.Node
-		at      time.Time
+		node kqname.Node
+		at   time.Time
+		// lastRun is in Unix nanoseconds.
 		lastRun atomic.Int64
 	}
 
-	// killPeriod is the time from the kill of a group of servers to just before
-	// their restart.
+	// killPeriod is the time from the kill of a group of servers until their restart
+	// begins.
 	killPeriod struct{ from, to time.Time }
 
 	// outage describes the platform outage.
@@ -80,15 +81,15 @@
 	platform := s.demo.fleet.Platform
 	s.outage.from = time.Now()
 	platform.SetFaults(kqfakestore.Faults{Down: true})
-	s.demo.state.probes++
+	s.demo.documentState.probes++
 	_, err := s.demo.commit(ctx, "while the platform is down")
 	s.outage.commitFailed = err != nil
-	s.demo.state.probes--
+	s.demo.documentState.probes--
 	s.startTimesInOutage, err = s.killAndRestart(ctx, []kqname.Node{"portail-lecteurs-2", "bureau-redaction-2"})
 	if err != nil {
 		s.addProblem("replace servers during the platform outage: %v", err)
 	}
-	s.demo.state.probes++
+	s.demo.documentState.probes++
 	if rest := outageDuration - time.Since(s.outage.from); rest > 0 {
 		time.Sleep(rest)
 	}
@@ -98,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	s.demo.monitor.awaitConvergence(s.demo.state.probes, began, true)
+	s.demo.monitor.awaitConvergence(s.demo.documentState.probes, began, true)
 	return nil
 }
 
@@ -106,7 +107,7 @@
 // with an error. It retries a commit with the same request id until it succeeds,
 // at most 10 times in all.
 func (s *script) loseCommitAnswers(ctx context.Context) error {
-	s.demo.state.probes++
+	s.demo.documentState.probes++
 	s.demo.fleet.Platform.SetFaults(kqfakestore.Faults{LoseResponses: 3})
 	var began time.Time
 	err := errors.New("commit not attempted")
@@ -117,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	s.demo.monitor.awaitConvergence(s.demo.state.probes, began, true)
+	s.demo.monitor.awaitConvergence(s.demo.documentState.probes, began, true)
 	return nil
 }
 
@@ -134,7 +135,8 @@
 }
 
 // killAndRestart kills servers at the same time and restarts them together. It
-// returns how long each took to become ready with the newest version.
+// returns how long each took from its restart to become ready and apply the newest
+// version.
 func (s *script) killAndRestart(ctx context.Context, names []kqname.Node) ([]time.Duration, error) {
 	targets := make([]*target, 0, len(names))
 	for _, name := range names {
@@ -185,22 +187,23 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	if now, then := server.Node.Version(), old.server.Node.Version(); now < then {
-		s.addProblem("%s became ready with version %d, older than its version %d before the kill", server.Spec.Node, now, then)
+	if after, before := server.Node.Version(), old.server.Node.Version(); after < before {
+		s.addProblem("%s became ready with version %d, older than its version %d before the kill", server.Spec.Node, after, before)
 	}
 	t := s.demo.targetPool.add(server)
-	for !s.demo.monitor.hasProbe(t, s.demo.state.probes) {
+	for !s.demo.monitor.hasProbe(t, s.demo.documentState.probes) {
 		if ctx.Err() != nil || time.Since(began) > restartTimeout {
 			return 0, fmt.Errorf("node %s lacks the newest probe route %v after its start", server.Spec.Node, restartTimeout)
 		}
 		time.Sleep(pollInterval)
 	}
 	took := time.Since(began)
-	s.demo.monitor.recordConvergence(t, s.demo.state.probes, took, false)
+	s.demo.monitor.recordConvergence(t, s.demo.documentState.probes, took, false)
 	return took, nil
 }
 
-// stopNodeUnderLoad stops a node gracefully while callers send long calls to it.
+// stopNodeUnderLoad stops a node and its upstreams gracefully while callers send
+// long calls to the node.
 func (s *script) stopNodeUnderLoad(context.Context) error {
 	t, err := s.demo.targetPool.at("portail-lecteurs-4")
 	if err != nil {
--- a/internal/lab/kqdemo/invalid_version.go
+++ b/internal/lab/kqdemo/invalid_version.go
@@ -25,15 +25,18 @@
 type invalidVersion struct {
 	written bool
 	// requests counts calls to routes that only the invalid version has.
-	// appliedBy lists each node that answered such a call, with the path, and
-	// each node that lost its valid routes.
-	requests  int
+	requests int
+	// appliedBy has an entry for each of these calls that was answered, with the
+	// node and the path, and for each time that a node no longer had its newest
+	// valid route.
 	appliedBy []string
 }
 
 // writeInvalidVersion writes a root directly to the platform, without the checks
 // of a commit. Its probe host has a valid new route and one to a missing service.
-// A node that answers the valid route has applied the version partially.
+// A node that answers the valid route has applied the version partially. After
+// observing the nodes for observeInvalidFor, writeInvalidVersion commits a valid
+// version.
 func (s *script) writeInvalidVersion(ctx context.Context) error {
 	if err := s.writeInvalidRoot(ctx); err != nil {
 		return err
@@ -49,7 +52,7 @@
 					s.invalidVersion.appliedBy = append(s.invalidVersion.appliedBy, string(t.server.Spec.Node)+path)
 				}
 			}
-			if !s.demo.monitor.hasProbe(t, s.demo.state.probes) {
+			if !s.demo.monitor.hasProbe(t, s.demo.documentState.probes) {
 				s.invalidVersion.appliedBy = append(s.invalidVersion.appliedBy, string(t.server.Spec.Node)+" lost its routes")
 			}
 		}
@@ -68,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	past, err := kqresource.Encode(kqcommit.HistoryRecord{Root: root, Digest: kqresource.DigestOf(before)})
+	historyRecord, err := kqresource.Encode(kqcommit.HistoryRecord{Root: root, Digest: kqresource.DigestOf(before)})
 	if err != nil {
 		return err
 	}
@@ -85,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	for key, value := range map[string][]byte{kqcommit.ObjectKey(host): objects[host], kqcommit.HistoryKey(root.Version): past} {
+	for key, value := range map[string][]byte{kqcommit.ObjectKey(host): objects[host], kqcommit.HistoryKey(root.Version): historyRecord} {
 		if _, err := platform.Put(ctx, key, value, kqstore.NoLease); err != nil {
 			return fmt.Errorf("write invalid configuration version: %w", err)
 		}
@@ -96,9 +99,11 @@
 	return nil
 }
 
+// invalidVersionRoutes returns the current routes of the probe host, a valid new
+// one, and one whose service does not exist.
 func (s *script) invalidVersionRoutes() []kqdocument.Route {
 	var routes []kqdocument.Route
-	for _, r := range s.demo.state.document().Routes {
+	for _, r := range s.demo.documentState.document().Routes {
 		if r.Host == probeHost {
 			routes = append(routes, r)
 		}
--- a/internal/lab/kqdemo/keys.go
+++ b/internal/lab/kqdemo/keys.go
@@ -19,7 +19,7 @@
 )
 
 type (
-	// keys holds the deployment's CA, certificates and operator tokens in a
+	// keys holds the fleet's CA, certificates and operator tokens in a
 	// temporary folder.
 	keys struct {
 		folder    string
--- a/internal/lab/kqdemo/monitor.go
+++ b/internal/lab/kqdemo/monitor.go
@@ -25,7 +25,7 @@
 		targetPool *targetPool
 
 		mu sync.Mutex
-		// newestProbe is the highest probe that each node has answered,
+		// newestProbe is the highest number of a probe that each node has answered,
 		// newestVersion the highest version that it has stated.
 		newestProbe      map[*target]int
 		newestVersion    map[*target]kqname.ConfigVersion
--- a/internal/lab/kqdemo/outcomes.go
+++ b/internal/lab/kqdemo/outcomes.go
@@ -35,10 +35,16 @@
 	// falseNotRun lists calls that ran although the result was not_run;
 	// answeredWithoutRun lists answered calls that no upstream ran.
 	falseNotRun, answeredWithoutRun []string
-	posts, forged                   int
-	lost, crossed                   []string
-	missingRoute                    int
-	stopping, lostStopping          int
+	// posts counts the calls that are not idempotent, forged those with forged
+	// headers.
+	posts, forged int
+	lost, crossed []string
+	// missingRoute counts calls that were refused because a node found no route or
+	// could not fetch the route's configuration in time.
+	missingRoute int
+	// stopping counts calls to the gracefully stopped node that ended after its stop
+	// began, lostStopping those of them that were lost.
+	stopping, lostStopping int
 	// unexpectedCuts counts unknown calls with reason cut that overlapped no
 	// killPeriod. The report does not include it.
 	unexpectedCuts int
@@ -116,7 +122,7 @@
 	m := s.demo.monitor
 	r := Report{
 		Convergence:   percentiles(m.convergenceTimes),
-		ControlBytes:  bytesPerNode(s.controlBytes, len(s.demo.fleet.Servers()), seconds),
+		ControlBytes:  byteRatePerNode(s.controlBytes, len(s.demo.fleet.Servers()), seconds),
 		PlatformCalls: float64(s.platformCalls) / seconds,
 		Calls:         t.calls,
 		Rollouts:      s.rolloutReport(),
@@ -130,7 +136,7 @@
 	for _, o := range s.observedRollout {
 		if !o.dep.bad {
 			r.Good++
-			if o.endedOnTime() {
+			if o.doneOnTime() {
 				r.GoodOnTime++
 			}
 			continue
--- a/internal/lab/kqdemo/report.go
+++ b/internal/lab/kqdemo/report.go
@@ -13,6 +13,7 @@
 type (
 	// Report is the result of one run of the script.
 	Report struct {
+		// Convergence is the time from the start of a commit until a node applies it.
 		Convergence   Percentiles `json:"convergence_ms"`
 		ControlBytes  float64     `json:"control_bytes_per_node_per_second"`
 		PlatformCalls float64     `json:"platform_calls_per_second"`
@@ -28,9 +29,9 @@
 		Max float64 `json:"max"`
 	}
 
-	// Calls counts the calls by result, as the callers and the fake upstreams
-	// observed it. Total is the sum of Answered, NotRun, Unknown, Lost and
-	// Crossed. Doubled counts non-idempotent calls that ran more than once.
+	// Calls counts the calls by result, as the callers observed it. Total is the sum
+	// of Answered, NotRun, Unknown, Lost and Crossed. Doubled counts non-idempotent
+	// calls that the fake upstreams ran more than once.
 	Calls struct {
 		Total    int `json:"total"`
 		Answered int `json:"answered"`
@@ -44,8 +45,8 @@
 	// Rollouts summarizes the rollouts of good and bad versions. BadShareMax is
 	// the largest share of its service's calls that a bad version got in any
 	// second. BadAfterDetectionS is the longest time in seconds from the
-	// detection by the first node, or from the rollout's start without one, to
-	// the last call that a bad version began.
+	// detection by the first node, or from the rollout's start if none detected it,
+	// to the last call that a bad version began.
 	Rollouts struct {
 		Good               int     `json:"good"`
 		GoodOnTime         int     `json:"good_on_time"`
@@ -55,7 +56,7 @@
 		BadAfterDetectionS float64 `json:"bad_seconds_after_detection"`
 	}
 
-	// Outcome is the result of one check: whether it held, and what was measured.
+	// Outcome is the result of one check: whether it held, and what was observed.
 	Outcome struct {
 		Name string `json:"name"`
 		Held bool   `json:"held"`
--- a/internal/lab/kqdemo/rollouts.go
+++ b/internal/lab/kqdemo/rollouts.go
@@ -11,6 +11,8 @@
 )
 
 const (
+	// rolloutDelay is the time from the start of the new versions to the start of
+	// the rollouts, rolloutWindow the time from then to their deadline.
 	rolloutDelay  = 1500 * time.Millisecond
 	rolloutWindow = 16 * time.Second
 	// rolloutGrace is how long the script waits for rollouts after their deadline.
@@ -40,7 +42,7 @@
 			}
 		}
 	}
-	st := &s.demo.state
+	st := &s.demo.documentState
 	st.hasRollouts, st.start = true, time.Now().Add(rolloutDelay)
 	st.deadline = st.start.Add(rolloutWindow)
 	for _, dep := range deployments {
@@ -53,10 +55,10 @@
 	return nil
 }
 
-// watchRollouts polls the rollouts of every node until all have ended or the
-// grace period is over.
+// watchRollouts polls the rollouts of every node until all have ended, the grace
+// period is over or ctx ends.
 func (s *script) watchRollouts(ctx context.Context) {
-	until := s.demo.state.deadline.Add(rolloutGrace)
+	until := s.demo.documentState.deadline.Add(rolloutGrace)
 	for ctx.Err() == nil && time.Now().Before(until) && !s.allRolloutsEnded() {
 		var group conc.WaitGroup
 		for _, t := range s.demo.targetPool.targets() {
@@ -82,8 +84,8 @@
 }
 
 func (o *observedRollout) update(status kqtracker.Status, now time.Time) {
-	// A running rollout beyond its first step with a share of 0 has stopped sending
-	// calls to the new version.
+	// Before step 1, the new version gets no calls yet. From then on, a share of 0
+	// means that it gets no more.
 	newVersionStopped := status.State == kqtracker.Running && status.Step > 0 && status.Share == 0
 	if o.detected.IsZero() && (newVersionStopped || status.State == kqtracker.FinalRollback) {
 		o.detected = now
@@ -108,15 +110,15 @@
 }
 
 func (s *script) awaitRollouts(ctx context.Context) error {
-	until := s.demo.state.deadline.Add(rolloutGrace)
+	until := s.demo.documentState.deadline.Add(rolloutGrace)
 	for ctx.Err() == nil && time.Now().Before(until) && !s.allRolloutsEnded() {
 		time.Sleep(rolloutPollInterval)
 	}
 	return ctx.Err()
 }
 
-// endedOnTime reports whether the rollout was done by its deadline.
-func (o *observedRollout) endedOnTime() bool {
+// doneOnTime reports whether the rollout was done by its deadline.
+func (o *observedRollout) doneOnTime() bool {
 	return o.state == kqtracker.Done && !o.ended.IsZero() && !o.ended.After(o.deadline)
 }
 
--- a/internal/lab/kqdemo/run_log.go
+++ b/internal/lab/kqdemo/run_log.go
@@ -22,6 +22,7 @@
 		runs map[kqname.Service][]ran
 	}
 
+	// shard counts the runs by work id for a part of the ids.
 	shard struct {
 		mu       sync.Mutex
 		runCount map[string]int
--- a/internal/lab/kqdemo/script.go
+++ b/internal/lab/kqdemo/script.go
@@ -34,8 +34,9 @@
 		drainedUpstream drainedUpstream
 		outage          outage
 		killPeriod      []killPeriod
-		// startTimes and startTimesInOutage are how long new servers took to become
-		// current, the first with the platform available, the second during its outage.
+		// startTimes and startTimesInOutage are how long restarted servers took to
+		// apply the newest version, the first with the platform available, the second
+		// during its outage.
 		startTimes, startTimesInOutage []time.Duration
 		invalidVersion                 invalidVersion
 		// stopped is the target of the node that was stopped gracefully.
@@ -43,19 +44,20 @@
 		problems []string
 
 		// controlBytes and platformCalls are the counters at the start of the load
-		// and, after its end, what the load added to them.
+		// and, after the last step, what was added to them since then.
 		controlBytes  int64
 		platformCalls uint64
 		ended         time.Time
 	}
 
+	// step is one change or fault of the script.
 	step struct {
 		name string
 		run  func(context.Context) error
 	}
 )
 
-// RunScript starts the deployment, runs the script and returns its report.
+// RunScript starts the fleet, runs the script and returns its report.
 func (d *Demo) RunScript(ctx context.Context) (Report, error) {
 	if err := d.start(ctx); err != nil {
 		return Report{}, errors.Join(err, d.close())
@@ -69,11 +71,11 @@
 }
 
 func (s *script) run(ctx context.Context) error {
-	watching, stop := context.WithCancel(ctx)
+	backgroundCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	var watch conc.WaitGroup
-	watch.Go(func() { s.demo.monitor.run(watching) })
-	s.startLoad(watching)
+	var monitorGroup conc.WaitGroup
+	monitorGroup.Go(func() { s.demo.monitor.run(backgroundCtx) })
+	s.startLoad(backgroundCtx)
 	for _, step := range []step{
 		{"start new versions beside the old ones", s.startRollouts},
 		{"change routes while the rollouts run", s.changeRoutes},
@@ -98,7 +100,7 @@
 	s.controlBytes = s.demo.fleet.ControlBytes() - s.controlBytes
 	stop()
 	s.loadGroup.Wait()
-	watch.Wait()
+	monitorGroup.Wait()
 	time.Sleep(settleTime)
 	return nil
 }
@@ -111,14 +113,14 @@
 		s.addProblem("%s: %v", step.name, err)
 	}
 	took := time.Since(began).Seconds()
-	rate := bytesPerNode(s.demo.fleet.ControlBytes()-bytes, len(s.demo.fleet.Servers()), took)
-	fmt.Fprintf(s.demo.progress, "%5.1f s  %s: %.1f s, %.1f KB/s of control a node\n",
+	rate := byteRatePerNode(s.demo.fleet.ControlBytes()-bytes, len(s.demo.fleet.Servers()), took)
+	fmt.Fprintf(s.demo.progress, "%5.1f s  %s: %.1f s, %.1f KB/s of control traffic per node\n",
 		time.Since(s.demo.started).Seconds(), step.name, took, rate/1000)
 }
 
-// bytesPerNode returns the average bytes that a node sent and received per
+// byteRatePerNode returns the average bytes that a node sent and received per
 // second. Each transferred byte counts twice: at its sender and its receiver.
-func bytesPerNode(bytes int64, nodes int, seconds float64) float64 {
+func byteRatePerNode(bytes int64, nodes int, seconds float64) float64 {
 	return 2 * float64(bytes) / float64(nodes) / seconds
 }
 
@@ -145,10 +147,11 @@
 }
 
 // changeRoutes commits a series of route changes. One of them routes the
-// storefront's /stock/ to another service; every node must follow it.
+// storefront's /stock/ to another service. At the end, every node must route it
+// there.
 func (s *script) changeRoutes(ctx context.Context) error {
 	for i := range changeCount {
-		s.demo.state.stockMoved = s.demo.state.stockMoved || i == changeCount/2
+		s.demo.documentState.stockMoved = s.demo.documentState.stockMoved || i == changeCount/2
 		if err := s.commitProbe(ctx); err != nil {
 			return err
 		}
@@ -163,14 +166,14 @@
 }
 
 // commitProbe commits a document with one more probe route and waits until every
-// node applies it.
+// node applies it, is killed or is overdue.
 func (s *script) commitProbe(ctx context.Context) error {
-	s.demo.state.probes++
-	began, err := s.demo.commit(ctx, fmt.Sprintf("probe %d", s.demo.state.probes))
+	s.demo.documentState.probes++
+	began, err := s.demo.commit(ctx, fmt.Sprintf("probe %d", s.demo.documentState.probes))
 	if err != nil {
 		return err
 	}
-	s.demo.monitor.awaitConvergence(s.demo.state.probes, began, true)
+	s.demo.monitor.awaitConvergence(s.demo.documentState.probes, began, true)
 	return nil
 }
 
--- a/internal/lab/kqdemo/spare.go
+++ b/internal/lab/kqdemo/spare.go
@@ -20,16 +20,16 @@
 	spareFailShare                = 0.5
 )
 
-// spareVersions are the upstream versions of a service that the document does
-// not have, so that a user can configure a service, a route and a rollout.
+// spareVersions are the upstream versions of spareService. The demo's document does
+// not have that service, so that a user can add a service, a route and a rollout.
 var spareVersions = map[kqname.UpstreamVersion]kqupstream.Behaviour{
 	oldVersion: {Work: 4 * time.Millisecond},
 	newVersion: {Work: 4 * time.Millisecond},
 	"v3":       {Work: 4 * time.Millisecond, FailShare: spareFailShare},
 }
 
-// runSpare starts upstreams of the spareVersions and callers of them in group;
-// they run until ctx ends.
+// runSpare starts an upstream of each of the spareVersions and a caller on each of
+// the first spareServers servers. They run in group until ctx ends.
 func (d *Demo) runSpare(ctx context.Context, group *conc.WaitGroup) error {
 	for _, s := range d.fleet.Servers()[:spareServers] {
 		for version, behaviour := range spareVersions {
@@ -47,7 +47,7 @@
 
 // callSpare sends calls at a low rate and ignores the answers. Until a route
 // exists, they are refused with reason "no_route".
-func callSpare(ctx context.Context, caller *fasthttp.HostClient) {
+func callSpare(ctx context.Context, httpClient *fasthttp.HostClient) {
 	ticker := time.NewTicker(sparePause)
 	defer ticker.Stop()
 	for {
@@ -57,7 +57,7 @@
 		case <-ticker.C:
 			req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 			req.SetRequestURI("http://" + string(spareService) + "/")
-			_ = caller.DoTimeout(req, resp, callTimeout)
+			_ = httpClient.DoTimeout(req, resp, callTimeout)
 			fasthttp.ReleaseRequest(req)
 			fasthttp.ReleaseResponse(resp)
 		}
--- a/internal/lab/kqdemo/target_pool.go
+++ b/internal/lab/kqdemo/target_pool.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	callTimeout = 5 * time.Second
-	connections = 512
+	callTimeout    = 5 * time.Second
+	maxConnections = 512
 )
 
 type (
@@ -70,7 +70,7 @@
 	return p.list
 }
 
-// at returns the target with this node name.
+// at returns the target with this node name, or an error if none has it.
 func (p *targetPool) at(name kqname.Node) (*target, error) {
 	for _, t := range p.targets() {
 		if t.server.Spec.Node == name {
@@ -95,8 +95,10 @@
 	}
 }
 
-// sendUncounted sends one call that the report leaves out. It returns the result,
-// its reason and the first word of the body, which is the service's name.
+// sendUncounted sends one call to the external address; the report does not count
+// it. It returns the result, its reason and the first word of the body, which is the
+// service's name if an upstream sent the body. All three are empty if the call
+// failed.
 func (t *target) sendUncounted(host kqname.Host, path string) (kqcall.Result, kqcall.Reason, string) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -111,11 +113,11 @@
 	return kqcall.Result(resp.Header.Peek(kqcall.HeaderResult)), kqcall.Reason(resp.Header.Peek(kqcall.HeaderReason)), service
 }
 
-// client returns a client without automatic retries, which would falsify the
-// count of runs for each call.
+// client returns a client without automatic retries, which would make a call run
+// twice without a fault of the nodes.
 func client(to kqname.Address) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
-		Addr: string(to), MaxConns: connections, MaxIdleConnDuration: time.Minute, MaxIdemponentCallAttempts: 1,
+		Addr: string(to), MaxConns: maxConnections, MaxIdleConnDuration: time.Minute, MaxIdemponentCallAttempts: 1,
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
 }
