--- a/internal/lab/kqplayers/load.go
+++ b/internal/lab/kqplayers/load.go
@@ -12,21 +12,24 @@
 )
 
 type (
-	// load is the player for all decisions on a service's calls together, run in
-	// kqloadmodel. Its state is the results that callers receive.
+	// load is the player for kqloadmodel, which runs all decisions on a service's
+	// calls together. Its state is a summary of the results that callers receive.
 	load struct {
 		model     *kqloadmodel.Model
 		upstreams int
 	}
 
 	// loadInput is one of: a stream of calls that starts, a change of an upstream's
-	// service time, or a reset of the tally.
+	// service time, or a reset of the tally, after which the state covers only calls
+	// that end later.
 	loadInput struct {
 		Stream           *kqloadmodel.Stream `json:"stream"`
 		ScaleServiceTime *serviceTimeScale   `json:"slow"`
 		ResetTally       bool                `json:"mark"`
 	}
 
+	// serviceTimeScale multiplies the service time of the upstream with index
+	// Upstream, starting at 0, by Factor.
 	serviceTimeScale struct {
 		Upstream int     `json:"upstream"`
 		Factor   float64 `json:"factor"`
@@ -109,7 +112,8 @@
 	return loadGroup{Ended: g.Ended, InTimeShare: g.InTimeShare(), P50: quantile(g.Latency, 50), P99: quantile(g.Latency, 99)}
 }
 
-// quantile returns a quantile of a histogram of microseconds, in milliseconds.
+// quantile returns the quantile q, in percent, of a histogram of microseconds. The
+// result is in milliseconds.
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
--- a/internal/lab/kqplayers/players.go
+++ b/internal/lab/kqplayers/players.go
@@ -18,7 +18,8 @@
 }
 
 // decodeStrict decodes a trace's settings or input. It rejects unknown fields, so
-// that a mistyped name does not silently leave the default.
+// that a mistyped name does not silently leave the default. Empty data leaves into
+// unchanged.
 func decodeStrict(data json.RawMessage, into any) error {
 	if len(data) == 0 {
 		return nil
--- a/internal/lab/kqplayers/rollout.go
+++ b/internal/lab/kqplayers/rollout.go
@@ -15,8 +15,8 @@
 )
 
 type (
-	// rollout is the player for kqverdict and kqstep: the rollout's step after each
-	// second's calls.
+	// rollout is the player for kqverdict and kqstep: which step a rollout is at
+	// after each recorded tick.
 	rollout struct {
 		plan         kqplan.Plan
 		progress     kqprogress.Progress
@@ -31,6 +31,8 @@
 		SmallShare float64               `json:"small_share"`
 	}
 
+	// rolloutState has the state that recorded outcomes are compared with. Why is the
+	// reason of the last decision that Input returned.
 	rolloutState struct {
 		State string  `json:"state"`
 		Step  int     `json:"step"`
@@ -54,7 +56,8 @@
 	}}, nil
 }
 
-// Input implements kqreplay.Player.
+// Input implements kqreplay.Player. It returns only the first of consecutive
+// decisions to hold the step, and none once the rollout has ended.
 func (r *rollout) Input(at time.Duration, input json.RawMessage) ([]kqreplay.Decision, error) {
 	var t kqrollouttrace.Tick
 	if err := decodeStrict(input, &t); err != nil {
--- a/internal/lab/kqplayers/slots.go
+++ b/internal/lab/kqplayers/slots.go
@@ -26,9 +26,10 @@
 		Slots int `json:"slots"`
 	}
 
-	// slotsInput is one of: a call that arrives (enter), that releases its slot after
-	// took_ms (leave) or whose wait times out (expire), a new number of slots, or the
-	// close of the gate. Calls are identified by positive numbers.
+	// slotsInput is one of: a call that arrives (enter), a call that releases its slot
+	// after took_ms (leave), a call whose wait times out (expire), a new number of
+	// slots, or the close of the gate. Calls are identified by positive numbers.
+	// deadline_ms counts from the start of the trace.
 	slotsInput struct {
 		Enter      int              `json:"enter"`
 		Caller     kqname.Caller    `json:"caller"`
@@ -90,7 +91,7 @@
 	case in.Close:
 		s.admission.Close()
 	default:
-		return nil, fmt.Errorf("input %s names no new call to enter, no running call to leave and no waiting call to expire", input)
+		return nil, fmt.Errorf("input %s must have an enter with a new call, a leave with a running call, an expire with a waiting call, slots over 0, or close", input)
 	}
 	return s.applyVerdicts(), nil
 }
@@ -98,8 +99,8 @@
 // State implements kqreplay.Player.
 func (s *slots) State(time.Duration) (any, error) { return s.state, nil }
 
-// applyVerdicts updates the state from the tickets' verdicts and returns the
-// decisions that are new.
+// applyVerdicts updates the state from the tickets' verdicts. It returns a decision
+// for each ticket whose verdict has changed.
 func (s *slots) applyVerdicts() []kqreplay.Decision {
 	var decisions []kqreplay.Decision
 	before := s.state
--- a/internal/lab/kqreplay/difference.go
+++ b/internal/lab/kqreplay/difference.go
@@ -9,8 +9,10 @@
 )
 
 // firstDifference describes the first difference between want and got, or returns
-// "". Objects are compared only by the fields in want, lists item by item; an
-// expected number may be a range {"min":..,"max":..}, of which one bound suffices.
+// "" if there is none. Objects are compared only by the fields in want; a null there
+// also matches a missing field. Lists must have equal lengths and are compared item
+// by item. An expected number may be a range {"min":..,"max":..}, of which one bound
+// suffices.
 func firstDifference(path string, want, got any) string {
 	switch w := want.(type) {
 	case map[string]any:
--- a/internal/lab/kqreplay/replay.go
+++ b/internal/lab/kqreplay/replay.go
@@ -21,7 +21,7 @@
 	Decision struct {
 		// Text is the decision, such as "call 7 waits".
 		Text string
-		// Reason is the reason for it, such as "all 6 slots are taken".
+		// Reason is the reason for the decision, such as "6 calls run".
 		Reason string
 	}
 
--- a/internal/lab/kqreplay/replay_test.go
+++ b/internal/lab/kqreplay/replay_test.go
@@ -33,6 +33,9 @@
 	return err
 }
 
+// An outcome that has only some of the state's fields, or a range for a number, must
+// match. If replay compared whole states exactly, each new field of a state would
+// break the recorded traces.
 func TestOutcomesAreSubsetsAndRanges(t *testing.T) {
 	text := head + `{"kind":"input","at_ms":1,"input":{}}
 {"kind":"outcome","at_ms":1,"expect":{"seen":1}}
@@ -43,12 +46,12 @@
 }
 
 // A trace whose outcome doesn't match, or with a mistake from editing by hand, must
-// fail with an error that names the file, the line and the field.
+// fail with the right kind of error, which says where the mistake is.
 func TestErrorsNameTheLine(t *testing.T) {
 	outcome := `{"kind":"outcome","at_ms":1,"expect":{"seen":0}}` + "\n"
 	for name, c := range map[string]struct {
 		text, want string
-		is         error
+		wantErr    error
 	}{
 		"missed":           {head + outcome + `{"kind":"outcome","at_ms":2,"expect":{"seen":3}}`, "trace:3: outcome missed at 2ms: state.seen is 0, want 3", kqreplay.ErrOutcomeMismatch},
 		"missed range":     {head + `{"kind":"outcome","at_ms":2,"expect":{"seen":{"min":1}}}`, "trace:2:", kqreplay.ErrOutcomeMismatch},
@@ -66,13 +69,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := run(c.text)
-			if !errors.Is(err, c.is) || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("got %v, want %q", err, c.want)
+			if !errors.Is(err, c.wantErr) || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("got error %v, want one that contains %q", err, c.want)
 			}
 		})
 	}
 }
 
+// Any text must be replayed, or rejected as malformed or for a mismatch. A mistake in
+// the parser's checks would let malformed text cause a panic or another error.
 func FuzzRead(f *testing.F) {
 	f.Add(head + `{"kind":"input","at_ms":1,"input":{}}` + "\n" + `{"kind":"outcome","at_ms":1,"expect":{"seen":{"min":1}}}`)
 	f.Add(head + `{"kind":"outcome","at_ms":-1}`)
--- a/internal/lab/kqreplay/run.go
+++ b/internal/lab/kqreplay/run.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ErrOutcomeMismatch is wrapped by errors for an expected outcome that does not
-// match the player's state; they name file and line.
+// ErrOutcomeMismatch is wrapped by the error for an expected outcome that does not
+// match the player's state. The message starts with the trace's name and the line.
 var ErrOutcomeMismatch = errors.New("outcome missed")
 
 type (
@@ -18,7 +18,7 @@
 
 // Run replays the trace and returns how many outcomes matched. It stops with
 // ErrOutcomeMismatch at the first outcome that does not match, or with ErrMalformed
-// at the first input that the player rejects.
+// if the player rejects the settings or an input.
 func (t Trace) Run(newPlayer PlayerFactory, explain Explainer) (int, error) {
 	player, err := newPlayer(t.Settings, t.Seed)
 	if err != nil {
--- a/internal/lab/kqreplay/trace.go
+++ b/internal/lab/kqreplay/trace.go
@@ -19,8 +19,8 @@
 	kindOutcome = "outcome"
 )
 
-// ErrMalformed is wrapped by errors for a trace that cannot be read or replayed;
-// they name file and line.
+// ErrMalformed is wrapped by errors for a trace that cannot be read or replayed. The
+// message starts with the trace's name and the line.
 var ErrMalformed = errors.New("malformed trace")
 
 type (
@@ -28,14 +28,16 @@
 	// by time.
 	Trace struct {
 		// Name is the trace's source for error messages, such as its file.
-		Name     string
+		Name string
+		// Decision names the decision that the trace was recorded for.
 		Decision string
 		Seed     uint64
 		Settings json.RawMessage
 		Steps    []Step
 	}
 
-	// Step is one input or one expected outcome; the other field is nil.
+	// Step is one input, with Input set, or one expected outcome, with Expect set. The
+	// other of the two fields is nil.
 	Step struct {
 		// Line is the line number, starting at 1.
 		Line   int
