--- a/internal/lab/kqcallbench/callbench.go
+++ b/internal/lab/kqcallbench/callbench.go
@@ -21,13 +21,13 @@
 	oneHop  = "one_hop"
 	twoHops = "two_hops"
 
-	service          = "store"
-	rounds           = 3
-	caller           = "127.0.0.1"
-	slots            = 512
-	readyWait        = 10 * time.Second
-	readyPoll        = 10 * time.Millisecond
-	maxLatencyMicros = int64(time.Minute / time.Microsecond)
+	service           = "store"
+	rounds            = 3
+	callerAddress     = "127.0.0.1"
+	slots             = 512
+	readyTimeout      = 10 * time.Second
+	readyPollInterval = 10 * time.Millisecond
+	maxLatencyMicros  = int64(time.Minute / time.Microsecond)
 )
 
 type (
@@ -76,7 +76,7 @@
 )
 
 // New returns a bench that runs several rounds of roundLength for each path and
-// rate, in calls per second.
+// rate. Rates are in calls per second.
 func New(roundLength time.Duration, rates ...float64) *Bench {
 	return &Bench{rates: rates, roundLength: roundLength}
 }
@@ -132,7 +132,7 @@
 		oneHop:  kqopenloop.New(back.Node.EntryAddress()),
 		twoHops: kqopenloop.New(front.Node.EntryAddress()),
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyWait)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, p := range paths {
 		if err := waitForAnswer(ctx, p); err != nil {
@@ -155,14 +155,14 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("wait for an answer: %w", ctx.Err())
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
 func stream(length time.Duration, rate float64) *kqopenloop.Stream {
 	return &kqopenloop.Stream{
-		Caller: caller, Class: "all", Host: service, Path: "/", Phases: []kqopenloop.Phase{{Length: length, Rate: rate}},
+		Caller: callerAddress, Class: "all", Host: service, Path: "/", Phases: []kqopenloop.Phase{{Length: length, Rate: rate}},
 	}
 }
 
@@ -181,7 +181,7 @@
 			continue
 		}
 		// RecordValue fails only above the histogram's bound of one minute, and calls
-		// end sooner.
+		// time out sooner.
 		_ = t.histogram.RecordValue(s.Latency.Microseconds())
 	}
 }
@@ -211,7 +211,6 @@
 	return runs
 }
 
-// cpuSecondsPerCall returns the CPU seconds per call.
 func (t *tally) cpuSecondsPerCall() float64 { return t.cpu.Seconds() / float64(max(t.calls, 1)) }
 
 func processCPUTime() time.Duration {
--- a/internal/lab/kqchild/child.go
+++ b/internal/lab/kqchild/child.go
@@ -17,9 +17,10 @@
 
 // Child is a process started by this one. It is safe for concurrent use.
 type Child struct {
-	command      *exec.Cmd
-	ended        chan struct{}
-	status       error
+	command *exec.Cmd
+	ended   chan struct{}
+	// waitErr is the result of command.Wait, set before ended is closed.
+	waitErr      error
 	endRequested atomic.Bool
 	group        conc.WaitGroup
 	started      time.Time
@@ -33,8 +34,9 @@
 	onLine  func(string)
 }
 
-// Start runs a program. Its standard output and error are written to output, and each
-// line of its standard output is passed to onLine.
+// Start runs a program. Its standard output and error are written to output, which
+// must be safe for concurrent use, and each complete line of its standard output is
+// passed to onLine.
 func Start(program string, arguments []string, output io.Writer, onLine func(string)) (*Child, error) {
 	c := &Child{command: exec.Command(program, arguments...), ended: make(chan struct{}), started: time.Now()}
 	stdout := &lineWriter{output: output, onLine: onLine}
@@ -46,7 +48,7 @@
 		return nil, fmt.Errorf("start process %v: %w", arguments, err)
 	}
 	c.group.Go(func() {
-		c.status = c.command.Wait()
+		c.waitErr = c.command.Wait()
 		close(c.ended)
 	})
 	return c, nil
@@ -55,7 +57,7 @@
 // ID returns the process id.
 func (c *Child) ID() int { return c.command.Process.Pid }
 
-// Signal sends a signal. It does nothing if the process has ended.
+// Signal sends a signal. It sends none and returns nil if the process has ended.
 func (c *Child) Signal(s syscall.Signal) error {
 	if s == syscall.SIGTERM || s == syscall.SIGKILL {
 		c.endRequested.Store(true)
@@ -66,7 +68,8 @@
 	return nil
 }
 
-// EndRequested reports whether the process was sent SIGTERM or SIGKILL.
+// EndRequested reports whether Signal was called with SIGTERM or SIGKILL, or Kill was
+// called, even if the process had already ended.
 func (c *Child) EndRequested() bool { return c.endRequested.Load() }
 
 // Ended returns a channel that is closed once the process has ended.
@@ -89,7 +92,7 @@
 // error.
 func (c *Child) Wait() error {
 	<-c.ended
-	return c.status
+	return c.waitErr
 }
 
 // Kill sends SIGKILL and waits for the process to end.
--- a/internal/lab/kqplot/plot.go
+++ b/internal/lab/kqplot/plot.go
@@ -33,6 +33,7 @@
 
 	// Plot is a line chart.
 	Plot struct {
+		// X and Y are the labels of the axes.
 		Title, X, Y string
 		// Names label X = 0, 1, 2 and so on, for a nominal X axis.
 		Names  []string
--- a/internal/lab/kqresetlistener/listener.go
+++ b/internal/lab/kqresetlistener/listener.go
@@ -11,6 +11,7 @@
 	// for concurrent use.
 	Listener struct {
 		net.Listener
+		// bytes counts the bytes read and written on all connections.
 		bytes *atomic.Int64
 
 		mu     sync.Mutex
@@ -40,6 +41,8 @@
 	c := &conn{Conn: inner, listener: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
+	// An Accept that was in progress during ResetAll gets a connection that is reset,
+	// too.
 	if l.closed {
 		c.reset()
 		return c, nil
