--- a/internal/lab/kqfleet/fleet.go
+++ b/internal/lab/kqfleet/fleet.go
@@ -20,7 +20,7 @@
 
 const (
 	loopback = "127.0.0.1:0"
-	// seeds is the most seed addresses that a new node gets.
+	// seeds is the maximum number of seed addresses that a new node gets.
 	seeds = 3
 )
 
@@ -32,13 +32,15 @@
 		logger         *kqlog.Logger
 		store          kqstore.Store
 		adjustSettings func(*kqsettings.Settings)
-		mu             sync.Mutex
-		servers        []*Server
-		group          conc.WaitGroup
-		controlBytes   atomic.Int64
+		// mu guards servers and serializes the calls of adjustSettings.
+		mu           sync.Mutex
+		servers      []*Server
+		group        conc.WaitGroup
+		controlBytes atomic.Int64
 	}
 
-	// Spec describes the node and the upstream of a server.
+	// Spec describes the node and the upstream of a server. A server without a Service
+	// has no upstream.
 	Spec struct {
 		Node      kqname.Node
 		Domain    kqname.Domain
@@ -58,7 +60,8 @@
 // WithLogger sets the logger of the nodes.
 func WithLogger(l *kqlog.Logger) Option { return func(f *Fleet) { f.logger = l } }
 
-// WithSettings sets a function that adjusts each node's settings before it starts.
+// WithSettings sets a function that adjusts each node's settings before it starts. The
+// function is never called concurrently.
 func WithSettings(adjustSettings func(*kqsettings.Settings)) Option {
 	return func(f *Fleet) { f.adjustSettings = adjustSettings }
 }
@@ -106,7 +109,8 @@
 }
 
 // Restart replaces a stopped or killed server with a new one of the same Spec.
-// The new one keeps the node name but no state, addresses or connections.
+// The new one keeps the node name but no state, addresses or connections. Upstreams that
+// StartUpstream added to the old one are not started again.
 func (f *Fleet) Restart(old *Server) (*Server, error) {
 	f.mu.Lock()
 	f.servers = slices.DeleteFunc(f.servers, func(s *Server) bool { return s == old })
@@ -127,7 +131,8 @@
 	return append([]*Server(nil), f.servers...)
 }
 
-// Close stops every server and returns the errors of their nodes.
+// Close stops the servers that Servers returns and returns the errors of their nodes.
+// Nodes that were killed have none.
 func (f *Fleet) Close() error {
 	servers := f.Servers()
 	var stops conc.WaitGroup
@@ -143,7 +148,8 @@
 	return errors.Join(errs...)
 }
 
-// seeds returns the control addresses of the first servers that still run.
+// seeds returns the control addresses of the first servers that have not stopped, as
+// many as the constant seeds allows.
 func (f *Fleet) seeds() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/kqfleet/server.go
+++ b/internal/lab/kqfleet/server.go
@@ -26,14 +26,16 @@
 		listeners []*kqresetlistener.Listener
 		stopNode  context.CancelCauseFunc
 		nodeDone  chan struct{}
-		// err is the result of Node.Run, unset after Kill.
+		// err is the result of Node.Run, or nil if Kill ended the node.
 		err error
 
-		mu      sync.Mutex
+		mu sync.Mutex
+		// running holds all upstreams that were started, including stopped ones.
 		running []*runningUpstream
 	}
 
-	// runningUpstream is an upstream that runs on the same server as a node.
+	// runningUpstream is an upstream that was started on a server. stop makes it drain,
+	// and done is closed once it has ended.
 	runningUpstream struct {
 		upstream *kqupstream.Upstream
 		stop     context.CancelFunc
@@ -60,8 +62,8 @@
 	return u, nil
 }
 
-// Stop drains the upstreams, then the node, and waits for both. It has no effect
-// on a server that has already stopped.
+// Stop drains the upstreams one after the other, then the node, and waits for them. It
+// has no effect on a server that has already stopped.
 func (s *Server) Stop() {
 	for _, r := range s.upstreams() {
 		r.stop()
@@ -71,8 +73,9 @@
 	<-s.nodeDone
 }
 
-// Kill simulates the loss of the VM: nothing is drained, no departure is
-// announced, and every connection is reset.
+// Kill simulates the loss of the VM: nothing is drained, no departure is announced, and
+// every connection that the node or an upstream accepted is reset. It must be called at
+// most once.
 func (s *Server) Kill() {
 	s.stopNode(kqnode.ErrKilled)
 	for _, l := range s.listeners {
--- a/internal/lab/kqfleet/stop_test.go
+++ b/internal/lab/kqfleet/stop_test.go
@@ -24,10 +24,10 @@
 	timeout = 20 * time.Second
 )
 
-// Stops a node gracefully while callers send sequential calls on keep-alive
+// A node stops gracefully while callers send sequential calls on keep-alive
 // connections. A call may be in transit on a connection that looks idle to the
-// node. If the node closed it then, the caller would get no answer and could not
-// tell whether its non-idempotent request was executed.
+// node. If the node closed the connection then, the caller would get no answer and
+// could not tell whether its non-idempotent request was executed.
 func TestGracefulStopCutsNoCall(t *testing.T) {
 	f := kqfleet.New()
 	for _, name := range []kqname.Node{"one", "two"} {
@@ -57,21 +57,22 @@
 	for answered.Load() < 10*callers && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	before := answered.Load()
+	answeredBefore := answered.Load()
 	stopped.Stop()
 	group.Wait()
-	if answered.Load() <= before || failed.Load() > 0 {
-		t.Errorf("%d calls answered, %d of them during the shutdown, want more than 0; %d failed, want 0", answered.Load(), answered.Load()-before, failed.Load())
+	if answered.Load() <= answeredBefore || failed.Load() > 0 {
+		t.Errorf("%d calls answered, %d of them during the shutdown, want more than 0; %d failed, want 0", answered.Load(), answered.Load()-answeredBefore, failed.Load())
 	}
 	if err := f.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// sendCalls sends calls until the node refuses connections. A response with another
-// status than 200 counts as neither answered nor failed, since the node may refuse
-// calls while it stops.
-func sendCalls(ctx context.Context, address kqname.Address, number int, answered, failed *atomic.Int64) {
+// sendCalls sends calls until the node refuses connections or ctx ends. Callers pause
+// for different times between their calls, so that some connections are idle at any
+// moment. A response with a status other than 200 counts as neither answered nor failed,
+// since the node may refuse calls while it stops.
+func sendCalls(ctx context.Context, address kqname.Address, callerNumber int, answered, failed *atomic.Int64) {
 	client := &fasthttp.HostClient{
 		Addr: string(address), MaxConns: 1, MaxIdemponentCallAttempts: 1,
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
@@ -80,7 +81,7 @@
 		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 		req.SetRequestURI("http://store/")
 		req.Header.SetMethod(fasthttp.MethodPost)
-		req.Header.Set(kqupstream.HeaderWorkID, fmt.Sprint(number))
+		req.Header.Set(kqupstream.HeaderWorkID, fmt.Sprint(callerNumber))
 		err := client.DoTimeout(req, resp, timeout)
 		var opErr *net.OpError
 		switch {
@@ -91,6 +92,6 @@
 		case resp.StatusCode() == fasthttp.StatusOK:
 			answered.Add(1)
 		}
-		time.Sleep(time.Duration(number) * 100 * time.Microsecond)
+		time.Sleep(time.Duration(callerNumber) * 100 * time.Microsecond)
 	}
 }
