--- a/internal/lab/kqloadbench/loadbench.go
+++ b/internal/lab/kqloadbench/loadbench.go
@@ -17,14 +17,17 @@
 )
 
 const (
-	service        = "store"
+	service = "store"
+	// servers is the number of servers with one upstream each, and slots is the number
+	// of slots of each upstream.
 	servers        = 6
 	slots          = 6
 	failureDomains = 4
 	serviceTime    = 40 * time.Millisecond
 	// timeout is the deadline of each call, set by its route.
 	timeout = 2 * time.Second
-	// capacity is the maximum throughput of the upstreams, in calls per second.
+	// capacity is the maximum throughput of all upstreams, in calls per second that
+	// take serviceTime, which is 0.040 s.
 	capacity = float64(servers*slots) / 0.040
 	seed     = 20261
 
@@ -48,26 +51,32 @@
 
 	// Run is the results of one policy.
 	Run struct {
-		Policy         string `json:"policy"`
-		Offered        int    `json:"offered"`
-		AnsweredInTime int    `json:"answered_in_time"`
-		// AnsweredLate counts answers that arrived after the deadline; Unknown
-		// counts calls that may have run but got no answer.
+		Policy  string `json:"policy"`
+		Offered int    `json:"offered"`
+		// AnsweredInTime counts answers within the deadline with a status below 500.
+		AnsweredInTime int `json:"answered_in_time"`
+		// AnsweredLate counts answers with any status that arrived after the deadline;
+		// Unknown counts calls that may have run but got no answer.
 		AnsweredLate int `json:"answered_late"`
 		Unknown      int `json:"unknown"`
 		// GoodputShare is the number of calls answered in time divided by the
 		// smaller of the offered calls and the upstreams' capacity.
-		GoodputShare float64        `json:"goodput_share"`
-		Refused      map[string]int `json:"refused"`
-		RefusalP99   float64        `json:"refusal_ms_p99"`
-		// Latency holds the latency quantiles of the calls that were not refused,
-		// and the p99 and in-time share of each of the pattern's windows.
+		GoodputShare float64 `json:"goodput_share"`
+		// Refused counts the calls that did not run, by reason, and RefusalP99 is the
+		// 99th percentile of their latency in milliseconds. Both include the calls that
+		// the generator did not send, with a latency of 0.
+		Refused    map[string]int `json:"refused"`
+		RefusalP99 float64        `json:"refusal_ms_p99"`
+		// Latency holds latency quantiles in milliseconds, and the p99 and in-time
+		// share of each of the pattern's windows. The latencies leave out refused calls
+		// and answers with a status of 500 or above.
 		Latency  map[string]float64 `json:"latency_ms"`
 		ByCaller map[string]Group   `json:"by_caller"`
 		ByClass  map[string]Group   `json:"by_class"`
 	}
 
-	// Group is the results of one caller or one class.
+	// Group is the results of one caller or one class, with the same definitions as
+	// in Run.
 	Group struct {
 		Offered        int     `json:"offered"`
 		AnsweredInTime int     `json:"answered_in_time"`
@@ -84,7 +93,8 @@
 	}
 )
 
-// New returns a bench for a pattern, one of Patterns, and the given policies.
+// New returns a bench for one of the patterns that Patterns returns and for policies,
+// which are values of the setting policy in the section call.
 func New(pattern string, policies ...string) *Bench {
 	return &Bench{pattern: pattern, policies: policies}
 }
@@ -152,9 +162,9 @@
 	return nil
 }
 
-// waitUntilReady returns once every entry has its configuration, knows every
-// upstream and has answered the calls of a warm-up of 1 s. The first 100 of these
-// calls may fail.
+// waitUntilReady waits until every node has its configuration and knows every
+// upstream. It then sends warm-up calls for 1 s and returns an error unless all of them
+// but the first 100 are answered.
 func waitUntilReady(ctx context.Context, fleet *kqfleet.Fleet, entries []kqname.Address) error {
 	ctx, cancel := context.WithTimeout(ctx, readyWait)
 	defer cancel()
@@ -245,7 +255,7 @@
 	_ = g.histogram.RecordValue(s.Latency.Microseconds())
 }
 
-// quantile returns a latency quantile in milliseconds.
+// quantile returns the latency in milliseconds at quantile q, from 0 to 100.
 func (g *group) quantile(q float64) float64 { return float64(g.histogram.ValueAtQuantile(q)) / 1000 }
 
 func (g *group) inTimeShare() float64 { return float64(g.inTime) / float64(max(g.offered, 1)) }
--- a/internal/lab/kqloadbench/pattern.go
+++ b/internal/lab/kqloadbench/pattern.go
@@ -15,9 +15,10 @@
 	longPath        = "/long"
 	longServiceTime = 600 * time.Millisecond
 	callerCount     = 10
-	steadyPeriod    = 5 * time.Second
-	shortClass      = "short"
-	longClass       = "long"
+	// steadyPeriod is how long slowUpstream and longJobs run before the disturbance.
+	steadyPeriod = 5 * time.Second
+	shortClass   = "short"
+	longClass    = "long"
 )
 
 type (
@@ -25,14 +26,16 @@
 	pattern struct {
 		streams   []*kqopenloop.Stream
 		behaviour kqupstream.Behaviour
-		// change is applied to one upstream at changeAt, if set.
+		// change is applied to the first server's upstream at changeAt, if set.
 		change   func(*kqupstream.Upstream)
 		changeAt time.Duration
 		windows  []window
-		length   time.Duration
+		// length is how long calls are scheduled.
+		length time.Duration
 	}
 
-	// window is a period of a run whose results are also reported separately.
+	// window is a period of a run. The results of a class's calls that are scheduled in
+	// it are also reported separately.
 	window struct {
 		name     string
 		class    string
@@ -86,7 +89,8 @@
 	return p
 }
 
-// slowUpstream makes one upstream of six 20 times slower, at 50% of capacity.
+// slowUpstream has a load of 50% of capacity; after 5 s one upstream of six becomes 20
+// times slower.
 func slowUpstream() pattern {
 	return pattern{
 		streams:   []*kqopenloop.Stream{shortStream(1, phase(16*time.Second, 0.5))},
@@ -128,7 +132,7 @@
 	return p
 }
 
-// maxAnswers returns how many calls the upstreams can answer during the pattern.
+// maxAnswers returns how many short calls the upstreams can answer during the pattern.
 func (p pattern) maxAnswers() float64 { return capacity * p.length.Seconds() }
 
 func (w window) includes(s kqopenloop.Sample) bool {
