--- a/internal/lab/kqopenloop/openloop.go
+++ b/internal/lab/kqopenloop/openloop.go
@@ -19,12 +19,15 @@
 )
 
 const (
+	// maxInFlight bounds the calls in flight of all streams; maxConnections bounds the
+	// connections of one caller to one address.
 	maxInFlight    = 5000
 	maxConnections = 5000
-	// callTimeout is how long a call may go unanswered before it counts as lost.
+	// callTimeout bounds the time from the sending of a call to its answer; a call that
+	// takes longer ends as kqcall.Unknown. It also bounds dialing and the idle time of
+	// connections.
 	callTimeout = 10 * time.Second
-	// maxSleep bounds each sleep between two checks of ctx. The system call has a
-	// precision of about 60 µs, the runtime's timers one of 1 ms.
+	// maxSleep bounds the time between two checks of ctx.
 	maxSleep = 2 * time.Millisecond
 )
 
@@ -32,7 +35,8 @@
 	// Generator sends calls to its addresses in round-robin order.
 	Generator struct {
 		addresses []kqname.Address
-		clients   map[string][]*fasthttp.HostClient
+		// clients holds each caller's clients, in the order of addresses.
+		clients map[string][]*fasthttp.HostClient
 	}
 
 	// Stream is a series of identical calls from one caller.
@@ -40,7 +44,7 @@
 		// Caller is the source address of the calls, a loopback address such as
 		// 127.0.0.2.
 		Caller string
-		// Class is the label by which results are grouped, besides the caller.
+		// Class is a label by which the generator's user may group results.
 		Class  string
 		Host   string
 		Path   string
@@ -79,8 +83,9 @@
 	return &Generator{addresses: addresses, clients: make(map[string][]*fasthttp.HostClient)}
 }
 
-// Run sends the streams' calls and returns one sample per call. Equal seeds give
-// equal arrival times. If ctx ends, the remaining calls have no sample.
+// Run sends the streams' calls and returns one sample per call, in the order of the
+// schedule. Equal seeds give equal arrival times. If ctx ends, the remaining calls have
+// no sample.
 func (g *Generator) Run(ctx context.Context, seed uint64, streams []*Stream) []Sample {
 	arrivals := schedule(seed, streams)
 	for _, s := range streams {
@@ -155,6 +160,7 @@
 	}
 }
 
+// schedule returns the arrivals of all streams, ordered by time.
 func schedule(seed uint64, streams []*Stream) []arrival {
 	var all []arrival
 	for i, s := range streams {
@@ -175,8 +181,9 @@
 	return all
 }
 
-// sleepUntil sleeps with nanosleep, which is more precise than the runtime's timers,
-// and reports false once ctx has ended.
+// sleepUntil sleeps until the given time and reports whether ctx is still open; it returns
+// early once ctx has ended. It calls nanosleep, whose precision is about 60 µs, since that
+// of the runtime's timers is 1 ms.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	for {
 		remaining := time.Until(at)
--- a/internal/lab/kqopenloop/openloop_test.go
+++ b/internal/lab/kqopenloop/openloop_test.go
@@ -13,16 +13,17 @@
 )
 
 // An upstream stalls for 300 ms. A generator that waits for each answer before it
-// sends the next call would record the stall for one call only; measured from the
-// schedule, every call scheduled during the stall must include the rest of it.
+// sends the next call would record the stall for one call only. Latencies start at the
+// scheduled time, so that of every call scheduled during the stall must include the rest
+// of the stall.
 func TestLatencyCountsFromTheSchedule(t *testing.T) {
 	const stall = 300 * time.Millisecond
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The stall starts with the first call, so that it cannot end early by the
-	// generator's clock even if the generator starts late.
+	// The stall starts with the first call. If it started before the generator, it would
+	// end less than 300 ms after the generator's start, which the check below assumes.
 	until := sync.OnceValue(func() time.Time { return time.Now().Add(stall) })
 	s := &fasthttp.Server{Handler: func(*fasthttp.RequestCtx) { time.Sleep(time.Until(until())) }}
 	done := make(chan error, 1)
