--- a/internal/lab/kqrolloutsim/calls.go
+++ b/internal/lab/kqrolloutsim/calls.go
@@ -10,12 +10,15 @@
 // with; each world uses one.
 var smallestEffects = []effect{{latencyFactor: 1.3}, {latencyFactor: 1, errorRate: 0.005}}
 
-// drawCalls draws one version's calls of route i in one tick, adds them to c and
-// returns the log likelihood ratio of the hypothesis with the regression to that without. As
-// at the gates, latencies of upstreams that have just started go to recentlyStarted
-// instead of c; their calls are counted in both. The ratio includes the failures of all
-// calls and the latencies of all calls to upstreams past their cold start; it is 0 for a
-// version that is not good and has no regression.
+// drawCalls draws one version's calls of route i in one tick into the empty cell c. As at
+// the gates, latencies of upstreams that have just started go to recentlyStarted instead of
+// c, and their calls are counted in both. Unlike at the gates, failures are counted only
+// in c.
+//
+// It returns the log likelihood ratio of the calls with a regression to without it. The
+// regression is the given one, or the world's alternative if the world's kind is good; the
+// ratio is 0 if the kind is bad and no regression is given. It includes the failures of all
+// calls and the latencies of the calls to upstreams past their cold start.
 func (w *World) drawCalls(c, recentlyStarted *kqevidence.Cell, i int, version versionState, regression effect) float64 {
 	route := w.routes[i]
 	n := w.poisson(version.rate * route.weight)
@@ -24,7 +27,7 @@
 	c.Calls = uint32(n)
 	c.Failed = uint32(w.binomial(n, totalErrorRate))
 	c.Failed += uint32(min(n-int(c.Failed), w.poisson(version.interrupted*version.rate*route.weight*route.mean())))
-	// Latency grows as the upstream's utilization nears 1.
+	// Latency grows as the upstream's utilization nears 1, by half at 1.
 	logMedian := math.Log(route.serviceTime*version.latencyFactor) + math.Log1p(0.5*math.Pow(min(version.utilization, 1), 4))
 	cold := w.binomial(n, version.cold)
 	all := kqevidence.Cell{Calls: c.Calls, Failed: c.Failed}
@@ -41,6 +44,7 @@
 	w.fillDistribution(&w.distribution, logMedian+math.Log(coldStartFactor), route.spread, regression)
 	var slow kqevidence.Cell
 	w.spread(&slow, cold, &w.distribution)
+	// This is the share of the latencies during the cold start that the gates leave out.
 	excluded := 1.0
 	if w.coldSeconds > w.excluded {
 		excluded = float64(w.excluded) / float64(w.coldSeconds)
@@ -49,8 +53,8 @@
 	return logRatio
 }
 
-// addLatencies adds from's latencies to c, except for a random share of them, which
-// goes to recentlyStarted.
+// addLatencies adds from's latencies to c, except for a random part with the mean share,
+// which goes to recentlyStarted with its calls.
 func (w *World) addLatencies(c, recentlyStarted, from *kqevidence.Cell, share float64) {
 	for b, k := range from.Latency {
 		if k == 0 {
@@ -64,14 +68,15 @@
 }
 
 // compareWithNoEffect returns the log likelihood ratio of a bad version's calls with
-// its regression to without it.
+// its regression to without it. w.distribution must be the one with the regression.
 func (w *World) compareWithNoEffect(c *kqevidence.Cell, n int, logMedian, spread, errorRate, totalErrorRate float64) float64 {
 	w.fillDistribution(&w.referenceDistribution, logMedian, spread, noEffect)
 	return w.logLikelihoodRatio(c, n, errorRate, totalErrorRate)
 }
 
-// logLikelihoodRatio compares the calls' failures and n latencies under distribution
-// and totalErrorRate with those under referenceDistribution and errorRate.
+// logLikelihoodRatio returns the log likelihood ratio, in nats, of the calls' failures and
+// n latencies under distribution and totalErrorRate to those under referenceDistribution
+// and errorRate.
 func (w *World) logLikelihoodRatio(c *kqevidence.Cell, n int, errorRate, totalErrorRate float64) float64 {
 	logRatio := weightedLogRatio(float64(c.Failed), totalErrorRate, errorRate) + weightedLogRatio(float64(c.Calls-c.Failed), 1-totalErrorRate, 1-errorRate)
 	if n == 0 {
@@ -84,7 +89,8 @@
 }
 
 // compareWithAlternative returns the log likelihood ratio of a good version's calls
-// with the world's alternative regression to without it.
+// with the world's alternative regression to without it. w.distribution must be the one
+// without the regression.
 func (w *World) compareWithAlternative(c *kqevidence.Cell, n int, logMedian, spread, errorRate float64) float64 {
 	w.referenceDistribution = w.distribution
 	w.fillDistribution(&w.distribution, logMedian, spread, w.alternative)
@@ -92,6 +98,7 @@
 	return w.logLikelihoodRatio(c, n, errorRate, totalErrorRate)
 }
 
+// weightedLogRatio returns count times the log of the quotient of two probabilities.
 func weightedLogRatio(count, numerator, denominator float64) float64 {
 	if count == 0 {
 		return 0
@@ -100,7 +107,8 @@
 	return count * math.Log(max(numerator, minProbability)/max(denominator, minProbability))
 }
 
-// fillDistribution sets p to the share of calls in each latency bucket.
+// fillDistribution sets p to the share of calls in each latency bucket if latencies are
+// log-normal and changed by the effect.
 func (w *World) fillDistribution(p *[kqevidence.Buckets]float64, logMedian, spread float64, e effect) {
 	cumulative := func(b int, shift float64) float64 {
 		return 0.5 * math.Erfc(-(logBucketEdges[b]-logMedian-shift)/(spread*math.Sqrt2))
@@ -121,15 +129,15 @@
 
 // spread draws the latency buckets of n calls from p and adds them to the cell.
 func (w *World) spread(c *kqevidence.Cell, n int, p *[kqevidence.Buckets]float64) {
-	left := 1.0
+	remaining := 1.0
 	for b := 0; b < kqevidence.Buckets && n > 0; b++ {
 		if p[b] <= 0 {
 			continue
 		}
-		k := w.binomial(n, clamp(p[b]/left))
+		k := w.binomial(n, clamp(p[b]/remaining))
 		c.Latency[b] += uint32(k)
 		n -= k
-		left = max(left-p[b], 1e-12)
+		remaining = max(remaining-p[b], 1e-12)
 	}
 }
 
@@ -138,8 +146,10 @@
 		return 0
 	}
 	if mean > 40 {
+		// Normal approximation.
 		return max(0, int(math.Round(mean+math.Sqrt(mean)*w.random.NormFloat64())))
 	}
+	// Knuth's algorithm.
 	limit, k := math.Exp(-mean), 0
 	for product := w.random.Float64(); product > limit; product *= w.random.Float64() {
 		k++
@@ -158,6 +168,7 @@
 	}
 	mean := float64(n) * p
 	if mean > 30 {
+		// Normal approximation.
 		k := math.Round(mean + math.Sqrt(mean*(1-p))*w.random.NormFloat64())
 		return int(min(max(k, 0), float64(n)))
 	}
@@ -176,6 +187,7 @@
 
 func clamp(p float64) float64 { return min(max(p, 0), 1) }
 
+// logBucketEdges are the logs of the buckets' upper edges in seconds.
 var logBucketEdges = logEdges()
 
 func logEdges() (e [kqevidence.Buckets]float64) {
--- a/internal/lab/kqrolloutsim/draw.go
+++ b/internal/lab/kqrolloutsim/draw.go
@@ -9,11 +9,13 @@
 )
 
 type (
+	// deployment is a number of servers and of slots on each.
 	deployment struct {
 		servers, slots int
 	}
 
 	route struct {
+		// weight is the route's share of the service's calls.
 		weight float64
 		// serviceTime is the median in seconds, spread is the standard
 		// deviation of its logarithm.
@@ -28,8 +30,8 @@
 		old, new        float64
 	}
 
-	// incident is a period, in seconds, in which both versions are slower and fail
-	// more calls.
+	// incident is a period in which both versions are slower and fail more calls. from
+	// and to are in seconds since the start of the rollout; to is not included.
 	incident struct {
 		from, to                 int
 		latencyFactor, errorRate float64
@@ -40,6 +42,7 @@
 // deployments, as their requirements state them.
 var deployments = []deployment{{6, 6}, {4, 6}, {6, 12}, {4, 12}}
 
+// draw sets the world's properties from random numbers; times are drawn in seconds.
 func (w *World) draw(r *rand.Rand) {
 	d := deployments[r.IntN(len(deployments))]
 	w.SlotsPerServer = d.slots
@@ -66,20 +69,23 @@
 	}
 	w.serviceTimeRatio = 1
 	if w.Kind.Good() {
-		// Bad versions differ from the old one only by the effect of their kind.
+		// The service times of bad versions differ from the old one's only by noise and
+		// the effect of their kind.
 		w.serviceTimeRatio = uniform(r, 0.9, 1.05)
 	}
+	// drawNoise replaces these two for Cold versions. The new version's upstreams start
+	// up to two minutes before the rollout.
 	w.coldSeconds = int(uniform(r, 2, 10))
-	// The new version's upstreams start up to two minutes before the rollout.
 	w.newVersionStart = -int(uniform(r, 0, 120))
 	w.excluded = int(kqplan.Plan{Deadline: time.Time{}.Add(w.Window)}.ColdStart() / time.Second)
 	w.drawNoise(r)
 	w.drawEffect(r)
 }
 
+// drawNoise draws the disturbances that are not the new version's fault.
 func (w *World) drawNoise(r *rand.Rand) {
 	w.sharedNoise, w.newVersionNoise = 0.1, 0.01
-	// These are probabilities per second.
+	// These are the probabilities per second that an incident or a herd restart begins.
 	incidents, herdRestarts := 0.0015, 0.0002
 	switch w.Kind {
 	case Noisy:
@@ -101,6 +107,7 @@
 	}
 }
 
+// drawEffect draws the regression of a bad version and the alternative of a good one.
 func (w *World) drawEffect(r *rand.Rand) {
 	w.effect, w.effectStart, w.effectRoute = noEffect, 0, -1
 	w.alternative = smallestEffects[r.IntN(len(smallestEffects))]
@@ -129,4 +136,5 @@
 // mean returns the mean service time in seconds.
 func (o route) mean() float64 { return o.serviceTime * math.Exp(o.spread*o.spread/2) }
 
+// uniform returns a random number between low and high.
 func uniform(r *rand.Rand, low, high float64) float64 { return low + (high-low)*r.Float64() }
--- a/internal/lab/kqrolloutsim/kind.go
+++ b/internal/lab/kqrolloutsim/kind.go
@@ -4,9 +4,10 @@
 	// Noisy versions are good; latencies and failures of both versions vary
 	// strongly over time.
 	Noisy Kind = "good_noisy"
-	// Cold versions are good but slow for 10 to 40 s after a start.
+	// Cold versions are good but slow for 10 to 40 s after a start, and start from 10 s
+	// before to 10 s after the rollout does.
 	Cold Kind = "good_cold"
-	// LowTraffic versions are good and get few calls.
+	// LowTraffic versions are good; the service gets only 2 to 20 calls a second.
 	LowTraffic Kind = "good_low_traffic"
 	// HerdRestarts versions are good; many upstreams of both versions
 	// crash and restart at the same time.
@@ -17,11 +18,12 @@
 
 	// FailsAtOnce versions fail an additional 20 to 100% of calls from the start.
 	FailsAtOnce Kind = "fails_at_once"
-	// FailsLater versions regress after one minute (half of the window if that is
-	// shorter) to 95% of the window.
+	// FailsLater versions regress at a random time between one minute (or half of the
+	// window if that is shorter) and 95% of the window. They then fail an additional 20 to
+	// 100% of calls or take 2 to 10 times as long; so do UnderLoad and OneRoute versions.
 	FailsLater Kind = "fails_later"
-	// UnderLoad versions regress while an upstream's load is at least 50 to 90%
-	// of its normal load.
+	// UnderLoad versions regress while an upstream's load is at or above a threshold of 50
+	// to 90% of its normal load.
 	UnderLoad Kind = "under_load"
 	// OneRoute versions have a regression on one route.
 	OneRoute Kind = "one_route"
--- a/internal/lab/kqrolloutsim/world.go
+++ b/internal/lab/kqrolloutsim/world.go
@@ -13,6 +13,7 @@
 )
 
 const (
+	// coldStartFactor multiplies the latency of upstreams during their cold start.
 	coldStartFactor = 3
 	// noiseCorrelation is the correlation of the noise between successive seconds.
 	noiseCorrelation = 0.97
@@ -30,14 +31,19 @@
 		window int
 		// rate is the mean number of calls per second, load the share of one
 		// version's slots that they use.
-		rate, load       float64
-		routes           []route
+		rate, load float64
+		routes     []route
+		// serviceTimeRatio is the new version's service time relative to the old one's,
+		// without noise and effect.
 		serviceTimeRatio float64
-		// The noise amplitudes are standard deviations of the log of the latency.
+		// sharedNoise and newVersionNoise are standard deviations of the log of the
+		// latency, of both versions and of the new version alone. sharedNoiseState and
+		// newVersionNoiseState are the noise in the current tick.
 		sharedNoise     float64
 		newVersionNoise float64
-		// coldSeconds is how long upstreams are slow after a start; excluded is for
-		// how many seconds after a start the gates leave out their latencies.
+		// Upstreams are slow for coldSeconds after a start, and the gates leave out their
+		// latencies for excluded seconds. newVersionStart is the tick in which the new
+		// version's upstreams start; it may be negative.
 		coldSeconds     int
 		excluded        int
 		newVersionStart int
@@ -56,7 +62,9 @@
 		sharedNoiseState, newVersionNoiseState float64
 		routeNames                             []kqname.Route
 		allCandidates                          []kqmember.Candidate
-		distribution, referenceDistribution    [kqevidence.Buckets]float64
+		// distribution and referenceDistribution are scratch space of drawCalls: shares
+		// of calls by latency bucket.
+		distribution, referenceDistribution [kqevidence.Buckets]float64
 	}
 
 	// TickResult is what happened in one tick.
@@ -73,9 +81,12 @@
 		LogLikelihoodRatio float64
 	}
 
-	// versionState is the state of one version during one tick. alive, cold and
-	// recentlyStarted are shares of its upstreams; interrupted is the share that
-	// crashes in this tick, which fails its calls in flight.
+	// versionState is the state of one version during one tick. rate is in calls per
+	// second; utilization is the load relative to the slots of the upstreams that get it,
+	// and may exceed 1. alive, cold and recentlyStarted are shares of its upstreams: those
+	// that run, those that are slow after their start, and those that either are cold or
+	// have latencies that the gates leave out. interrupted is the share that crashes in
+	// this tick, which fails its calls in flight.
 	versionState struct {
 		rate, utilization        float64
 		alive, cold              float64
@@ -119,8 +130,9 @@
 	return int(total * alive), int(total * liveShare * (1 - recentlyStarted)), int(total * liveShare * recentlyStarted)
 }
 
-// Tick simulates one second in which the new version's configured share is
-// newShare; small is passed on to kqshare.Share.
+// Tick simulates one second, numbered from 0 at the start of the rollout, with newShare as
+// the new version's configured share; small is passed on to kqshare.Share. Ticks must be
+// simulated in order, since each advances the noise.
 func (w *World) Tick(at int, newShare float64, small bool) TickResult {
 	w.sharedNoiseState = noiseCorrelation*w.sharedNoiseState + w.sharedNoise*math.Sqrt(1-noiseCorrelation*noiseCorrelation)*w.random.NormFloat64()
 	w.newVersionNoiseState = noiseCorrelation*w.newVersionNoiseState + w.newVersionNoise*math.Sqrt(1-noiseCorrelation*noiseCorrelation)*w.random.NormFloat64()
@@ -142,7 +154,8 @@
 	return s
 }
 
-// liveCandidates returns the live upstreams, the old version's first.
+// liveCandidates returns the live upstreams, the old version's first, where old and next
+// are the live shares of the versions.
 func (w *World) liveCandidates(old, next float64) []kqmember.Candidate {
 	if old == 1 && next == 1 {
 		return w.allCandidates
@@ -156,6 +169,8 @@
 	return !w.Kind.Good() && at >= w.effectStart && next.utilization >= w.effectMinUtilization
 }
 
+// versionStates splits the calls of one tick between the versions, as kqshare distributes
+// them, and returns the versions' states.
 func (w *World) versionStates(at int, newShare float64, small bool) (old, next versionState) {
 	share := kqshare.Share{From: "old", To: "new", Fraction: newShare, Small: small}
 	old, next = w.conditions(at, true), w.conditions(at, false)
@@ -164,6 +179,7 @@
 	if b.Nodes != nil {
 		serving = float64(len(b.Nodes))
 	}
+	// The traffic varies by 20% with a period of half an hour.
 	totalRate := w.rate * (1 + 0.2*math.Sin(2*math.Pi*float64(at)/1800))
 	if next.alive > 0 && serving < float64(w.Servers) {
 		// Distribution selects nodes among the live upstreams only.
@@ -182,6 +198,8 @@
 	return old, next
 }
 
+// slowdown returns the factor by which the regression lengthens all calls of the new
+// version. It is 1 for a regression on one route.
 func (w *World) slowdown(at int, next versionState) float64 {
 	if w.isEffectActive(at, next) && w.effectRoute < 0 {
 		return w.effect.latencyFactor
@@ -189,6 +207,8 @@
 	return 1
 }
 
+// conditions returns a version's state without its traffic: live and recently started
+// upstreams, shared noise, incidents and crashes.
 func (w *World) conditions(at int, old bool) versionState {
 	m := versionState{latencyFactor: math.Exp(w.sharedNoiseState)}
 	m.alive, m.cold = w.liveShare(at, old, w.coldSeconds)
@@ -208,24 +228,26 @@
 	return m
 }
 
-// liveShare returns the share of a version's upstreams that are alive, and the
-// share that started less than the given number of seconds ago.
-func (w *World) liveShare(at int, old bool, within int) (alive, cold float64) {
+// liveShare returns the share of a version's upstreams that are alive, and the share that
+// started less than the given number of seconds ago. Before newVersionStart, the new
+// version's upstreams count as alive and as just started.
+func (w *World) liveShare(at int, old bool, within int) (alive, recentlyStarted float64) {
 	alive = 1
 	if !old && at < w.newVersionStart+within {
-		cold = 1
+		recentlyStarted = 1
 	}
 	for _, h := range w.herdRestarts {
 		switch {
 		case at >= h.at && at < h.recoveredAt:
 			alive -= h.killedShare(old)
 		case at >= h.recoveredAt && at < h.recoveredAt+within:
-			cold += h.killedShare(old)
+			recentlyStarted += h.killedShare(old)
 		}
 	}
-	return max(alive, 0), min(cold, 1)
+	return max(alive, 0), min(recentlyStarted, 1)
 }
 
+// killedShare returns the share of a version's upstreams that crash.
 func (h herdRestart) killedShare(old bool) float64 {
 	if old {
 		return h.old
