--- a/internal/lab/kqsurvey/baseline.go
+++ b/internal/lab/kqsurvey/baseline.go
@@ -9,7 +9,8 @@
 
 const (
 	// The baseline is a common rollout procedure: five steps of equal length and a
-	// fixed threshold on the new version's error rate in a sliding window.
+	// fixed threshold on the new version's error rate in a sliding window. The threshold
+	// applies once the window has baselineMinCalls calls.
 	baselineSteps        = 5
 	baselineWindowTicks  = 30
 	baselineMinCalls     = 50
@@ -18,10 +19,11 @@
 
 var baselineShares = [baselineSteps]float64{0.05, 0.25, 0.5, 0.75, 1}
 
-// simulateBaseline runs one rollout with the baseline's schedule and threshold.
+// simulateBaseline runs one rollout with the baseline's schedule and threshold. prefer
+// affects only the oracle, from whose detection the bad seconds and calls count.
 func simulateBaseline(w *kqrolloutsim.World, prefer kqdocument.Preference) result {
 	r := result{kind: w.Kind, at: -1}
-	t := &trial{world: w, detectableAt: -1, threshold: detectionThreshold(prefer)}
+	t := &trial{world: w, detectedAt: -1, threshold: detectionThreshold(prefer)}
 	n := int(w.Window / time.Second)
 	calls, failed := make([]float64, n), make([]float64, n)
 	sumCalls, sumFailed := 0.0, 0.0
@@ -30,7 +32,8 @@
 		t.observe(at, s)
 		r.recordBadTick(t, at, s)
 		if r.at >= 0 {
-			// One more tick passed after the decision, until it was in force everywhere.
+			// This tick's traffic was recorded because it takes propagationTicks until the
+			// decision is in force everywhere.
 			break
 		}
 		for i := range s.Sample {
--- a/internal/lab/kqsurvey/record.go
+++ b/internal/lab/kqsurvey/record.go
@@ -15,6 +15,7 @@
 )
 
 type (
+	// traceHead is the first line of a trace.
 	traceHead struct {
 		Kind     string   `json:"kind"`
 		Decision string   `json:"decision"`
@@ -28,6 +29,7 @@
 		SmallShare float64               `json:"small_share"`
 	}
 
+	// traceLine is a further line of a trace: the input of one tick, or the outcome.
 	traceLine struct {
 		Kind  string `json:"kind"`
 		AtMS  int64  `json:"at_ms"`
@@ -42,13 +44,13 @@
 	}
 )
 
-// Record simulates one rollout of a kind and writes it as a trace with its final
-// outcome. It reports whether the rollout ended as it should: a good version done,
-// a bad one rolled back.
+// Record simulates one rollout of a kind and writes it as a trace, with its final outcome
+// if it ends within the window. It reports whether the rollout ended as it should: a good
+// version done, a bad one rolled back.
 func Record(out io.Writer, kind kqrolloutsim.Kind, seed, index uint64, prefer kqdocument.Preference) (bool, error) {
 	w := kqrolloutsim.New(kind, seed, index)
 	start := time.UnixMilli(0)
-	t := &trial{world: w, evaluator: kqverdict.New(), detectableAt: -1, plan: kqplan.Plan{
+	t := &trial{world: w, evaluator: kqverdict.New(), detectedAt: -1, plan: kqplan.Plan{
 		Name: "move", Start: start, Deadline: start.Add(w.Window), Prefer: prefer, SmallShare: 0.05,
 	}}
 	e := json.NewEncoder(out)
--- a/internal/lab/kqsurvey/survey.go
+++ b/internal/lab/kqsurvey/survey.go
@@ -13,8 +13,8 @@
 
 const (
 	defaultRollouts = 1000
-	// maxSmallShare is the bound of 5% with a tolerance for ticks in which random
-	// arrivals exceed the mean.
+	// maxSmallShare is the bound of 5% on the small share, with a tolerance for rounding
+	// errors in shares that are computed from call rates.
 	maxSmallShare = 0.0505
 )
 
@@ -36,7 +36,9 @@
 		Policies []Policy `json:"policies"`
 	}
 
-	// Policy is the results of one decider under one policy.
+	// Policy is the results of one decider under one policy. Decider is "kumquatgw",
+	// "baseline" or, for the oracle, "limit". Good and Bad are the numbers of rollouts of
+	// good and of bad versions.
 	Policy struct {
 		Policy  kqname.Policy `json:"policy"`
 		Decider string        `json:"decider"`
@@ -66,8 +68,8 @@
 		// bad. SecondsP99 and CallsP99 count from the oracle's detection. These
 		// fields appear only in the printed table.
 		ShareMax float64 `json:"-"`
-		// OverShareBound counts the versions that had more than 5% of the traffic, as bounded
-		// by maxSmallShare, while they were bad.
+		// OverShareBound counts the versions that had more than maxSmallShare of the
+		// traffic while they were bad.
 		OverShareBound int     `json:"-"`
 		SecondsP99     float64 `json:"-"`
 		CallsP99       float64 `json:"-"`
@@ -104,6 +106,7 @@
 	return report
 }
 
+// simulate runs every rollout with each decider. Rollout i is the same for all of them.
 func (s *Survey) simulate(prefer kqdocument.Preference) (actual, oracle, baseline []result) {
 	actual, oracle, baseline = make([]result, s.count), make([]result, s.count), make([]result, s.count)
 	workers := pool.New().WithMaxGoroutines(s.workers)
@@ -166,6 +169,7 @@
 	}
 }
 
+// p99 returns the 99th percentile of the values, which it sorts, or 0 without values.
 func p99(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/lab/kqsurvey/trial.go
+++ b/internal/lab/kqsurvey/trial.go
@@ -41,21 +41,22 @@
 		plan      kqplan.Plan
 		progress  kqprogress.Progress
 		evaluator *kqverdict.Evaluator
-		// logLikelihoodRatio is the oracle's evidence so far. detectableAt is the
+		// logLikelihoodRatio is the oracle's evidence so far. detectedAt is the
 		// tick in which it reached threshold, -1 before.
 		logLikelihoodRatio float64
-		detectableAt       int
+		detectedAt         int
 		threshold          float64
 	}
 )
 
 // simulate runs one rollout with kumquatgw's decisions and, on the same calls, the
-// oracle that knows the true distributions. Calls continue after the rollout is
-// rolled back, for the oracle only.
+// oracle that knows the true distributions. Calls continue until the deadline; after a
+// rollback they count only for the oracle. At the deadline, an oracle that has not detected
+// a regression decides by the sign of its evidence.
 func simulate(w *kqrolloutsim.World, prefer kqdocument.Preference) (actual, oracle result) {
 	start := time.Unix(0, 0)
 	t := &trial{
-		world: w, evaluator: kqverdict.New(), detectableAt: -1, threshold: detectionThreshold(prefer),
+		world: w, evaluator: kqverdict.New(), detectedAt: -1, threshold: detectionThreshold(prefer),
 		plan: kqplan.Plan{Name: "move", Start: start, Deadline: start.Add(w.Window), Prefer: prefer, SmallShare: 0.05},
 	}
 	actual = result{kind: w.Kind, at: -1}
@@ -91,6 +92,7 @@
 	return actual, oracle
 }
 
+// decide returns kumquatgw's decision at the end of a tick.
 func (t *trial) decide(now time.Time) kqstep.Decision {
 	s := kqstep.Inputs{Plan: t.plan, Progress: t.progress, Finding: t.evaluator.Finding()}
 	s.OldSlots, s.NewSlots, s.ColdSlots = t.world.Slots(int(now.Sub(t.plan.Start)/tick) - 1)
@@ -101,13 +103,13 @@
 // detected a regression. For bad versions it uses only ticks with the regression.
 func (t *trial) observe(at int, s kqrolloutsim.TickResult) bool {
 	if !s.Bad && !t.world.Kind.Good() {
-		return t.detectableAt >= 0
+		return t.detectedAt >= 0
 	}
 	t.logLikelihoodRatio += s.LogLikelihoodRatio
-	if t.logLikelihoodRatio >= t.threshold && t.detectableAt < 0 {
-		t.detectableAt = at
+	if t.logLikelihoodRatio >= t.threshold && t.detectedAt < 0 {
+		t.detectedAt = at
 	}
-	return t.detectableAt >= 0
+	return t.detectedAt >= 0
 }
 
 // recordBadTick records a bad version's traffic in one tick. For a version that is
@@ -117,7 +119,7 @@
 		return
 	}
 	r.maxBadShare = max(r.maxBadShare, s.Share)
-	if t.detectableAt >= 0 && at > t.detectableAt {
+	if t.detectedAt >= 0 && at > t.detectedAt {
 		r.badSeconds++
 		_, badCalls := s.Sample.Calls()
 		r.badCalls += float64(badCalls)
@@ -125,7 +127,8 @@
 }
 
 // detectionThreshold returns the log likelihood ratio at which the oracle detects a
-// regression.
+// regression. It bounds the probability of a false alarm to 1% or 0.1%, the same as
+// kqstep's rollback thresholds.
 func detectionThreshold(prefer kqdocument.Preference) float64 {
 	if prefer == kqdocument.PreferTakingBack {
 		return math.Log(1 / 0.01)
