--- a/internal/lab/kqnodes/document.go
+++ b/internal/lab/kqnodes/document.go
@@ -15,8 +15,8 @@
 
 // Document returns a document of 89 services and 1,958 routes on 89 hosts. The routes
 // of each host lead to its own service, except two that lead to two other services.
-// Each number gives another version, in which one service and one route have different
-// timeouts.
+// Each number gives a different version: one service and the first route of its host
+// have timeouts that depend on the number.
 func Document(number int) kqdocument.Document {
 	d := kqdocument.Document{
 		Teams:    []kqdocument.Team{{Name: team}},
--- a/internal/lab/kqnodes/fault.go
+++ b/internal/lab/kqnodes/fault.go
@@ -9,11 +9,12 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqfakestore"
 )
 
-// prefetchTime is how long replaced nodes have to prefetch the hosts of their peers, if
-// Plan.Prefetch is set, before they need their first hosts.
+// prefetchTime is how long platformDown waits before the replaced nodes fetch their
+// first hosts. If Plan.Prefetch is set, they prefetch the hosts of their peers meanwhile.
 const prefetchTime = time.Second
 
-// injectFault runs the faults that are not injected while versions are committed.
+// injectFault injects the faults that precede measureChanges, which itself injects
+// FaultTenthAndDomain.
 func (b *bench) injectFault(ctx context.Context) error {
 	switch b.plan.Fault {
 	case FaultPlatformDown:
@@ -25,10 +26,10 @@
 	}
 }
 
-// platformDown replaces a tenth of the nodes while the platform does not answer. The
-// new nodes know only the addresses of the others as seeds.
+// platformDown replaces a tenth of the nodes while the platform refuses all calls. The
+// new nodes know nothing but the addresses of a few remaining nodes as seeds.
 func (b *bench) platformDown(ctx context.Context) error {
-	// Called for its side effect: it records the versions before the fault.
+	// The result is dropped: this call records the versions before the fault.
 	b.regressions()
 	b.fleet.platform.SetFaults(kqfakestore.Faults{Down: true})
 	defer b.fleet.platform.SetFaults(kqfakestore.Faults{})
@@ -54,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	wait := convergence(waits)
+	wait := percentiles(waits)
 	b.run.FirstCallWait = &wait
 	for _, m := range replaced {
 		sent, received := m.Metrics().ControlBytes()
@@ -66,8 +67,8 @@
 }
 
 // herdRestart kills every node, commits a version while they are down, and restarts all
-// of them with the platform's rate limits in force. The limits stay in force for the
-// changes that are measured afterwards.
+// of them, without seeds and with the platform's rate limits in force. The limits stay
+// in force during measureChanges.
 func (b *bench) herdRestart(ctx context.Context) error {
 	numbers := b.fleet.kill(func(int) bool { return true })
 	if _, err := b.commit(ctx); err != nil {
--- a/internal/lab/kqnodes/fleet.go
+++ b/internal/lab/kqnodes/fleet.go
@@ -32,8 +32,8 @@
 		store    *meteredStore
 		strategy string
 		prefetch bool
-		// usedServices is how many services have nodes: one for every 6 nodes, as with
-		// 550 nodes and 89 services.
+		// usedServices is how many services have nodes: one for every 6 nodes, which is
+		// the ratio of a fleet of 550 nodes with 89 services.
 		usedServices int
 		group        conc.WaitGroup
 
@@ -43,6 +43,7 @@
 		killedBytes uint64
 	}
 
+	// member is a running node of the fleet. done is closed once the node has stopped.
 	member struct {
 		*kqnode.Node
 		number int
@@ -59,10 +60,10 @@
 // start starts the nodes with the given numbers, a few in parallel. A node that is
 // started again under its number stands for a replaced VM: it has another address and
 // no state.
-func (f *fleet) start(numbers []int, known []kqname.Address) error {
+func (f *fleet) start(numbers []int, seedAddresses []kqname.Address) error {
 	p := pool.New().WithErrors().WithMaxGoroutines(maxParallelStarts)
 	for _, i := range numbers {
-		p.Go(func() error { return f.startOne(i, known) })
+		p.Go(func() error { return f.startOne(i, seedAddresses) })
 	}
 	if err := p.Wait(); err != nil {
 		return fmt.Errorf("start %d nodes: %w", len(numbers), err)
@@ -70,7 +71,7 @@
 	return nil
 }
 
-func (f *fleet) startOne(i int, known []kqname.Address) error {
+func (f *fleet) startOne(i int, seedAddresses []kqname.Address) error {
 	s := kqsettings.Default()
 	s.Node.Name = kqname.Node(fmt.Sprintf("node-%03d", i))
 	s.Node.Domain = kqname.Domain(fmt.Sprintf("domain-%d", i%domains))
@@ -80,7 +81,7 @@
 		*a = "127.0.0.1:0"
 	}
 	s.Config.Strategy, s.Config.Prefetch = f.strategy, f.prefetch
-	for _, a := range known {
+	for _, a := range seedAddresses {
 		s.Member.Seeds = append(s.Member.Seeds, string(a))
 	}
 	n, err := kqnode.New(s, f.store)
@@ -136,6 +137,7 @@
 	return append([]*member(nil), f.nodes...)
 }
 
+// seeds returns the control addresses of the first nodes, three at most.
 func (f *fleet) seeds() []kqname.Address {
 	var addresses []kqname.Address
 	for _, m := range f.members() {
@@ -147,8 +149,8 @@
 }
 
 // awaitVersion waits until every node has at least the given version and returns the
-// time that took since a given moment. After the timeout it returns an error that
-// counts the nodes without the version.
+// time that has passed since the given moment. If the timeout passes or ctx ends first,
+// it returns an error with the number of nodes that lack the version.
 func (f *fleet) awaitVersion(ctx context.Context, v kqname.ConfigVersion, since time.Time, timeout time.Duration) (time.Duration, error) {
 	waiting := f.members()
 	for {
@@ -163,15 +165,16 @@
 			return took, nil
 		}
 		if took > timeout || ctx.Err() != nil {
-			return took, fmt.Errorf("waited %s for version %d: %d nodes do not have it, among them %s", timeout, v, len(behind), behind[0].Name())
+			return took, fmt.Errorf("timeout of %s passed or run cancelled: version %d is missing on %d nodes, among them %s", timeout, v, len(behind), behind[0].Name())
 		}
 		waiting = behind
 		time.Sleep(pollEvery)
 	}
 }
 
-// ensureHosts makes nodes fetch a few hosts each, unless they hold them, the same ones for all nodes of a
-// service, and returns how long each EnsureHost took.
+// ensureHosts makes each node fetch the configuration of hostsPerNode hosts that it does
+// not hold yet, and returns how long each EnsureHost took. All nodes of a service fetch
+// the same hosts.
 func (f *fleet) ensureHosts(ctx context.Context, nodes []*member) ([]time.Duration, error) {
 	p := pool.NewWithResults[time.Duration]().WithErrors().WithMaxGoroutines(maxParallelStarts)
 	for _, m := range nodes {
@@ -191,8 +194,8 @@
 	return waits, nil
 }
 
-// controlBytes sums what all nodes sent and received on control connections and
-// exchanged with the platform's service.
+// controlBytes sums the bytes that all nodes, including killed ones, sent and received
+// on control connections and exchanged with the platform's service.
 func (f *fleet) controlBytes() uint64 {
 	total := f.store.bytes.Load() + f.killedBytes
 	for _, m := range f.members() {
--- a/internal/lab/kqnodes/measure.go
+++ b/internal/lab/kqnodes/measure.go
@@ -14,16 +14,17 @@
 const (
 	// FaultNone injects no fault.
 	FaultNone Fault = "none"
-	// FaultTenthAndDomain kills a tenth of the nodes and a whole failure domain at the
-	// moment of a change.
+	// FaultTenthAndDomain kills a tenth of the nodes and a whole failure domain right
+	// after the commit of the middle change.
 	FaultTenthAndDomain Fault = "tenth_and_domain"
 	// FaultPlatformDown makes the platform unavailable and replaces a tenth of the
-	// nodes during that time.
+	// nodes during that time. No changes are committed.
 	FaultPlatformDown Fault = "platform_down"
-	// FaultHerdRestart kills all nodes, commits a version and starts them all again.
+	// FaultHerdRestart kills all nodes, commits a version and starts them all again
+	// under the platform's rate limits, before the changes.
 	FaultHerdRestart Fault = "herd_restart"
 
-	// minIdle is the shortest time for which an idle fleet is measured: three
+	// minIdle is the shortest time for which an idle fleet is observed: three
 	// heartbeats of one second. A time shorter than one heartbeat would count the bytes
 	// of a whole heartbeat, or of the start, as a constant rate, and the cost of
 	// changes would come out negative.
@@ -36,29 +37,35 @@
 )
 
 type (
-	// Fault is what goes wrong during a measurement.
+	// Fault identifies the fault that a measurement injects.
 	Fault string
 
 	// Plan configures a measurement.
 	Plan struct {
-		Counts   []int
+		// Counts are the numbers of nodes of the fleets.
+		Counts []int
+		// Strategy is a strategy of the settings, "overlay" or "direct".
 		Strategy string
 		Fault    Fault
-		Changes  int
+		// Changes is how many versions are committed for each fleet.
+		Changes int
 		// Prefetch lets starting nodes take over the hosts of their peers.
 		Prefetch bool
-		// Idle is how long the settled fleet is measured without changes.
+		// Idle is how long the settled fleet is observed without changes, at least
+		// minIdle. FaultPlatformDown adds two waits of half of Idle each, without that
+		// minimum.
 		Idle time.Duration
 		// Gap is the pause between two changes.
 		Gap time.Duration
 	}
 
-	// Measurement measures fleets of increasing size. It is used once.
+	// Measurement measures one fleet of each planned size. It is used once.
 	Measurement struct {
 		plan Plan
 	}
 
-	// bench is the state of one run.
+	// bench is the state of one run. lastVersions holds the version of each node, by
+	// control address, at the last call of regressions.
 	bench struct {
 		plan         Plan
 		fleet        *fleet
@@ -68,7 +75,8 @@
 		run          Run
 	}
 
-	// usage is what the fleet has used up to a moment.
+	// usage is what was used up to a moment: processor time by the process, control
+	// bytes and calls to the platform by the fleet.
 	usage struct {
 		at           time.Time
 		cpu          time.Duration
@@ -79,7 +87,8 @@
 // New returns a measurement with the given plan.
 func New(p Plan) *Measurement { return &Measurement{plan: p} }
 
-// Run measures each count in turn and calls onRun with each run as it ends.
+// Run measures a fleet of each size in turn and calls onRun with each run as it ends. On
+// an error, the result has the runs that ended before.
 func (m *Measurement) Run(ctx context.Context, onRun func(Run)) (Result, error) {
 	r := Result{Strategy: m.plan.Strategy, Fault: string(m.plan.Fault)}
 	for _, count := range m.plan.Counts {
@@ -119,8 +128,8 @@
 	return b.run, err
 }
 
-// startFleet starts the fleet, a few nodes first as seeds, and makes nodes fetch
-// their first hosts.
+// startFleet starts the fleet, the first few nodes as seeds of the others, waits until
+// all nodes have the current version and makes them fetch their first hosts.
 func (b *bench) startFleet(ctx context.Context, count int) error {
 	began := time.Now()
 	first, rest := split(count, seeds)
@@ -137,13 +146,13 @@
 	return err
 }
 
-// idleByteRate measures the fleet without changes, records its usage in the run and
-// returns its control bytes per second and node.
+// idleByteRate observes the fleet without changes, after it had time to settle, records
+// its usage in the run and returns its control bytes per second and node.
 func (b *bench) idleByteRate() float64 {
-	watch := max(b.plan.Idle, minIdle)
-	time.Sleep(watch / 2)
+	window := max(b.plan.Idle, minIdle)
+	time.Sleep(window / 2)
 	before := b.usage()
-	time.Sleep(watch)
+	time.Sleep(window)
 	after := b.usage()
 	seconds := after.at.Sub(before.at).Seconds()
 	nodes := float64(b.run.Nodes)
@@ -153,8 +162,9 @@
 	return b.run.Bytes.Idle
 }
 
-// measureChanges commits versions one after another and waits until every node has
-// each.
+// measureChanges commits versions one after another, waits after each until every node
+// has it, and records the convergence times and the usage in the run. It injects
+// FaultTenthAndDomain, and does nothing for FaultPlatformDown.
 func (b *bench) measureChanges(ctx context.Context, idleByteRate float64) error {
 	if b.plan.Fault == FaultPlatformDown {
 		return nil
@@ -181,15 +191,15 @@
 	seconds := after.at.Sub(before.at).Seconds()
 	nodes, changes := float64(b.run.Nodes), float64(max(b.plan.Changes, 1))
 	b.run.Changes = b.plan.Changes
-	b.run.Convergence = convergence(times)
+	b.run.Convergence = percentiles(times)
 	b.run.Bytes.Changing = float64(after.bytes-before.bytes) / seconds / nodes
 	b.run.CPUShareChanging = (after.cpu - before.cpu).Seconds() / seconds / nodes
 	b.run.BytesPerChange = (b.run.Bytes.Changing - idleByteRate) * seconds / changes
-	b.run.PlatformCallsChange = (float64(after.calls-before.calls) - b.run.PlatformCalls*seconds) / changes
+	b.run.PlatformCallsPerChange = (float64(after.calls-before.calls) - b.run.PlatformCalls*seconds) / changes
 	return nil
 }
 
-// commit commits the next version and returns the time of the commit.
+// commit commits the next version and returns when the commit began.
 func (b *bench) commit(ctx context.Context) (time.Time, error) {
 	at := time.Now()
 	o, err := b.commits.Commit(ctx, kqcommit.Request{
@@ -238,6 +248,7 @@
 	return float64(s.HeapAlloc + s.StackInuse)
 }
 
+// split returns the numbers from 0 to count-1, those below at and the rest.
 func split(count, at int) (first, rest []int) {
 	for i := range count {
 		if i < at {
--- a/internal/lab/kqnodes/nodes_test.go
+++ b/internal/lab/kqnodes/nodes_test.go
@@ -8,6 +8,9 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 )
 
+// Every run commits this document. A document that validation refuses would end each run
+// before its fleet starts, and a smaller one would make the figures of nodes that hold
+// little configuration look like those of a large mesh.
 func TestDocumentIsValid(t *testing.T) {
 	d := kqnodes.Document(3)
 	if problems := kqdocument.Validate(d); len(problems) > 0 {
@@ -18,6 +21,10 @@
 	}
 }
 
+// A run whose counters are not connected reports zeros, and one that observes the idle
+// fleet for less than a heartbeat reports a negative cost of changes; either would pass
+// for a result. Plan.Idle is shorter than a heartbeat here, so that the run depends on the
+// minimum idle time.
 func TestMeasuresAFleet(t *testing.T) {
 	r, err := kqnodes.New(kqnodes.Plan{
 		Counts: []int{8}, Strategy: "direct", Fault: kqnodes.FaultNone, Changes: 2, Idle: 100 * time.Millisecond,
--- a/internal/lab/kqnodes/store.go
+++ b/internal/lab/kqnodes/store.go
@@ -8,9 +8,9 @@
 	"github.com/kumquatgw/kumquatgw/internal/store/kqstore"
 )
 
-// meteredStore counts the calls that nodes make to the platform's service and the bytes
-// of their keys, values and lease IDs. The protocol's framing is not counted, which favours
-// strategies that make many calls.
+// meteredStore counts the calls that nodes make to the platform's service, including
+// failed ones, and the bytes of their keys, values and lease IDs. The protocol's framing is
+// not counted, which favours strategies that make many calls.
 type meteredStore struct {
 	kqstore.Store
 	calls, bytes atomic.Uint64
