--- a/internal/lab/kqproxy/proxy.go
+++ b/internal/lab/kqproxy/proxy.go
@@ -14,17 +14,17 @@
 const (
 	// Pass forwards everything unchanged.
 	Pass Mode = ""
-	// Delay holds back each piece of data for a fixed time.
+	// Delay holds back each new connection and each chunk of data for a fixed time.
 	Delay Mode = "delay"
 	// Silence holds back all data in both directions until the mode ends, as a broken
 	// link does. Connections stay open.
 	Silence Mode = "silence"
-	// OneWay holds back data from the target to the peers that connected.
+	// OneWay holds back data from the target to the clients.
 	OneWay Mode = "one_way"
 	// Reset resets open connections, and new ones once they are accepted.
 	Reset Mode = "reset"
 	// Down resets open connections and closes the listener, so that new connections are
-	// refused as after a process's end.
+	// refused as if the process had ended.
 	Down Mode = "down"
 
 	// delay exceeds the one-way latency to a distant region.
@@ -81,7 +81,8 @@
 	p.target = target
 }
 
-// SetMode changes how connections are treated, including open ones.
+// SetMode changes how connections are treated, including open ones. It does nothing
+// after Close.
 func (p *Proxy) SetMode(m Mode) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,6 +134,7 @@
 	return nil
 }
 
+// resetAll resets all connections that reach the target. The caller holds mu.
 func (p *Proxy) resetAll() {
 	for cp := range p.pairs {
 		cp.closeBoth(false)
@@ -154,7 +156,8 @@
 	}
 }
 
-// serve forwards one connection until both directions have ended.
+// serve forwards one connection until both directions have ended. It resets the
+// connection if the mode requires that or the target does not accept one.
 func (p *Proxy) serve(cp *connPair) {
 	complete := false
 	defer func() { cp.closeBoth(complete) }()
@@ -194,11 +197,11 @@
 
 // forward copies data in one direction, including the half-close at its end. It reports
 // whether everything was copied.
-func (p *Proxy) forward(cp *connPair, to, from *net.TCPConn, out bool) bool {
+func (p *Proxy) forward(cp *connPair, to, from *net.TCPConn, toTarget bool) bool {
 	data := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(data)
-		p.waitToForward(out)
+		p.waitToForward(toTarget)
 		if n > 0 {
 			if _, failed := to.Write(data[:n]); failed != nil {
 				cp.closeBoth(false)
@@ -216,15 +219,15 @@
 	}
 }
 
-// waitToForward waits until the mode lets data pass, to the target if out is set and
-// otherwise from it, and returns the mode at that time.
-func (p *Proxy) waitToForward(out bool) Mode {
+// waitToForward waits until the mode lets data pass, to the target if toTarget is set
+// and otherwise from it, and returns the mode that did so.
+func (p *Proxy) waitToForward(toTarget bool) Mode {
 	for {
 		p.mu.Lock()
 		mode, changed := p.mode, p.changed
 		p.mu.Unlock()
 		switch {
-		case mode == Silence || mode == OneWay && !out:
+		case mode == Silence || mode == OneWay && !toTarget:
 			<-changed
 		case mode == Delay:
 			time.Sleep(delay)
--- a/internal/lab/kqproxy/proxy_test.go
+++ b/internal/lab/kqproxy/proxy_test.go
@@ -37,6 +37,7 @@
 	return l.Addr().String()
 }
 
+// exchange sends a line and waits for its echo.
 func exchange(c net.Conn, r *bufio.Reader) error {
 	_ = c.SetDeadline(time.Now().Add(answerTimeout))
 	if _, err := io.WriteString(c, "hello\n"); err != nil {
@@ -101,8 +102,9 @@
 	}
 }
 
-// checkNewConnection checks that the mode applies to a new connection too. A reset can
-// arrive before or after the operating system reports the connection as established.
+// checkNewConnection checks that Reset and Down apply to a new connection too, and that
+// the other modes let one be opened. A reset can arrive before or after the operating
+// system reports the connection as established.
 func checkNewConnection(t *testing.T, address string, m kqproxy.Mode) {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", address, answerTimeout)
