--- a/internal/lab/kqsoak/plan.go
+++ b/internal/lab/kqsoak/plan.go
@@ -39,22 +39,24 @@
 	// duration of For.
 	StoreNetwork Kind = "store_line"
 
-	// firstFault gives callers the time to use every route once.
+	// firstFault is when the first fault begins. Until then, callers have time to use
+	// every route once.
 	firstFault = 500 * time.Millisecond
-	// leaveTime estimates how long a node's leave, the pause after it and the restart
-	// take; the node is not chosen again until then. The value only spreads the
-	// faults.
+	// leaveTime estimates how long a node's leave and its restart take, without the
+	// pause between them. Until then the node is not chosen for another leave, kill or
+	// pause. The estimate only spreads the faults, which may overlap.
 	leaveTime = 7 * time.Second
-	// drainTime is the same estimate for an upstream.
+	// drainTime is the same estimate for an upstream's drain.
 	drainTime = 6 * time.Second
-	// leaveWindow is the time after SIGTERM in which reloads are scheduled, so that
-	// they hit a node's leave, which takes 2 to 4 s.
+	// leaveWindow is the time after the start of a Leave in which reloads are scheduled,
+	// so that they hit the leave, which takes 2 to 4 s.
 	leaveWindow = 4 * time.Second
-	// MinSignalAge is the least age of a starting process that is sent a signal. Before
-	// that age its program may not yet run, and the signal's default action would not
-	// be the program's fault.
+	// MinSignalAge is the least age at which a node's process is sent SIGHUP or SIGTERM.
+	// A younger one may not have installed its signal handlers; the signal's default
+	// action would then end it through no fault of the program.
 	MinSignalAge = 150 * time.Millisecond
-	// startWindow is the time in which reloads are scheduled for a starting node.
+	// startWindow is the time after MinSignalAge in which reloads are scheduled for a
+	// starting node.
 	startWindow = 900 * time.Millisecond
 )
 
@@ -65,8 +67,9 @@
 	// Role identifies one of a node's addresses by its use.
 	Role string
 
-	// Fault is one fault, At after the start of the plan. Target is the number of a
-	// node, or of the upstream of that node; kinds without a target ignore it.
+	// Fault is one fault, which begins At after the start of the plan. Target is the
+	// number of a node, or of the upstream of that node; kinds without a target ignore
+	// it. The other fields are described at the kinds that use them.
 	Fault struct {
 		At      time.Duration `json:"at"`
 		Kind    Kind          `json:"kind"`
@@ -84,7 +87,8 @@
 	Options struct {
 		Seed  uint64
 		Nodes int
-		// For is the time in which faults begin.
+		// For is the time for which faults are generated. A leave may begin up to 2 s
+		// later, and the reloads during it up to 4 s after that.
 		For time.Duration
 		// PlannedOnly restricts the plan to planned work, without unplanned faults.
 		PlannedOnly bool
@@ -96,10 +100,10 @@
 	generator struct {
 		options Options
 		random  *rand.Rand
-		// busy and draining hold, for each node and each upstream, when its latest
-		// fault ends.
-		busy, draining []time.Duration
-		plan           Plan
+		// nodeBusyUntil and upstreamBusyUntil hold, for each node and each upstream, when
+		// the latest fault that stops or suspends it is expected to end.
+		nodeBusyUntil, upstreamBusyUntil []time.Duration
+		plan                             Plan
 	}
 )
 
@@ -107,9 +111,9 @@
 func Generate(o Options) Plan {
 	g := &generator{
 		options: o, random: rand.New(rand.NewPCG(o.Seed, uint64(o.Nodes))),
-		busy: make([]time.Duration, o.Nodes), draining: make([]time.Duration, o.Nodes),
+		nodeBusyUntil: make([]time.Duration, o.Nodes), upstreamBusyUntil: make([]time.Duration, o.Nodes),
 	}
-	for at := firstFault; at < o.For; at += g.between(100*time.Millisecond, time.Second) {
+	for at := firstFault; at < o.For; at += g.randomDuration(100*time.Millisecond, time.Second) {
 		g.addNext(at)
 	}
 	g.addRollout()
@@ -117,7 +121,8 @@
 	return g.plan
 }
 
-// addNext adds a random fault that begins at a given time.
+// addNext adds a random fault, or two leaves, for a given time. It adds nothing if too
+// few processes are idle.
 func (g *generator) addNext(at time.Duration) {
 	if !g.options.PlannedOnly && g.random.IntN(2) == 0 {
 		g.addUnplanned(at)
@@ -135,51 +140,51 @@
 	case n < 75:
 		g.add(Fault{At: at, Kind: Settings, Target: g.randomNode(), Changed: true})
 	case n < 85:
-		g.add(Fault{At: at, Kind: Versions, For: g.between(500*time.Millisecond, 4*time.Second)})
+		g.add(Fault{At: at, Kind: Versions, For: g.randomDuration(500*time.Millisecond, 4*time.Second)})
 	default:
 		g.addDrain(at)
 	}
 }
 
-// addLeaves schedules the leaves of some nodes within a time span, with reloads during
-// each leave.
+// addLeaves adds up to count leaves that begin within a time span, with reloads during
+// each leave and after the restart.
 func (g *generator) addLeaves(at time.Duration, count int, within time.Duration) {
 	for range count {
-		target, ok := g.pickIdle(at, g.busy)
+		target, ok := g.pickIdle(at, g.nodeBusyUntil)
 		if !ok {
 			return
 		}
-		f := Fault{At: at + g.between(0, within), Kind: Leave, Target: target, For: g.between(0, 1500*time.Millisecond)}
+		f := Fault{At: at + g.randomDuration(0, within), Kind: Leave, Target: target, For: g.randomDuration(0, 1500*time.Millisecond)}
 		for range g.random.IntN(3) {
-			f.AfterStart = append(f.AfterStart, MinSignalAge+g.between(0, startWindow))
+			f.AfterStart = append(f.AfterStart, MinSignalAge+g.randomDuration(0, startWindow))
 		}
-		g.busy[target] = f.At + f.For + leaveTime
+		g.nodeBusyUntil[target] = f.At + f.For + leaveTime
 		g.add(f)
 		for range g.random.IntN(4) {
-			g.add(Fault{At: f.At + g.between(0, leaveWindow), Kind: Reload, Target: target, Changed: g.random.IntN(2) == 0})
+			g.add(Fault{At: f.At + g.randomDuration(0, leaveWindow), Kind: Reload, Target: target, Changed: g.random.IntN(2) == 0})
 		}
 	}
 }
 
 func (g *generator) addDrain(at time.Duration) {
-	if target, ok := g.pickIdle(at, g.draining); ok {
-		f := Fault{At: at, Kind: Drain, Target: target, For: g.between(0, time.Second)}
-		g.draining[target] = f.At + f.For + drainTime
+	if target, ok := g.pickIdle(at, g.upstreamBusyUntil); ok {
+		f := Fault{At: at, Kind: Drain, Target: target, For: g.randomDuration(0, time.Second)}
+		g.upstreamBusyUntil[target] = f.At + f.For + drainTime
 		g.add(f)
 	}
 }
 
-// pickIdle picks a random target without a current fault, never one with a gate proxy. It
-// picks none unless more than half of all targets, rounded down and less the gate
-// proxies, are idle, so that calls can still be served.
-func (g *generator) pickIdle(at time.Duration, busy []time.Duration) (int, bool) {
+// pickIdle picks a random target that is not busy, never one with a gate proxy. It picks
+// none unless more than half of all targets, rounded down, are idle, so that calls can
+// still be served. Targets with a gate proxy count as idle, since they are never stopped.
+func (g *generator) pickIdle(at time.Duration, busyUntil []time.Duration) (int, bool) {
 	var idle []int
-	for i, until := range busy {
+	for i, until := range busyUntil {
 		if until <= at && !g.options.HasGateProxy(i) {
 			idle = append(idle, i)
 		}
 	}
-	if len(idle) <= len(busy)/2-g.options.gateProxies() {
+	if len(idle) <= len(busyUntil)/2-g.options.gateProxies() {
 		return 0, false
 	}
 	return idle[g.random.IntN(len(idle))], true
@@ -187,7 +192,9 @@
 
 func (g *generator) randomNode() int { return g.random.IntN(g.options.Nodes) }
 
-func (g *generator) between(least, most time.Duration) time.Duration {
+// randomDuration returns a random duration from least to most, a whole number of
+// milliseconds above least.
+func (g *generator) randomDuration(least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
 	}
