--- a/internal/lab/kqupstream/event.go
+++ b/internal/lab/kqupstream/event.go
@@ -4,7 +4,8 @@
 
 const (
 	// HeaderWorkMS is the request header that sets how many milliseconds the call
-	// takes, one minute at most, instead of the upstream's own time.
+	// takes, one minute at most, instead of Behaviour.Work. Behaviour.LongWork takes
+	// precedence over it.
 	HeaderWorkMS = "Work-Ms"
 
 	// Listening is the event that the upstream starts to accept calls.
@@ -13,7 +14,7 @@
 	Begun Kind = "begin"
 	// Ended is the event that an execution of a call ended.
 	Ended Kind = "end"
-	// Goodbye is the event that the node acknowledged the upstream's goodbye.
+	// Goodbye is the event that the node first acknowledged the upstream's goodbye.
 	Goodbye Kind = "goodbye"
 
 	maxWork = time.Minute
@@ -35,8 +36,9 @@
 	Option func(*Upstream)
 )
 
-// WithEventHandler sets a function that receives each event, for executions before the call's work
-// begins and after it has ended. The function must be safe for concurrent use.
+// WithEventHandler sets a function that receives each event. Begun is reported before the
+// call's work begins, and Ended after it has ended and before the answer is sent. The
+// function must be safe for concurrent use.
 func WithEventHandler(f func(Event)) Option { return func(u *Upstream) { u.onEvent = f } }
 
 // WithDrainPeriod sets how long a leaving upstream keeps serving, counted from its first
@@ -47,8 +49,8 @@
 	u.onEvent(Event{Kind: k, WorkID: workID, At: time.Now()})
 }
 
-// leave announces the goodbye, and repeats it until drainPeriod is over: a node that
-// starts in the meantime has not received it.
+// leave announces the goodbye and repeats it until drainPeriod is over, since a node that
+// starts in the meantime has not received the earlier ones.
 func (u *Upstream) leave() {
 	u.draining.Store(true)
 	end, acknowledged := time.Now().Add(u.drainPeriod), false
--- a/internal/lab/kqupstream/upstream.go
+++ b/internal/lab/kqupstream/upstream.go
@@ -20,28 +20,30 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// HeaderWorkID is the request header with the caller's work id. The answer echoes it, and
-// the upstream counts the runs of each id.
+// HeaderWorkID is the request header with the caller's work id. The answer to a call that
+// ran echoes it, and the upstream counts the runs of each id.
 const HeaderWorkID = "Work-Id"
 
 const (
 	// maxBody is the largest request body that an upstream accepts, in bytes: the
 	// largest limit that settings allow for nodes.
-	maxBody       = 64 << 20
+	maxBody = 64 << 20
+	// announceEvery is the interval between announcements, which renew the upstream at
+	// its node.
 	announceEvery = 500 * time.Millisecond
 	// defaultDrainPeriod is how long an upstream keeps serving from its first goodbye
 	// announcement; the users' upstreams do so for two seconds or more after the
-	// acknowledgement. A call that the gate admitted just before the goodbye is written
-	// a moment after it. If the upstream closed its connections at once, that call
-	// would be lost whatever the node does.
+	// acknowledgement. A call that the gate admitted just before the goodbye may reach
+	// the upstream a moment after it. If the upstream closed its connections at once,
+	// that call would be lost whatever the node does.
 	defaultDrainPeriod = 300 * time.Millisecond
 )
 
 type (
 	// Behaviour configures how an upstream answers. It may change at any time.
 	Behaviour struct {
-		// Work is how long a call takes; ColdWork is added to it during the first
-		// ColdFor after the start.
+		// Work is how long a call takes. ColdWork is added to the call's time during
+		// the first ColdFor after New.
 		Work     time.Duration `json:"work"`
 		ColdWork time.Duration `json:"cold_work"`
 		ColdFor  time.Duration `json:"cold_for"`
@@ -49,15 +51,15 @@
 		// limits them to paths with this prefix.
 		FailShare float64 `json:"fail_share"`
 		FailPath  string  `json:"fail_path"`
-		// SlowAbove is the number of running calls above which Work is multiplied by
-		// SlowFactor. A SlowFactor of 0 disables this.
+		// SlowAbove is the number of running calls above which a call's time, without
+		// ColdWork, is multiplied by SlowFactor. A SlowFactor of 0 disables this.
 		SlowAbove  int     `json:"slow_above"`
 		SlowFactor float64 `json:"slow_factor"`
 		// Shed makes the upstream answer 503, without running the call, while more
 		// calls run than it has slots.
 		Shed bool `json:"shed"`
-		// LongPath is the prefix of paths whose calls take LongWork instead of Work; an
-		// empty one matches none.
+		// LongPath is the prefix of paths whose calls take LongWork instead of Work and
+		// of the time in HeaderWorkMS. An empty prefix matches no path.
 		LongPath string        `json:"long_path"`
 		LongWork time.Duration `json:"long_work"`
 	}
@@ -99,8 +101,8 @@
 // expected of an upstream that is killed.
 func (nopLogger) Printf(string, ...any) {}
 
-// New opens an upstream of a service's version with the given slots. It announces
-// itself to the node whose local address is node.
+// New opens an upstream of a service's version with the given slots. Once Run is called,
+// it announces itself to the node whose local address is node.
 func New(service kqname.Service, version kqname.UpstreamVersion, slots int, node kqname.Address, b Behaviour, options ...Option) (*Upstream, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -141,7 +143,8 @@
 	u.listener.ResetAll()
 }
 
-// Run serves calls and announces the upstream until ctx ends, and then drains.
+// Run serves calls and announces the upstream until ctx ends, and then drains. After Kill
+// it ends without draining.
 func (u *Upstream) Run(ctx context.Context) error {
 	failed := make(chan error, 1)
 	go func() { failed <- u.server.Serve(u.listener) }()
@@ -166,7 +169,8 @@
 	}
 }
 
-// Drain announces that the upstream takes no new calls.
+// Drain announces that the upstream takes no new calls, as do all later announcements. The
+// upstream keeps serving.
 func (u *Upstream) Drain() {
 	u.draining.Store(true)
 	u.announce()
@@ -209,6 +213,7 @@
 	fmt.Fprintf(ctx, "%s %s %s\n", u.announcement.Service, u.announcement.Version, workID)
 }
 
+// duration returns how long a call takes.
 func (u *Upstream) duration(b Behaviour, running int64, ctx *fasthttp.RequestCtx) time.Duration {
 	d, path := b.Work, ctx.Path()
 	if ms, err := strconv.Atoi(string(ctx.Request.Header.Peek(HeaderWorkMS))); err == nil && ms > 0 {
