--- a/internal/lab/kqsoakcheck/call.go
+++ b/internal/lab/kqsoakcheck/call.go
@@ -7,6 +7,7 @@
 )
 
 const (
+	// answered, notRun and unknown are the results that nodes report for calls.
 	answered = "answered"
 	notRun   = "not_run"
 	unknown  = "unknown"
@@ -14,14 +15,16 @@
 	timeout = "timeout"
 )
 
-// isRefused reports whether the answer says that the call has not run and will not
-// run. A refusal by the upstream itself has the result "answered".
+// isRefused reports whether a node answered with status 503 or 429, which says that the
+// call has not run and will not run. Such an answer by the upstream itself has the result
+// "answered" and does not count.
 func (c *Call) isRefused() bool {
 	return c.AnswerRead && (c.Status == http.StatusServiceUnavailable || c.Status == http.StatusTooManyRequests) && c.Result != answered
 }
 
-// isLost reports whether the request was sent completely but got no answer, or an
-// answer with the result "unknown" for another reason than the route's timeout.
+// isLost reports whether the request was sent completely but got no complete answer, or
+// an answer with the result "unknown" for another reason than the route's timeout or
+// before that timeout had passed.
 func (c *Call) isLost() bool {
 	switch {
 	case !c.AnswerRead:
@@ -33,6 +36,8 @@
 	}
 }
 
+// countCall adds a call's outcome to the tally and to the outcomes that CheckRecovery
+// reads. The caller holds mu.
 func (ck *Checker) countCall(c Call) {
 	ck.tally.Calls++
 	switch {
@@ -71,6 +76,8 @@
 	})
 }
 
+// addLocked adds a violation with copies of the record's call and runs. The caller holds
+// mu.
 func (ck *Checker) addLocked(k Kind, at time.Duration, text string, rec *callRecord) {
 	v := Violation{Kind: k, At: at, Text: text, Runs: slices.Clone(rec.runs)}
 	if rec.call != nil {
--- a/internal/lab/kqsoakcheck/check.go
+++ b/internal/lab/kqsoakcheck/check.go
@@ -8,32 +8,36 @@
 )
 
 const (
-	// Lost is a call whose request was sent completely, but whose connection ended
-	// before a complete answer or which was answered "unknown" for another reason than
-	// its timeout, while no unplanned fault could explain it.
+	// Lost is a call whose request was sent completely, but which got no complete answer
+	// or was answered "unknown" for another reason than its timeout or before that
+	// timeout, while no unplanned fault could explain it.
 	Lost Kind = "LOST"
-	// Twice is a non-idempotent call that ran twice.
+	// Twice is a non-idempotent call that ran more than once; it is reported once.
 	Twice Kind = "TWICE"
-	// Crossed is a call that received the answer to another call.
+	// Crossed is a call that received the answer to another call or more bytes than one
+	// answer, or a run of a call that no caller sent.
 	Crossed Kind = "CROSSED"
-	// False is a call that was reported as not run but ran, before or after that
+	// FalseNotRun is a call that was reported as not run but ran, before or after that
 	// report.
-	False Kind = "FALSE"
-	// Late is a call that began to run at an upstream long after the upstream's
-	// goodbye.
+	FalseNotRun Kind = "FALSE"
+	// Late is a call that began to run at an upstream more than goodbyeGrace after the
+	// upstream's goodbye, while no unplanned fault could explain it.
 	Late Kind = "LATE"
-	// Ended is a process that exited without being asked to, or not in the way it
-	// should.
+	// Ended is a process that exited without being asked to, not in the way it should,
+	// or not in time.
 	Ended Kind = "ENDED"
 	// VersionRegressed is a node that went back to an older version of the configuration.
 	VersionRegressed Kind = "FELL_BACK"
-	// Exposed is a call that ran at an upstream of a bad version, long after that
-	// upstream had run enough calls for the version to be detected as bad.
+	// Exposed is a call that ran at an upstream of a bad version, more than
+	// exposureGrace after that upstream had run enough calls for the version to be
+	// detected as bad.
 	Exposed Kind = "EXPOSED"
-	// Unrecovered is a fleet that does not answer calls after the last fault.
+	// Unrecovered is a fleet that answers too few calls, or gets none, after the last
+	// fault.
 	Unrecovered Kind = "UNRECOVERED"
 
-	// goodbyeGrace is how long after its goodbye an upstream may still be sent calls.
+	// goodbyeGrace is how long after its node acknowledged its goodbye an upstream may
+	// still be sent calls.
 	goodbyeGrace = 2 * time.Second
 	// runsToDetect is how many runs are enough to detect a bad version, half of whose
 	// answers are failures; exposureGrace is how long it may still be used after that.
@@ -104,7 +108,8 @@
 		From, To time.Duration
 	}
 
-	// Tally counts calls by outcome.
+	// Tally counts calls by outcome. Answered counts every complete answer whose result
+	// is neither "not_run" nor "unknown".
 	Tally struct {
 		Calls    int `json:"calls"`
 		Answered int `json:"answered"`
@@ -112,7 +117,7 @@
 		Unknown  int `json:"unknown"`
 		// Cut counts calls whose answer could not be read to its end.
 		Cut int `json:"cut"`
-		// Excused counts lost calls that an unplanned fault explains.
+		// Excused counts calls that would be lost if no unplanned fault explained them.
 		Excused int `json:"excused"`
 		Runs    int `json:"runs"`
 		// Reasons counts calls by the reason given, if there is one.
@@ -122,17 +127,21 @@
 	// Checker records observations and collects violations. It is safe for concurrent
 	// use.
 	Checker struct {
-		mu           sync.Mutex
+		mu sync.Mutex
+		// records holds the calls by work id, goodbyes when the node acknowledged the
+		// goodbye of each upstream, and badUpstreams the upstreams of bad versions.
 		records      map[string]*callRecord
 		goodbyes     map[string]time.Duration
 		disruptions  []Disruption
 		badUpstreams map[string]*badUpstream
-		pending      []*callRecord
-		tally        Tally
-		outcomes     []outcome
-		violations   []Violation
+		// pending holds calls that are lost unless an unplanned fault excuses them.
+		pending    []*callRecord
+		tally      Tally
+		outcomes   []outcome
+		violations []Violation
 	}
 
+	// callRecord is what is known about a call. call is nil until the call ends.
 	callRecord struct {
 		call *Call
 		runs []Run
@@ -148,6 +157,7 @@
 		detectedAt time.Duration
 	}
 
+	// outcome is when a call was sent and whether it was answered with status 200.
 	outcome struct {
 		sent     time.Duration
 		answered bool
@@ -163,34 +173,34 @@
 }
 
 // CallSent records that a call is about to be sent.
-func (ck *Checker) CallSent(work string, idempotent bool) {
+func (ck *Checker) CallSent(workID string, idempotent bool) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
-	ck.records[work] = &callRecord{idempotent: idempotent}
+	ck.records[workID] = &callRecord{idempotent: idempotent}
 }
 
-// Began records that an upstream began to run a call.
-func (ck *Checker) Began(work, upstream string, node int, at time.Duration) {
+// Began records that an upstream began to run a call, and checks that run.
+func (ck *Checker) Began(workID, upstream string, node int, at time.Duration) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
-	rec, ok := ck.records[work]
+	rec, ok := ck.records[workID]
 	if !ok {
-		ck.addLocked(Crossed, at, fmt.Sprintf("%s ran %q, which no caller sent", upstream, work), &callRecord{})
+		ck.addLocked(Crossed, at, fmt.Sprintf("%s ran %q, which no caller sent", upstream, workID), &callRecord{})
 		return
 	}
 	ck.tally.Runs++
 	rec.runs = append(rec.runs, Run{Upstream: upstream, Node: node, Began: at})
 	if len(rec.runs) == 2 && !rec.idempotent {
-		ck.addLocked(Twice, at, work+" is not idempotent and ran twice", rec)
+		ck.addLocked(Twice, at, workID+" is not idempotent and ran twice", rec)
 	}
 	if rec.call != nil && rec.call.isRefused() {
-		ck.addLocked(False, at, work+" was reported as not run but ran afterwards", rec)
+		ck.addLocked(FalseNotRun, at, workID+" was reported as not run but ran afterwards", rec)
 	}
 	if b, ok := ck.badUpstreams[upstream]; ok {
 		ck.checkExposure(b, rec, upstream, at)
 	}
 	if left, ok := ck.goodbyes[upstream]; ok && at > left+goodbyeGrace && !ck.hadFault(node, left, at) {
-		ck.addLocked(Late, at, fmt.Sprintf("%s began %v after the goodbye of %s", work, at-left, upstream), rec)
+		ck.addLocked(Late, at, fmt.Sprintf("%s began %v after the goodbye of %s", workID, at-left, upstream), rec)
 	}
 }
 
@@ -201,7 +211,8 @@
 	ck.badUpstreams[upstream] = &badUpstream{}
 }
 
-// checkExposure checks a run at an upstream of a bad version.
+// checkExposure counts a run at an upstream of a bad version and adds a violation if the
+// version should be out of use. The caller holds mu.
 func (ck *Checker) checkExposure(b *badUpstream, rec *callRecord, upstream string, at time.Duration) {
 	if b.runs++; b.runs == runsToDetect {
 		b.detectedAt = at
@@ -212,10 +223,10 @@
 }
 
 // RunEnded records that an upstream ended a run.
-func (ck *Checker) RunEnded(work, upstream string, at time.Duration) {
+func (ck *Checker) RunEnded(workID, upstream string, at time.Duration) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
-	if rec, ok := ck.records[work]; ok {
+	if rec, ok := ck.records[workID]; ok {
 		for i := range rec.runs {
 			if r := &rec.runs[i]; r.Upstream == upstream && r.Ended == 0 {
 				r.Ended = at
@@ -246,7 +257,7 @@
 	}
 }
 
-// Call records the outcome of a call.
+// Call records and checks the outcome of a call.
 func (ck *Checker) Call(c Call) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
@@ -263,7 +274,7 @@
 		}
 	}
 	if c.isRefused() && len(rec.runs) > 0 {
-		ck.addLocked(False, c.Ended, c.WorkID+" was reported as not run but had run", rec)
+		ck.addLocked(FalseNotRun, c.Ended, c.WorkID+" was reported as not run but had run", rec)
 	}
 	if c.isLost() {
 		ck.pending = append(ck.pending, rec)
@@ -283,7 +294,8 @@
 	ck.addLocked(k, at, text, &callRecord{})
 }
 
-// EvaluatePending checks the unanswered calls whose runs are all known by now.
+// EvaluatePending decides whether pending calls whose runs are all known by now are lost
+// or excused by an unplanned fault.
 func (ck *Checker) EvaluatePending(now time.Duration) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
@@ -301,8 +313,8 @@
 	ck.pending = rest
 }
 
-// CheckRecovery adds a violation unless at least the given share of the calls sent
-// within a time span was answered.
+// CheckRecovery adds a violation unless calls were sent within a time span and at least
+// the given share of them was answered with status 200.
 func (ck *Checker) CheckRecovery(from, to time.Duration, minShare float64) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
--- a/internal/lab/kqsoakcheck/check_test.go
+++ b/internal/lab/kqsoakcheck/check_test.go
@@ -23,6 +23,8 @@
 	return c
 }
 
+// cut returns a call whose request was sent completely and whose connection ended before
+// an answer.
 func cut(work string) kqsoakcheck.Call {
 	return kqsoakcheck.Call{WorkID: work, Node: 1, Sent: 10 * second, Ended: 11 * second, RequestSent: true, Error: "EOF"}
 }
@@ -50,11 +52,11 @@
 		{"refused and had run", func(checker *kqsoakcheck.Checker) {
 			checker.Began("a", "u", 2, 10*second)
 			checker.Call(refusal("a"))
-		}, []kqsoakcheck.Kind{kqsoakcheck.False}},
+		}, []kqsoakcheck.Kind{kqsoakcheck.FalseNotRun}},
 		{"refused and ran later", func(checker *kqsoakcheck.Checker) {
 			checker.Call(refusal("a"))
 			checker.Began("a", "u", 2, 12*second)
-		}, []kqsoakcheck.Kind{kqsoakcheck.False}},
+		}, []kqsoakcheck.Kind{kqsoakcheck.FalseNotRun}},
 		{"ran twice", func(checker *kqsoakcheck.Checker) {
 			checker.Began("a", "u", 2, 10*second)
 			checker.Began("a", "v", 3, 10*second)
@@ -126,8 +128,9 @@
 	}
 }
 
-// A bad version that stays in use after its failures are detectable is what rollouts
-// must prevent.
+// Rollouts must take a bad version out of use once its failures are detectable. A checker
+// that misses later runs would pass a rollout that does not, and one that reports runs
+// within the grace period of 10 s would fail a correct rollout.
 func TestUseOfADetectedBadVersionIsAViolation(t *testing.T) {
 	checker := kqsoakcheck.New()
 	checker.MarkBad("u")
@@ -145,7 +148,8 @@
 	}
 }
 
-// An idempotent call may run twice without a violation.
+// Nodes retry idempotent calls, so that a run of such a call may follow another. A checker
+// that reports the second run would fail correct soak runs.
 func TestIdempotentCallsMayRunTwice(t *testing.T) {
 	checker := kqsoakcheck.New()
 	checker.CallSent("a", true)
