--- a/internal/lab/kqsoakrun/caller.go
+++ b/internal/lab/kqsoakrun/caller.go
@@ -24,8 +24,9 @@
 	dialTimeout  = time.Second
 	minWork      = 5 * time.Millisecond
 	maxWork      = time.Second
-	maxBody      = 4 << 10
-	// meanPause is the mean time between two calls of a caller.
+	// maxBody bounds the size of a request body in bytes.
+	maxBody = 4 << 10
+	// meanPause is the mean pause between the end of a caller's call and its next call.
 	meanPause = 30 * time.Millisecond
 
 	// reuseConn uses one connection until it is closed; connPerCall opens a new one for
@@ -37,9 +38,11 @@
 var errNoAnswer = errors.New("body is not an upstream's answer")
 
 type (
+	// connMode identifies how a caller uses its connections.
 	connMode string
 
-	// caller sends calls one after another.
+	// caller sends calls one after another. uses counts the calls on the open
+	// connection.
 	caller struct {
 		soak     *Soak
 		name     string
@@ -113,6 +116,8 @@
 	return call, true
 }
 
+// call sends one call on the open connection and records its outcome. It closes the
+// connection unless that can be reused.
 func (c *caller) call(r route) kqsoakcheck.Call {
 	c.serial++
 	c.uses++
@@ -140,9 +145,11 @@
 	return call
 }
 
-func (c *caller) request(r route, work string) string {
+// request returns a GET request for an idempotent route, otherwise a POST request with a
+// body of random size. The work time is log-uniform between minWork and maxWork.
+func (c *caller) request(r route, workID string) string {
 	ms := float64(minWork.Milliseconds()) * math.Pow(float64(maxWork/minWork), c.random.Float64())
-	head := fmt.Sprintf("Host: %s\r\n%s: %s\r\n%s: %d\r\n", r.host, kqupstream.HeaderWorkID, work, kqupstream.HeaderWorkMS, int(ms))
+	head := fmt.Sprintf("Host: %s\r\n%s: %s\r\n%s: %d\r\n", r.host, kqupstream.HeaderWorkID, workID, kqupstream.HeaderWorkMS, int(ms))
 	if r.idempotent {
 		return "GET " + r.path + " HTTP/1.1\r\n" + head + "\r\n"
 	}
@@ -150,7 +157,8 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\n%sContent-Length: %d\r\n\r\n%s", r.path, head, len(body), body)
 }
 
-// readAnswer reads an answer and reports whether the connection can be reused.
+// readAnswer reads an answer into the call and reports whether the connection can be
+// reused.
 func (c *caller) readAnswer(call *kqsoakcheck.Call) (bool, error) {
 	a, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
--- a/internal/lab/kqsoakrun/children.go
+++ b/internal/lab/kqsoakrun/children.go
@@ -13,7 +13,7 @@
 
 var errRunEnded = errors.New("the run has ended")
 
-// start starts a process unless the run has ended, since nothing would end the process
+// start starts a process unless the run has ended, since nothing would kill the process
 // then.
 func (c *children) start(f func() (*kqchild.Child, error)) (*kqchild.Child, error) {
 	c.Lock()
@@ -34,7 +34,8 @@
 	delete(c.all, child)
 }
 
-// kill kills a process as part of a fault, so that its exit status is not checked.
+// kill kills a process for a fault or because it did not exit in time. Its exit status is
+// not checked.
 func (c *children) kill(child *kqchild.Child) {
 	c.Lock()
 	c.wasKilled[child] = true
@@ -42,16 +43,17 @@
 	child.Kill()
 }
 
-// wasKilled reports whether a process was killed as part of a fault or at the end of
-// the run.
+// wasKilled reports whether this run killed a process: for a fault, because it did not
+// exit in time, or at the end of the run.
 func (s *Soak) wasKilled(child *kqchild.Child) bool {
 	s.children.Lock()
 	defer s.children.Unlock()
 	return s.children.wasKilled[child]
 }
 
-// end kills every process that still runs, including suspended ones.
-func (c *children) end() {
+// killAll kills every process that still runs, including suspended ones, and prevents
+// further starts.
+func (c *children) killAll() {
 	c.Lock()
 	c.closed = true
 	var group conc.WaitGroup
@@ -63,7 +65,7 @@
 	group.Wait()
 }
 
-// memory returns the number of running processes and their resident memory in MB.
+// memory returns the number of running processes and their resident memory in MiB.
 func (c *children) memory() (int, float64) {
 	c.Lock()
 	defer c.Unlock()
--- a/internal/lab/kqsoakrun/document.go
+++ b/internal/lab/kqsoakrun/document.go
@@ -15,12 +15,13 @@
 )
 
 const (
-	team       = kqname.Team("soak")
-	policy     = kqname.Policy("careful")
-	version    = kqname.UpstreamVersion("v1")
-	badVersion = kqname.UpstreamVersion("v2")
-	failShare  = "0.5"
-	// rolloutDelay is long enough for all nodes to receive the plan before its start.
+	team        = kqname.Team("soak")
+	policy      = kqname.Policy("careful")
+	goodVersion = kqname.UpstreamVersion("v1")
+	badVersion  = kqname.UpstreamVersion("v2")
+	failShare   = "0.5"
+	// rolloutDelay is the time from the creation of a rollout to its start, long enough
+	// for all nodes to receive it before.
 	rolloutDelay  = time.Second
 	routeTimeout  = 5 * time.Second
 	commitTimeout = 10 * time.Second
@@ -46,10 +47,10 @@
 	}
 )
 
-// document returns the fleet's document for a version number. Two versions with the
-// same rollouts differ only in the weights of a route whose services are equivalent, and
-// in the probe routes of the latest probesKept versions, which show that a version is in
-// force.
+// document returns the fleet's document for a version number. Two versions with the same
+// rollouts differ only in the weights of the routes of both.example, whose services are
+// equivalent, and in the probe routes of the latest probesKept versions, which show that
+// a version is in force.
 func document(number int, rollouts []kqdocument.Rollout) kqdocument.Document {
 	d := kqdocument.Document{
 		Teams:    []kqdocument.Team{{Name: team}},
@@ -57,7 +58,7 @@
 		Rollouts: rollouts,
 	}
 	for _, s := range services {
-		d.Services = append(d.Services, kqdocument.Service{Name: s, Team: team, Version: version, TimeoutMS: int(routeTimeout.Milliseconds())})
+		d.Services = append(d.Services, kqdocument.Service{Name: s, Team: team, Version: goodVersion, TimeoutMS: int(routeTimeout.Milliseconds())})
 	}
 	for i, r := range routes {
 		next := kqdocument.Route{
@@ -106,9 +107,9 @@
 	return nil
 }
 
-// rollout runs a rollout to a bad version, half of whose answers are failures: it starts
-// the version's upstream, commits, waits until the deadline and stops the upstream, or
-// leaves it running if ctx ends first.
+// rollout runs a rollout to a bad version, half of whose answers are failures. It starts
+// the version's upstream, commits the rollout, with retries, waits until the rollout's
+// deadline and stops the upstream, or leaves it running if ctx ends first.
 func (s *Soak) rollout(ctx context.Context, n *node, f kqsoak.Fault) error {
 	name := "bad-" + n.name
 	s.checker.MarkBad(name)
@@ -119,7 +120,7 @@
 	start := time.Now().Add(rolloutDelay)
 	s.versions.Lock()
 	s.versions.rollouts = append(s.versions.rollouts, kqdocument.Rollout{
-		Name: "bad", Team: team, Service: n.service(), From: version, To: badVersion,
+		Name: "bad", Team: team, Service: n.service(), From: goodVersion, To: badVersion,
 		Start: start, Deadline: start.Add(f.For), Policy: policy,
 	})
 	s.versions.Unlock()
--- a/internal/lab/kqsoakrun/faults.go
+++ b/internal/lab/kqsoakrun/faults.go
@@ -11,10 +11,12 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqsoak"
 )
 
-// versionInterval is the pause between two versions of commitSeries.
+// versionInterval is the pause between two commits of commitSeries, and between two
+// attempts to commit a rollout.
 const versionInterval = 300 * time.Millisecond
 
-// runPlan injects the faults of the plan and then checks that the fleet recovers.
+// runPlan injects the faults of the plan and then checks that the fleet recovers. It
+// returns the first error of an injection instead, if there is one.
 func (s *Soak) runPlan(ctx context.Context, plan kqsoak.Plan) error {
 	began := s.now()
 	var group conc.WaitGroup
@@ -41,6 +43,7 @@
 	if !sleep(ctx, recoveryTime+recoveryWindow) {
 		return nil
 	}
+	// The last second is left out, since calls are recorded only at their end.
 	s.checker.CheckRecovery(from, s.now()-time.Second, minAnsweredShare)
 	return nil
 }
@@ -77,7 +80,8 @@
 	return nil
 }
 
-// restartNode stops a node with SIGTERM and starts it again after f.For.
+// restartNode stops a node with SIGTERM and starts it again f.For after it has exited. A
+// node that does not exit within exitTimeout is recorded as a wrong exit and killed.
 func (s *Soak) restartNode(ctx context.Context, n *node, f kqsoak.Fault) error {
 	n.lifecycle.Lock()
 	defer n.lifecycle.Unlock()
@@ -99,8 +103,8 @@
 	return n.start(f.AfterStart)
 }
 
-// replaceUpstream stops an upstream with SIGTERM and starts another in its place
-// after f.For.
+// replaceUpstream stops an upstream with SIGTERM, or kills it after exitTimeout, and
+// starts another in its place f.For after it has exited.
 func (s *Soak) replaceUpstream(ctx context.Context, n *node, f kqsoak.Fault) error {
 	n.upstream.lifecycle.Lock()
 	defer n.upstream.lifecycle.Unlock()
@@ -119,7 +123,8 @@
 	return n.startUpstream()
 }
 
-// commitSeries commits versions one after another for a given time.
+// commitSeries commits versions one after another for a given time. A failed commit is
+// logged only.
 func (s *Soak) commitSeries(ctx context.Context, duration time.Duration) error {
 	for end := s.now() + duration; s.now() < end; {
 		if err := s.commit(ctx); err != nil {
--- a/internal/lab/kqsoakrun/prober.go
+++ b/internal/lab/kqsoakrun/prober.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// probeHost has a route for each of the latest versions. Whether a node answers a
-	// version's route shows whether it has that version or a later one.
+	// probeHost has a route for each of the latest probesKept versions. Whether a node
+	// answers a version's route shows whether it has that version or a later one.
 	probeHost     = "version.example"
 	probesKept    = 60
 	probeInterval = 25 * time.Millisecond
@@ -28,9 +28,9 @@
 // until probesKept newer versions exist.
 func probe(number int) route { return route{probeHost, fmt.Sprintf("/from-%d/", number), true} }
 
-// probe calls nodes on the route of the newest version and on that of the newest
-// version they are known to have had, and reports a node that went back to an older
-// version.
+// probe calls random nodes until ctx ends, each on the route of the newest committed
+// version and on that of the newest version that its process is known to have had. It
+// reports a node that went back to an older version.
 func (s *Soak) probe(ctx context.Context, c *caller) {
 	known := make([]knownVersion, len(s.nodes))
 	for ctx.Err() == nil {
--- a/internal/lab/kqsoakrun/process.go
+++ b/internal/lab/kqsoakrun/process.go
@@ -24,13 +24,14 @@
 	lastRole = "admin"
 	// exitTimeout is longer than the node's settings allow a drain to take.
 	exitTimeout = drainTimeout + 5*time.Second
-	// upstreamDrainPeriod is how long a draining upstream keeps serving, so that a call
-	// after its goodbye would be seen.
+	// upstreamDrainPeriod is how long a draining upstream keeps serving. It exceeds the
+	// 2 s for which the checker still permits calls (goodbyeGrace), so that a later call
+	// is observed.
 	upstreamDrainPeriod = 3 * time.Second
 	slots               = 32
 )
 
-var errNotStarted = errors.New("process did not start")
+var errNotStarted = errors.New("start did not complete")
 
 type (
 	// node is a node's process and the upstream next to it.
@@ -47,8 +48,8 @@
 		addresses map[string]string
 		changes   int
 
-		// proxies are the proxies through which peers reach the node; the map does not
-		// change.
+		// proxies are the proxies through which peers reach the node. The map does not
+		// change once nodes have started.
 		proxies  map[kqsoak.Role]*faultProxy
 		upstream upstream
 	}
@@ -88,8 +89,9 @@
 	return c, nil
 }
 
-// watch waits for a started process to exit. It records a wrong exit unless the process
-// was sent SIGTERM or SIGKILL and then exited with status 0 or was killed by a fault.
+// watch waits in the background for a started process to exit. It records a wrong exit
+// unless the process was sent SIGTERM or SIGKILL by this run and then exited with status 0
+// or was killed by this run.
 func (s *Soak) watch(name string, c *kqchild.Child) {
 	s.group.Go(func() {
 		err := c.Wait()
@@ -132,8 +134,8 @@
 	return n.addresses[role]
 }
 
-// start starts the node's process at the addresses that it had before and sends it
-// SIGHUP at the given ages.
+// start starts the node's process at the addresses that it had before, sends it SIGHUP at
+// the given ages and waits until it has printed its addresses.
 func (n *node) start(reloads []time.Duration) error {
 	if err := n.writeSettings(); err != nil {
 		return err
@@ -189,7 +191,8 @@
 	return n.child
 }
 
-// reload sends SIGHUP to a process of the node once it has reached MinSignalAge.
+// reload sends SIGHUP to a process of the node once it has reached MinSignalAge, unless it
+// has ended.
 func (n *node) reload(c *kqchild.Child) {
 	time.Sleep(kqsoak.MinSignalAge - c.Age())
 	if c.HasEnded() {
@@ -236,7 +239,8 @@
 	}
 }
 
-// handleEvent records an event that an upstream printed.
+// handleEvent records an event that an upstream printed. It closes up when the upstream
+// accepts calls.
 func (n *node) handleEvent(name, line string, up chan<- struct{}) {
 	var e kqupstream.Event
 	if err := json.Unmarshal([]byte(line), &e); err != nil {
--- a/internal/lab/kqsoakrun/settings.go
+++ b/internal/lab/kqsoakrun/settings.go
@@ -16,14 +16,16 @@
 	nodesPerSubnet = 200
 )
 
-// roles are the roles of the addresses that a node prints.
+// roles are the roles of the addresses that the settings give. A node prints these
+// addresses and then that of lastRole.
 var roles = []string{"entry", "local", "control", "gate"}
 
 func (n *node) settingsFile() string { return filepath.Join(n.soak.folder, n.name+".ini") }
 
-// initialAddress has the operating system choose a port, which the node then keeps.
-// Each node has an IP address from which no connection is opened: on a shared one,
-// another process's outgoing connection could hold the port when the node restarts.
+// initialAddress returns an address with port 0: the operating system chooses a port,
+// which the node then keeps. Each node has an IP address from which no connection is
+// opened: on a shared one, another process's outgoing connection could hold the port when
+// the node restarts.
 func (n *node) initialAddress() string {
 	return fmt.Sprintf("127.1.%d.%d:0", n.number/nodesPerSubnet, 1+n.number%nodesPerSubnet)
 }
@@ -63,7 +65,7 @@
 }
 
 // seeds returns the control addresses of those of the first three nodes that have
-// started, without n.
+// started, without n, or the addresses of their proxies, separated by commas.
 func (s *Soak) seeds(n *node) string {
 	text := ""
 	for _, other := range s.nodes[:min(len(s.nodes), 3)] {
--- a/internal/lab/kqsoakrun/soak.go
+++ b/internal/lab/kqsoakrun/soak.go
@@ -26,10 +26,11 @@
 	// refused only because of faults.
 	callersPerNode = 8
 	maxCallers     = 160
-	// warmUpTimeout bounds the time until the first call of each route is answered.
+	// warmUpTimeout bounds the time until each node has answered a call of each route.
 	warmUpTimeout = 60 * time.Second
-	// recoveryTime is how long the fleet has to recover after the last fault; calls are
-	// then checked for recoveryWindow.
+	// recoveryTime is how long the fleet has to recover after the last fault. Callers
+	// then continue for recoveryWindow, and at least minAnsweredShare of the calls sent
+	// in it, but for its last second, must be answered.
 	recoveryTime     = 10 * time.Second
 	recoveryWindow   = 3 * time.Second
 	minAnsweredShare = 0.95
@@ -65,6 +66,7 @@
 		group conc.WaitGroup
 	}
 
+	// versions is the state of the document's commits.
 	versions struct {
 		sync.Mutex
 		// number is that of the last document sent, committed that of the last one
@@ -76,12 +78,13 @@
 		rollouts          []kqdocument.Rollout
 	}
 
+	// timeline is the log of a run, with one JSON object on each line.
 	timeline struct {
 		sync.Mutex
 		file *os.File
 	}
 
-	// children are the running processes that this run started.
+	// children are the running processes that this run started, and all that it killed.
 	children struct {
 		sync.Mutex
 		all       map[*kqchild.Child]bool
@@ -99,7 +102,9 @@
 		Fault  *kqsoak.Fault `json:"fault,omitempty"`
 	}
 
-	// Report is the result of a run.
+	// Report is the result of a run. Faults counts the faults of the plan, injected or
+	// not. Processes is the number of processes just before the callers stop, and
+	// MemoryMB their resident memory in MiB.
 	Report struct {
 		Seed       uint64                  `json:"seed"`
 		Command    string                  `json:"command"`
@@ -141,8 +146,8 @@
 	return s, nil
 }
 
-// Run starts the fleet, runs the plan and ends all processes that it started. The error
-// is ErrViolated if there were violations and nothing else failed.
+// Run starts the fleet, runs the plan, kills all processes that it started and writes the
+// report. The error is ErrViolated if there were violations and nothing else failed.
 func (s *Soak) Run(ctx context.Context) (Report, error) {
 	defer func() { _ = s.timeline.file.Close() }()
 	plan := kqsoak.Generate(s.options)
@@ -151,7 +156,7 @@
 		r.Faults[f.Kind]++
 	}
 	err := s.runFleet(ctx, plan, &r)
-	s.children.end()
+	s.children.killAll()
 	s.closeProxies()
 	s.group.Wait()
 	r.Seconds, r.Calls, r.Violations = s.now().Seconds(), s.checker.Tally(), s.checker.Violations()
@@ -168,11 +173,13 @@
 	return r, err
 }
 
+// runFleet starts the fleet and its callers, and runs the plan until its end or until
+// postViolationTime after the first violation.
 func (s *Soak) runFleet(ctx context.Context, plan kqsoak.Plan, r *Report) error {
 	if err := s.start(ctx); err != nil {
 		return err
 	}
-	outer := ctx
+	parent := ctx
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var callers conc.WaitGroup
@@ -202,11 +209,11 @@
 	// before it evaluates an unanswered call.
 	time.Sleep(2 * postViolationTime / 3)
 	s.checker.EvaluatePending(s.now())
-	return errors.Join(err, context.Cause(outer))
+	return errors.Join(err, context.Cause(parent))
 }
 
 // watchViolations evaluates pending calls until the first violation, and then closes
-// violated.
+// violated. It returns without doing so if ctx ends first.
 func (s *Soak) watchViolations(ctx context.Context, violated chan<- struct{}) {
 	for ctx.Err() == nil {
 		s.checker.EvaluatePending(s.now())
@@ -219,7 +226,7 @@
 	}
 }
 
-// start starts the processes and waits until calls of every route are answered.
+// start starts the processes and waits until every node answers calls of every route.
 func (s *Soak) start(ctx context.Context) error {
 	if err := s.startStore(); err != nil {
 		return err
@@ -230,7 +237,7 @@
 	if err := s.commit(ctx); err != nil {
 		return err
 	}
-	// The first node's address is the seed of the others.
+	// The first node starts alone, so that its address can be a seed of the others.
 	if err := s.nodes[0].start(nil); err != nil {
 		return err
 	}
--- a/internal/lab/kqsoakrun/unplanned.go
+++ b/internal/lab/kqsoakrun/unplanned.go
@@ -66,7 +66,8 @@
 	return "http://" + s.storeProxy.proxy.Address()
 }
 
-// kill kills a process and starts it again.
+// kill kills a node or an upstream and starts it again after f.For, an upstream at a new
+// address.
 func (s *Soak) kill(ctx context.Context, n *node, f kqsoak.Fault) error {
 	lifecycle := &n.lifecycle
 	if f.Kind == kqsoak.KillUpstream {
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// process returns the upstream's process, which may have ended.
+// process returns the upstream's process, which may have exited.
 func (u *upstream) process() *kqchild.Child {
 	u.mu.Lock()
 	defer u.mu.Unlock()
