--- a/internal/lab/kqsoak/plan.go
+++ b/internal/lab/kqsoak/plan.go
@@ -39,7 +39,7 @@
 	// duration of For.
 	StoreNetwork Kind = "store_line"
 
-	// firstFault is when the first fault begins. Until then, callers have time to use
+	// firstFault is the earliest time of a fault. Until then, callers have time to use
 	// every route once.
 	firstFault = 500 * time.Millisecond
 	// leaveTime estimates how long a node's leave and its restart take, without the
