--- a/internal/rollout/kqevidence/encode.go
+++ b/internal/rollout/kqevidence/encode.go
@@ -9,8 +9,8 @@
 
 var errMalformedCell = errors.New("malformed cell")
 
-// cellJSON is the form of a cell in traces: counts by latency bucket, without empty
-// buckets.
+// cellJSON is the form of a cell in recorded rollouts (see internal/lab/kqrollouttrace):
+// counts by latency bucket, without empty buckets.
 type cellJSON struct {
 	Calls   uint32         `json:"calls"`
 	Failed  uint32         `json:"failed,omitempty"`
--- a/internal/rollout/kqevidence/evidence.go
+++ b/internal/rollout/kqevidence/evidence.go
@@ -18,7 +18,8 @@
 	OtherRoutes kqname.Route = "others"
 	// ColdUpstreams stands for the calls to upstreams that have only just started. Each of
 	// them also counts under its own route, but only here with its latency, which is
-	// needed to distinguish a far slower version from a cold start.
+	// needed to distinguish a far slower version from a cold start. A gate that has
+	// MaxRoutes-1 rows before its first such call counts them under OtherRoutes instead.
 	ColdUpstreams kqname.Route = "just started"
 
 	// lowestEdge is the upper edge of the lowest bucket, in seconds. Buckets that grow
@@ -125,7 +126,8 @@
 	return 0
 }
 
-// TotalLatency returns the sum of the latencies counted, accurate to about a tenth.
+// TotalLatency returns the sum of the latencies counted, accurate to about a tenth for calls
+// of 0.2 ms to 9 s.
 func (c *Cell) TotalLatency() time.Duration {
 	sum := time.Duration(0)
 	for i, n := range c.Latency {
--- a/internal/rollout/kqledger/ledger.go
+++ b/internal/rollout/kqledger/ledger.go
@@ -74,7 +74,8 @@
 }
 
 // Count calls f to count a call in this gate's own row of a route. Once there are
-// kqevidence.MaxRoutes-1 rows, calls of further routes count under kqevidence.OtherRoutes.
+// kqevidence.MaxRoutes-1 rows, calls of further routes count under kqevidence.OtherRoutes;
+// kqevidence.ColdUpstreams is no exception.
 func (l *Ledger) Count(route kqname.Route, f func(*Row)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/rollout/kqmargin/margin_test.go
+++ b/internal/rollout/kqmargin/margin_test.go
@@ -83,8 +83,9 @@
 	}
 }
 
-// Checks that nothing is allowed with hardly any calls or only one old upstream to compare
-// with. A NaN would disable the tests that use the margin.
+// Checks that nothing is allowed if a version has no calls or the old one has only one
+// upstream, and that one call for each upstream gives no NaN, which would disable the tests
+// that use the margin.
 func TestTooLittleDataAllowsNothing(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 1))
 	one := upstreams(random, 1, 0)
--- a/internal/rollout/kqowner/owner.go
+++ b/internal/rollout/kqowner/owner.go
@@ -19,7 +19,7 @@
 const (
 	// LeaseTTL is how long an owner's lease lasts unless it is renewed.
 	LeaseTTL = 3 * time.Second
-	// renewInterval leaves time for two more attempts before the lease expires.
+	// renewInterval leaves time for one more attempt before the lease expires.
 	renewInterval = LeaseTTL / 3
 	// trustedFor is how long a holder relies on a lease after requesting it. It is
 	// counted from before the request, by the holder's own clock, so that a holder
@@ -65,7 +65,7 @@
 		loaded bool
 		// lastSyncFailed is set if the last call of Sync failed for another reason than a
 		// conflict or an expired lease: the platform did not answer, or a stored value
-		// could not be decoded.
+		// could not be decoded. Calls before retryAt, which do nothing, leave it as it is.
 		lastSyncFailed bool
 		// retryAt is the time of the next attempt after a failed call.
 		retryAt time.Time
@@ -97,7 +97,8 @@
 
 // HoldsLease reports whether this node holds the plan's lease and may advance the plan at
 // the time now, and whether the last call of Sync for the plan failed for another reason
-// than a conflict or an expired lease.
+// than a conflict or an expired lease. Calls of Sync during the pause after a failure do not
+// change that.
 func (o *Owner) HoldsLease(id kqplan.ID, now time.Time) (holds, lastSyncFailed bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/rollout/kqowner/owner_test.go
+++ b/internal/rollout/kqowner/owner_test.go
@@ -92,8 +92,8 @@
 }
 
 // Guards against two final states after an owner was paused in the middle of a rollout. Its
-// lease expires and another node takes over, but the first still acts as the owner when it
-// resumes. Operators must be shown a single final state.
+// lease expires and another node takes over, and the first rolls back on its own evidence
+// when it resumes. Operators must be shown a single final state.
 func TestPausedOwnerResumesBesideItsSuccessor(t *testing.T) {
 	c := &clock{now: start}
 	p := newPlatform(c)
--- a/internal/rollout/kqplan/plan.go
+++ b/internal/rollout/kqplan/plan.go
@@ -17,8 +17,9 @@
 	defaultSmallShare = 0.05
 	// maxColdStart bounds the time after an upstream's start in which its slowness is
 	// attributed to the cold start, and coldWindowDivisor limits that time to a part of a
-	// short window. Current upstreams are warm after 40 s; a version that is slow for
-	// longer is slow.
+	// short window. Both apply only to an upstream that did not announce when its cold
+	// start ends. Current upstreams are warm after 40 s; a version that is slow for longer
+	// is slow.
 	maxColdStart      = 45 * time.Second
 	coldWindowDivisor = 3
 	// maxOrderMargin leaves time for three calls to a store that takes 0.5 s for each;
@@ -29,11 +30,11 @@
 )
 
 type (
-	// ID identifies one plan by its name, service, versions, times and the name of its
-	// policy. A rollout that is planned again under the same name with another of these is
-	// another plan, so that the progress and evidence of the first do not count for it. An
-	// ordered rollout has no fixed times: ordered again with the same duration, it has the
-	// same ID. Cancelling keeps the ID.
+	// ID identifies one plan by its name, service, versions, times or duration, and the
+	// name of its policy. A rollout that is planned again under the same name with another
+	// of these is another plan, so that the progress and evidence of the first do not count
+	// for it. An ordered rollout has no fixed times: listed again under the same name with
+	// the same duration, it has the same ID. Cancelling keeps the ID.
 	ID string
 
 	// Plan is one rollout of the document with its policy.
@@ -81,7 +82,9 @@
 	return p
 }
 
-// IsOld reports whether the rollout moves traffic away from the version.
+// IsOld reports whether the rollout moves traffic away from the version. For an ordered
+// rollout that is every version but To, also one that gets no traffic because it was rolled
+// back; kqshare.Share.IsOld leaves such versions out.
 func (p Plan) IsOld(v kqname.UpstreamVersion) bool {
 	if p.From == "" {
 		return v != p.To
@@ -90,7 +93,7 @@
 }
 
 // ColdStart returns how long after an upstream's start its slowness is attributed to the
-// cold start and not to its version.
+// cold start and not to its version, if the upstream did not announce the end (see WarmAt).
 func (p Plan) ColdStart() time.Duration { return min(p.Window()/coldWindowDivisor, maxColdStart) }
 
 // WarmAt returns the end of an upstream's cold start: warm, the time that the upstream
--- a/internal/rollout/kqprogress/progress.go
+++ b/internal/rollout/kqprogress/progress.go
@@ -16,7 +16,7 @@
 
 	// Progress is the progress of one plan as known to a node.
 	Progress struct {
-		// Step only increases; at 0 the new version gets no traffic.
+		// Step only increases; at 0 the new version gets no traffic, unless Final is Done.
 		Step int `cbor:"1,keyasint" json:"step"`
 		// RolledBack overrides every step: the new version gets no traffic, unless Final
 		// is Done.
--- a/internal/rollout/kqstep/step.go
+++ b/internal/rollout/kqstep/step.go
@@ -84,7 +84,7 @@
 		// rolled back at any time. IsBad adds log 2, since it checks two values.
 		rollback float64
 		// maxTotal is the evidence since the start at which a version is rolled
-		// back when its next step is due.
+		// back when its next step is due and may not be delayed any more.
 		maxTotal float64
 		// maxPooledTest is the same limit for -Finding.InFavor, the evidence of the
 		// test over all routes that has the most evidence against the version.
@@ -125,8 +125,8 @@
 	preferRollbackThresholds = thresholds{rollback: math.Log(1 / 0.01), maxTotal: 0.7, maxPooledTest: 0.3, minCalls: 30, minCapacity: 0.8}
 )
 
-// Share returns the share of traffic, from 0 to 1, that goes to the new
-// version at a step of the plan.
+// Share returns the share of traffic, from 0 to 1, that is scheduled for the
+// new version at a step of the plan.
 func Share(p kqplan.Plan, step int) float64 {
 	if step <= SmallShareStep {
 		return float64(max(step, 0)) * p.SmallShare
@@ -204,6 +204,7 @@
 	case s.Plan.Duration > 0 && to <= LastStep && hasRecentEvidence(s) && elapsedFraction < delayLimit(s, to):
 		return Decision{Hold, "the share does not grow while the evidence is against it: " + Describe(s.Finding)}
 	case isOverLimits(s):
+		// "The time for it" is that of the next step, not the deadline.
 		return Decision{Rollback, "the time for it is up and the evidence leans against it: " + Describe(s.Finding)}
 	case to > LastStep && s.Finding.Calls < thresholdsOf(s.Plan).minCalls:
 		return Decision{Rollback, fmt.Sprintf("the time is up and %d calls are too few to judge by", s.Finding.Calls)}
@@ -219,7 +220,9 @@
 
 // decideOverdue ends a rollout whose deadline passed before its last step, for example
 // after an outage of all nodes that could have owned it, or before the new version could
-// take all traffic.
+// take all traffic. It is done only if the policy prefers finishing, there are calls, the
+// evidence is within the limits and the new version can take all traffic; otherwise it is
+// rolled back. The last reason also stands for evidence against the version.
 func decideOverdue(s Inputs) Decision {
 	if s.Plan.Prefer == kqdocument.PreferFinishing && s.Finding.Calls > 0 && !isOverLimits(s) && canCarryAll(s) {
 		return Decision{Done, "the deadline came and nothing speaks against it"}
--- a/internal/rollout/kqstep/step_test.go
+++ b/internal/rollout/kqstep/step_test.go
@@ -97,8 +97,8 @@
 	return false
 }
 
-// Checks that a version that fails half of its calls is rolled back after 30 calls,
-// also in an ordered rollout of 12 s.
+// Checks that a version with evidence over the rollback threshold is rolled back at once
+// after 30 calls, in an ordered rollout of 12 s.
 func TestBadVersionIsRolledBackAtOnce(t *testing.T) {
 	plan := kqplan.Plan{Duration: 12 * time.Second, Prefer: kqdocument.PreferFinishing, SmallShare: 0.05}.Begin(start)
 	s := kqstep.Inputs{Plan: plan, Progress: kqprogress.Progress{Step: 2}, OldSlots: 36, NewSlots: 60, Finding: kqverdict.Finding{Calls: 30, Total: 9}}
--- a/internal/rollout/kqtracker/capacity_test.go
+++ b/internal/rollout/kqtracker/capacity_test.go
@@ -53,8 +53,8 @@
 }
 
 // Guards against a rollout that ends as done although the traffic does not fit on the new
-// version, only two of whose six upstreams remained, through no fault of the version. Its
-// slots were over a third of the old version's, which was enough to be done at the deadline.
+// version, only two of whose five upstreams remained, through no fault of the version. Its
+// slots were half of the old version's, which was enough to be done at the deadline.
 // Once the busy old upstreams were stopped, two thirds of the calls of the lowest class were
 // shed or late, where hardly any had been before.
 func TestRolloutIsNotDoneIfTrafficDoesNotFit(t *testing.T) {
--- a/internal/rollout/kqtracker/collecting_test.go
+++ b/internal/rollout/kqtracker/collecting_test.go
@@ -9,8 +9,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqdocument"
 )
 
-// Guards against a rollout that ends as done because the node that has just become its
-// owner has not collected any reports yet.
+// Guards against a rollout that ends as done because its owner has only just begun to collect
+// reports and has none yet.
 func TestNewOwnerCollectsBeforeItSteps(t *testing.T) {
 	const window, tick = time.Minute, 600 * time.Millisecond
 	plan := kqdocument.Rollout{Name: "move", Service: "shed", From: "v1", To: "v2", Policy: "first", Start: start, Deadline: start.Add(window)}
--- a/internal/rollout/kqtracker/plan_snapshot.go
+++ b/internal/rollout/kqtracker/plan_snapshot.go
@@ -82,7 +82,7 @@
 	case !p.Open():
 		return fmt.Sprintf("%s is %s: %s.", head, p.Final, p.Why)
 	case p.RolledBack:
-		return fmt.Sprintf("%s gets no traffic any more: %s.", head, p.Why)
+		return fmt.Sprintf("%s is rolled back, the new version gets no traffic: %s.", head, p.Why)
 	case p.Step > 0:
 		return fmt.Sprintf("%s is at step %d, share %.2f.", head, p.Step, kqstep.Share(ps.plan, p.Step))
 	default:
--- a/internal/rollout/kqtracker/planstate.go
+++ b/internal/rollout/kqtracker/planstate.go
@@ -126,7 +126,8 @@
 // isAwaitingEarlierCounts reports whether gates' reports of counts from before this node
 // began to collect may still arrive. A rollout that started less than a tick before that,
 // or later, has no earlier counts. This cannot be recognized for an ordered one, whose start
-// each node sets when it receives the plan.
+// each node sets when it receives the plan. The result is false on a node that has not begun
+// to collect, so Step only waits after a call of Evaluate.
 func (ps *planState) isAwaitingEarlierCounts(now time.Time) bool {
 	startedWhileCollecting := ps.plan.Duration == 0 && ps.collectingSince.Sub(ps.plan.Start) < ps.tickInterval()
 	return !startedWhileCollecting && now.Sub(ps.collectingSince) < collectingTicks*ps.tickInterval()
--- a/internal/rollout/kqtracker/status.go
+++ b/internal/rollout/kqtracker/status.go
@@ -54,7 +54,8 @@
 		Deadline time.Time              `json:"deadline"`
 		State    State                  `json:"state"`
 		Step     int                    `json:"step"`
-		// Share is the share of traffic, from 0 to 1, of the new version.
+		// Share is the share of traffic, from 0 to 1, that is scheduled for the new
+		// version. What it gets also depends on the upstreams, see package kqshare.
 		Share float64 `json:"share"`
 		// Why is the reason for the current state.
 		Why      string      `json:"why"`
--- a/internal/rollout/kqtracker/tracker.go
+++ b/internal/rollout/kqtracker/tracker.go
@@ -92,8 +92,9 @@
 }
 
 // planStateFor returns the state of a plan that is in the document, and creates it if the
-// plan is new. It replaces a known plan, which may have been cancelled since, unless it is an
-// ordered one, which keeps the start that it got when it was new.
+// plan is new. A known plan with fixed times is replaced, since it may have been cancelled. A
+// known ordered plan is kept with its start, so cancelling it has no effect: it is ended by
+// removing it from the document.
 func (t *Tracker) planStateFor(p kqplan.Plan, now time.Time) *planState {
 	ps, ok := t.planStates[p.ID]
 	if !ok {
@@ -177,8 +178,8 @@
 	ps.totalSlots = s.OldSlots + s.NewSlots + s.ColdSlots
 	d := kqstep.Decide(now, s)
 	if ps.isAwaitingEarlierCounts(now) && (d.Action == kqstep.Advance || d.Action == kqstep.Done) {
-		// A node that has just become the owner may not have received the evidence
-		// against the version yet.
+		// A node that has just begun to collect reports may not have received the
+		// evidence against the version yet.
 		d = kqstep.Decision{Action: kqstep.Hold, Why: "what gates have counted is being collected"}
 	}
 	ps.apply(d)
--- a/internal/rollout/kqtracker/traffic.go
+++ b/internal/rollout/kqtracker/traffic.go
@@ -25,8 +25,11 @@
 // Split returns the version and the upstreams that a call to a service may go to.
 func (t *Tracker) Split(s kqresource.Service, now time.Time, random kqshare.Random) kqpick.Target {
 	// currentVersion is the version after the rollouts that are done so far; empty stands
-	// for any. New versions of ordered rollouts that may not get traffic, whether rolled
-	// back or not begun, are added to rolledBackVersions.
+	// for any. If the service states none, it begins as the From of the first plan that has
+	// one, even if that plan has not begun. A plan whose From is another version is
+	// skipped, and so is an ordered plan, whose From is empty, once currentVersion is set.
+	// New versions of other ordered rollouts that may not get traffic, whether rolled back
+	// or not begun, are added to rolledBackVersions.
 	currentVersion := s.Service.Version
 	rolledBackVersions := t.rolledBackVersions(s.Service.Name)
 	for _, ps := range t.planStatesOf(s.Service.Name) {
@@ -97,9 +100,10 @@
 	}
 }
 
-// Refuses reports whether the gate must reject calls for a version: the last rollout to it,
-// by start, was rolled back, and it is neither the service's version nor the old version of
-// a later rollout that is open.
+// Refuses reports whether the gate must reject calls for a version: the last rollout to it in
+// the document, by start, or, without one, an ordered rollout to it that was removed, was
+// rolled back, and it is neither the service's version nor the old version of a later rollout
+// that is open.
 func (t *Tracker) Refuses(name kqname.Service, version kqname.UpstreamVersion) bool {
 	t.mu.RLock()
 	serviceVersion := t.services[name].version
--- a/internal/rollout/kqverdict/baseline.go
+++ b/internal/rollout/kqverdict/baseline.go
@@ -9,7 +9,7 @@
 	// recentDecay is the factor by which the counts of the recent rates decay at each tick.
 	recentDecay = 0.8
 	// minBaselineCalls is how many calls the old version needs before its rates or
-	// its latencies are used.
+	// its latencies are used. Unpaired ticks need only minRetainedCalls.
 	minBaselineCalls = 50
 	// minRate keeps the first failure after none at all from counting as infinitely
 	// unlikely.
@@ -42,7 +42,9 @@
 		errors, slow eventRate
 	}
 
-	// eventRate is a rate since the start and over the last seconds.
+	// eventRate is a rate since the start and over the last seconds. The rate of slow calls
+	// is counted anew whenever tailBucket changes, beginning with the decayed counts of
+	// about the last 30 ticks.
 	eventRate struct {
 		calls, events             float64
 		recentCalls, recentEvents float64
--- a/internal/rollout/kqverdict/sequential.go
+++ b/internal/rollout/kqverdict/sequential.go
@@ -73,7 +73,8 @@
 	eventCounts struct {
 		oldCalls, oldEvents, newCalls, newEvents float64
 		// overallRate is the old version's rate since the start, recentRate its rate
-		// over the last seconds.
+		// over the last seconds. For slow calls, both are counted anew when their
+		// threshold changes (see eventRate).
 		overallRate, recentRate float64
 		// tailBucket is the latency bucket of the threshold.
 		tailBucket int
