--- a/internal/call/kqcall/call.go
+++ b/internal/call/kqcall/call.go
@@ -52,7 +52,8 @@
 	Malformed Reason = "malformed"
 	// TooSlow means that the call did not arrive completely in time.
 	TooSlow Reason = "too_slow"
-	// Timeout means that the deadline passed after the call was sent.
+	// Timeout means that the deadline passed after the call was sent, or that the peer it
+	// was sent to stayed silent for too long.
 	Timeout Reason = "timeout"
 	// Cut means that the connection broke after the call was sent.
 	Cut Reason = "cut"
@@ -91,6 +92,8 @@
 
 	// Load is the state of an upstream, which its gate reports with each response.
 	Load struct {
+		// Running and Waiting are numbers of calls. Slots is how many calls the gate runs
+		// at once: the announced slots, or fewer if it has learned a lower limit.
 		Running, Waiting, Slots int
 		// RecentDuration is how long the upstream's short calls took lately.
 		RecentDuration time.Duration
@@ -129,8 +132,8 @@
 		// Repeat reports whether an upstream may have been sent this call, or one that
 		// it is nested in, before.
 		Repeat bool
-		// Starved reports whether the upstream failed the call because a nested call of
-		// it was not served for lack of capacity.
+		// Starved reports whether a nested call that names this one as its parent was not
+		// served for lack of capacity, whatever this call's own outcome.
 		Starved  bool
 		Arrived  time.Time
 		Deadline time.Time
@@ -176,9 +179,10 @@
 // UnknownOutcome returns the outcome of a call that may have run.
 func UnknownOutcome(reason Reason) Outcome { return Outcome{Result: Unknown, Reason: reason} }
 
-// Status returns the HTTP status of an outcome other than Answered: 404 for no route,
-// 413 for a call that is too large, 400 for a malformed call, 408 for one that arrived
-// too slowly, 503 for any other call that did not run, and 504 for one that may have run.
+// Status returns the HTTP status of an outcome other than Answered. Four reasons decide it
+// alone, even if the call may have run: it is 404 for no route, 413 for a call that is too
+// large, 400 for a malformed one and 408 for one that arrived too slowly. For any other
+// reason it is 503 if the call did not run and 504 if it may have run.
 func (o Outcome) Status() int {
 	switch {
 	case o.Reason == NoRoute:
--- a/internal/call/kqcall/header.go
+++ b/internal/call/kqcall/header.go
@@ -18,7 +18,8 @@
 // from outside and from upstreams' responses, which could otherwise pass for a node's.
 const (
 	// HeaderID, HeaderTimeout (in milliseconds) and HeaderDepth are sent to the
-	// upstream, which may pass them on with its own calls.
+	// upstream, which may pass them on with its own calls; a dialect replaces them.
+	// Nodes also put HeaderID into each response, to show which call it answers.
 	HeaderID      = "Kq-Call-Id"
 	HeaderTimeout = "Kq-Timeout-Ms"
 	HeaderDepth   = "Kq-Depth"
@@ -31,10 +32,9 @@
 	headerCall = "Kq-Call"
 	headerLoad = "Kq-Load"
 	// headerRetry carries Retry-After between nodes in milliseconds, since callers may
-	// need it in another format.
+	// need it in another format. Callers get it too.
 	headerRetry = "Kq-Retry-Ms"
-	// headerStarved reports to the calling node that a failure was caused by a lack of
-	// capacity in a service that the upstream called.
+	// headerStarved reports the call's Starved to the calling node.
 	headerStarved = "Kq-Starved"
 
 	// MaxDepth bounds how deeply calls may be nested, which ends a loop of services that
