--- a/internal/call/kqconnection/doc.go
+++ b/internal/call/kqconnection/doc.go
@@ -8,9 +8,9 @@
 // When fasthttp gets one request at a time, each response is sent as soon as it is ready,
 // and the server can check for another pending request before it closes the connection.
 //
-// Requests behind the current one are read in the meantime, and safe ones are started
-// before it has been answered. fasthttp still gets every request, and its response, in
-// order.
+// While a GET or HEAD request is served, those behind it are usually read, and safe ones
+// are started before it has been answered. fasthttp still gets every request, and its
+// response, in order.
 //
 // The package only finds where requests end; fasthttp parses them. It also reserves memory
 // for bodies of unknown length, and closes connections so that the last response arrives.
--- a/internal/call/kqconnection/framer.go
+++ b/internal/call/kqconnection/framer.go
@@ -20,8 +20,10 @@
 	headEnd = []byte("\r\n\r\n")
 )
 
-// framer finds where requests end. It only decides how many bytes one Read returns: if it
-// is wrong, as within a chunked body, fasthttp still reads the same bytes.
+// framer finds where requests end and which have a body of unknown length. This decides how
+// many bytes one Read returns, whether memory is reserved for the body and whether later
+// requests are served sequentially. If an end is wrong, as within a chunked body, fasthttp
+// still reads the same bytes.
 type framer struct {
 	// bodyRemaining is the number of body bytes still to come, and matched the number of
 	// bytes of headEnd that have arrived.
--- a/internal/call/kqconnection/listener.go
+++ b/internal/call/kqconnection/listener.go
@@ -29,8 +29,8 @@
 	// Option configures a Listener.
 	Option func(*Listener)
 
-	// Listener accepts connections that return one request at a time. It is safe for
-	// concurrent use.
+	// Listener accepts connections whose reads stop at the end of the current request,
+	// unless its body is of unknown length. It is safe for concurrent use.
 	Listener struct {
 		net.Listener
 		// limiter is nil if bodies are not limited; limiterWait is how long a read waits
@@ -48,8 +48,8 @@
 		pipelined atomic.Int64
 
 		mu sync.Mutex
-		// open holds all open connections, and unused those on which nothing has arrived
-		// yet.
+		// open holds all open connections, and unused those from which nothing has been
+		// read yet.
 		open, unused map[*connection]struct{}
 	}
 
@@ -155,7 +155,8 @@
 	return open
 }
 
-// Read implements net.Conn. It returns no bytes beyond the end of the current request.
+// Read implements net.Conn. It returns no bytes beyond the end of the current request,
+// unless its body is of unknown length.
 func (c *connection) Read(b []byte) (int, error) {
 	n, err := c.read(b)
 	if n > 0 && c.framer.unknownLength && !c.reserveMemory() {
--- a/internal/call/kqconnection/pipeline.go
+++ b/internal/call/kqconnection/pipeline.go
@@ -57,7 +57,8 @@
 // the other, a caller's third request of 200 ms would take 600 ms while upstreams are idle.
 //
 // Only safe requests without a body are served before earlier ones have been answered. Any
-// other request waits for those before it and delays those behind it. A response closes
+// other request waits for those before it and delays those behind it. Unless its request
+// asks to close the connection or the server is shutting down, a response closes
 // the connection only if no other request is pending on it.
 func Serve(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
--- a/internal/call/kqdisconnect/probe.go
+++ b/internal/call/kqdisconnect/probe.go
@@ -41,7 +41,7 @@
 }
 
 // Peek reports whether the peer has closed the connection and whether bytes are ready to be
-// read. It does not block.
+// read. A close behind unread bytes is not reported. Peek does not block.
 func (p *Probe) Peek() (closed, readable bool) {
 	if p.raw == nil {
 		return p.peekErr != nil, false
--- a/internal/call/kqdisconnect/watcher.go
+++ b/internal/call/kqdisconnect/watcher.go
@@ -17,8 +17,9 @@
 )
 
 type (
-	// Watcher holds the calls in flight and probes their callers' connections. It is safe
-	// for concurrent use.
+	// Watcher holds calls in flight and probes their callers' connections. The entry and
+	// the gate remove a call before the body of a streamed response is passed on. It is
+	// safe for concurrent use.
 	Watcher struct {
 		shards [shards]shard
 	}
@@ -53,7 +54,7 @@
 	s.calls = append(s.calls, c)
 }
 
-// Count returns how many calls are watched: those in flight at the entry and at the gate.
+// Count returns how many calls are watched at the entry and at the gate.
 func (w *Watcher) Count() int {
 	count := 0
 	for i := range w.shards {
@@ -76,7 +77,7 @@
 	s.calls = s.calls[:last]
 }
 
-// CancelAll cancels all calls in flight with the given reason.
+// CancelAll cancels all watched calls with the given reason.
 func (w *Watcher) CancelAll(reason kqcall.Reason) {
 	for i := range w.shards {
 		w.shards[i].cancel(reason)
--- a/internal/call/kqsend/client.go
+++ b/internal/call/kqsend/client.go
@@ -104,7 +104,7 @@
 // that are not idempotent, and streamed responses, wait until the call's deadline. It is
 // meant for connections between nodes of one fleet. A stopped process or a suspended server
 // often resumes within seconds and answers; if a call that is not idempotent were given up,
-// it could not be retried elsewhere and its caller could not tell whether it ran.
+// its caller could not tell whether it ran and could not safely make it again.
 func WithSilenceTimeout() Option { return func(c *Client) { c.variesSilenceTimeout = true } }
 
 // WithResponseMatcher sets the function that reports whether a response belongs to the
@@ -223,8 +223,8 @@
 func dialPlain(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, dialTimeout) }
 
 // DialNode connects to a node of the same fleet over plain TCP. A server without power does
-// not refuse connections but stays silent, so the timeouts are short enough for the call to
-// be served by another node.
+// not refuse connections but stays silent, so connecting times out soon enough for the call
+// to be served by another node. Keep-alive probes find a node that falls silent later.
 func DialNode(address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: nodeDialTimeout, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: shortSilenceTimeout, Interval: shortSilenceTimeout, Count: 1}}
 	return dialer.Dial("tcp", address)
--- a/internal/call/kqsend/exchange.go
+++ b/internal/call/kqsend/exchange.go
@@ -22,8 +22,8 @@
 )
 
 // Do sends the call's request and reads its response. The outcome is Answered, whatever the
-// response's status, if the response has been read whole or, if its body is streamed, its
-// header has been read.
+// response's status, if the response belongs to the call and has been read whole or, if its
+// body is streamed, its header has been read.
 func (c *Client) Do(call *kqcall.Call) kqcall.Outcome {
 	n, err := c.acquire(call)
 	if err != nil {
--- a/internal/call/kqsend/response.go
+++ b/internal/call/kqsend/response.go
@@ -61,8 +61,8 @@
 		return r.ReadBody(n.reader, 0)
 	}
 	if c.variesSilenceTimeout {
-		// A part of this response reaches the caller, so no other upstream can serve the
-		// call any more.
+		// A part of this response reaches the caller, so no other response could replace
+		// it if the peer were given up.
 		n.setSilenceTimeout(true)
 	}
 	s := &responseStream{client: c, conn: n, call: call, length: length, peerCloses: length == untilCloseLength}
--- a/internal/call/kqsend/silence_linux_test.go
+++ b/internal/call/kqsend/silence_linux_test.go
@@ -22,8 +22,8 @@
 // Guards against giving up a paused peer while a call that is not idempotent waits for it.
 // The peer's process or server is stopped for a few seconds and then resumes. If the sender
 // gives it up one second after the send window is full, or two after the last packet, the
-// caller cannot tell whether the call ran. An idempotent call is retried at another
-// upstream, but any other call only loses a response that comes a moment later.
+// caller cannot tell whether the call ran. The caller can make an idempotent call again, but
+// any other call only loses a response that comes a moment later.
 func TestSilentPeerComesBack(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -63,8 +63,8 @@
 	}
 }
 
-// A peer that stays silent must not delay a call that another upstream can serve, even on a
-// connection whose previous call was not idempotent.
+// A peer that stays silent must not delay an idempotent call, which its caller can make
+// again, even on a connection whose previous call was not idempotent.
 func TestIdempotentCallGivesUpOnSilentPeer(t *testing.T) {
 	p := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if path, err := readRequestPath(r); err == nil {
@@ -108,7 +108,7 @@
 
 // Guards against truncated responses: a node is suspended for some seconds while it streams
 // a large one, and the receiver gives up although the rest comes as soon as the node
-// resumes. No other upstream can serve a response that has begun to arrive.
+// resumes. No other response could replace one that has begun to arrive.
 func TestStreamedResponseSurvivesSilentPeer(t *testing.T) {
 	const size = 4 * kqsend.MaxBufferedBody
 	p := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
