--- a/internal/call/kqentry/entry.go
+++ b/internal/call/kqentry/entry.go
@@ -33,8 +33,8 @@
 	// restartRetryAfter is the Retry-After of a node that is stopping: about the time that a
 	// node takes to stop and start again.
 	restartRetryAfter = 2 * time.Second
-	// defaultRetryAfter is the Retry-After of refusals that no gate made. It is the least
-	// that a gate gives.
+	// defaultRetryAfter is the Retry-After of the entry's refusals for NoConfig, Overload,
+	// NoUpstream and Panicked. It is the least that a gate gives.
 	defaultRetryAfter = 250 * time.Millisecond
 	// component names the entry in reports of panics.
 	component = "entry"
@@ -99,7 +99,8 @@
 		// not a wall-clock time, because a clock step could then look like an idle period.
 		lastArrival atomic.Int64
 		started     time.Time
-		// calls is the number of calls in flight.
+		// calls is the number of calls in flight, without those whose response is being
+		// streamed.
 		calls atomic.Int64
 		now   func() time.Time
 		// nesting holds the calls that the local upstream is running.
@@ -192,8 +193,8 @@
 // own calls are recognized as nested.
 func WithNesting(c *kqnesting.Calls) Option { return func(e *Entry) { e.nesting = c } }
 
-// WithBaseline picks upstreams at random and retries without a budget, as the baseline
-// for measurements.
+// WithBaseline makes the entry the baseline for measurements: it picks upstreams at random,
+// sheds no load, and retries calls that did not run even beyond the retry limits.
 func WithBaseline() Option { return func(e *Entry) { e.baseline = true } }
 
 // New returns the entry of the node self.
--- a/internal/call/kqentry/record.go
+++ b/internal/call/kqentry/record.go
@@ -9,7 +9,8 @@
 )
 
 type (
-	// Recorder receives a record of each call once it has ended.
+	// Recorder receives a record of each call once its outcome is known, which is before
+	// the body of a streamed response has been passed on.
 	Recorder interface {
 		Ended(r Record, now time.Time)
 	}
--- a/internal/call/kqentry/refusal_test.go
+++ b/internal/call/kqentry/refusal_test.go
@@ -76,6 +76,7 @@
 			}
 		}
 		w.Header().Set(kqcall.HeaderID, id)
+		// The entry ignores this load, which has too few fields.
 		w.Header().Set("Kq-Load", "2;0;6;100000")
 		if g.refusesEveryOther && calls%2 == 0 || g.full.Load() {
 			w.Header().Set(kqcall.HeaderResult, string(kqcall.NotRun))
@@ -150,7 +151,7 @@
 		}
 	}
 	if refused > 30 {
-		t.Errorf("%d of 300 calls were refused although a gate had free slots", refused)
+		t.Errorf("%d of 300 calls were refused although another gate would have taken them", refused)
 	}
 }
 
--- a/internal/call/kqentry/returning_callers.go
+++ b/internal/call/kqentry/returning_callers.go
@@ -21,6 +21,8 @@
 		shards [shardCount]*returningShard
 	}
 
+	// returningShard is one shard of a returningCallers; its field of that name holds the
+	// shard's calls.
 	returningShard struct {
 		mu               sync.Mutex
 		returningCallers *kqcallerretry.RetryTracker
--- a/internal/call/kqentry/serve.go
+++ b/internal/call/kqentry/serve.go
@@ -13,8 +13,9 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// ServeOutside handles calls from outside the mesh. It removes this project's internal
-// headers, which outside callers must not set.
+// ServeOutside handles calls from outside the mesh. With a dialect it usually also handles
+// those of the node's own upstream, which name the call that they are nested in. It removes
+// this project's internal headers, which outside callers must not set.
 func (e *Entry) ServeOutside(ctx *fasthttp.RequestCtx) {
 	if kqcall.StripRequest(&ctx.Request.Header) > 0 {
 		e.onForged()
@@ -43,7 +44,8 @@
 	return now.Sub(e.started) - time.Duration(e.lastArrival.Load())
 }
 
-// Calls returns the number of calls in flight.
+// Calls returns the number of calls in flight, without those whose response is being
+// streamed.
 func (e *Entry) Calls() int { return int(e.calls.Load()) }
 
 // RefuseAll makes the entry refuse all new calls, because the process will end before their
@@ -61,8 +63,8 @@
 	}
 }
 
-// Sweep closes connections that have been idle for too long and forgets gates that have
-// none left.
+// Sweep closes connections that have been idle for too long, and forgets gates to which
+// there has been no connection for clientIdleTimeout.
 func (e *Entry) Sweep(now time.Time) { e.gateClients.sweep(now) }
 
 // serve handles one call from its arrival to its record.
@@ -251,7 +253,8 @@
 }
 
 // reachedUpstream reports whether an attempt with that outcome may have reached an upstream.
-// The others ended at the upstream's gate or before it.
+// The others usually ended at its gate or before; only a dialect's upstream may itself have
+// rejected the call as malformed.
 func reachedUpstream(o kqcall.Outcome) bool {
 	return o.Result != kqcall.NotRun || o.Reason == kqcall.Shed || o.Reason == kqcall.Misdirected
 }
--- a/internal/call/kqentry/stream_test.go
+++ b/internal/call/kqentry/stream_test.go
@@ -12,9 +12,9 @@
 )
 
 // Guards against corrupting bodies of all sizes, of known and unknown length, on reused
-// connections. Response bodies above 64 KiB are streamed, smaller ones are buffered. A
-// missing or extra byte would corrupt a body, and bytes left over would be read as the next
-// call's response.
+// connections. Response bodies above 64 KiB or of unknown length are streamed, others are
+// buffered. A missing or extra byte would corrupt a body, and bytes left over would be read
+// as the next call's response.
 func TestLargeBodiesPassWhole(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 0, 0, 0)
--- a/internal/call/kqgate/gate.go
+++ b/internal/call/kqgate/gate.go
@@ -36,7 +36,8 @@
 		Withdraw(address kqname.Address, now time.Time)
 	}
 
-	// Counter counts the outcomes of calls at the gate.
+	// Counter counts the outcomes of calls at the gate, except calls from other nodes that
+	// cannot be parsed.
 	Counter interface {
 		GateCallEnded(o kqcall.Outcome)
 	}
@@ -60,7 +61,7 @@
 		Route   kqname.Route
 		Outcome kqcall.Outcome
 		// Status is the HTTP status with which the upstream answered or shed the call, 0
-		// for any other outcome.
+		// for any other outcome. It is always 200 if a dialect says that the call was shed.
 		Status int
 		// Began is when the call was sent to the upstream. Took is the time until its
 		// response, or the header of a streamed response, was read.
@@ -114,7 +115,7 @@
 		Call    *kqcall.Call
 		Outcome kqcall.Outcome
 		// Status is the HTTP status with which the upstream answered or shed the call, 0
-		// for any other outcome.
+		// for any other outcome. It is always 200 if a dialect says that the call was shed.
 		Status   int
 		Instance kqname.Instance
 		// Load is the upstream's load after the call. It includes a call whose response is
@@ -204,11 +205,10 @@
 	g.Sweep(g.now())
 }
 
-// Sweep closes connections that have been idle for too long and applies the latest
-// announcements. It closes the queue of each upstream that drains or is no longer announced
-// at its address, or of all upstreams if the gate itself drains. An upstream that is no
-// longer announced is deleted once its last call has ended and its last connection is
-// closed.
+// Sweep closes connections that have been idle for too long. It also closes the queue of
+// each upstream that drains or is no longer announced at its address, or of all upstreams
+// if the gate itself drains. An upstream that is no longer announced is deleted once its
+// last call has ended and its last connection is closed.
 func (g *Gate) Sweep(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -375,7 +375,7 @@
 }
 
 // upstreamStatus returns the HTTP status with which the upstream answered or shed the call,
-// 0 for any other outcome.
+// 0 for any other outcome. It is always 200 if a dialect says that the call was shed.
 func upstreamStatus(c *kqcall.Call, o kqcall.Outcome) int {
 	if o.Result != kqcall.Answered && o.Reason != kqcall.Shed {
 		return 0
--- a/internal/call/kqgate/upstream.go
+++ b/internal/call/kqgate/upstream.go
@@ -54,8 +54,8 @@
 		failureRate kqfailrate.FailureRate
 		slots       int
 		closed      bool
-		// failedSince is when connecting began to fail, nil if the last call got a
-		// connection.
+		// failedSince is when calls began to end with ConnectFailed, nil if the last call
+		// ended otherwise.
 		failedSince atomic.Pointer[time.Time]
 	}
 )
@@ -76,8 +76,8 @@
 	}
 }
 
-// updateUnreachable records whether a call got a connection, and reports whether
-// connections have failed for at least unreachableAfter.
+// updateUnreachable records whether a call ended with ConnectFailed, and reports whether that
+// has been every call's outcome for at least unreachableAfter.
 func (u *upstream) updateUnreachable(o kqcall.Outcome, now time.Time) bool {
 	since := u.failedSince.Load()
 	switch {
