--- a/internal/decide/kqfair/estimate.go
+++ b/internal/decide/kqfair/estimate.go
@@ -31,7 +31,8 @@
 	return true
 }
 
-// Oldest returns the call that has waited longest, or nil if the queue is empty.
+// Oldest returns, of the calls at the head of each flow, the one that has waited longest, or
+// nil if the queue is empty.
 func (q *Queue) Oldest() *Item {
 	var oldest *Item
 	for _, n := range q.backlogged {
@@ -42,8 +43,9 @@
 	return oldest
 }
 
-// SinceLastPrompt returns the time since the caller's calls last had almost no wait,
-// whether or not it has sent calls since. It returns 0 if the caller has no flow.
+// SinceLastPrompt returns the time since the caller's calls last had almost no wait, or since
+// it got its flow if they never had, whether or not it has sent calls since. It returns 0 if
+// the caller owns no flow, for example because it shares another caller's.
 func (q *Queue) SinceLastPrompt(caller kqname.Caller, now time.Time) time.Duration {
 	f := &q.flows[q.flowIndex(caller)]
 	if f.owner != caller {
--- a/internal/decide/kqfair/fair.go
+++ b/internal/decide/kqfair/fair.go
@@ -111,8 +111,8 @@
 	q.length++
 }
 
-// Pop removes a call from the flow with the lowest start tag: its oldest call, or its
-// newest if newest is set. It returns nil if the queue is empty.
+// Pop removes a call from the flow with the lowest start tag: the call pushed first, or the
+// one pushed last if newest is set. It returns nil if the queue is empty.
 func (q *Queue) Pop(newest bool) *Item {
 	if q.length == 0 {
 		return nil
--- a/internal/decide/kqlimit/doc.go
+++ b/internal/decide/kqlimit/doc.go
@@ -8,8 +8,9 @@
 //
 // While all allowed slots are in use, mean latency is compared with the baseline, which is
 // taken with at most half of the slots in use. Above 2 times the baseline, the limit falls
-// by one slot. Below 1.5 times, it rises by one, up to the announced slots, and with
-// growing delays after each raise that had to be reverted. If latency has not improved
-// once half of the slots are withheld, load is not the cause (a slow database, for
-// example): all slots are allowed again, and the current latency becomes the baseline.
+// by one slot. Below 1.5 times, it rises by one, up to the announced slots. Above half of
+// the announced slots, each raise that had to be reverted increases the delay before the
+// next. If latency has not improved once half of the slots are withheld, load is not the
+// cause (a slow database, for example): all slots are allowed again, and the current latency
+// becomes the baseline.
 package kqlimit
--- a/internal/decide/kqlimit/limit.go
+++ b/internal/decide/kqlimit/limit.go
@@ -30,9 +30,9 @@
 	// sum and count are the total latency and the number of the window's calls so far.
 	sum   time.Duration
 	count int
-	// raised is set if the last change raised the limit. raiseDelay is how many windows
-	// below fastRatio must pass before the next raise, and raiseIn how many of them are
-	// left.
+	// raised is set by a raise, and cleared when the limit falls from above half of the
+	// announced slots. raiseDelay is how many windows below fastRatio must pass before the
+	// next raise, and raiseIn how many of them are left.
 	raised              bool
 	raiseDelay, raiseIn int
 }
--- a/internal/decide/kqslots/demand.go
+++ b/internal/decide/kqslots/demand.go
@@ -13,7 +13,7 @@
 	reserveFactor = 2
 )
 
-// demand estimates how many slots recent calls have needed.
+// demand estimates how many slots recent calls need.
 type demand struct {
 	// work is the expected work of recent calls in seconds, decaying exponentially.
 	work float64
@@ -27,7 +27,8 @@
 	d.lastArrival = now
 }
 
-// meanSlots returns the mean number of slots in use at once by the recent calls.
+// meanSlots returns the mean number of slots that the recent calls would use at once if all
+// of them ran on arrival.
 func (d *demand) meanSlots(now time.Time) float64 {
 	return d.decayed(now) / demandTimeConstant.Seconds()
 }
--- a/internal/decide/kqslots/doc.go
+++ b/internal/decide/kqslots/doc.go
@@ -16,20 +16,23 @@
 // unused, and are refused if there are none. In a single queue, late calls would delay the
 // calls behind them too, and a saturated upstream would answer hardly any call in time. A
 // target that this upstream cannot meet even when idle is ignored. A call without a target
-// may wait for a share of its remaining time; the share is smaller for the least important
-// class, and much smaller once its caller's calls have queued for long.
+// is queued if it is expected to wait for at most a share of its remaining time; the share
+// is smaller for the least important class, and much smaller once its caller's calls have
+// queued for long.
 //
 // In each queue, a caller's calls are served oldest first while every call can expect to be
 // served. Once the oldest call of the queue has nearly used up its maximum wait, they are
 // served newest first, and a call that has waited too long is refused immediately.
 //
-// Nested calls have priority over all classes, and their deadline counts rather than their
-// target: the calling call holds a slot at its own upstream meanwhile, and its work is lost
-// if the nested call fails.
+// Nested calls have priority over all classes, both among short calls and among long jobs,
+// and their deadline counts rather than their target: the calling call holds a slot at its
+// own upstream meanwhile, and its work is lost if the nested call fails.
 //
-// Long jobs are calls of routes that take long. They wait in queues apart from short calls,
-// and twice the recent demand of short calls, up to half of the slots, is reserved for the
-// latter until a second after the last of them. Otherwise a few long jobs would occupy
-// every slot and delay each short call by the duration of a long job. Within a queue,
-// kqfair divides the slots among callers; more important classes are served first.
+// Long jobs are calls of routes that take at least 4 times the typical work, and so long
+// that an upstream that runs only such calls frees a slot at most every 100 ms. They wait in
+// queues apart from short calls, and twice the recent demand of short calls, up to half of
+// the slots, is reserved for the latter until a second after the last of them. Otherwise a
+// few long jobs would occupy every slot and delay each short call by the duration of a long
+// job. Within a queue, kqfair divides the slots among callers; more important classes are
+// served first.
 package kqslots
--- a/internal/decide/kqslots/queue.go
+++ b/internal/decide/kqslots/queue.go
@@ -14,9 +14,10 @@
 	wait := time.Duration(float64(t.expectedWait) * s.waitCorrection())
 	share := [priorityLevels]float64{nestedWaitShare, criticalWaitShare, normalWaitShare, backgroundWaitShare}[t.priority]
 	allowedWait := s.allowedWait(t, wait, time.Duration(share*float64(left)), now)
-	// A call that waits for twice the allowed time is refused, since the upstream must have
-	// become slower since the call was queued. If the allowed wait is short, the estimate
-	// may be off by the work of several calls, so this is added instead.
+	// A call that is not scheduled by its target is refused after twice the allowed wait,
+	// since the upstream must have become slower since the call was queued. If the allowed
+	// wait is short, the estimate may be off by the work of several calls, so this is added
+	// instead.
 	maxWait := max(2*allowedWait, allowedWait+waitSlackCalls*expected)
 	if t.hasTarget() && !s.checkTargetUnreachable(t, expected, now) {
 		t.startBy = t.Target.Add(-time.Duration(targetMargin * float64(expected)))
@@ -57,10 +58,11 @@
 	s.queue(t).Push(&t.item)
 }
 
-// allowedWait returns the maximum wait of a call that has no target or cannot meet it:
-// limit, or a fraction of it once the caller's calls have queued for long. Nested calls are
-// exempt: they have a queue of their own and wait for running calls, not for a burst queued
-// before them.
+// allowedWait records a call's expected wait, and returns up to which expected wait it is
+// queued if it has no target or cannot meet it: limit, or a fraction of it once the caller's
+// calls have queued for long, but at least minAllowedWait. The fraction does not apply to
+// nested calls: they have a queue of their own and wait for running calls, not for a burst
+// queued before them.
 func (s *Slots) allowedWait(t *Ticket, wait, limit time.Duration, now time.Time) time.Duration {
 	q := s.queues(t)[t.priority]
 	q.RecordWait(t.Caller, wait < limit/congestedWaitDivisor/shortWaitDivisor, now)
@@ -181,8 +183,8 @@
 	return min(max(s.actualWait/s.expectedWait, 1), maxWaitCorrection)
 }
 
-// recordWait updates the mean actual and expected waits with those of a call that leaves
-// its queue. Calls that miss their targets do not count.
+// recordWait updates the mean actual and expected waits with those of a call that is taken
+// from its queue for a free slot. Calls that miss their targets do not count.
 func (s *Slots) recordWait(t *Ticket, now time.Time) {
 	if t.missesTarget {
 		return
@@ -191,8 +193,8 @@
 	s.expectedWait += (t.expectedWait.Seconds() - s.expectedWait) / waitWindow
 }
 
-// start gives the ticket a slot. unneeded is set if no call that could meet its target was
-// waiting for the slot.
+// start gives the ticket a slot. unneeded is set if a late call could have had the slot:
+// the call found it free on arrival, or is late itself.
 func (s *Slots) start(t *Ticket, unneeded bool) {
 	sample := 0.0
 	if unneeded {
--- a/internal/decide/kqslots/slots.go
+++ b/internal/decide/kqslots/slots.go
@@ -21,21 +21,21 @@
 
 	// priorityLevels counts the priorities: nested calls first, then the three classes.
 	priorityLevels = 4
-	// Maximum waits of calls that have no target or cannot meet it, as shares of the time
-	// left until the deadline, by priority.
+	// Limits on the expected wait of calls that have no target or cannot meet it, as shares
+	// of the time left until the deadline, by priority.
 	nestedWaitShare, criticalWaitShare, normalWaitShare, backgroundWaitShare = 0.6, 0.6, 0.6, 0.125
 	// A caller whose calls queue for longer than congestedAfter causes overload rather than
-	// a burst. Its maximum waits are then divided by congestedWaitDivisor, until a call of
-	// it runs at once or the expected waits of several in a row are below that limit
-	// divided by shortWaitDivisor.
+	// a burst. Its limits are then divided by congestedWaitDivisor, until a call of it runs
+	// at once or the expected waits of several in a row are below the divided limit divided
+	// by shortWaitDivisor.
 	congestedAfter       = 4 * time.Second
 	congestedWaitDivisor = 10
 	shortWaitDivisor     = 4
 	// A call must start at least targetMargin times its expected work before its target.
 	// Calls that start later seldom meet the target and make others miss theirs.
 	targetMargin = 1.2
-	// minAllowedWait is the least maximum wait: a few queued calls keep the slots in use
-	// between arrivals.
+	// minAllowedWait is the minimum of the limits on the expected wait: a few queued calls
+	// keep the slots in use between arrivals.
 	minAllowedWait = 20 * time.Millisecond
 	// unneededWindow is the number of calls over which the share of unneeded slots is
 	// averaged; minUnneededShare is its lower bound in estimates.
@@ -56,8 +56,8 @@
 	// calls commonly allow.
 	longJobSlotInterval = 100 * time.Millisecond
 	// reserveTimeout is how long after the last short call slots stay reserved for short
-	// calls. Without it, an upstream on which all routes have become slow would use half
-	// of its slots.
+	// calls. Without it, a slot would always stay unused on an upstream that gets only long
+	// jobs, such as one on which all routes have become slow.
 	reserveTimeout = time.Second
 	// minRetryAfter is the least delay that refused callers are given: about the work of
 	// two calls, in which a full queue changes, and short enough to still meet a target of
@@ -105,17 +105,17 @@
 
 	// Slots schedules the calls of one upstream. It is not safe for concurrent use.
 	Slots struct {
-		count int
-		limit *kqlimit.Limit
-		work  *kqwork.Estimator
+		announced int
+		limit     *kqlimit.Limit
+		work      *kqwork.Estimator
 		// targets holds the longest time that calls of each route had left until their
 		// target, which is that of first attempts.
 		targets                 map[kqname.Route]time.Duration
 		shortQueues, longQueues [priorityLevels]*kqfair.Queue
 		// lateQueues hold calls that can no longer meet their targets.
 		lateQueues [priorityLevels]*kqfair.Queue
-		// unneeded is the share of recently freed slots that no waiting call could
-		// have used to meet a target.
+		// unneeded is the share of recently started calls that found a free slot on
+		// arrival or could no longer meet their targets.
 		unneeded float64
 		// actualWait and expectedWait are the recent means of actual and expected waits
 		// in seconds.
@@ -130,10 +130,11 @@
 	}
 )
 
-// New returns Slots for an upstream that runs count calls at once. With a different salt at
-// each gate, callers whose hashes collide at one gate do not collide at all of them.
-func New(count int, salt uint64, options ...Option) *Slots {
-	s := &Slots{count: count, limit: kqlimit.New(count), work: kqwork.New(), unneeded: 1, targets: make(map[kqname.Route]time.Duration)}
+// New returns Slots for an upstream that announces the given number of slots. With a
+// different salt at each gate, callers whose hashes collide at one gate do not collide at
+// all of them.
+func New(announced int, salt uint64, options ...Option) *Slots {
+	s := &Slots{announced: announced, limit: kqlimit.New(announced), work: kqwork.New(), unneeded: 1, targets: make(map[kqname.Route]time.Duration)}
 	for i := range priorityLevels {
 		s.shortQueues[i], s.longQueues[i] = kqfair.New(salt+uint64(i)), kqfair.New(salt+priorityLevels+uint64(i))
 		s.lateQueues[i] = kqfair.New(salt + 2*priorityLevels + uint64(i))
@@ -174,14 +175,14 @@
 }
 
 // isLongJob reports whether calls of the route are long jobs that would delay short calls
-// noticeably without reserved slots. If the route's calls alone free a slot every few
-// milliseconds, a reserve would only waste slots.
+// noticeably without reserved slots. If the route's calls alone free a slot more often than
+// every longJobSlotInterval, a reserve would only waste slots.
 func (s *Slots) isLongJob(r kqname.Route) bool {
 	return s.work.Long(r) && s.work.Expect(r) >= longJobSlotInterval*time.Duration(s.limit.Allowed())
 }
 
-// Leave frees the slot of a call that took the given time at the upstream, and returns the
-// tickets whose verdicts this changes.
+// Leave frees the slot of a call that took the given time at the upstream, or 0 if that is
+// unknown, and returns the tickets whose verdicts this changes.
 func (s *Slots) Leave(t *Ticket, took time.Duration, now time.Time) []*Ticket {
 	if took > 0 && !t.isLongJob && s.runningLong == 0 && !s.fixedLimit {
 		s.limit.Observe(took, s.running)
@@ -209,9 +210,9 @@
 
 // Resize sets the upstream's announced slots and returns the tickets whose verdicts this
 // changes. Running calls continue.
-func (s *Slots) Resize(count int, now time.Time) []*Ticket {
-	s.count = count
-	s.limit.SetAnnounced(count)
+func (s *Slots) Resize(announced int, now time.Time) []*Ticket {
+	s.announced = announced
+	s.limit.SetAnnounced(announced)
 	return s.serve(now)
 }
 
--- a/internal/decide/kqslots/slots_test.go
+++ b/internal/decide/kqslots/slots_test.go
@@ -14,8 +14,8 @@
 }
 
 // Probes of 1 ms arrive beside ordinary calls of 400 ms. The ordinary calls must not count
-// as long jobs because of them: half of the slots would be reserved for probes that use
-// almost none, and calls would be refused at half of the capacity.
+// as long jobs because of them: a slot would be reserved for probes that use almost none of
+// it.
 func TestProbesDoNotReserveSlots(t *testing.T) {
 	const slots = 12
 	now := time.Unix(1000, 0)
--- a/internal/decide/kqwork/estimator.go
+++ b/internal/decide/kqwork/estimator.go
@@ -102,7 +102,7 @@
 	return d, ok
 }
 
-// Long reports whether calls of the route are long jobs.
+// Long reports whether calls of the route take at least LongFactor times the typical work.
 func (e *Estimator) Long(r kqname.Route) bool {
 	return e.typical > 0 && e.Expect(r) >= LongFactor*e.typical
 }
