--- a/internal/decide/kqeject/eject.go
+++ b/internal/decide/kqeject/eject.go
@@ -74,9 +74,10 @@
 	}
 }
 
-// RecordSuccess records a successful call. It ejects an upstream whose typical work exceeds
-// SlowFactor times the median of its service's upstreams, and otherwise readmits one whose
-// probe this was. A median of 0 means that no upstream is slow.
+// RecordSuccess records a call that did not fail: one that was answered, cancelled, or
+// refused by the gate, for example because its queue was full. It ejects an upstream whose
+// recent work exceeds SlowFactor times the median of its service's upstreams, and otherwise
+// readmits one that is being probed. A median of 0 means that no upstream is slow.
 func (e *Ejector) RecordSuccess(s *State, total int, work, median time.Duration, now time.Time) {
 	s.consecutiveFailures = 0
 	s.recordResult(0)
@@ -114,7 +115,8 @@
 }
 
 func (s *State) eject(now time.Time) {
-	// Outcomes of calls that were sent before the ejection carry no new information.
+	// Outcomes of calls that were sent before the ejection carry no new information. While
+	// a probe is in flight, they cannot be told from its outcome.
 	if s.ejected && !s.probing {
 		return
 	}
--- a/internal/decide/kqpick/doc.go
+++ b/internal/decide/kqpick/doc.go
@@ -4,10 +4,10 @@
 // sends each upstream the same number of calls regardless of its speed: one of six
 // upstreams that is 20 times slower still gets a sixth of the calls, and each waits there.
 // Choosing the best by reports that are slightly stale sends the calls of every entry to
-// the same upstream. Instead, the best of four random candidates is chosen, also within
+// the same upstream. Instead, the best of four random upstreams is chosen, also within
 // the own failure domain, which balances the load.
 //
-// The best candidate has the least expected time: the work and wait that its gate reported
+// The best upstream has the least expected time: the work and wait that its gate reported
 // for the route, increased while the upstream is cold, plus this entry's calls since then.
 // Estimated from calls of all routes together, an upstream that serves many short calls
 // would look idle to long calls until it refuses them. If its gate has not reported the
@@ -20,7 +20,7 @@
 //
 // An upstream that fails part of its calls, as its gate counts over all entries, is
 // penalized by the cost of a failure, and sampling continues until it has found four that
-// do not fail, or eight in all. This applies while the service has spare slots, by the mean
-// of recent reports: in a burst the other upstreams have no free slots for those calls, and
-// a call that may fail is better than one that waits in vain.
+// do not fail, or eight in all. This applies while less than half of the service's slots are
+// in use, by the mean of recent reports: in a burst the other upstreams have no free slots
+// for those calls, and a call that may fail is better than one that waits in vain.
 package kqpick
--- a/internal/decide/kqpick/peer.go
+++ b/internal/decide/kqpick/peer.go
@@ -111,7 +111,7 @@
 	if load.expectedWork == 0 {
 		expectedWork := p.LeastWork(route)
 		if expectedWork == 0 {
-			expectedWork = peer.expectedWork(p.typicalWork(now))
+			expectedWork = peer.expectedWork(p.medianRecentWork(now))
 		}
 		return peer.estimateFromWork(expectedWork, now)
 	}
@@ -122,12 +122,12 @@
 }
 
 // expectedWork returns the upstream's reported recent work of its short calls of any route,
-// or typical, the median over all upstreams, but at least 1 ms, if it has not reported.
-func (peer *Peer) expectedWork(typical time.Duration) time.Duration {
+// or median, that of all upstreams, but at least 1 ms, if it has not reported.
+func (peer *Peer) expectedWork(median time.Duration) time.Duration {
 	if peer.load.RecentDuration > 0 {
 		return peer.load.RecentDuration
 	}
-	return max(typical, time.Millisecond)
+	return max(median, time.Millisecond)
 }
 
 // estimateFromWork returns the expected time in seconds of a call with the given work at
--- a/internal/decide/kqpick/pick.go
+++ b/internal/decide/kqpick/pick.go
@@ -29,10 +29,10 @@
 	// coldFactorBeforeWarm is how many times slower an upstream is expected to be until the
 	// end of the cold start that it announced.
 	coldFactorBeforeWarm = 2.0
-	// failureCost is the cost of a failed call in units of a call's work. The call is
-	// retried elsewhere, which spends a budget shared by all nodes, or is lost if it is
-	// not idempotent. The cost applies while less than spareUtilization of the service's
-	// slots are in use.
+	// failureCost is the cost of a failed call in units of a call's work. The call is lost
+	// or, under an operators' bound on retries, retried elsewhere if it is idempotent, which
+	// spends a budget shared by all nodes. The cost applies while less than
+	// spareUtilization of the service's slots are in use.
 	failureCost      = 40.0
 	spareUtilization = 0.5
 	// saturatedUtilization is the share of slots in use, including waiting calls, from
@@ -130,7 +130,8 @@
 }
 
 // Done records the outcome of a call for which Pick returned the upstream, and the load
-// that the gate reported, if any. failed is set for an answer with a 5xx status.
+// that the gate reported, if any. failed is set for an answer with a 5xx status. Calls that
+// were cancelled, or refused for example by a full gate, count as successes for ejection.
 func (p *Pool) Done(peer *Peer, outcome kqcall.Outcome, failed bool, load *kqcall.Load, now time.Time) {
 	peer.sent--
 	if load != nil {
--- a/internal/decide/kqpick/pick_test.go
+++ b/internal/decide/kqpick/pick_test.go
@@ -112,7 +112,7 @@
 }
 
 // An upstream fails 40% of its calls. It seldom fails five in a row, so that rule alone
-// would keep it in use. It must be ejected within a few dozen calls.
+// would keep it in use. It must be ejected within 400 calls of the service.
 func TestIntermittentlyFailingUpstreamIsEjected(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 4))
--- a/internal/decide/kqpick/simulation_test.go
+++ b/internal/decide/kqpick/simulation_test.go
@@ -32,10 +32,10 @@
 		factor                float64
 		waiting               []*job
 		// failShare is the share of its calls that fail, failed counts the failures, and
-		// record is the gate's count of them.
-		failShare float64
-		failed    int
-		record    kqfailrate.FailureRate
+		// failureRate is their rate as the gate reports it.
+		failShare   float64
+		failed      int
+		failureRate kqfailrate.FailureRate
 	}
 
 	job struct {
@@ -116,13 +116,13 @@
 		if failed {
 			u.failed++
 		}
-		u.record.Record(failed, sim.now)
+		u.failureRate.Record(failed, sim.now)
 		if len(u.waiting) > 0 {
 			next := u.waiting[0]
 			u.waiting = u.waiting[1:]
 			sim.run(u, next)
 		}
-		load := kqcall.Load{Running: u.running, Waiting: len(u.waiting), Slots: u.slots, RecentDuration: time.Duration(float64(work) * u.factor), FailureRate: u.record.Rate(sim.now)}
+		load := kqcall.Load{Running: u.running, Waiting: len(u.waiting), Slots: u.slots, RecentDuration: time.Duration(float64(work) * u.factor), FailureRate: u.failureRate.Rate(sim.now)}
 		sim.after(time.Millisecond, func() {
 			sim.took = append(sim.took, sim.now.Sub(j.arrivedAt))
 			sim.entries[j.entry].Done(j.peer, kqcall.OK(), failed, &load, sim.now)
--- a/internal/decide/kqpick/target.go
+++ b/internal/decide/kqpick/target.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// comfortableShare is the share of a route's target within which an upstream of the own
-	// failure domain is preferred: most calls still meet the target, and their responses do
-	// not cross between domains.
+	// comfortableShare is the share of a route's latency target within which an upstream of
+	// the own failure domain is preferred: most calls still meet the target, and their
+	// responses do not cross between domains.
 	comfortableShare = 0.6
 	// nestedComfortableShare is the share for nested calls.
 	nestedComfortableShare = 0.35
@@ -24,14 +24,15 @@
 	Version kqname.UpstreamVersion
 	// Nodes restricts the choice to the upstreams of these nodes; nil allows all.
 	Nodes map[kqname.Node]bool
-	// Fallback is the version used after the target's upstreams have refused the call, or
-	// if it has none; empty means no fallback version.
+	// Fallback is the version required of every attempt after the first, and of the first
+	// if no upstream is allowed; empty means no fallback version.
 	Fallback kqname.UpstreamVersion
-	// ExcludedVersions are the versions that the call must not go to, and
-	// FallbackExcludedVersions those that its fallback target excludes.
+	// ExcludedVersions are the versions that the call must not go to. Without a Fallback
+	// version, the attempts that it would apply to may go to any version other than
+	// FallbackExcludedVersions, if there are any of these.
 	ExcludedVersions, FallbackExcludedVersions []kqname.UpstreamVersion
-	// ComfortableLatency is the expected time up to which an upstream of the own failure
-	// domain is preferred to all others; 0 means none.
+	// ComfortableLatency is the weighted expected time (see leastEstimate) below which an
+	// upstream of the own failure domain is preferred to all others; 0 means none.
 	ComfortableLatency time.Duration
 	// Route is the route of the call; empty if upstreams report no routes.
 	Route kqname.Route
@@ -57,11 +58,10 @@
 	return (t.Version == "" || c.Version == t.Version) && (t.Nodes == nil || t.Nodes[c.Node]) && !slices.Contains(t.ExcludedVersions, c.Version)
 }
 
-// ComfortableLatency returns the expected time within which an upstream of the own failure
-// domain is preferred, for calls with the given target. It is less for nested calls: the
-// calling call holds a slot of its upstream while it waits, so when slots are short, extra
-// milliseconds delay other callers, and a queue in the own domain is reason enough to use
-// another domain.
+// ComfortableLatency returns Target.ComfortableLatency for calls of a route with the given
+// latency target. It is less for nested calls: the calling call holds a slot of its
+// upstream while it waits, so when slots are short, extra milliseconds delay other callers,
+// and a queue in the own domain is reason enough to use another domain.
 func ComfortableLatency(target time.Duration, nested bool) time.Duration {
 	if nested {
 		return time.Duration(nestedComfortableShare * float64(target))
--- a/internal/decide/kqpick/usage.go
+++ b/internal/decide/kqpick/usage.go
@@ -36,9 +36,9 @@
 	return least
 }
 
-// typicalWork returns the cached median of the upstreams' recent work, or 0 if at most two
-// have reported theirs.
-func (p *Pool) typicalWork(now time.Time) time.Duration {
+// medianRecentWork returns the cached median of the upstreams' recent work, or 0 if at most
+// two have reported theirs.
+func (p *Pool) medianRecentWork(now time.Time) time.Duration {
 	if now.Sub(p.medianWorkAt) < aggregateTTL {
 		return p.medianWork
 	}
@@ -65,12 +65,12 @@
 	if !p.hasSpareCapacity(now) {
 		return 0
 	}
-	return p.typicalWork(now)
+	return p.medianRecentWork(now)
 }
 
-// hasSpareCapacity reports whether the service has spare slots, by the mean over recent
-// reports. A single report may be a second old, and an upstream can fill up in that time,
-// while the mean of many reports follows the load.
+// hasSpareCapacity reports whether less than spareUtilization of the service's slots are in
+// use, by the mean over recent reports. A single report may be a second old, and an
+// upstream can fill up in that time, while the mean of many reports follows the load.
 func (p *Pool) hasSpareCapacity(now time.Time) bool { return p.utilization(now) < spareUtilization }
 
 // utilization returns the cached share of the service's slots in use.
