--- a/internal/decide/kqallowance/allowance.go
+++ b/internal/decide/kqallowance/allowance.go
@@ -29,8 +29,8 @@
 }
 
 // RecordRepeat counts a call that is repeated because its calling call was retried; the
-// bound counts it as a retry. It cannot be refused, so the balance may become negative
-// and later retries compensate.
+// bound counts it as a retry. It cannot be refused, so the balance may become negative,
+// down to minus the maximum, and the node then retries less.
 func (a *Allowance) RecordRepeat(nodes int) {
 	a.tokens = max(a.tokens-1, -a.maxTokens(nodes))
 }
--- a/internal/decide/kqallowance/allowance_test.go
+++ b/internal/decide/kqallowance/allowance_test.go
@@ -8,7 +8,8 @@
 
 // All upstreams of a service fail every call while 1, 10 or 90 nodes send it 1,700 calls
 // in ten seconds, all of which may be retried. The retries of all nodes together must stay
-// within the operators' bound, or upstreams that could recover get twice their load.
+// within the operators' bound, with a slack of at least one retry per node, or upstreams
+// that could recover get twice their load.
 func TestAllNodesTogetherStayWithinTheBound(t *testing.T) {
 	bound := kqallowance.Bound{Ratio: 0.2, Slack: 56}
 	const calls = 1700
--- a/internal/decide/kqcallerretry/callerretry.go
+++ b/internal/decide/kqcallerretry/callerretry.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// maxCalls bounds the remembered calls. A node that refuses 1,000 calls a second of
-// callers that wait for four seconds has about as many to remember.
+// maxCalls bounds the calls that a RetryTracker remembers. A node that refuses 1,000 calls a
+// second of callers that wait for four seconds has about as many to remember, and divides
+// them among several trackers.
 const maxCalls = 4096
 
 type (
 	// Key is a hash of a caller and its request.
 	Key uint64
 
-	// RetryTracker remembers the unsuccessful calls of one node. It is not safe for
-	// concurrent use.
+	// RetryTracker remembers the unsuccessful calls of a part of a node's callers. It is not
+	// safe for concurrent use.
 	RetryTracker struct {
 		pending map[Key][]call
-		// order holds the key of each remembered call, oldest first. A key stays in it
-		// after its call was retried, until maxCalls is reached and the key is the oldest.
+		// order holds the keys of the last maxCalls recorded calls, oldest first. A key
+		// stays in it after its call was retried; when it is removed, a later call of the
+		// same key may be forgotten too early.
 		order []Key
 	}
 
@@ -42,7 +44,7 @@
 }
 
 // FirstAttempt returns the time of the first attempt of a call that arrives now: now,
-// unless it is a retry.
+// unless it is a retry of a remembered call, which is then forgotten.
 func (r *RetryTracker) FirstAttempt(k Key, now time.Time) time.Time {
 	for {
 		a, ok := r.removeOldest(k)
--- a/internal/decide/kqcallerretry/doc.go
+++ b/internal/decide/kqcallerretry/doc.go
@@ -7,7 +7,8 @@
 // late, as would the answers to calls queued behind it. At three times the capacity, two
 // thirds of the answers would be late although each could be in time.
 //
-// A call without a successful answer is remembered for as long as its caller waits, by a
-// hash of the caller and the request. Identical concurrent requests are distinguished by
-// their number only; which of them counts as new makes no difference.
+// A call without a successful answer is remembered by a hash of the caller and the request,
+// at most for as long as its caller waits, and less if very many calls fail. Identical
+// concurrent requests are distinguished by their number only; which of them counts as new
+// makes no difference.
 package kqcallerretry
--- a/internal/decide/kqlease/lease.go
+++ b/internal/decide/kqlease/lease.go
@@ -12,7 +12,8 @@
 	// GiveUp means to stop reading, since the lease may have expired.
 	GiveUp Step = "give_up"
 
-	// ReadersPerDomain is the number of readers of a failure domain: one and a standby.
+	// ReadersPerDomain is the number of readers of a failure domain. Both read, so that a
+	// domain that loses one still has the other.
 	ReadersPerDomain = 2
 	// TTL is the duration of a lease. A domain that lost both readers has none for about
 	// that long; the other domains' readers serve it meanwhile.
@@ -43,8 +44,8 @@
 		// Readers is the number of live readers known in the own domain, without this
 		// node.
 		Readers int
-		// Rank is this node's position, from 0, among the domain's members that can be
-		// readers.
+		// Rank is this node's position, from 0, among the domain's live members without a
+		// lease, ordered by how long they have run, longest first.
 		Rank int
 	}
 
--- a/internal/decide/kqretry/doc.go
+++ b/internal/decide/kqretry/doc.go
@@ -15,4 +15,7 @@
 // less than a tenth of the calls. If a gate reports that its upstream drains or was rolled
 // back, the retry is free: the entry stops using that upstream, so only the few calls in
 // flight are affected.
+//
+// Package kqentry may also pass a call that a full gate refused to a gate that seems to have
+// a free slot. This is possible at any depth and spends no budget.
 package kqretry
