--- a/internal/decide/kqpick/peer.go
+++ b/internal/decide/kqpick/peer.go
@@ -26,18 +26,18 @@
 
 // LastReport returns the upstream's last reported load and its age, both zero if there is
 // none.
-func (peer *Peer) LastReport(now time.Time) (kqcall.Load, time.Duration) {
-	if peer.reportedAt.IsZero() {
-		return peer.load, 0
+func (upstream *Peer) LastReport(now time.Time) (kqcall.Load, time.Duration) {
+	if upstream.reportedAt.IsZero() {
+		return upstream.load, 0
 	}
-	return peer.load, now.Sub(peer.reportedAt)
+	return upstream.load, now.Sub(upstream.reportedAt)
 }
 
 // InFlight returns the number of this entry's in-flight calls to the upstream.
-func (peer *Peer) InFlight() int { return peer.sent }
+func (upstream *Peer) InFlight() int { return upstream.sent }
 
 // Ejected reports whether the upstream is ejected.
-func (peer *Peer) Ejected() bool { return peer.state.Ejected() }
+func (upstream *Peer) Ejected() bool { return upstream.state.Ejected() }
 
 // selectBest returns the best sampled upstream of the own failure domain if it is fast
 // enough, else the best of a random sample of all. It reorders the list.
@@ -54,8 +54,8 @@
 // would gain nothing then, while its responses would cross between domains.
 func (p *Pool) localBest(list []*Peer, target Target, now time.Time, random *rand.Rand) *Peer {
 	local := 0
-	for i, peer := range list {
-		if peer.Domain == p.domain {
+	for i, upstream := range list {
+		if upstream.Domain == p.domain {
 			list[local], list[i] = list[i], list[local]
 			local++
 		}
@@ -85,16 +85,16 @@
 		}
 		j := i + random.IntN(len(list)-i)
 		list[i], list[j] = list[j], list[i]
-		peer := list[i]
-		if !hasSpareCapacity || peer.failureRate(now) == 0 {
+		upstream := list[i]
+		if !hasSpareCapacity || upstream.failureRate(now) == 0 {
 			counted++
 		}
-		estimate := p.expectedTime(peer, route, now) * peer.failurePenalty(hasSpareCapacity, now)
-		if peer.Domain == p.domain {
+		estimate := p.expectedTime(upstream, route, now) * upstream.failurePenalty(hasSpareCapacity, now)
+		if upstream.Domain == p.domain {
 			estimate *= localFactor
 		}
 		if found == nil || estimate < leastEstimate {
-			found, leastEstimate = peer, estimate
+			found, leastEstimate = upstream, estimate
 		}
 	}
 	return found, leastEstimate
@@ -106,26 +106,26 @@
 // recent work for calls of any route: by that, an upstream that mostly serves orders of
 // 100 ms would look too slow for lookups of 20 ms and get none, even while the others have
 // more lookups than slots.
-func (p *Pool) expectedTime(peer *Peer, route kqname.Route, now time.Time) float64 {
-	load := peer.routeLoads.current(route, now)
+func (p *Pool) expectedTime(upstream *Peer, route kqname.Route, now time.Time) float64 {
+	load := upstream.routeLoads.current(route, now)
 	if load.expectedWork == 0 {
 		expectedWork := p.LeastWork(route)
 		if expectedWork == 0 {
-			expectedWork = peer.expectedWork(p.medianRecentWork(now))
+			expectedWork = upstream.expectedWork(p.medianRecentWork(now))
 		}
-		return peer.estimateFromWork(expectedWork, now)
+		return upstream.estimateFromWork(expectedWork, now)
 	}
-	slots := float64(max(peer.Slots, 1))
-	expectedWork := load.expectedWork.Seconds() * peer.coldSlowdown(now)
+	slots := float64(max(upstream.Slots, 1))
+	expectedWork := load.expectedWork.Seconds() * upstream.coldSlowdown(now)
 	ahead := float64(load.sentSince) / slots
-	return expectedWork*(1+occupancyCost*float64(peer.sent+1)/slots+ahead) + load.wait.Seconds()
+	return expectedWork*(1+occupancyCost*float64(upstream.sent+1)/slots+ahead) + load.wait.Seconds()
 }
 
 // expectedWork returns the upstream's reported recent work of its short calls of any route,
 // or median, that of all upstreams, but at least 1 ms, if it has not reported.
-func (peer *Peer) expectedWork(median time.Duration) time.Duration {
-	if peer.load.RecentDuration > 0 {
-		return peer.load.RecentDuration
+func (upstream *Peer) expectedWork(median time.Duration) time.Duration {
+	if upstream.load.RecentDuration > 0 {
+		return upstream.load.RecentDuration
 	}
 	return max(median, time.Millisecond)
 }
@@ -133,41 +133,41 @@
 // estimateFromWork returns the expected time in seconds of a call with the given work at
 // the upstream, including its cold slowdown and the wait for a slot. Utilization above
 // queueingUtilization costs twice the work per unit, since calls then queue.
-func (peer *Peer) estimateFromWork(work time.Duration, now time.Time) float64 {
-	busy := float64(peer.sent + 1)
-	if now.Sub(peer.reportedAt) < reportTTL {
-		busy += float64(peer.load.Running + peer.load.Waiting)
+func (upstream *Peer) estimateFromWork(work time.Duration, now time.Time) float64 {
+	busy := float64(upstream.sent + 1)
+	if now.Sub(upstream.reportedAt) < reportTTL {
+		busy += float64(upstream.load.Running + upstream.load.Waiting)
 	}
-	used := busy / float64(max(peer.Slots, 1))
-	return work.Seconds() * peer.coldSlowdown(now) * (1 + occupancyCost*used + 2*max(used-queueingUtilization, 0))
+	used := busy / float64(max(upstream.Slots, 1))
+	return work.Seconds() * upstream.coldSlowdown(now) * (1 + occupancyCost*used + 2*max(used-queueingUtilization, 0))
 }
 
 // failurePenalty returns the factor on the expected time for the risk of failure. It is 1
 // without spare capacity: the other upstreams could not take the calls, and a call that
 // may fail is better than one that waits until its caller has given up.
-func (peer *Peer) failurePenalty(hasSpareCapacity bool, now time.Time) float64 {
+func (upstream *Peer) failurePenalty(hasSpareCapacity bool, now time.Time) float64 {
 	if !hasSpareCapacity {
 		return 1
 	}
-	return 1 + failureCost*peer.failureRate(now)
+	return 1 + failureCost*upstream.failureRate(now)
 }
 
 // failureRate returns the reported share of failing calls, decayed by its age.
-func (peer *Peer) failureRate(now time.Time) float64 {
-	return kqfailrate.Decay(peer.load.FailureRate, now.Sub(peer.reportedAt))
+func (upstream *Peer) failureRate(now time.Time) float64 {
+	return kqfailrate.Decay(upstream.load.FailureRate, now.Sub(upstream.reportedAt))
 }
 
 // coldSlowdown returns how many times slower the upstream is expected to be while it is
 // cold. WarmFrom is the announced end of its cold start; without one, the slowdown falls
 // linearly over coldDuration after the upstream was added.
-func (peer *Peer) coldSlowdown(now time.Time) float64 {
-	if !peer.WarmFrom.IsZero() {
-		if now.Before(peer.WarmFrom) {
+func (upstream *Peer) coldSlowdown(now time.Time) float64 {
+	if !upstream.WarmFrom.IsZero() {
+		if now.Before(upstream.WarmFrom) {
 			return coldFactorBeforeWarm
 		}
 		return 1
 	}
-	if age := now.Sub(peer.addedAt); age < coldDuration {
+	if age := now.Sub(upstream.addedAt); age < coldDuration {
 		return 1 + (coldFactor-1)*(1-age.Seconds()/coldDuration.Seconds())
 	}
 	return 1
@@ -176,13 +176,13 @@
 // hasFreeSlot reports whether the upstream probably has a free slot. If the service is
 // saturated, only a recent report shows one. Otherwise, without a recent report, there is
 // one unless this entry's own calls use all slots.
-func (peer *Peer) hasFreeSlot(saturated bool, now time.Time) bool {
+func (upstream *Peer) hasFreeSlot(saturated bool, now time.Time) bool {
 	ttl := unsaturatedReportTTL
 	if saturated {
 		ttl = reportTTL
 	}
-	if now.Sub(peer.reportedAt) >= ttl {
-		return !saturated && peer.sent < peer.Slots
+	if now.Sub(upstream.reportedAt) >= ttl {
+		return !saturated && upstream.sent < upstream.Slots
 	}
-	return peer.load.Waiting == 0 && max(peer.sent, peer.load.Running) < peer.Slots
+	return upstream.load.Waiting == 0 && max(upstream.sent, upstream.load.Running) < upstream.Slots
 }
--- a/internal/decide/kqpick/pick.go
+++ b/internal/decide/kqpick/pick.go
@@ -59,7 +59,7 @@
 		domain     kqname.Domain
 		uniform    bool
 		candidates []kqmember.Candidate
-		peers      []*Peer
+		upstreams  []*Peer
 		eligible   []*Peer
 		ejector    kqeject.Ejector
 		// medianWork is the median of the upstreams' reported work at medianWorkAt.
@@ -95,21 +95,23 @@
 	if p.initialized && len(all) == len(p.candidates) && (len(all) == 0 || &all[0] == &p.candidates[0]) {
 		return
 	}
-	old := p.peers
-	p.candidates, p.peers = all, make([]*Peer, 0, len(all))
+	old := p.upstreams
+	p.candidates, p.upstreams = all, make([]*Peer, 0, len(all))
 	for _, c := range all {
-		i := slices.IndexFunc(old, func(peer *Peer) bool { return peer.Node == c.Node && peer.Version == c.Version && peer.Gate == c.Gate })
+		i := slices.IndexFunc(old, func(upstream *Peer) bool {
+			return upstream.Node == c.Node && upstream.Version == c.Version && upstream.Gate == c.Gate
+		})
 		if i < 0 {
-			p.peers = append(p.peers, p.admit(c, now))
+			p.upstreams = append(p.upstreams, p.admit(c, now))
 			continue
 		}
-		peer := old[i]
+		upstream := old[i]
 		old = slices.Delete(slices.Clone(old), i, i+1)
-		peer.Candidate = c
-		p.peers = append(p.peers, peer)
+		upstream.Candidate = c
+		p.upstreams = append(p.upstreams, upstream)
 	}
-	for _, peer := range old {
-		p.ejector.Release(&peer.state)
+	for _, upstream := range old {
+		p.ejector.Release(&upstream.state)
 	}
 	p.initialized = true
 }
@@ -117,7 +119,7 @@
 // Pick returns an upstream that the target allows and whose node has not been tried, or
 // nil if there is none. The caller must call Done for it.
 func (p *Pool) Pick(target Target, tried []kqname.Node, now time.Time, random *rand.Rand) *Peer {
-	chosen := p.selectPeer(target, tried, now, random)
+	chosen := p.selectUpstream(target, tried, now, random)
 	if chosen == nil {
 		return nil
 	}
@@ -132,42 +134,42 @@
 // Done records the outcome of a call for which Pick returned the upstream, and the load
 // that the gate reported, if any. failed is set for an answer with a 5xx status. Calls that
 // were cancelled, or refused for example by a full gate, count as successes for ejection.
-func (p *Pool) Done(peer *Peer, outcome kqcall.Outcome, failed bool, load *kqcall.Load, now time.Time) {
-	peer.sent--
+func (p *Pool) Done(upstream *Peer, outcome kqcall.Outcome, failed bool, load *kqcall.Load, now time.Time) {
+	upstream.sent--
 	if load != nil {
-		peer.load, peer.reportedAt = *load, now
-		peer.routeLoads.update(load, now)
+		upstream.load, upstream.reportedAt = *load, now
+		upstream.routeLoads.update(load, now)
 	}
 	if p.uniform {
 		return
 	}
 	switch {
 	case isGone(outcome.Reason):
-		p.ejector.RecordUnreachable(&peer.state, now)
+		p.ejector.RecordUnreachable(&upstream.state, now)
 	case outcome.Result == kqcall.Unknown && outcome.Reason != kqcall.Cancelled, failed, outcome.Reason == kqcall.RefusedByUpstream:
-		p.ejector.RecordFailure(&peer.state, len(p.peers), now)
+		p.ejector.RecordFailure(&upstream.state, len(p.upstreams), now)
 	default:
-		p.ejector.RecordSuccess(&peer.state, len(p.peers), peer.load.RecentDuration, p.ejectionMedian(now), now)
+		p.ejector.RecordSuccess(&upstream.state, len(p.upstreams), upstream.load.RecentDuration, p.ejectionMedian(now), now)
 	}
 }
 
-// selectPeer returns an ejected upstream that is due for a probe, if there is one. Else it
+// selectUpstream returns an ejected upstream that is due for a probe, if there is one. Else it
 // chooses among the upstreams that are not ejected or, if there are none, uses lastResort.
-func (p *Pool) selectPeer(target Target, tried []kqname.Node, now time.Time, random *rand.Rand) *Peer {
+func (p *Pool) selectUpstream(target Target, tried []kqname.Node, now time.Time, random *rand.Rand) *Peer {
 	p.eligible = p.eligible[:0]
 	ejected := 0
-	for _, peer := range p.peers {
-		if !target.allows(peer.Candidate) || slices.Contains(tried, peer.Node) {
+	for _, upstream := range p.upstreams {
+		if !target.allows(upstream.Candidate) || slices.Contains(tried, upstream.Node) {
 			continue
 		}
-		if peer.state.Ejected() {
-			if peer.state.ProbeDue(now) {
-				return peer
+		if upstream.state.Ejected() {
+			if upstream.state.ProbeDue(now) {
+				return upstream
 			}
 			ejected++
 			continue
 		}
-		p.eligible = append(p.eligible, peer)
+		p.eligible = append(p.eligible, upstream)
 	}
 	if len(p.eligible) == 0 && ejected > 0 {
 		p.lastResort(target, tried)
@@ -188,12 +190,12 @@
 // run nothing and look idle.
 func (p *Pool) lastResort(target Target, tried []kqname.Node) {
 	var first *Peer
-	for _, peer := range p.peers {
-		if !target.allows(peer.Candidate) || slices.Contains(tried, peer.Node) {
+	for _, upstream := range p.upstreams {
+		if !target.allows(upstream.Candidate) || slices.Contains(tried, upstream.Node) {
 			continue
 		}
-		if first == nil || peer.state.EjectedUntil().Before(first.state.EjectedUntil()) {
-			first = peer
+		if first == nil || upstream.state.EjectedUntil().Before(first.state.EjectedUntil()) {
+			first = upstream
 		}
 	}
 	p.eligible = append(p.eligible, first)
@@ -201,11 +203,11 @@
 
 // admit returns the state of an upstream that is new to the pool.
 func (p *Pool) admit(c kqmember.Candidate, now time.Time) *Peer {
-	peer := &Peer{Candidate: c, addedAt: now}
+	upstream := &Peer{Candidate: c, addedAt: now}
 	if !p.initialized {
-		peer.addedAt = now.Add(-coldDuration)
+		upstream.addedAt = now.Add(-coldDuration)
 	}
-	return peer
+	return upstream
 }
 
 // isGone reports whether the reason means that the upstream accepts no calls at all.
--- a/internal/decide/kqpick/usage.go
+++ b/internal/decide/kqpick/usage.go
@@ -16,8 +16,8 @@
 // servers' links are full and even calls that have a slot are late.
 func (p *Pool) HasFreeSlot(target Target, tried []kqname.Node, now time.Time) bool {
 	saturated := p.utilization(now) >= saturatedUtilization
-	for _, peer := range p.peers {
-		if target.allows(peer.Candidate) && !slices.Contains(tried, peer.Node) && !peer.state.Ejected() && peer.hasFreeSlot(saturated, now) {
+	for _, upstream := range p.upstreams {
+		if target.allows(upstream.Candidate) && !slices.Contains(tried, upstream.Node) && !upstream.state.Ejected() && upstream.hasFreeSlot(saturated, now) {
 			return true
 		}
 	}
@@ -28,8 +28,8 @@
 // not ejected, or 0 if none is known.
 func (p *Pool) LeastWork(route kqname.Route) time.Duration {
 	least := time.Duration(0)
-	for _, peer := range p.peers {
-		if load, ok := peer.routeLoads[route]; ok && !peer.state.Ejected() && (least == 0 || load.expectedWork < least) {
+	for _, upstream := range p.upstreams {
+		if load, ok := upstream.routeLoads[route]; ok && !upstream.state.Ejected() && (least == 0 || load.expectedWork < least) {
 			least = load.expectedWork
 		}
 	}
@@ -44,9 +44,9 @@
 	}
 	p.medianWorkAt, p.medianWork = now, 0
 	var works []time.Duration
-	for _, peer := range p.peers {
-		if peer.load.RecentDuration > 0 {
-			works = append(works, peer.load.RecentDuration)
+	for _, upstream := range p.upstreams {
+		if upstream.load.RecentDuration > 0 {
+			works = append(works, upstream.load.RecentDuration)
 		}
 	}
 	// With two values, the median would be one of them, which may be the outlier.
@@ -85,10 +85,10 @@
 // reports, or 0 if there are none. Waiting calls count as slots in use.
 func (p *Pool) measureUtilization(now time.Time) float64 {
 	busy, slots := 0, 0
-	for _, peer := range p.peers {
-		if now.Sub(peer.reportedAt) < reportTTL {
-			busy += peer.load.Running + peer.load.Waiting
-			slots += peer.Slots
+	for _, upstream := range p.upstreams {
+		if now.Sub(upstream.reportedAt) < reportTTL {
+			busy += upstream.load.Running + upstream.load.Waiting
+			slots += upstream.Slots
 		}
 	}
 	return float64(busy) / float64(max(slots, 1))
