--- a/internal/config/kqcommit/commit.go
+++ b/internal/config/kqcommit/commit.go
@@ -20,8 +20,9 @@
 
 	// Committed means that the document took effect as Outcome.Version.
 	Committed Status = "committed"
-	// Conflict means that the current version is not the request's base and the
-	// commit will never take effect.
+	// Conflict means that the current version is not the request's base. The commit
+	// never takes effect, unless an earlier call with the same ID and another base is
+	// still in flight.
 	Conflict Status = "conflict"
 	// Unknown means that the result could not be determined, for example because
 	// responses were lost, and the commit may still take effect. Call
@@ -50,7 +51,8 @@
 	ErrInvalidRequest = namespace.NewType("request").New("request is invalid")
 	// ErrRequestIDReused means that a request ID was used before with another document.
 	ErrRequestIDReused = namespace.NewType("reused").New("request id was used with another document")
-	// ErrUnknownRequest means that no commit has been started with a request ID.
+	// ErrUnknownRequest means that no intent was written for a request ID, for example
+	// because Commit returned Conflict or an error before that.
 	ErrUnknownRequest = namespace.NewType("not_begun").New("no commit was begun under this request id")
 
 	// errRootRewritten means that garbage collection rewrote the root, so that the
@@ -116,7 +118,7 @@
 		// parent and the request's ID, author, reason and time.
 		content kqresource.Root
 		// base and revision are the current root and its revision, as read at the
-		// beginning of the attempt.
+		// beginning of the attempt. If a newer root causes a conflict, base is set to it.
 		base     kqresource.Root
 		revision kqstore.Revision
 	}
@@ -140,8 +142,8 @@
 
 // Commit validates the document and makes it the current version. An error, such as
 // ErrInvalid, ErrInvalidRequest, ErrRequestIDReused, kqresource.ErrTooLarge or one of
-// kqstore's, means that this call has committed nothing; otherwise the outcome is final
-// or Unknown.
+// kqstore's, means that this call has committed nothing; otherwise the outcome's Status
+// is the result.
 func (c *Committer) Commit(ctx context.Context, q Request) (Outcome, error) {
 	if err := q.check(); err != nil {
 		return Outcome{RequestID: q.ID}, err
--- a/internal/config/kqcommit/history.go
+++ b/internal/config/kqcommit/history.go
@@ -57,8 +57,9 @@
 }
 
 // DocumentAt returns the document of a past version or the current one; that of
-// version 0 is empty. It returns kqstore.ErrNotFound for a version that never existed
-// and ErrCollected for one whose objects have been deleted.
+// version 0 is empty. It returns ErrCollected for a version that garbage collection has
+// trimmed, and kqstore.ErrNotFound for one that never existed or whose objects were
+// deleted by a collection that has not trimmed it yet.
 func (c *Committer) DocumentAt(ctx context.Context, v kqname.ConfigVersion) (kqdocument.Document, error) {
 	current, _, err := c.Root(ctx)
 	if err != nil {
--- a/internal/config/kqcommit/settle.go
+++ b/internal/config/kqcommit/settle.go
@@ -71,8 +71,8 @@
 // ResolveOutcome returns the outcome of an earlier commit whose response was lost,
 // without its Difference. The outcome is Unknown while a base of the commit is still
 // the current version, since a swap may be in flight. ResolveOutcome returns
-// ErrUnknownRequest for an ID that has not been used, and kqstore's errors if the
-// platform is unavailable; the call can then be retried.
+// ErrUnknownRequest for an ID without an intent, and kqstore's errors if the platform is
+// unavailable; the call can then be retried.
 func (c *Committer) ResolveOutcome(ctx context.Context, id string) (Outcome, error) {
 	known, _, err := c.readIntent(ctx, id)
 	if errors.Is(err, kqstore.ErrNotFound) {
