--- a/internal/config/kqorigin/origin.go
+++ b/internal/config/kqorigin/origin.go
@@ -31,7 +31,7 @@
 	// fleet.
 	pollInterval = 2500 * time.Millisecond
 	pollJitter   = 500 * time.Millisecond
-	// The pause after a failed list or watch is random, up to a limit that doubles from
+	// The pause of watchLoop after a failure is random, up to a limit that doubles from
 	// minBackoff to maxBackoff with each failure in a row.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
@@ -45,11 +45,13 @@
 	Decoder interface {
 		// Prefix returns the common prefix of the operators' keys.
 		Prefix() string
-		// Document decodes an entry that holds the document and its version. The bool
-		// reports whether the entry has the document's key, also with an error.
+		// Document decodes an entry that holds the document and the operators' number
+		// for it, which must be at least 1. The bool reports whether the entry has the
+		// document's key, also with an error.
 		Document(e kqstore.Entry) (kqdocument.Document, kqname.ConfigVersion, bool, error)
-		// Order decodes an entry that holds a rollout order. The bool reports whether
-		// the entry has the key of an order, also with an error.
+		// Order decodes an entry that holds a rollout order, which adds one rollout to
+		// the document. The bool reports whether the entry has the key of an order, also
+		// with an error.
 		Order(e kqstore.Entry) (kqdocument.Rollout, bool, error)
 	}
 
@@ -62,9 +64,11 @@
 		onRefused func(key string, err error)
 		onFailure func(error)
 
-		mu              sync.Mutex
-		document        kqdocument.Document
-		documentVersion kqname.ConfigVersion
+		mu       sync.Mutex
+		document kqdocument.Document
+		// documentNumber is the operators' number for the document, or 0 before the
+		// first document.
+		documentNumber kqname.ConfigVersion
 		// orders holds the rollout orders by their keys.
 		orders map[string]kqdocument.Rollout
 		// seenRevisions maps each key to the revision that was processed last.
@@ -79,9 +83,10 @@
 	}
 )
 
-// New returns an Origin. onRoot is called with the root of each version, onRefused
-// with the key of each entry that is rejected, or with the decoder's prefix if the
-// entries are invalid together, and onFailure for each failed call to the store.
+// New returns an Origin. onRoot is called with the root of each version, possibly
+// concurrently and out of order, onRefused with the key of each entry that is rejected,
+// or with the decoder's prefix if the entries are invalid together, and onFailure for
+// each failed list or watch of Run.
 func New(store kqstore.Lister, decoder Decoder, onRoot func(context.Context, kqresource.Root),
 	onRefused func(key string, err error), onFailure func(error),
 ) *Origin {
@@ -237,7 +242,7 @@
 			o.revision = max(o.revision, l.Revision)
 		}
 	}
-	if !changed || o.documentVersion == 0 || !o.buildVersion() {
+	if !changed || o.documentNumber == 0 || !o.buildVersion() {
 		return kqresource.Root{}, false
 	}
 	return o.root, o.root.Version > 0
@@ -247,10 +252,10 @@
 // or is neither a document nor an order, leaves the current document and orders
 // unchanged.
 func (o *Origin) acceptEntry(e kqstore.Entry) bool {
-	d, documentVersion, ok, err := o.decoder.Document(e)
+	d, documentNumber, ok, err := o.decoder.Document(e)
 	if ok {
-		if err == nil && documentVersion <= o.documentVersion {
-			err = fmt.Errorf("document version %d, current version %d: %w", documentVersion, o.documentVersion, errNotNewer)
+		if err == nil && documentNumber <= o.documentNumber {
+			err = fmt.Errorf("document number %d, current number %d: %w", documentNumber, o.documentNumber, errNotNewer)
 		}
 		if err == nil {
 			err = validate(d)
@@ -259,7 +264,7 @@
 			o.onRefused(e.Key, err)
 			return false
 		}
-		o.document, o.documentVersion = d, documentVersion
+		o.document, o.documentNumber = d, documentNumber
 		return true
 	}
 	r, ok, err := o.decoder.Order(e)
--- a/internal/config/kqorigin/origin_test.go
+++ b/internal/config/kqorigin/origin_test.go
@@ -145,8 +145,8 @@
 }
 
 // The store compacts its history while a watch is interrupted, after a document was
-// written. The origin must find the document by listing again; otherwise the fleet
-// would keep an old version until the next change.
+// written. The origin must find the document by listing again, in the watch loop or at
+// the next poll; otherwise the fleet would keep an old version until the next change.
 func TestDocumentIsFoundAfterCompaction(t *testing.T) {
 	s := start(t)
 	s.write(t, "o/document", document(1, "a"))
