--- a/internal/config/kqdistribute/exchange.go
+++ b/internal/config/kqdistribute/exchange.go
@@ -18,7 +18,7 @@
 )
 
 type (
-	// push announces a version to a neighbour.
+	// push announces a version to a neighbour. Receivers do not use Digest.
 	push struct {
 		Version kqname.ConfigVersion `cbor:"1,keyasint"`
 		Digest  kqresource.Digest    `cbor:"2,keyasint"`
--- a/internal/config/kqfetch/fetch.go
+++ b/internal/config/kqfetch/fetch.go
@@ -46,9 +46,8 @@
 	// rate by. After many nodes restart together, no reader knows of any other, and
 	// each would otherwise use the whole of it.
 	assumedReaders = 8
-	// recent is the largest number of objects in the field recent of a Fetcher. It
-	// caches those last read from the platform, to serve peers before the replica
-	// holds them.
+	// recent is the largest number of objects in the map Fetcher.recent, which caches
+	// those last read from the platform, to serve peers before the replica holds them.
 	recent = 32
 	// maxOtherPeers bounds how many readers of other failure domains and how many
 	// peers of the same service are called.
@@ -92,8 +91,9 @@
 	// The rate of platform calls is limited for the whole fleet. A reader uses half of
 	// it divided by the number of readers, but at least by assumedReaders; any other
 	// node uses half of it divided by the number of members, but at least by the
-	// expected number of nodes. Apart from bursts, neither many new nodes at once nor
-	// a growing fleet can therefore exceed the rate.
+	// expected number of nodes. Apart from bursts, the fleet can therefore exceed the
+	// rate only if there are more readers than assumedReaders, or more nodes than
+	// expected, and they do not all know each other.
 	Fetcher struct {
 		client        *kqrpc.Client
 		table         *kqmember.Table
@@ -137,9 +137,9 @@
 	}
 )
 
-// New returns a Fetcher that serves peers on server. The whole fleet, assumed to
-// have at least the expected number of nodes, reads from the platform at most
-// perSecond times a second.
+// New returns a Fetcher that serves peers on server. perSecond is the rate of platform
+// calls of the whole fleet, which is expected to have up to expectedNodes nodes; see
+// Fetcher.
 func New(server *kqrpc.Server, client *kqrpc.Client, table *kqmember.Table, platform Platform, budget Budget, perSecond, expectedNodes int) *Fetcher {
 	f := &Fetcher{
 		client: client, table: table, platform: platform, budget: budget,
@@ -318,8 +318,8 @@
 	close(own.done)
 }
 
-// addRecent caches an object and evicts the oldest one if there are more than
-// the constant recent. It requires f.mu.
+// addRecent caches an object and evicts the oldest one if there are more than the
+// constant recent allows. It requires f.mu.
 func (f *Fetcher) addRecent(d kqresource.Digest, data []byte) {
 	f.recent[d] = data
 	if f.recentOrder = append(f.recentOrder, d); len(f.recentOrder) > recent {
--- a/internal/config/kqfollower/doc.go
+++ b/internal/config/kqfollower/doc.go
@@ -2,10 +2,11 @@
 // stores whose keys can be listed; package kqreader elects the nodes for other stores.
 //
 // The choice is a pure function of the members: in each failure domain, the PerDomain
-// nodes with the fastest links, then the largest share of cores, and among equals those
-// with the lowest hash of the name. The choice needs no leases: nodes' views of the
-// members differ for seconds at most, a surplus follower costs a few calls, and the
-// followers of other domains compensate for a missing one. The store's load is therefore
-// independent of the fleet's size, and after an outage the store has its followers at
-// once, without waiting for leases to expire and be acquired again.
+// nodes with the highest configured link bandwidth, then the largest configured share of
+// cores, and among equals those with the lowest hash of the name. A value that is not
+// set ranks last. The choice needs no leases: nodes' views of the members differ for
+// seconds at most, a surplus follower costs a few calls, and the followers of other
+// domains compensate for a missing one. The store's load is therefore independent of the
+// fleet's size, and after an outage the store has its followers at once, without waiting
+// for leases to expire and be acquired again.
 package kqfollower
--- a/internal/config/kqfollower/follower.go
+++ b/internal/config/kqfollower/follower.go
@@ -132,11 +132,12 @@
 	return &run{stop: stop}
 }
 
-// compareFollowers orders nodes by their suitability to follow: the faster link first,
-// then the larger share of cores, then the lower hash of the name. A follower reads the
-// whole document for each version: some 220 KB for 800 routes, which takes a fifth of a
-// second on a link of 10 Mbit/s that also carries callers' traffic. A follower that
-// cannot keep up keeps its whole domain on old versions.
+// compareFollowers orders nodes by their suitability to follow: the higher configured link
+// bandwidth first, then the larger configured share of cores, then the lower hash of the
+// name. A value that is not set ranks last. A follower reads the whole document for each
+// version: some 220 KB for 800 routes, which takes a fifth of a second on a link of
+// 10 Mbit/s that also carries callers' traffic. A follower that cannot keep up keeps its
+// whole domain on old versions.
 func compareFollowers(a, b kqmember.Member) int {
 	return cmp.Or(
 		cmp.Compare(b.LinkMbits, a.LinkMbits),
--- a/internal/config/kqreader/reader.go
+++ b/internal/config/kqreader/reader.go
@@ -53,9 +53,10 @@
 		// probe is called with the control address of each slot holder that is
 		// unknown or dead.
 		probe func(ctx context.Context, to kqname.Address)
-		// onReading is called with true when this node starts to hold the whole document
-		// for its peers, and with false when it stops. The call for a start may block
-		// until its context ends.
+		// onReading is called with true each time this node takes a slot, to hold the
+		// whole document for its peers, and with false once the domain has enough other
+		// readers; not when the reader stops. The call with true may block until its
+		// context ends.
 		onReading     func(ctx context.Context, on bool)
 		onFailure     func(error)
 		maxStartDelay time.Duration
@@ -73,8 +74,9 @@
 		key         string
 		revision    kqstore.Revision
 		stopWatch   context.CancelFunc
-		// unknownReads counts, by slot key and holder address, how often the holder was
-		// found unknown or dead since this node last took a slot.
+		// unknownReads counts, by slot key followed by holder address, how often the
+		// holder was found unknown or dead since this node last took a slot. Finding it
+		// known in between does not reset the count.
 		unknownReads map[string]int
 		group        conc.WaitGroup
 	}
