--- a/internal/config/kqreplica/hold.go
+++ b/internal/config/kqreplica/hold.go
@@ -22,7 +22,8 @@
 }
 
 // FetchMissing fetches the objects of the current version that the replica lacks, if
-// HoldAll is on.
+// HoldAll is on. It leaves out, without an error, objects that the source does not
+// return, that do not match their digests or that exceed the memory budget.
 func (r *Replica) FetchMissing(ctx context.Context) error {
 	if root := r.Current().Root(); root.Version > 0 && r.holdsAll() {
 		return r.fetchAll(ctx, root)
--- a/internal/config/kqreplica/replica.go
+++ b/internal/config/kqreplica/replica.go
@@ -94,11 +94,13 @@
 // fetch.
 func WithSupervisor(s *kqsupervisor.Supervisor) Option { return func(r *Replica) { r.supervisor = s } }
 
-// WithOnRefused calls f with the reason for each version that cannot be applied.
+// WithOnRefused calls f with the reason for each attempt to apply a newer version that
+// fails or is cancelled.
 func WithOnRefused(f func(reason string)) Option { return func(r *Replica) { r.onRefused = f } }
 
-// WithMemoryBudget limits the bytes of configuration that are held; onMemoryLimit is called
-// for each host dropped, and each fetch of all objects cut short, because of it.
+// WithMemoryBudget limits the memory that the held hosts' routes take and, separately,
+// the encoded bytes of all objects when HoldAll adds some. onMemoryLimit is called for
+// each host dropped, and each fetch of all objects cut short, because of it.
 func WithMemoryBudget(bytes int, onMemoryLimit func()) Option {
 	return func(r *Replica) { r.memoryBudget, r.onMemoryLimit = bytes, onMemoryLimit }
 }
@@ -152,7 +154,7 @@
 
 // EnsureHost returns a snapshot that holds a host's routes, if the current version has
 // any, and fetches them if necessary. Concurrent calls for a host share one
-// fetch, which continues when ctx ends. now becomes the host's time of last use.
+// fetch, which continues when ctx ends. The host's time of last use becomes about now.
 func (r *Replica) EnsureHost(ctx context.Context, host kqname.Host, now time.Time) (*kqsnapshot.Snapshot, error) {
 	current := r.Current()
 	if exists, held := current.HostStatus(host); held || !exists {
--- a/internal/config/kqreplica/replica_test.go
+++ b/internal/config/kqreplica/replica_test.go
@@ -95,8 +95,8 @@
 	return &source{objects: make(kqresource.Objects), unavailable: make(map[kqresource.Digest]bool)}
 }
 
-// checkComplete returns an error if a held host lacks a route, or a route's
-// service is not held.
+// checkComplete returns an error if no route of a held host matches one of the paths, or
+// the service of a matching route is not held.
 func checkComplete(s *kqsnapshot.Snapshot) error {
 	for i := range hosts {
 		if _, held := s.HostStatus(host(i)); !held {
@@ -105,7 +105,7 @@
 		for _, path := range []string{"/", "/1/", "/2/", "/3/"} {
 			r, ok := s.Match(kqsnapshot.Request{Host: host(i), Path: path, Header: func(string) string { return "" }})
 			if !ok {
-				return fmt.Errorf("host %d is held without its route for %s", i, path)
+				return fmt.Errorf("host %d is held without a route for %s", i, path)
 			}
 			if _, ok := s.Service(r.Service); !ok {
 				return fmt.Errorf("route %s is held without its service", r.Name)
--- a/internal/config/kqresource/resource.go
+++ b/internal/config/kqresource/resource.go
@@ -17,8 +17,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// MaxObjectBytes limits the size of one encoded object or root; the platform's service
-// stores values of up to 1 MB.
+// MaxObjectBytes limits the size of one encoded object, root or record of kqcommit; the
+// platform's service stores values of up to 1 MB.
 const MaxObjectBytes = 1 << 20
 
 var (
@@ -26,7 +26,7 @@
 	// sentinels, so they carry no stack trace.
 	namespace = errorx.NewNamespace("kqresource").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-	// ErrTooLarge means that an object is larger than MaxObjectBytes.
+	// ErrTooLarge means that an encoded value is larger than MaxObjectBytes.
 	ErrTooLarge = namespace.NewType("too_large").New("object is larger than 1 MB")
 	// ErrDigestMismatch means that an object is missing, that its bytes do not match its
 	// digest, or that a digest is malformed.
@@ -47,7 +47,7 @@
 	Parts []Digest
 
 	// Root names every object of one configuration version. A commit replaces the
-	// current root.
+	// current root. Only commits set the fields Parent to At.
 	Root struct {
 		Version   kqname.ConfigVersion      `cbor:"1,keyasint"`
 		Parent    Digest                    `cbor:"2,keyasint"`
@@ -101,7 +101,7 @@
 	return Digest(raw), nil
 }
 
-// Encode returns the canonical encoding of a root or an object.
+// Encode returns the canonical encoding of an object, a root or a record of kqcommit.
 func Encode(value any) ([]byte, error) {
 	data, err := encoder.Marshal(value)
 	if err != nil {
@@ -113,8 +113,8 @@
 	return data, nil
 }
 
-// Decode decodes a root or an object into value. It rejects unknown fields, duplicate
-// keys, items of indefinite length and trailing bytes.
+// Decode decodes an object, a root or a record of kqcommit into value. It rejects unknown
+// fields, duplicate keys, items of indefinite length and trailing bytes.
 func Decode(data []byte, value any) error {
 	if len(data) > MaxObjectBytes {
 		return fmt.Errorf("decode %T of %d bytes: %w", value, len(data), ErrTooLarge)
--- a/internal/config/kqresource/split.go
+++ b/internal/config/kqresource/split.go
@@ -11,8 +11,9 @@
 )
 
 // Split turns a document into a root and its objects. Documents that are equal up to
-// the order of their items give equal digests. The caller sets the root's version,
-// parent, request ID, author, reason and time, which Split leaves unset.
+// the order of their items give equal digests. Split leaves the root's version, parent,
+// request ID, author, reason and time unset: kqcommit sets them all, kqorigin only the
+// version.
 func Split(d kqdocument.Document) (Root, Objects, error) {
 	d = Sorted(d)
 	root := Root{
--- a/internal/config/kqsnapshot/build.go
+++ b/internal/config/kqsnapshot/build.go
@@ -29,10 +29,11 @@
 
 // Build builds the snapshot of a root, which names every object of one version, for the
 // given hosts and services and the services that the hosts' routes name. If objects are
-// missing, it returns ErrIncomplete and their digests. It returns ErrInvalid if an
-// object is malformed or belongs to another host or service, if a route names a service
-// that the root lacks, or if the content violates the rules of kqdocument.Validate.
-// Given hosts and services that the root lacks are skipped.
+// missing, it returns ErrIncomplete and the digests of those known to be missing; while
+// a host's routes are missing, these lack the services that the routes name. It returns
+// ErrInvalid if an object is malformed or belongs to another host or service, if a route
+// names a service that the root lacks, or if the content violates the rules of
+// kqdocument.Validate. Given hosts and services that the root lacks are skipped.
 func Build(root kqresource.Root, objects kqresource.Objects, hosts []kqname.Host, services []kqname.Service, options ...BuildOption) (*Snapshot, []kqresource.Digest, error) {
 	b := &builder{
 		objects:  objects,
--- a/internal/config/kqsnapshot/validate.go
+++ b/internal/config/kqsnapshot/validate.go
@@ -10,7 +10,8 @@
 // validate applies the rules for whole documents to the snapshot's content. The
 // commit validates too, but a node does not rely on it: an older version of this
 // program, or another one, could commit a document that misroutes calls. Teams are not
-// part of a snapshot, so every team that is named is assumed to exist.
+// part of a snapshot, so every team that is named is assumed to exist and to have no
+// quotas.
 func (s *Snapshot) validate() error {
 	var d kqdocument.Document
 	teams := make(map[kqname.Team]bool)
