--- a/internal/run/kqmetric/metric.go
+++ b/internal/run/kqmetric/metric.go
@@ -29,7 +29,7 @@
 	storeMu                  sync.Mutex
 	storeCounts              map[string]uint64
 	version                  prometheus.Gauge
-	versionSince             atomic.Int64
+	lastApplied              atomic.Int64
 	sentBytes, receivedBytes atomic.Uint64
 }
 
@@ -143,16 +143,17 @@
 // LineSuppressed counts a log line that exceeded the rate limit for its reason.
 func (m *Metrics) LineSuppressed(string) { m.suppressedLines.Inc() }
 
-// SetVersion records the configuration version that was applied, and the time.
+// SetVersion records the version of the configuration snapshot that was applied, and the
+// time. A snapshot may differ from the previous one only in the hosts that it holds.
 func (m *Metrics) SetVersion(v kqname.ConfigVersion) {
 	m.version.Set(float64(v))
-	m.versionSince.Store(time.Now().UnixNano())
+	m.lastApplied.Store(time.Now().UnixNano())
 }
 
-// VersionSince returns when the current configuration version was applied, or the zero
-// time before the first one.
-func (m *Metrics) VersionSince() time.Time {
-	if at := m.versionSince.Load(); at != 0 {
+// LastApplied returns when a snapshot was last applied, or the zero time before the first
+// one.
+func (m *Metrics) LastApplied() time.Time {
+	if at := m.lastApplied.Load(); at != 0 {
 		return time.Unix(0, at)
 	}
 	return time.Time{}
--- a/internal/run/kqmetric/security.go
+++ b/internal/run/kqmetric/security.go
@@ -62,6 +62,6 @@
 // AdminRefused counts an operator's request that was refused.
 func (s *Security) AdminRefused(reason string) { s.adminRefused.WithLabelValues(reason).Inc() }
 
-// AdminCommitted counts an operator's change that was committed; way is the interface
-// that it was requested through, "api" or "console".
+// AdminCommitted counts an operator's request whose change was committed, by it or by an
+// earlier attempt; way is the interface that received it, "api" or "console".
 func (s *Security) AdminCommitted(way string) { s.adminCommitted.WithLabelValues(way).Inc() }
--- a/internal/run/kqnode/adapter.go
+++ b/internal/run/kqnode/adapter.go
@@ -16,16 +16,17 @@
 
 type (
 	// Adapter connects a node to a platform whose operators, upstreams and callers use
-	// formats of their own. Each field may be nil, but OperatorDecoder requires Lister.
-	// Without Dialect or Announcements, the program's own format is used; without
-	// OperatorDecoder, the console's commits are read; without Reports, no reports are
-	// written.
+	// formats of their own. Each field may be nil, but OperatorDecoder and Announcements
+	// require Lister. Without Dialect or Announcements, the program's own format is used;
+	// without OperatorDecoder, the console's commits are read; without Reports, no reports
+	// are written.
 	Adapter struct {
 		// Dialect reads and writes the headers of callers and upstreams. With it, the
 		// local upstream makes its calls through the entry's listener, as callers do.
 		Dialect kqcall.Dialect
 		// Announcements parses the local upstream's announcements. With it, the local
-		// listener serves announcements only.
+		// listener serves announcements only. They are held until the node has learned
+		// earlier departures, which it does only with Lister and the strategy overlay.
 		Announcements Announcements
 		// OperatorDecoder decodes the document and the rollout orders that operators write
 		// to the store directly. Lister lists and follows those entries, and those through
@@ -66,6 +67,7 @@
 	}
 	entry := n.logger.Part("store").WithFields(logrus.Fields{"event": "store", "call": call, "status": status})
 	if unavailable {
+		// The text is the same for status 429 and 503, as kqexplain looks for "does not".
 		entry.Warn("Store does not answer.")
 	} else {
 		entry.Info("Store answers again.")
--- a/internal/run/kqnode/announce.go
+++ b/internal/run/kqnode/announce.go
@@ -21,9 +21,9 @@
 	byInstance      map[kqname.Instance]kqlocal.Announcement
 }
 
-// serveAnnouncement serves an announcement in the platform's own format. It refuses
-// one that cannot be parsed, is invalid or names another service, and answers 404 to any
-// other request.
+// serveAnnouncement serves an announcement in the platform's own format. It refuses one
+// that cannot be parsed, that announce refuses, or that names another service and is not
+// Gone. It answers 404 to any other request.
 func (n *Node) serveAnnouncement(ctx *fasthttp.RequestCtx) {
 	a, ok, err := n.adapter.Announcements.Read(string(ctx.Request.Header.RequestURI()), ctx.PostBody())
 	if !ok {
@@ -45,10 +45,10 @@
 	ctx.SetBodyString("{}")
 }
 
-// announce applies an announcement, or holds it until earlier departures are known. An
-// announcement with Gone or Draining is a departure: it takes effect before the upstream
-// gets its answer, and the answer also waits, for a limited time, until the store or peers
-// hold it.
+// announce applies an announcement and refuses an invalid one, or holds it unchecked until
+// earlier departures are known. An announcement with Gone or Draining is a departure: it
+// takes effect before the upstream gets its answer, and the answer also waits, for a limited
+// time, until the store or peers hold it.
 func (n *Node) announce(a kqlocal.Announcement) error {
 	now := time.Now()
 	leaves := a.Gone || a.Draining
@@ -79,7 +79,8 @@
 }
 
 // learnDepartures applies the departures that were announced before this process started,
-// and then the announcements held meanwhile.
+// and then the announcements held meanwhile. It only logs an invalid one, since its sender
+// already has an answer.
 func (n *Node) learnDepartures(ctx context.Context) {
 	now := time.Now()
 	for _, d := range n.distribution.departures.Learn(ctx) {
--- a/internal/run/kqnode/body.go
+++ b/internal/run/kqnode/body.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// defaultBodyMemory is the memory for bodies, in bytes, if the settings state none:
-	// four of the largest bodies.
+	// defaultBodyMemory is the memory for large bodies, in bytes, if the settings state
+	// none: four bodies of 64 MB, the largest max_body that the settings allow.
 	defaultBodyMemory = 256 << 20
-	// bodyMemoryDivisor leaves a quarter of the memory to bodies: what the HTTP library
-	// has read and is not garbage-collected yet may take as much as the bodies
-	// themselves, and the process needs the rest.
+	// bodyMemoryDivisor leaves a quarter of the memory to large bodies, beside which small
+	// ones may take half as much: what the HTTP library has read and is not
+	// garbage-collected yet may take as much as the bodies themselves, and the process
+	// needs the rest.
 	bodyMemoryDivisor = 4
-	// entryBodyWait is how long a caller's body waits for memory: about as long as it
-	// takes to forward one body.
+	// entryBodyWait is how long a caller's body waits for memory at an entry, and a body of
+	// unknown length also at a gate: about as long as it takes to forward one body.
 	entryBodyWait = 250 * time.Millisecond
 	// noMemoryRetryAfter is the Retry-After of a call refused for lack of body memory.
 	noMemoryRetryAfter = time.Second
@@ -28,7 +29,8 @@
 	rejectedBodyLimit = 1
 )
 
-// bodyMemory returns how many bytes of bodies the node may hold at once.
+// bodyMemory returns how many bytes of large bodies the node may hold at once. kqbody allows
+// half as many for small ones in addition.
 func bodyMemory(s kqsettings.Settings) int {
 	switch {
 	case s.Call.BodyMemory > 0:
@@ -60,9 +62,9 @@
 
 // reserveBody reserves memory for a request's body before it is read. Without memory it
 // limits the body to rejectedBodyLimit; a body declared larger than MaxBody is left to the
-// server's own limit, which rejects it. A gate waits much longer than an entry: the calling node
-// holds the body meanwhile, and a refusal while it sends would leave the call's outcome
-// unknown.
+// server's own limit, which rejects it. For a body of declared length, a gate waits much
+// longer than an entry: the calling node holds the body meanwhile, and a refusal while it
+// sends would leave the call's outcome unknown.
 func (n *Node) reserveBody(wait time.Duration) func(*fasthttp.RequestHeader) fasthttp.RequestConfig {
 	return func(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
 		if h.ContentLength() > n.settings.Call.MaxBody || n.bodies.Reserve(h, wait, n.settings.Call.ReadTimeout) {
--- a/internal/run/kqnode/call.go
+++ b/internal/run/kqnode/call.go
@@ -85,8 +85,9 @@
 	}
 }
 
-// newServer returns a server of calls. count gets the outcomes of the calls that handler
-// does not count itself: those that cannot be read, and those that panic.
+// newServer returns a server of calls. count gets the outcomes of the calls that the HTTP
+// library cannot read and of those that panic; for the others, handler does its own
+// counting.
 func (n *Node) newServer(handler fasthttp.RequestHandler, count func(kqcall.Outcome), bodyWait time.Duration) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler: kqconnection.Serve(n.recoverPanics(handler, count)), Name: "kumquatgw", ReadTimeout: n.settings.Call.ReadTimeout, IdleTimeout: serverIdleTimeout,
@@ -126,7 +127,7 @@
 }
 
 // readErrorHandler answers and counts requests that the HTTP library could not read.
-// They never reach an entry or a gate, which count all others.
+// They never reach an entry or a gate, which do their own counting.
 func (n *Node) readErrorHandler(count func(kqcall.Outcome)) func(*fasthttp.RequestCtx, error) {
 	return func(ctx *fasthttp.RequestCtx, err error) {
 		o := n.readErrorOutcome(ctx, errors.Join(err, kqconnection.ReadError(ctx.Conn())))
--- a/internal/run/kqnode/config.go
+++ b/internal/run/kqnode/config.go
@@ -27,7 +27,7 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// strategyDirect makes every node watch the platform and fetch the whole document.
+// strategyDirect makes the node watch the platform itself and fetch the whole document.
 const strategyDirect = "direct"
 
 // prefetchPoll is how often a starting node checks whether it has a version.
@@ -141,6 +141,7 @@
 		kqreplica.WithOnChange(func(s *kqsnapshot.Snapshot) {
 			n.metrics.SetVersion(s.Version())
 			n.table.SetHeldVersion(n.settings.Node.Name, s.Version())
+			// The version is the same as before if only the held hosts differ.
 			n.logger.Part("config").WithFields(logrus.Fields{"event": "applied", "version": s.Version()}).Info("Version is in force.")
 			n.rollouts.adoptConfig(s)
 		}),
--- a/internal/run/kqnode/drain.go
+++ b/internal/run/kqnode/drain.go
@@ -20,26 +20,27 @@
 	// accepted and its call has begun.
 	acceptGrace = 100 * time.Millisecond
 	// minCallerGrace is the shortest time that callers from outside get to move to
-	// other nodes when the node leaves: the readiness probe runs once a second and
-	// must fail twice.
+	// other nodes when a node with a platform's dialect leaves: the readiness probe runs
+	// once a second and must fail twice.
 	minCallerGrace = 2200 * time.Millisecond
 	// callerQuietPeriod is the time without a call after which callers have moved.
 	callerQuietPeriod = 700 * time.Millisecond
 	// closeMargin is how long before the drain timeout new calls are refused even if
-	// callers have not moved, because too few other nodes are ready. It is time enough
-	// for all but the slowest calls to finish.
+	// callers have not moved, for instance since too few other nodes are ready. It is time
+	// enough for all but the slowest calls to finish.
 	closeMargin = 2300 * time.Millisecond
 	// drainPoll is the interval of the checks for calls and connections.
 	drainPoll = 10 * time.Millisecond
-	// noProbeGrace is how long callers get to close their connections if nothing
-	// probes the node's readiness.
+	// noProbeGrace is how long callers get to close their connections without a
+	// platform's dialect, when the node assumes that nothing probes its readiness.
 	noProbeGrace = time.Second
 	// cancelGrace is how long cancelled calls have to be answered, and finalAnnounceTimeout
 	// how long the final announcement may take; both are part of killMargin.
 	cancelGrace          = 150 * time.Millisecond
 	finalAnnounceTimeout = 200 * time.Millisecond
-	// adminShutdownTimeout is how long operators' requests have to be answered after
-	// the calls: as long as the platform may take for a change.
+	// adminShutdownTimeout is the longest time, within the drain timeout, for answering
+	// operators' requests after the calls: as long as one answer of the platform may take
+	// by default.
 	adminShutdownTimeout = 2 * time.Second
 )
 
@@ -144,7 +145,7 @@
 func (n *Node) awaitCallersGone(ctx context.Context) {
 	began := time.Now()
 	if n.adapter.Dialect == nil {
-		// No probe tells these callers that the node leaves, only its answers do.
+		// Probes are not expected: only the node's answers tell callers that it leaves.
 		n.awaitNoConnections(ctx, noProbeGrace, RoleEntry)
 		return
 	}
--- a/internal/run/kqnode/leave.go
+++ b/internal/run/kqnode/leave.go
@@ -24,6 +24,7 @@
 	n.supervisor.RunRecovered("leave", func() { n.divertTraffic(ctx) })
 	var err error
 	n.supervisor.RunRecovered("leave", func() { err = n.drainCalls(ctx) })
+	// Calls have ended or were cancelled. New calls have been refused since RefuseAll.
 	n.logLeaveStep("no calls are taken")
 	n.supervisor.RunRecovered("leave", n.announceDead)
 	n.supervisor.RunRecovered("leave", func() { n.distribution.reader.Close(ctx) })
@@ -40,6 +41,7 @@
 	n.table.Update(func(m *kqmember.Member) { m.State = kqmember.Leaving })
 	n.memberSync.FlushUpdates(ctx)
 	n.rollouts.releaseLeases(ctx)
+	// The new state was sent to other nodes; some may not have received it.
 	n.logLeaveStep("the others know")
 }
 
@@ -63,6 +65,7 @@
 	if err := n.admin.Shutdown(ctx); !errors.Is(err, context.DeadlineExceeded) {
 		return err
 	}
+	// Logged only if connections were still open at the timeout.
 	n.logLeaveStep("operators' connections are closed")
 	return nil
 }
--- a/internal/run/kqnode/recent_events.go
+++ b/internal/run/kqnode/recent_events.go
@@ -60,7 +60,8 @@
 }
 
 // logRecentEvents repeats the recent events in one log line, so that they stay in a log of
-// which only the last lines are kept. It adds how many lines were lost since the last call.
+// which only the last lines are kept. It adds how many log lines could not be written since
+// it last ran.
 func (n *Node) logRecentEvents(now time.Time) {
 	lines := n.unwrittenLines()
 	if more := lines - n.loggedUnwritten; more > 0 {
@@ -73,8 +74,9 @@
 }
 
 // logRestart logs that a member runs a new process, with the last known state of the
-// previous one. If that state is not dead, the previous process ended without a final
-// announcement and its calls were cut off.
+// previous one. If that state is dead, the previous process announced its end or the
+// failure detector declared it dead; else no final announcement came, and its calls were
+// probably cut off.
 func (n *Node) logRestart(m kqmember.Member) {
 	now := time.Now()
 	previous, restarted := n.memberProcesses.observe(m, now)
--- a/internal/run/kqnode/report.go
+++ b/internal/run/kqnode/report.go
@@ -55,7 +55,7 @@
 
 func (n *Node) ownReport() (kqview.Report, error) {
 	r := kqview.Report{
-		Node: n.settings.Node.Name, Version: n.Version(), Since: n.metrics.VersionSince(), Started: n.started, Ready: n.Ready(),
+		Node: n.settings.Node.Name, Version: n.Version(), Since: n.metrics.LastApplied(), Started: n.started, Ready: n.Ready(),
 	}
 	families, err := n.metrics.Registry().Gather()
 	if err != nil {
--- a/internal/run/kqnode/rollout.go
+++ b/internal/run/kqnode/rollout.go
@@ -40,8 +40,8 @@
 		tracker *kqtracker.Tracker
 		owner   *kqowner.Owner
 
-		// progressSentAt is when this node last published a plan's progress; only tick
-		// uses it.
+		// progressSentAt is when tick last published a plan's progress; only tick uses
+		// it.
 		progressSentAt map[kqplan.ID]time.Time
 		// reportedStates holds the state of each order last reported to operators; only
 		// syncPlatform uses it.
--- a/internal/run/kqnode/rollout_message.go
+++ b/internal/run/kqnode/rollout_message.go
@@ -28,8 +28,8 @@
 	answeringNodes = 3
 	// collectingNodes is how many nodes of a service, besides the rollout's owner, receive
 	// and weigh its evidence. If evidence were flooded, each rollout would cost every node
-	// of the fleet each gate's report once a tick: ten gates of two routes cost some 4 KB/s
-	// of the 16 KB/s that a node has for all control traffic.
+	// of the fleet each gate's report once a tick: ten gates that each report on two routes
+	// cost some 4 KB/s of the 16 KB/s that a node has for all control traffic.
 	collectingNodes = 5
 	// maxRelayed bounds the statuses that a node keeps of the rollouts that other nodes
 	// publish; those of further rollouts are ignored.
