--- a/internal/run/kqexplain/explain.go
+++ b/internal/run/kqexplain/explain.go
@@ -27,6 +27,8 @@
 		}
 	}
 	if end == nil {
+		// The line is also missing if the log of the entry's node was not read, or if the
+		// node sampled the call out.
 		return append(description, "Cause: unknown. The log line of the request's entry is missing: the node died, or the line was suppressed."), nil
 	}
 	return append(description, "Cause: "+l.cause(*end, lines)), nil
@@ -61,9 +63,10 @@
 }
 
 // entryKnowledge describes, from earlier log lines, what the entry's node knew when
-// the call arrived: for how long its configuration had been in force and the store had
-// been unreachable, and the states of the nodes that the call was sent to. It returns ""
-// if there are no such lines.
+// the call arrived: for how long the node had used its configuration snapshot and the
+// store had been unavailable, and the states of the nodes that the call was sent to. It
+// returns "" if there are no such lines. A snapshot may be newer than its version, since
+// each host that is fetched yields one.
 func (l *Log) entryKnowledge(one line) string {
 	began := one.Time.Add(-time.Duration(one.Took * float64(time.Millisecond)))
 	var list []string
@@ -97,9 +100,12 @@
 	case "overload":
 		return fmt.Sprintf("overload. The gates of %s had refused most calls of class %q in the seconds before, so the entry refused it unsent.", end.Service, end.Class)
 	case "queue_full":
+		// All attempts count, whatever their outcome. The load is what the gate had last
+		// reported before the attempt, and no room may also mean no further connection.
 		return fmt.Sprintf("overload. %d gates of %s had no room within the time that the request could wait; the last, %s, had %d of %d slots in use and %d calls waiting.",
 			len(end.Attempts), end.Service, last.To, last.Running, last.Slots, last.Waiting)
 	case "late":
+		// Also if no connection to the gate was made in time.
 		return fmt.Sprintf("overload. It waited at the gate of %s until it was too late to start, and was refused without reaching the upstream.", last.To)
 	case "no_upstream":
 		return fmt.Sprintf("no upstream. The entry knew of none of %s that takes calls%s.", end.Service, l.unavailableMembers(end))
@@ -109,6 +115,8 @@
 		return fmt.Sprintf("no route. Version %d has no route for its host and path.", end.Version)
 	case "timeout":
 		return fmt.Sprintf("timeout. It was at %s when its deadline passed after %.0f ms%s.", last.To, end.Took, l.laterMemberState(end, last.To))
+	// "draining" also means that the entry's node was stopping and refused the call, without
+	// an attempt, or cancelled it.
 	case "cut", "connect_failed", "draining", "rolled_back", "moved", "crossed", "shed":
 		return fmt.Sprintf("the upstream. The last attempt, to %s, ended as %s after %.0f ms%s; %s.", last.To, end.Reason, last.Took, l.laterMemberState(end, last.To), noRetryReason(end))
 	case "cancelled":
@@ -165,7 +173,8 @@
 	return fmt.Sprintf("; %d of %d known members were not alive", count, len(states))
 }
 
-// noRetryReason describes why the call was not retried, or not once more.
+// noRetryReason describes why the call was not retried, or not once more. The log does not
+// state the reason: the last text also stands for a call with no other upstream left.
 func noRetryReason(end line) string {
 	switch {
 	case len(end.Attempts) > 1:
--- a/internal/run/kqexplain/read.go
+++ b/internal/run/kqexplain/read.go
@@ -19,7 +19,7 @@
 	// Log holds log lines from any number of nodes.
 	Log struct {
 		lines []line
-		// skipped counts, by file, the lines that are not log lines of a node.
+		// skipped counts, by file, the lines that are not JSON log lines of a node.
 		skipped map[string]int
 	}
 
@@ -71,13 +71,15 @@
 		LoadAge  float64 `json:"load_age_ms"`
 		TimeLeft float64 `json:"left_ms"`
 		Took     float64 `json:"took_ms"`
-		Resent   bool    `json:"again"`
-		Ejected  bool    `json:"ejected"`
+		// Resent reports whether a further attempt was allowed. None followed if no other
+		// upstream was left.
+		Resent  bool `json:"again"`
+		Ejected bool `json:"ejected"`
 	}
 )
 
-// Read adds a file's lines. Lines that are truncated or not from a node's log are
-// skipped and counted.
+// Read adds a file's lines. Lines that are truncated, not in the log format json or not
+// from a node's log are skipped and counted.
 func (l *Log) Read(name string, file io.Reader) error {
 	scanner := bufio.NewScanner(file)
 	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
