--- a/internal/run/kqcommand/command.go
+++ b/internal/run/kqcommand/command.go
@@ -78,8 +78,8 @@
 }
 
 // Run runs the command that the arguments name and returns the exit status: 2 if the
-// arguments are invalid, 1 if the command fails, else 0. An interrupt or SIGTERM cancels
-// the command's context; a command that does not use it runs to its end.
+// arguments cannot be parsed, 1 if the command refuses them or fails, else 0. An interrupt
+// or SIGTERM cancels the command's context; a command that does not use it runs to its end.
 func (c *Command) Run(arguments []string) int {
 	if len(arguments) > 0 && strings.HasPrefix(arguments[0], "--completion-script-") {
 		// The shell evaluates the completion script from the standard output.
--- a/internal/run/kqcommand/document.go
+++ b/internal/run/kqcommand/document.go
@@ -130,7 +130,8 @@
 	return d, c.printProblems(file, kqdocument.Validate(d))
 }
 
-// printProblems prints a document's problems and returns an error if there are any.
+// printProblems prints a document's problems and returns an error with their number if
+// there are any.
 func (c *Command) printProblems(file string, problems []kqdocument.Problem) error {
 	for _, p := range problems {
 		fmt.Fprintf(c.errors, "%s: %v\n", file, p)
--- a/internal/run/kqsettings/combinations.go
+++ b/internal/run/kqsettings/combinations.go
@@ -10,8 +10,8 @@
 
 // checkCombinations reports settings that are valid alone but not together, and
 // addresses of the platform and of seeds that are malformed. The checks of listen
-// addresses and of pairs skip settings that are missing or invalid by themselves:
-// these still hold their default, which the file does not state.
+// addresses and of pairs skip settings that already have an error of their own: these
+// still hold their default, which the file does not state.
 func (r *fileReader) checkCombinations(s Settings) {
 	if s.Member.UpstreamTTL < 2*s.Member.Heartbeat {
 		r.addPairError("member", "upstream_ttl", "heartbeat", "must be at least twice heartbeat, or upstreams may expire and reappear")
@@ -81,8 +81,8 @@
 	}
 }
 
-// addPairError records an error of two settings together, unless one of them
-// is missing or invalid by itself.
+// addPairError records an error of two settings together, unless one of them already
+// has an error of its own.
 func (r *fileReader) addPairError(section, key, other, message string) {
 	if !r.invalid[section+"."+key] && !r.invalid[section+"."+other] {
 		r.addError(section, key, "%s", message)
--- a/internal/run/kqsettings/field.go
+++ b/internal/run/kqsettings/field.go
@@ -174,6 +174,7 @@
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
+		// A size is quoted without its suffix.
 		return 0, fmt.Errorf("%q is not a whole number%s", text, map[bool]string{true: ", such as 64KB"}[f.tag.Get("unit") == "bytes"])
 	}
 	if n > math.MaxInt64/multiplier || n < math.MinInt64/multiplier {
--- a/internal/run/kqsettings/read.go
+++ b/internal/run/kqsettings/read.go
@@ -16,8 +16,8 @@
 type fileReader struct {
 	file string
 	errs []error
-	// invalid holds, by "section.key", whether a setting's value is missing or
-	// invalid by itself, regardless of its combination with others.
+	// invalid holds, by "section.key", whether a setting has an error of its own,
+	// regardless of its combination with others.
 	invalid map[string]bool
 }
 
