--- a/internal/admin/kqaudit/doc.go
+++ b/internal/admin/kqaudit/doc.go
@@ -1,5 +1,6 @@
-// Package kqaudit records the latest changes that operators attempted, accepted
-// or refused, and the latest requests and logins that failed authentication. It keeps
-// them in memory and writes them to the log. Accepted changes are also kept in the
-// document's history on the platform.
+// Package kqaudit records the latest changes that operators submitted, accepted or
+// refused, and most requests and logins that failed authentication. It does not record dry
+// runs, nor requests refused before their change was submitted. It keeps the records in
+// memory and writes them to the log. Committed changes are also kept in the document's
+// history on the platform.
 package kqaudit
--- a/internal/admin/kqchange/change.go
+++ b/internal/admin/kqchange/change.go
@@ -31,7 +31,8 @@
 		DocumentAt(ctx context.Context, v kqname.ConfigVersion) (kqdocument.Document, error)
 	}
 
-	// Counter counts committed changes.
+	// Counter counts requests whose change was committed, by them or by an earlier
+	// attempt.
 	Counter interface {
 		AdminCommitted(way string)
 	}
@@ -182,7 +183,7 @@
 	return p
 }
 
-// recordAudit adds an attempted change to the audit log. It counts the change if it
+// recordAudit adds a submitted change to the audit log. It counts the change if it
 // was committed, also by an earlier attempt of the same request.
 func (c *Changer) recordAudit(q Request, result Result, problem *kqproblem.Problem, now time.Time) {
 	r := kqaudit.Record{
--- a/internal/admin/kqchange/kind.go
+++ b/internal/admin/kqchange/kind.go
@@ -15,8 +15,9 @@
 var (
 	// ErrItemNotFound is returned for an item that is not in the document.
 	ErrItemNotFound = errors.New("not in the document")
-	// ErrMalformedItem is returned for JSON that does not decode into an item or
-	// has another name than the edited item.
+	// ErrMalformedItem is returned for JSON that does not decode into an item or has
+	// another name than the edited item, and by DecodeStrict for trailing data after
+	// any value.
 	ErrMalformedItem = errors.New("item cannot be read")
 
 	// Kinds maps the name of each list in the document to the kind of its items.
--- a/internal/admin/kqconsole/change.go
+++ b/internal/admin/kqconsole/change.go
@@ -37,8 +37,9 @@
 		Inputs    []input
 		// Other holds the errors that belong to no field of the form.
 		Other []kqproblem.Field
-		// Theirs holds the changes that others committed since the form was opened
-		// and Mine those of this form; both are set after a conflict.
+		// Theirs holds the problem's Difference, usually the changes that others
+		// committed since the form was opened, and Mine those of this form; both are
+		// set after a conflict.
 		Theirs, Mine []difference
 		Conflict     bool
 	}
--- a/internal/admin/kqproblem/problem.go
+++ b/internal/admin/kqproblem/problem.go
@@ -39,14 +39,16 @@
 	// NotFound means that no operation, item, request, version or node has this path
 	// or name, or that the version's document or the node's report cannot be read.
 	NotFound Code = "not_found"
-	// BadMethod means that the path does not support the method.
+	// BadMethod means that a path outside the API does not support the method. Under the
+	// API's prefix, such a request gets NotFound.
 	BadMethod Code = "bad_method"
-	// Invalid means that the changed document fails validation; Errors lists why.
+	// Invalid means that the changed document fails validation; Errors lists why, or
+	// Detail if there are none.
 	Invalid Code = "invalid_document"
 	// OverQuota means that the change would exceed a team's quota.
 	OverQuota Code = "over_quota"
-	// StaleVersion means that the base version is no longer in force; Difference holds
-	// the changes since.
+	// StaleVersion means that the base version is no longer in force; Difference usually
+	// holds the changes since.
 	StaleVersion Code = "stale_version"
 	// RequestIDReused means that the request ID was already used with other content,
 	// or that the committed documents to compare with cannot be read.
--- a/internal/admin/kqview/report.go
+++ b/internal/admin/kqview/report.go
@@ -20,7 +20,8 @@
 	Report struct {
 		Node    kqname.Node          `json:"node" cbor:"1,keyasint"`
 		Version kqname.ConfigVersion `json:"version" cbor:"2,keyasint"`
-		// Since is when the node applied that version.
+		// Since is when the node last applied a snapshot, of a new version or of the
+		// same version with other hosts.
 		Since   time.Time `json:"since" cbor:"3,keyasint"`
 		Started time.Time `json:"started" cbor:"4,keyasint"`
 		Ready   bool      `json:"ready" cbor:"5,keyasint"`
--- a/internal/admin/kqview/view.go
+++ b/internal/admin/kqview/view.go
@@ -40,7 +40,8 @@
 		Slots    int                    `json:"slots"`
 		Draining bool                   `json:"draining"`
 		Started  time.Time              `json:"started"`
-		// WarmFrom is the announced end of the cold start, or zero without one.
+		// WarmFrom is the announced end of the cold start, Started if none was announced,
+		// or zero if the upstream announced no instance.
 		WarmFrom time.Time `json:"warm,omitzero"`
 	}
 
@@ -134,7 +135,8 @@
 }
 
 // Convergence returns how many nodes have the version in force. Nodes considered
-// dead are not counted: when they return, they apply it before they serve calls.
+// dead are not counted: one that restarts gets a version before it serves calls. One
+// that is only partitioned may still serve calls by an older version.
 func (v *View) Convergence(ctx context.Context, now time.Time) (Convergence, error) {
 	root, _, err := v.committer.Root(ctx)
 	if err != nil {
