--- a/cmd/kumquatgw/docs_test.go
+++ b/cmd/kumquatgw/docs_test.go
@@ -24,7 +24,7 @@
 	for pattern, expression := range map[string]string{
 		"../../internal/run/kqmetric/*.go":       `Name: "(kumquatgw_\w+)"`,
 		"../../internal/call/kqcall/call.go":     `Reason = "(\w+)"`,
-		"../../internal/config/kqreplica/*.go":   `\.refused\("(\w+)"\)`,
+		"../../internal/config/kqreplica/*.go":   `\.onRefused\("(\w+)"\)`,
 		"../../internal/security/*/*.go":         `Name: "(kumquatgw_\w+)"`,
 		"../../internal/admin/kqproblem/pro*.go": `Code = "(\w+)"`,
 	} {
