--- a/internal/base/kqsupervisor/supervisor.go
+++ b/internal/base/kqsupervisor/supervisor.go
@@ -82,8 +82,8 @@
 }
 
 // RunWithRestart runs the work until it returns. If it panics, RunWithRestart restarts
-// it after a pause that doubles up to maxBackoff, unless ctx has ended by then. If ctx
-// ends during the pause, the work is started once more, at once. A run that lasted
+// it after a pause that doubles up to maxBackoff, unless ctx has ended when it panics. If
+// ctx ends during the pause, the work is started once more, at once. A run that lasted
 // longer than maxBackoff resets the pause.
 func (s *Supervisor) RunWithRestart(ctx context.Context, part string, work func()) {
 	pause := minBackoff
--- a/internal/peer/kqbudget/budget.go
+++ b/internal/peer/kqbudget/budget.go
@@ -18,9 +18,10 @@
 	}
 
 	// Budget is a token bucket that charges sent bytes and tells senders of bulk traffic
-	// how long to wait while it is empty. Heartbeats and announcements are charged but do
-	// not wait: they are small, and without them peers would declare this node dead.
-	// Budget is safe for concurrent use.
+	// (whole roots, objects and member records) how long to wait while it is empty. Other
+	// messages, such as heartbeats, are charged but do not wait: they are small, and
+	// without heartbeats peers would declare this node dead. Budget is safe for
+	// concurrent use.
 	Budget struct {
 		next      Meter
 		limiter   *rate.Limiter
--- a/internal/peer/kqdiscovery/discovery.go
+++ b/internal/peer/kqdiscovery/discovery.go
@@ -74,8 +74,9 @@
 	return &Discovery{store: store, node: node, control: control, known: known, contact: contact, onError: onError, wake: make(chan struct{}, 1)}
 }
 
-// RenewNow triggers a renewal of the entry at once. It is called when the store is
-// available again, since the lease may have lapsed during the outage.
+// RenewNow triggers a renewal of the entry at once or, if the last attempt failed, after
+// the pause before its retry. It is called when the store is available again, since the
+// lease may have lapsed during the outage.
 func (d *Discovery) RenewNow() {
 	select {
 	case d.wake <- struct{}{}:
--- a/internal/peer/kqmember/member.go
+++ b/internal/peer/kqmember/member.go
@@ -33,8 +33,8 @@
 		Draining bool                   `cbor:"4,keyasint,omitempty"`
 		// Started is when the upstream first announced itself.
 		Started time.Time `cbor:"5,keyasint"`
-		// WarmFrom is when the upstream's warm-up ends by its own announcement; zero if
-		// the upstream announced no instance.
+		// WarmFrom is when the upstream is warm, according to what it announced; zero if
+		// it announced no instance.
 		WarmFrom time.Time `cbor:"6,keyasint,omitzero"`
 	}
 
@@ -49,8 +49,9 @@
 		// Incarnation begins at the start time of the node's process, in milliseconds
 		// since 1970. Only the node itself raises it, when it publishes a changed record
 		// or refutes a peer's record of it.
-		Incarnation uint64               `cbor:"6,keyasint"`
-		State       State                `cbor:"7,keyasint"`
+		Incarnation uint64 `cbor:"6,keyasint"`
+		State       State  `cbor:"7,keyasint"`
+		// HeldVersion is the newest configuration version that the node applies.
 		HeldVersion kqname.ConfigVersion `cbor:"8,keyasint"`
 		Upstreams   []Upstream           `cbor:"9,keyasint,omitempty"`
 		// Reader reports whether the node reads the platform's key-value service for the
@@ -151,7 +152,7 @@
 	return m
 }
 
-// SetHeldVersion raises the configuration version in a member's record. It ignores
+// SetHeldVersion raises the configuration version that a member applies. It ignores
 // lower versions and unknown members. Subscribers are not notified, since heartbeats
 // carry the versions: flooding a record for each node and version would cost a
 // quadratic number of messages per change.
--- a/internal/peer/kqmember/summary.go
+++ b/internal/peer/kqmember/summary.go
@@ -19,12 +19,12 @@
 		// Records holds one hash for each bucket, of the names, incarnations and states
 		// of the members in it.
 		Records [Buckets]uint64
-		// VersionHolders is the hash of the configuration versions that members hold.
+		// VersionHolders is the hash of the configuration versions that members apply.
 		VersionHolders uint64
 	}
 
 	// VersionHolders maps each configuration version to the name hashes of the members
-	// that hold it.
+	// that apply it.
 	VersionHolders map[kqname.ConfigVersion][]uint64
 )
 
@@ -68,7 +68,7 @@
 	return list
 }
 
-// VersionHolders returns which members hold which configuration version, without the
+// VersionHolders returns which members apply which configuration version, without the
 // dead ones.
 func (t *Table) VersionHolders() VersionHolders {
 	t.mu.RLock()
--- a/internal/peer/kqmembersync/heartbeat.go
+++ b/internal/peer/kqmembersync/heartbeat.go
@@ -17,8 +17,8 @@
 
 type (
 	// heartbeat holds the sender's incarnation, the combined hash of the records in its
-	// member table, the newest configuration version whose root it holds, and the version
-	// in its own record.
+	// member table, the newest configuration version whose root it holds (Newest), and the
+	// version that it applies (HeldVersion).
 	heartbeat struct {
 		Incarnation uint64               `cbor:"1,keyasint"`
 		Records     uint64               `cbor:"2,keyasint"`
@@ -27,7 +27,7 @@
 	}
 
 	// heartbeatAnswer holds the receiver's own heartbeat and name. VersionHolders is the
-	// hash of the versions that the members of its table hold.
+	// hash of the versions that the members of its table apply.
 	heartbeatAnswer struct {
 		heartbeat
 		Node           kqname.Node `cbor:"5,keyasint"`
--- a/internal/peer/kqmembersync/synchronizer.go
+++ b/internal/peer/kqmembersync/synchronizer.go
@@ -24,7 +24,7 @@
 	compareBeats = 2
 	// probeBeats is the interval between probes of the dead members that would be
 	// neighbours if they were alive, in heartbeats. Every randomProbeBeats heartbeats one
-	// random dead member and one random contact are probed.
+	// random dead member and one random seed are probed.
 	probeBeats       = 4
 	randomProbeBeats = 20
 	// deadRetention is how long a dead member is kept and probed, so that a server which
@@ -68,7 +68,7 @@
 		group    conc.WaitGroup
 
 		mu       sync.Mutex
-		contacts []kqname.Address
+		seeds    []kqname.Address
 		detector *kqdetector.Detector
 		// busy holds the peers to which a heartbeat is in flight.
 		busy         map[kqname.Address]bool
@@ -84,15 +84,16 @@
 )
 
 // New returns a synchronizer that registers its methods on server and sends through
-// client, with a heartbeat to each neighbour per interval. All contacts get heartbeats
-// while every known peer is dead or none is known. A random contact also gets one from
-// time to time, so that two parts of a fleet that dropped each other join again.
+// client, with a heartbeat to each neighbour per interval. The seeds are the control
+// addresses of other nodes in the settings. All seeds get heartbeats while every known
+// peer is dead or none is known. A random seed also gets one from time to time, so that
+// two parts of a fleet that dropped each other join again.
 func New(server *kqrpc.Server, client *kqrpc.Client, table *kqmember.Table, overlay *kqoverlay.Overlay,
-	versions Versions, budget Budget, contacts []kqname.Address, interval time.Duration,
+	versions Versions, budget Budget, seeds []kqname.Address, interval time.Duration,
 ) *Synchronizer {
 	s := &Synchronizer{
 		client: client, table: table, overlay: overlay, versions: versions, budget: budget, interval: interval,
-		contacts: contacts, detector: kqdetector.New(interval), busy: make(map[kqname.Address]bool),
+		seeds: seeds, detector: kqdetector.New(interval), busy: make(map[kqname.Address]bool),
 		queue: make(map[kqname.Node]kqmember.Member), wake: make(chan struct{}, 1), beatNow: make(chan struct{}, 1),
 	}
 	self := table.Self().Node
@@ -139,8 +140,8 @@
 func (s *Synchronizer) FlushUpdates(ctx context.Context) { s.send(ctx, s.dequeue(maxQueue)) }
 
 // tick detects failures and sends the heartbeats that are due on a beat: to all
-// neighbours, to a random member that is not dead or, if there is none, to all contacts,
-// and to the dead members and the contact to be probed. It also prunes dead members and
+// neighbours, to a random member that is not dead or, if there is none, to all seeds,
+// and to the dead members and the seed to be probed. It also prunes dead members and
 // closes idle connections.
 func (s *Synchronizer) tick(ctx context.Context, beat int, now time.Time) {
 	neighbours := s.overlay.Neighbours()
@@ -151,7 +152,7 @@
 	if to, ok := s.randomAddress(func(m kqmember.Member) bool { return m.State != kqmember.Dead }); ok {
 		s.sendHeartbeat(ctx, to)
 	} else {
-		for _, to := range s.contacts {
+		for _, to := range s.seeds {
 			s.sendHeartbeat(ctx, to)
 		}
 	}
@@ -164,8 +165,8 @@
 		if to, ok := s.randomAddress(func(m kqmember.Member) bool { return m.State == kqmember.Dead }); ok {
 			s.sendHeartbeat(ctx, to)
 		}
-		if len(s.contacts) > 0 {
-			s.sendHeartbeat(ctx, s.contacts[rand.IntN(len(s.contacts))])
+		if len(s.seeds) > 0 {
+			s.sendHeartbeat(ctx, s.seeds[rand.IntN(len(s.seeds))])
 		}
 		s.table.PruneDead(now.Add(-deadRetention), now)
 	}
--- a/internal/peer/kqrpc/guard_test.go
+++ b/internal/peer/kqrpc/guard_test.go
@@ -13,8 +13,8 @@
 )
 
 // Guards against impersonation by a node with a valid certificate. Without the check of
-// the sender's name, one compromised server could send requests as any other node, and
-// operators would see a healthy node declared dead. The request must not run.
+// the sender's name, one compromised server could send requests as any other node, for
+// example heartbeats that hide the other node's failure. The request must not run.
 func TestSenderMustMatchItsCertificate(t *testing.T) {
 	var ran atomic.Int32
 	authenticate := func(_ context.Context, c net.Conn) (net.Conn, kqname.Node, error) { return c, "honest", nil }
--- a/internal/peer/kqrpc/server.go
+++ b/internal/peer/kqrpc/server.go
@@ -24,14 +24,15 @@
 	// sentinels, and carry no stack trace.
 	namespace = errorx.NewNamespace("kqpeer").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-	// ErrFrame is returned for a message that exceeds MaxFrameBytes.
+	// ErrFrame is returned for a message to be sent that exceeds MaxFrameBytes.
 	ErrFrame = namespace.NewType("frame").New("message is too large")
-	// ErrMethod is returned for a method that the peer does not implement.
+	// ErrMethod is the server's error for a method that it does not implement. It and
+	// the server's errors below reach the caller only as text.
 	ErrMethod = namespace.NewType("method").New("unknown method")
-	// ErrSender is returned if a request names another sender than the certificate
-	// of its connection.
+	// ErrSender is the server's error for a request that names another sender than the
+	// certificate of its connection.
 	ErrSender = namespace.NewType("sender").New("sender does not match the certificate's node")
-	// ErrPanicked is returned if the method's handler panicked.
+	// ErrPanicked is the server's error for a request whose handler panicked.
 	ErrPanicked = namespace.NewType("panic").New("handler panicked")
 )
 
