--- a/internal/store/kqfakestore/serve.go
+++ b/internal/store/kqfakestore/serve.go
@@ -15,8 +15,9 @@
 	// maxRequestBytes leaves room for the largest value in base64, which makes it a third
 	// longer, and for the other fields of an Operation.
 	maxRequestBytes = 2*kqstore.MaxValueBytes + 4096
-	// maxWait bounds the wait of a watch, as on the platform, so that the connection of a
-	// client that has gone is not kept for longer. It also bounds the ttl of a lease.
+	// maxWait bounds the wait of a watch, so that the connection of a client that has gone
+	// is not kept for longer. The platform's own bound is 30 s. maxWait also bounds the
+	// ttl of a lease.
 	maxWait = 5 * time.Minute
 )
 
--- a/internal/store/kqstore/store.go
+++ b/internal/store/kqstore/store.go
@@ -30,15 +30,15 @@
 	ErrLeaseLapsed = namespace.NewType("lease_lapsed").New("lease lapsed")
 	// ErrTooLarge is returned if the value exceeds MaxValueBytes.
 	ErrTooLarge = namespace.NewType("too_large").New("value is too large")
-	// ErrUnavailable is returned if the store gave no usable answer: there was none,
-	// it could not be read, or its error code is unknown. A write that fails with it
-	// may or may not have taken effect.
+	// ErrUnavailable is returned if the store reports that it is unavailable or gave no
+	// usable answer: there was none, it could not be read, or its error code is unknown.
+	// A write that fails with it may or may not have taken effect.
 	ErrUnavailable = namespace.NewType("unavailable", errorx.Temporary()).New("platform unavailable")
 	// ErrCompacted is returned if the changes after a revision are no longer kept, so
 	// that the keys must be listed again.
 	ErrCompacted = namespace.NewType("compacted", errorx.Temporary()).New("history has been compacted")
 	// ErrRateLimited is returned if the store refused the call because of its rate
-	// limit.
+	// limit, or if the client's own limit did not admit it before its context ended.
 	ErrRateLimited = namespace.NewType("rate_limited", errorx.Temporary()).New("platform rate limit exceeded")
 )
 
