--- a/pkg/kqdocument/validate.go
+++ b/pkg/kqdocument/validate.go
@@ -19,9 +19,9 @@
 )
 
 type (
-	// Problem is one validation error, at one field of one item.
+	// Problem is one validation error, in a list, an item or a field.
 	Problem struct {
-		// Path identifies the field in the form "routes[3].service".
+		// Path identifies the list, item or field, in the form "routes[3].service".
 		Path string `json:"path"`
 		// Message describes the problem in one short sentence.
 		Message string `json:"message"`
--- a/pkg/kqname/name.go
+++ b/pkg/kqname/name.go
@@ -3,7 +3,8 @@
 import "regexp"
 
 type (
-	// Node identifies one kumquatgw process; it is unique in the fleet.
+	// Node names a kumquatgw node. It is unique in the fleet and stays the same when the
+	// node's process restarts.
 	Node string
 	// Server identifies the VM that a node and its upstream run on.
 	Server string
@@ -31,10 +32,11 @@
 	// Address is a TCP address in the form "ip:port".
 	Address string
 	// Caller identifies the sender of calls for fair sharing. It is a service name
-	// for calls from inside the fleet, and a key or an address for calls from outside.
+	// for calls from inside the fleet, and an IP address for calls from outside.
 	Caller string
-	// ConfigVersion numbers the committed documents from 1; it never decreases. 0 means
-	// none.
+	// ConfigVersion is the version of a configuration: the number of the document or, if
+	// the configuration is built from a platform's keys, a revision of the store. It never
+	// decreases. 0 means none.
 	ConfigVersion uint64
 )
 
