--- a/cmd/kumquatgw/drain_admin_test.go
+++ b/cmd/kumquatgw/drain_admin_test.go
@@ -26,8 +26,8 @@
 }
 
 // Guards against an idle admin connection, such as a browser's preconnect, that delays the
-// drain until the node is killed. If a node is killed before its goodbye, its peers only
-// suspect it, and calls to it end by their deadlines.
+// drain until the node is killed. If a node is killed before its goodbye, its peers
+// still send it calls, which fail, until they declare it dead.
 func TestIdleOperatorDoesNotDelayTheDrain(t *testing.T) {
 	p, _ := startAdminNode(t)
 	began := time.Now()
--- a/cmd/kumquatgw/fleet_test.go
+++ b/cmd/kumquatgw/fleet_test.go
@@ -89,9 +89,9 @@
 	f.t.Fatalf("last response %q, want the upstream's", last)
 }
 
-// extendSettings adds lines to the end of the [node] section of a settings file, which may
-// begin further sections, and removes earlier lines with the same keys from all sections.
-// It returns the file's path.
+// extendSettings adds lines to the end of the [node] section of a settings file. The lines
+// may begin further sections. For each of them it removes the first earlier line with the
+// same key, in whatever section. It returns the file's path.
 func extendSettings(t *testing.T, file, lines string) string {
 	t.Helper()
 	data, err := os.ReadFile(file)
--- a/cmd/kumquatgw/log_test.go
+++ b/cmd/kumquatgw/log_test.go
@@ -46,8 +46,9 @@
 }
 
 // Checks that the peers of a restarted node log whether its previous process had left
-// gracefully (goodbye=true). A killed process writes no last line itself, so only its
-// peers' logs show that its in-flight calls were cut.
+// gracefully (goodbye=true). Here the killed node restarts before its peers declare it
+// dead; later they would log goodbye=true for it too. A killed process writes no last line
+// itself, so only its peers' logs show that its in-flight calls were cut.
 func TestPeersLogWhetherARestartedNodeHadLeftGracefully(t *testing.T) {
 	for _, c := range []struct {
 		end  os.Signal
