--- a/internal/lab/kqsurvey/baseline.go
+++ b/internal/lab/kqsurvey/baseline.go
@@ -10,7 +10,8 @@
 const (
 	// The baseline is a common rollout procedure: five steps of equal length and a
 	// fixed threshold on the new version's error rate in a sliding window. The threshold
-	// applies once the window has baselineMinCalls calls.
+	// applies once the window has baselineMinCalls calls. Calls that are also counted
+	// under kqevidence.ColdUpstreams count twice, which lowers their error rate.
 	baselineSteps        = 5
 	baselineWindowTicks  = 30
 	baselineMinCalls     = 50
--- a/internal/lab/kqsurvey/survey.go
+++ b/internal/lab/kqsurvey/survey.go
@@ -38,7 +38,8 @@
 
 	// Policy is the results of one decider under one policy. Decider is "kumquatgw",
 	// "baseline" or, for the oracle, "limit". Good and Bad are the numbers of rollouts of
-	// good and of bad versions.
+	// good and of bad versions. For "limit", the figures about a bad version's traffic,
+	// here and in Kind, are always 0.
 	Policy struct {
 		Policy  kqname.Policy `json:"policy"`
 		Decider string        `json:"decider"`
--- a/internal/lab/kqsurvey/trial.go
+++ b/internal/lab/kqsurvey/trial.go
@@ -27,8 +27,9 @@
 		correct bool
 		// maxBadShare is the version's largest share of traffic while it was bad.
 		maxBadShare float64
-		// badSeconds and badCalls count the ticks and calls of the bad version
-		// after the oracle has detected the regression.
+		// badSeconds and badCalls count the ticks and calls of the bad version after the
+		// oracle has detected the regression. Calls that are also counted under
+		// kqevidence.ColdUpstreams count twice.
 		badSeconds, badCalls float64
 		// at is the last second in which a version that was rolled back could get
 		// calls, or for the oracle the second of its detection; -1 if there was none.
