--- a/internal/lab/kqdemo/caller.go
+++ b/internal/lab/kqdemo/caller.go
@@ -104,8 +104,8 @@
 }
 
 // call sends one call through the external or the local address of a random
-// node and records its result. A call whose connection was refused cannot have
-// been sent, so another node is tried.
+// node and records its result. A call that could not connect has not been sent, so
+// a node is chosen at random again.
 func (c *caller) call(method, path string) {
 	for {
 		targets := c.targetPool.targets()
@@ -163,7 +163,7 @@
 		return unknown, reason
 	case kqcall.Answered:
 		if !c.isOwnAnswer(r, resp) {
-			return crossed, fmt.Sprintf("got the answer to %q: %q", workID(resp), resp.Body())
+			return crossed, fmt.Sprintf("not a complete answer to this call: work id %q, body %q", workID(resp), resp.Body())
 		}
 		return answered, ""
 	default:
@@ -185,9 +185,10 @@
 	return resp.StatusCode() == fasthttp.StatusOK && len(words) == 3 && words[0] == string(c.dep.service) && words[2] == r.workID
 }
 
-// setForgedHeaders sets internal headers as a malicious or faulty caller might:
-// to reach another service's new version, to be sent twice, to exhaust the
-// timeout or the call depth, and to be taken for another call.
+// setForgedHeaders sets internal headers as a malicious or faulty caller might: to
+// reach another service's new version, to be sent twice, to exhaust the timeout or
+// the call depth, and to be taken for another call. The value of kq-call is malformed
+// for kqcall.Read.
 func setForgedHeaders(h *fasthttp.RequestHeader) {
 	h.Set(kqcall.HeaderID, forged)
 	h.Set(kqcall.HeaderTimeout, "1")
--- a/internal/lab/kqdemo/faults.go
+++ b/internal/lab/kqdemo/faults.go
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// killOnePerService kills one server of each service at the same time, as a rack
-// failure would, and restarts them together.
+// killOnePerService kills one server of each service at the same time, as the loss of
+// one failure domain in each region would, and restarts them together.
 func (s *script) killOnePerService(ctx context.Context) error {
 	names := make([]kqname.Node, 0, len(deployments))
 	for _, dep := range deployments {
@@ -183,7 +183,7 @@
 	}
 	for !server.Node.Ready() {
 		if ctx.Err() != nil || time.Since(began) > restartTimeout {
-			return 0, fmt.Errorf("node %s is not ready %v after its start", server.Spec.Node, restartTimeout)
+			return 0, fmt.Errorf("node %s is not ready: timeout of %v passed or run cancelled", server.Spec.Node, restartTimeout)
 		}
 		time.Sleep(pollInterval)
 	}
@@ -193,7 +193,7 @@
 	t := s.demo.targetPool.add(server)
 	for !s.demo.monitor.hasProbe(t, s.demo.documentState.probes) {
 		if ctx.Err() != nil || time.Since(began) > restartTimeout {
-			return 0, fmt.Errorf("node %s lacks the newest probe route %v after its start", server.Spec.Node, restartTimeout)
+			return 0, fmt.Errorf("node %s lacks the newest probe route: timeout of %v passed or run cancelled", server.Spec.Node, restartTimeout)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/internal/lab/kqdemo/outcomes.go
+++ b/internal/lab/kqdemo/outcomes.go
@@ -169,7 +169,7 @@
 		},
 		{
 			"no_bad_version_in_part", s.invalidVersion.written && s.invalidVersion.requests > 0 && len(s.invalidVersion.appliedBy) == 0,
-			fmt.Sprintf("%d calls to a bad version's routes, %d nodes applied a part%s", s.invalidVersion.requests, len(s.invalidVersion.appliedBy), firstExamples(s.invalidVersion.appliedBy)),
+			fmt.Sprintf("%d calls to the routes of an invalid configuration version, %d times one was answered or a node lost its routes%s", s.invalidVersion.requests, len(s.invalidVersion.appliedBy), firstExamples(s.invalidVersion.appliedBy)),
 		},
 		{
 			"bad_upstreams_get_little_and_then_nothing",
