--- a/internal/lab/kqsoakcheck/check.go
+++ b/internal/lab/kqsoakcheck/check.go
@@ -17,11 +17,12 @@
 	// Crossed is a call that received the answer to another call or more bytes than one
 	// answer, or a run of a call that no caller sent.
 	Crossed Kind = "CROSSED"
-	// FalseNotRun is a call that was reported as not run but ran, before or after that
-	// report.
+	// FalseNotRun is a call that ran, before or after a node refused it with status 503
+	// or 429, which says that it does not run.
 	FalseNotRun Kind = "FALSE"
-	// Late is a call that began to run at an upstream more than goodbyeGrace after the
-	// upstream's goodbye, while no unplanned fault could explain it.
+	// Late is a call that began to run at an upstream more than drainGrace after the
+	// node acknowledged that the upstream is draining, while no unplanned fault could
+	// explain it.
 	Late Kind = "LATE"
 	// Ended is a process that exited without being asked to, not in the way it should,
 	// or not in time.
@@ -36,9 +37,9 @@
 	// fault.
 	Unrecovered Kind = "UNRECOVERED"
 
-	// goodbyeGrace is how long after its node acknowledged its goodbye an upstream may
-	// still be sent calls.
-	goodbyeGrace = 2 * time.Second
+	// drainGrace is how long after its node acknowledged that it is draining an
+	// upstream may still be sent calls.
+	drainGrace = 2 * time.Second
 	// runsToDetect is how many runs are enough to detect a bad version, half of whose
 	// answers are failures; exposureGrace is how long it may still be used after that.
 	runsToDetect  = 20
@@ -128,12 +129,13 @@
 	// use.
 	Checker struct {
 		mu sync.Mutex
-		// records holds the calls by work id, goodbyes when the node acknowledged the
-		// goodbye of each upstream, and badUpstreams the upstreams of bad versions.
-		records      map[string]*callRecord
-		goodbyes     map[string]time.Duration
-		disruptions  []Disruption
-		badUpstreams map[string]*badUpstream
+		// records holds the calls by work id, acknowledgedDrains when the node
+		// acknowledged that each upstream is draining, and badUpstreams the upstreams of
+		// bad versions.
+		records            map[string]*callRecord
+		acknowledgedDrains map[string]time.Duration
+		disruptions        []Disruption
+		badUpstreams       map[string]*badUpstream
 		// pending holds calls that are lost unless an unplanned fault excuses them.
 		pending    []*callRecord
 		tally      Tally
@@ -167,7 +169,7 @@
 // New returns a Checker without observations.
 func New() *Checker {
 	return &Checker{
-		records: make(map[string]*callRecord), goodbyes: make(map[string]time.Duration),
+		records: make(map[string]*callRecord), acknowledgedDrains: make(map[string]time.Duration),
 		badUpstreams: make(map[string]*badUpstream), tally: Tally{Reasons: make(map[string]int)},
 	}
 }
@@ -199,8 +201,8 @@
 	if b, ok := ck.badUpstreams[upstream]; ok {
 		ck.checkExposure(b, rec, upstream, at)
 	}
-	if left, ok := ck.goodbyes[upstream]; ok && at > left+goodbyeGrace && !ck.hadFault(node, left, at) {
-		ck.addLocked(Late, at, fmt.Sprintf("%s began %v after the goodbye of %s", workID, at-left, upstream), rec)
+	if acknowledgedAt, ok := ck.acknowledgedDrains[upstream]; ok && at > acknowledgedAt+drainGrace && !ck.hadFault(node, acknowledgedAt, at) {
+		ck.addLocked(Late, at, fmt.Sprintf("%s began %v after the node acknowledged the drain of %s", workID, at-acknowledgedAt, upstream), rec)
 	}
 }
 
@@ -236,11 +238,11 @@
 	}
 }
 
-// Goodbye records that a node acknowledged an upstream's goodbye.
-func (ck *Checker) Goodbye(upstream string, at time.Duration) {
+// DrainAcknowledged records that a node acknowledged that an upstream is draining.
+func (ck *Checker) DrainAcknowledged(upstream string, at time.Duration) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
-	ck.goodbyes[upstream] = at
+	ck.acknowledgedDrains[upstream] = at
 }
 
 // Disruption records the start of an unplanned fault at a node and returns the function
@@ -270,7 +272,7 @@
 	ck.countCall(c)
 	for _, other := range c.AnswerIDs {
 		if other != c.WorkID {
-			ck.addLocked(Crossed, c.Ended, fmt.Sprintf("%s got the answer to %q", c.WorkID, other), rec)
+			ck.addLocked(Crossed, c.Ended, fmt.Sprintf("%s received something other than its own answer: %q", c.WorkID, other), rec)
 		}
 	}
 	if c.isRefused() && len(rec.runs) > 0 {
--- a/internal/lab/kqsoakcheck/check_test.go
+++ b/internal/lab/kqsoakcheck/check_test.go
@@ -69,11 +69,11 @@
 		}, []kqsoakcheck.Kind{kqsoakcheck.Crossed}},
 		{"run without a caller", func(checker *kqsoakcheck.Checker) { checker.Began("b", "u", 2, 10*second) }, []kqsoakcheck.Kind{kqsoakcheck.Crossed}},
 		{"ran long after the goodbye", func(checker *kqsoakcheck.Checker) {
-			checker.Goodbye("u", 5*second)
+			checker.DrainAcknowledged("u", 5*second)
 			checker.Began("a", "u", 2, 10*second)
 		}, []kqsoakcheck.Kind{kqsoakcheck.Late}},
 		{"ran soon after the goodbye", func(checker *kqsoakcheck.Checker) {
-			checker.Goodbye("u", 9*second)
+			checker.DrainAcknowledged("u", 9*second)
 			checker.Began("a", "u", 2, 10*second)
 		}, nil},
 		{"connection cut", func(checker *kqsoakcheck.Checker) { checker.Call(cut("a")) }, []kqsoakcheck.Kind{kqsoakcheck.Lost}},
--- a/internal/lab/kqsoakrun/process.go
+++ b/internal/lab/kqsoakrun/process.go
@@ -25,7 +25,7 @@
 	// exitTimeout is longer than the node's settings allow a drain to take.
 	exitTimeout = drainTimeout + 5*time.Second
 	// upstreamDrainPeriod is how long a draining upstream keeps serving. It exceeds the
-	// 2 s for which the checker still permits calls (goodbyeGrace), so that a later call
+	// 2 s for which the checker still permits calls (drainGrace), so that a later call
 	// is observed.
 	upstreamDrainPeriod = 3 * time.Second
 	slots               = 32
@@ -254,8 +254,8 @@
 		n.soak.checker.Began(e.WorkID, name, n.number, at)
 	case kqupstream.Ended:
 		n.soak.checker.RunEnded(e.WorkID, name, at)
-	case kqupstream.Goodbye:
-		n.soak.checker.Goodbye(name, at)
+	case kqupstream.DrainAcknowledged:
+		n.soak.checker.DrainAcknowledged(name, at)
 		n.soak.logEvent(event{Event: "goodbye", Target: name})
 	}
 }
--- a/internal/lab/kqupstream/event.go
+++ b/internal/lab/kqupstream/event.go
@@ -14,8 +14,9 @@
 	Begun Kind = "begin"
 	// Ended is the event that an execution of a call ended.
 	Ended Kind = "end"
-	// Goodbye is the event that the node first acknowledged the upstream's goodbye.
-	Goodbye Kind = "goodbye"
+	// DrainAcknowledged is the event that the node first acknowledged that the upstream is
+	// draining.
+	DrainAcknowledged Kind = "goodbye"
 
 	maxWork = time.Minute
 )
@@ -42,22 +43,23 @@
 func WithEventHandler(f func(Event)) Option { return func(u *Upstream) { u.onEvent = f } }
 
 // WithDrainPeriod sets how long a leaving upstream keeps serving, counted from its first
-// goodbye announcement.
+// announcement that it is draining.
 func WithDrainPeriod(d time.Duration) Option { return func(u *Upstream) { u.drainPeriod = d } }
 
 func (u *Upstream) emit(k Kind, workID string) {
 	u.onEvent(Event{Kind: k, WorkID: workID, At: time.Now()})
 }
 
-// leave announces the goodbye and repeats it until drainPeriod is over, since a node that
-// starts in the meantime has not received the earlier ones.
+// leave announces that the upstream is draining and repeats this until drainPeriod is
+// over, since a node that starts in the meantime has not received the earlier
+// announcements.
 func (u *Upstream) leave() {
 	u.draining.Store(true)
 	end, acknowledged := time.Now().Add(u.drainPeriod), false
 	for {
 		if u.announce() && !acknowledged {
 			acknowledged = true
-			u.emit(Goodbye, "")
+			u.emit(DrainAcknowledged, "")
 		}
 		left := time.Until(end)
 		if left <= 0 {
--- a/internal/lab/kqupstream/upstream.go
+++ b/internal/lab/kqupstream/upstream.go
@@ -31,11 +31,11 @@
 	// announceEvery is the interval between announcements, which renew the upstream at
 	// its node.
 	announceEvery = 500 * time.Millisecond
-	// defaultDrainPeriod is how long an upstream keeps serving from its first goodbye
-	// announcement; the users' upstreams do so for two seconds or more after the
-	// acknowledgement. A call that the gate admitted just before the goodbye may reach
-	// the upstream a moment after it. If the upstream closed its connections at once,
-	// that call would be lost whatever the node does.
+	// defaultDrainPeriod is how long an upstream keeps serving from its first
+	// announcement that it is draining; the users' upstreams do so for two seconds or
+	// more after the acknowledgement. A call that the gate admitted just before that
+	// announcement may reach the upstream a moment after it. If the upstream closed its
+	// connections at once, that call would be lost whatever the node does.
 	defaultDrainPeriod = 300 * time.Millisecond
 )
 
