--- a/internal/lab/kqsoak/unplanned.go
+++ b/internal/lab/kqsoak/unplanned.go
@@ -17,8 +17,8 @@
 	// start.
 	Rollout Kind = "rollout"
 
-	// maxFaultTime is the longest duration of an unplanned fault. Kills take half as
-	// long, at most.
+	// maxFaultTime is the longest duration of an unplanned fault other than Rollout.
+	// Kills take half as long, at most.
 	maxFaultTime = 4 * time.Second
 	// rolloutFor is how long the rollout to a bad version lasts, which is long enough to
 	// detect the version and to observe whether it stays in use. A shorter plan has no
--- a/internal/lab/kqsoakrun/document.go
+++ b/internal/lab/kqsoakrun/document.go
@@ -47,10 +47,10 @@
 	}
 )
 
-// document returns the fleet's document for a version number. Two versions with the same
+// document returns the fleet's document with a number. Two documents with the same
 // rollouts differ only in the weights of the routes of both.example, whose services are
-// equivalent, and in the probe routes of the latest probesKept versions, which show that
-// a version is in force.
+// equivalent, and in the probe routes of the latest probesKept documents, which show that
+// a document is in force.
 func document(number int, rollouts []kqdocument.Rollout) kqdocument.Document {
 	d := kqdocument.Document{
 		Teams:    []kqdocument.Team{{Name: team}},
@@ -81,7 +81,7 @@
 	return d
 }
 
-// commit commits the next version of the document.
+// commit commits the next document.
 func (s *Soak) commit(ctx context.Context) error {
 	s.versions.Lock()
 	defer s.versions.Unlock()
--- a/internal/lab/kqsoakrun/soak.go
+++ b/internal/lab/kqsoakrun/soak.go
@@ -70,7 +70,8 @@
 	versions struct {
 		sync.Mutex
 		// number is that of the last document sent, committed that of the last one
-		// committed.
+		// committed. Documents whose commit failed are numbered too, so these numbers may
+		// exceed the configuration versions.
 		number, committed int
 
 		// lastConfigVersion is the base of the next commit.
@@ -93,7 +94,8 @@
 		closed bool
 	}
 
-	// event is a line of the timeline.
+	// event is a line of the timeline. Target is the name of the process that the event
+	// concerns; for faults of kinds without a target it is that of the first node.
 	event struct {
 		At     float64       `json:"at"`
 		Event  string        `json:"event"`
