--- a/internal/lab/kqfleet/fleet.go
+++ b/internal/lab/kqfleet/fleet.go
@@ -76,7 +76,9 @@
 	return f
 }
 
-// Start adds a server and runs its node and, if it has a service, its upstream.
+// Start adds a server and runs its node and, if it has a service, its upstream. If the
+// upstream fails to start, the server is not added but its node keeps running, so that
+// Close waits forever.
 func (f *Fleet) Start(spec Spec) (*Server, error) {
 	s := kqsettings.Default()
 	s.Node.Name, s.Node.Domain, s.Node.Region, s.Node.Service = spec.Node, spec.Domain, spec.Region, spec.Service
--- a/internal/lab/kqnodes/fault.go
+++ b/internal/lab/kqnodes/fault.go
@@ -10,7 +10,7 @@
 )
 
 // prefetchTime is how long platformDown waits before the replaced nodes fetch their
-// first hosts. If Plan.Prefetch is set, they prefetch the hosts of their peers meanwhile.
+// first hosts. If Plan.Prefetch is set, they prefetch their peers' hosts meanwhile.
 const prefetchTime = time.Second
 
 // injectFault injects the faults that precede measureChanges, which itself injects
--- a/internal/lab/kqnodes/fleet.go
+++ b/internal/lab/kqnodes/fleet.go
@@ -172,9 +172,9 @@
 	}
 }
 
-// ensureHosts makes each node fetch the configuration of hostsPerNode hosts that it does
-// not hold yet, and returns how long each EnsureHost took. All nodes of a service fetch
-// the same hosts.
+// ensureHosts makes each node fetch the configuration of hostsPerNode hosts, unless it
+// holds it already, and returns how long each EnsureHost took. The hosts are the same for
+// all nodes of a service.
 func (f *fleet) ensureHosts(ctx context.Context, nodes []*member) ([]time.Duration, error) {
 	p := pool.NewWithResults[time.Duration]().WithErrors().WithMaxGoroutines(maxParallelStarts)
 	for _, m := range nodes {
--- a/internal/lab/kqnodes/measure.go
+++ b/internal/lab/kqnodes/measure.go
@@ -49,7 +49,8 @@
 		Fault    Fault
 		// Changes is how many versions are committed for each fleet.
 		Changes int
-		// Prefetch lets starting nodes take over the hosts of their peers.
+		// Prefetch lets starting nodes fetch, in advance, the configuration of the hosts
+		// that peers of their service hold.
 		Prefetch bool
 		// Idle is how long the settled fleet is observed without changes, at least
 		// minIdle. FaultPlatformDown adds two waits of half of Idle each, without that
--- a/internal/lab/kqnodes/result.go
+++ b/internal/lab/kqnodes/result.go
@@ -18,8 +18,8 @@
 	// Run is the measurement of one fleet. Bytes count what was sent and what was
 	// received, so that a byte between two nodes counts twice, and the keys, values and
 	// lease IDs exchanged with the platform. Processor time and the growth of memory are
-	// those of the whole process divided by the number of nodes, so they include the
-	// fake platform.
+	// those of the whole process, including the fake platform. All three are divided by
+	// the number of nodes at the start of the run, even if some are killed later.
 	Run struct {
 		Nodes       int         `json:"nodes"`
 		Changes     int         `json:"changes"`
@@ -63,7 +63,7 @@
 		Max float64 `json:"max"`
 	}
 
-	// Bytes are the control bytes of a node per second.
+	// Bytes are the control bytes per node and second.
 	Bytes struct {
 		Idle     float64 `json:"idle"`
 		Changing float64 `json:"changing"`
