--- a/internal/lab/kqloadmodel/tally.go
+++ b/internal/lab/kqloadmodel/tally.go
@@ -9,6 +9,9 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
+// maxLatencyMicros bounds the histograms. Calls end at most a few network delays after
+// their deadline, so only a stream with a deadline of about a minute or more can exceed
+// the bound; such latencies are not recorded.
 const maxLatencyMicros = int64(time.Minute / time.Microsecond)
 
 type (
@@ -64,8 +67,7 @@
 	switch {
 	case o.Result == kqcall.NotRun:
 		t.RefusalsByReason[o.Reason]++
-		// RecordValue fails only above the histogram's bound of one minute;
-		// calls end by their deadline.
+		// RecordValue fails only above maxLatencyMicros.
 		_ = t.RefusalLatency.RecordValue(latency.Microseconds())
 	case o.Result == kqcall.Unknown:
 		t.Unknown++
@@ -82,6 +84,6 @@
 	if o.Result == kqcall.Answered && !late {
 		g.InTime++
 	}
-	// RecordValue fails only above the histogram's bound of one minute.
+	// RecordValue fails only above maxLatencyMicros.
 	_ = g.Latency.RecordValue(latency.Microseconds())
 }
--- a/internal/lab/kqopenloop/openloop.go
+++ b/internal/lab/kqopenloop/openloop.go
@@ -60,8 +60,8 @@
 	// Sample is the result of one call as its caller received it.
 	Sample struct {
 		Stream *Stream
-		// ScheduledAt is the scheduled time since the start; Latency is the time
-		// from then until the whole answer was received.
+		// ScheduledAt is the scheduled time since the start; Latency is the time from then
+		// until the whole answer was received or the call failed, and 0 for unsent calls.
 		ScheduledAt, Latency time.Duration
 		Result               kqcall.Result
 		Reason               kqcall.Reason
--- a/internal/lab/kqreplay/trace.go
+++ b/internal/lab/kqreplay/trace.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// MaxLineBytes is the maximum length of one line of a trace.
+	// MaxLineBytes is the maximum length of one line of a trace with its line end.
 	MaxLineBytes = 1 << 20
 
 	kindTrace   = "trace"
