--- a/internal/decide/kqfailrate/doc.go
+++ b/internal/decide/kqfailrate/doc.go
@@ -1,4 +1,4 @@
-// Package kqfailrate measures the share of an upstream's calls that fail.
+// Package kqfailrate rates how many of an upstream's recent calls failed.
 //
 // Load pattern: in a large fleet, an upstream that fails part of its calls while its health
 // check passes. Each of 90 entries sends it only a few calls during the seconds for which
--- a/internal/decide/kqfailrate/failrate.go
+++ b/internal/decide/kqfailrate/failrate.go
@@ -6,17 +6,20 @@
 )
 
 const (
-	// windowCalls is the number of calls over which the failure rate is averaged.
+	// windowCalls is the inverse of a call's weight in the failure rate.
 	windowCalls = 32
-	// halfLife is the time without calls in which the failure rate falls by half.
+	// halfLife is the time in which the failure rate falls by half. It decays over the time
+	// between calls, however short.
 	halfLife = 3 * time.Second
 	// minRate is the failure rate below which 0 is reported: less than two failures in 32
 	// calls.
 	minRate = 0.05
 )
 
-// FailureRate is the failure rate of one upstream, a decaying mean over its calls. The zero
-// value is ready to use. It is not safe for concurrent use.
+// FailureRate rates the recent failures of one upstream from 0 to 1: a mean over about
+// windowCalls calls that also halves every halfLife. At a few calls a second it is far below
+// the share of calls that fail. The zero value is ready to use. It is not safe for
+// concurrent use.
 type FailureRate struct {
 	rate     float64
 	lastCall time.Time
--- a/internal/decide/kqlimit/limit.go
+++ b/internal/decide/kqlimit/limit.go
@@ -31,8 +31,9 @@
 	sum   time.Duration
 	count int
 	// raised is set by a raise, and cleared when the limit falls from above half of the
-	// announced slots. raiseDelay is how many windows below fastRatio must pass before the
-	// next raise, and raiseIn how many of them are left.
+	// announced slots. raiseDelay is how many windows below fastRatio must pass between
+	// such a fall and the first raise after it, and raiseIn how many of them are left.
+	// Later raises are not delayed.
 	raised              bool
 	raiseDelay, raiseIn int
 }
@@ -103,8 +104,8 @@
 	}
 }
 
-// backOff delays the next raise by raiseDelay, which grows if the last raise had to be
-// reverted.
+// backOff delays the first raise after a fall by raiseDelay, which grows if the last raise
+// had to be reverted.
 func (l *Limit) backOff() {
 	if l.raised {
 		l.raiseDelay = min(2*l.raiseDelay+1, maxRaiseDelay)
--- a/internal/decide/kqpick/nested_test.go
+++ b/internal/decide/kqpick/nested_test.go
@@ -58,7 +58,7 @@
 }
 
 // A call from outside holds no slot while it waits: it stays in its own domain while that
-// meets the target, so that its answer does not cross between domains.
+// meets the latency target, so that its answer does not cross between domains.
 func TestOuterCallsStayInOwnDomain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 9))
--- a/internal/decide/kqpick/peer.go
+++ b/internal/decide/kqpick/peer.go
@@ -152,7 +152,7 @@
 	return 1 + failureCost*upstream.failureRate(now)
 }
 
-// failureRate returns the reported share of failing calls, decayed by its age.
+// failureRate returns the reported failure rate, decayed by its age.
 func (upstream *Peer) failureRate(now time.Time) float64 {
 	return kqfailrate.Decay(upstream.load.FailureRate, now.Sub(upstream.reportedAt))
 }
--- a/internal/decide/kqpick/pick_test.go
+++ b/internal/decide/kqpick/pick_test.go
@@ -73,7 +73,7 @@
 
 // A service has two fast upstreams with one or two calls each, and a slow one with none.
 // Choosing by load alone would send every third call to the slow one, where it misses its
-// target. It must get almost none while the fast ones have free slots.
+// latency target. The slow one must get almost none while the fast ones have free slots.
 func TestSlowIdleUpstreamGetsFewCalls(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -96,8 +96,8 @@
 }
 
 // The upstream in the own failure domain is slower than one in another, but well within the
-// target. It must be preferred, so that large answers do not cross between domains, unless
-// it is too slow for the route.
+// route's latency target. It must be preferred, so that large answers do not cross between
+// domains, unless it is too slow for the route.
 func TestLocalUpstreamIsPreferredWithinComfortableLatency(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 3))
@@ -111,8 +111,9 @@
 	}
 }
 
-// An upstream fails 40% of its calls. It seldom fails five in a row, so that rule alone
-// would keep it in use. It must be ejected within 400 calls of the service.
+// An upstream fails 40% of its calls. It seldom fails five calls in a row, so ejecting only
+// after five consecutive failures would keep it in use. It must be ejected within 400 calls
+// of the service.
 func TestIntermittentlyFailingUpstreamIsEjected(t *testing.T) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 4))
--- a/internal/decide/kqslots/overload_test.go
+++ b/internal/decide/kqslots/overload_test.go
@@ -14,7 +14,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// maxPatience is how long callers wait in total, over all attempts.
+// maxPatience is how long callers are taken to wait in total, over all attempts, when the
+// delay of a retry is computed. Answers after it still count as late ones.
 const maxPatience = 2500 * time.Millisecond
 
 type (
@@ -51,7 +52,8 @@
 	// results counts the outcomes of a stream's requests.
 	results struct {
 		requests, inTime, late, refused int
-		// refusedAfterWait counts the refusals that came after a wait of over 50 ms.
+		// refusedAfterWait counts the refusals, of first attempts and retries, that came
+		// after a wait of over 50 ms.
 		refusedAfterWait int
 	}
 
@@ -210,7 +212,7 @@
 		t.Errorf("%.2f of the capacity was answered in time, want 0.9", got)
 	}
 	if got := float64(g.refusedAfterWait) / float64(g.requests); got > 0.125 {
-		t.Errorf("%.2f of the requests were refused after a wait, want at most 1/8", got)
+		t.Errorf("%.2f refusals after a wait per request, want at most 1/8", got)
 	}
 }
 
