--- a/internal/rollout/kqledger/ledger_test.go
+++ b/internal/rollout/kqledger/ledger_test.go
@@ -72,6 +72,6 @@
 		}
 	}
 	if len(r.Rows) > kqevidence.MaxRoutes || size > kqevidence.MaxRoutes*450 {
-		t.Errorf("the report has %d rows of %d bytes", len(r.Rows), size)
+		t.Errorf("the report is too large: %d rows, %d bytes in all", len(r.Rows), size)
 	}
 }
--- a/internal/rollout/kqmargin/margin.go
+++ b/internal/rollout/kqmargin/margin.go
@@ -21,7 +21,7 @@
 
 // Upstream is what the gate of one upstream counted of its calls' latencies.
 type Upstream struct {
-	// ComparedCalls is how many calls are compared now.
+	// ComparedCalls is how many of Calls are new since the last comparison.
 	ComparedCalls float64
 	// Calls is the number of all calls with a latency since the start of the rollout;
 	// LogSum and LogSquares are the sum and the sum of squares of the logs of the
@@ -31,8 +31,8 @@
 	LowerQuartile float64
 }
 
-// Allowed returns by how much, as a log, the mean latency of the new version's calls that
-// are compared now may exceed that of the old version's. It is at least 0. lowerQuartile is
+// Allowed returns by how much, as a log, the mean latency of the new version's
+// ComparedCalls may exceed that of the old version's. It is at least 0. lowerQuartile is
 // the log of the 25th percentile of all calls of the old version.
 func Allowed(old, next []Upstream, lowerQuartile float64) float64 {
 	old, next = withCalls(old), withCalls(next)
@@ -88,8 +88,8 @@
 	return shrunk, math.Sqrt(between), variance
 }
 
-// weightedMean returns the mean of the upstreams' values, weighted by the calls compared
-// now, or 0 if there are none.
+// weightedMean returns the mean of the upstreams' values, weighted by ComparedCalls, or 0
+// if there are no such calls.
 func weightedMean(list []Upstream, values []float64) float64 {
 	sum, calls := 0.0, 0.0
 	for i, u := range list {
--- a/internal/rollout/kqmargin/margin_test.go
+++ b/internal/rollout/kqmargin/margin_test.go
@@ -84,8 +84,8 @@
 }
 
 // Checks that nothing is allowed if a version has no calls or the old one has only one
-// upstream, and that one call for each upstream gives no NaN, which would disable the tests
-// that use the margin.
+// upstream, and that one call for each upstream gives no NaN, which would disable the
+// statistical tests of kqverdict.
 func TestTooLittleDataAllowsNothing(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 1))
 	one := upstreams(random, 1, 0)
--- a/internal/rollout/kqowner/owner.go
+++ b/internal/rollout/kqowner/owner.go
@@ -64,8 +64,8 @@
 		// loaded is set once the stored progress and final state have been read.
 		loaded bool
 		// lastSyncFailed is set if the last call of Sync failed for another reason than a
-		// conflict or an expired lease: the platform did not answer, or a stored value
-		// could not be decoded. Calls before retryAt, which do nothing, leave it as it is.
+		// conflict or an expired lease, for example because the platform did not answer or
+		// limited the rate. Calls before retryAt, which do nothing, leave it as it is.
 		lastSyncFailed bool
 		// retryAt is the time of the next attempt after a failed call.
 		retryAt time.Time
--- a/internal/rollout/kqverdict/baseline.go
+++ b/internal/rollout/kqverdict/baseline.go
@@ -30,8 +30,8 @@
 	baseline struct {
 		// calls is the number of calls with a latency, decayed at each tick like latency.
 		calls float64
-		// timed is the number of calls with a latency, of any age. Calls of upstreams
-		// that have just started have none.
+		// timed is the number of calls with a latency, of any age. It leaves out the calls
+		// counted by kqevidence.Cell.CountUntimed.
 		timed   float64
 		latency [kqevidence.Buckets]float64
 		// variance is the variance of the logs of the latencies within a tick, averaged
--- a/internal/rollout/kqverdict/slow_server_test.go
+++ b/internal/rollout/kqverdict/slow_server_test.go
@@ -49,7 +49,8 @@
 }
 
 // fleet is the upstreams of a service, each with the ledger of its gate and the
-// latency factor of its server. The first oldCount run the old version.
+// latency factor of its server. The first oldCount run the old version; next returns the
+// latencies of the others, which run the new one.
 type fleet struct {
 	random        *rand.Rand
 	gates         []*kqledger.Ledger
@@ -60,6 +61,8 @@
 	evaluator     *kqverdict.Evaluator
 }
 
+// newFleet returns a fleet whose upstreams have the server factors old and, with the new
+// version, next. The new version has the latency v.
 func newFleet(seed uint64, old, next []float64, v versionLatency) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 1)), serverFactors: append(append([]float64{}, old...), next...),
@@ -111,8 +114,9 @@
 // Guards against the rollback of a good version whose only upstream runs on a slow
 // server, as two of six upstreams of the old version do, where every call takes 2.2 times
 // as long. Compared with all calls of the old version it looked twice as slow, and was
-// rolled back after 33 to 52 calls. Its upstreams were stopped although some old ones had
-// left, and half of the service's callers were rejected.
+// rolled back after 33 to 52 calls. The rollback stopped the new version's upstreams when
+// some of the old version's were already gone, and half of the service's callers were
+// rejected.
 func TestGoodVersionOnSlowServerIsKept(t *testing.T) {
 	rollbacks, last := 0, kqverdict.Finding{}
 	for seed := range uint64(runs) {
