--- a/internal/call/kqcall/call.go
+++ b/internal/call/kqcall/call.go
@@ -97,9 +97,9 @@
 		Running, Waiting, Slots int
 		// RecentDuration is how long the upstream's short calls took lately.
 		RecentDuration time.Duration
-		// FailureRate is the share of the upstream's latest calls that failed, from 0 to 1,
-		// over the calls of all entries. It is 0 if the share is so small that the failures
-		// may be chance.
+		// FailureRate is the upstream's failure rate over the calls of all entries, as
+		// package kqfailrate computes it, from 0 to 1. It is 0 if it is so small that the
+		// failures may be chance.
 		FailureRate float64
 		// Route is the route that ExpectedWork and Wait apply to. It is not sent with the
 		// load, since the node that made the call knows it.
--- a/internal/call/kqconnection/pipeline_test.go
+++ b/internal/call/kqconnection/pipeline_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// readBodies reads that many responses and returns their bodies.
+// readBodies reads count responses and returns their bodies. It returns an empty body for a
+// response of unknown length.
 func readBodies(t interface{ Fatal(args ...any) }, caller net.Conn, count int) []string {
 	_ = caller.SetReadDeadline(time.Now().Add(10 * time.Second))
 	r := bufio.NewReader(caller)
--- a/internal/call/kqentry/returning_callers.go
+++ b/internal/call/kqentry/returning_callers.go
@@ -21,8 +21,8 @@
 		shards [shardCount]*returningShard
 	}
 
-	// returningShard is one shard of a returningCallers; its field of that name holds the
-	// shard's calls.
+	// returningShard is one shard of a returningCallers. Its field returningCallers tracks
+	// the calls of this shard only.
 	returningShard struct {
 		mu               sync.Mutex
 		returningCallers *kqcallerretry.RetryTracker
--- a/internal/call/kqnesting/nesting.go
+++ b/internal/call/kqnesting/nesting.go
@@ -22,7 +22,8 @@
 	Parent struct {
 		Caller kqname.Caller
 		Depth  int
-		// Repeat reports whether the parent may have been sent to an upstream before.
+		// Repeat reports whether an upstream may have been sent the parent, or a call that
+		// the parent is nested in, before.
 		Repeat bool
 	}
 
