--- a/internal/config/kqreader/reader_test.go
+++ b/internal/config/kqreader/reader_test.go
@@ -25,11 +25,11 @@
 
 // readerFixture is a failure domain with one node, which has become a reader.
 type readerFixture struct {
-	platform  *kqfakestore.Fake
-	table     *kqmember.Table
-	reader    *kqreader.Reader
-	running   atomic.Int64
-	isReading atomic.Bool
+	platform      *kqfakestore.Fake
+	table         *kqmember.Table
+	reader        *kqreader.Reader
+	running       atomic.Int64
+	holdsDocument atomic.Bool
 }
 
 func start(t *testing.T) *readerFixture {
@@ -39,7 +39,7 @@
 		table:    kqmember.NewTable(kqmember.Member{Node: "a", Domain: "one", Control: "127.0.0.1:1"}),
 	}
 	f.reader = kqreader.New(f.platform, f.table, countingWatcher{&f.running}, 0, func(context.Context, kqname.Address) {},
-		func(_ context.Context, on bool) { f.isReading.Store(on) }, func(error) {})
+		func(_ context.Context, on bool) { f.holdsDocument.Store(on) }, func(error) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	var group conc.WaitGroup
 	group.Go(func() { f.reader.Run(ctx) })
@@ -47,12 +47,12 @@
 		cancel()
 		group.Wait()
 	})
-	await(t, "reader watches and holds the whole document", func() bool { return f.isReading.Load() && f.running.Load() == 1 })
+	await(t, "reader watches and holds the whole document", func() bool { return f.holdsDocument.Load() && f.running.Load() == 1 })
 	return f
 }
 
 // A reader is paused for longer than its lease lasts, and other nodes take the slots.
-// When it resumes, the platform rejects its renewal and it must stop watching; otherwise
+// When it resumes, it must detect that it has lost its slot and stop watching; otherwise
 // the platform's load would grow with every pause.
 func TestReaderStopsWatchingAfterLeaseExpires(t *testing.T) {
 	f := start(t)
@@ -66,7 +66,7 @@
 	}
 	f.table.Merge(kqmember.Member{Node: "b", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
 	f.table.Merge(kqmember.Member{Node: "c", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
-	await(t, "reader stops watching and holding the whole document", func() bool { return !f.isReading.Load() && f.running.Load() == 0 })
+	await(t, "reader stops watching and holding the whole document", func() bool { return !f.holdsDocument.Load() && f.running.Load() == 0 })
 }
 
 // Many nodes start at once, and some take a reader's slot although its lease is still
@@ -81,7 +81,7 @@
 	}
 	f.table.Merge(kqmember.Member{Node: "b", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
 	f.table.Merge(kqmember.Member{Node: "c", Domain: "one", Control: "127.0.0.1:2", Reader: true, Incarnation: 1})
-	await(t, "reader stops watching and holding the whole document", func() bool { return !f.isReading.Load() && f.running.Load() == 0 })
+	await(t, "reader stops watching and holding the whole document", func() bool { return !f.holdsDocument.Load() && f.running.Load() == 0 })
 }
 
 // The platform is down for longer than the leases last, so every reader stops watching.
@@ -91,7 +91,7 @@
 	f := start(t)
 	f.platform.SetFaults(kqfakestore.Faults{Down: true})
 	await(t, "reader stops watching", func() bool { return f.running.Load() == 0 })
-	if !f.isReading.Load() {
+	if !f.holdsDocument.Load() {
 		t.Fatal("the reader no longer holds the whole document")
 	}
 	f.platform.SetFaults(kqfakestore.Faults{})
