--- a/internal/run/kqcommand/measure_nodes.go
+++ b/internal/run/kqcommand/measure_nodes.go
@@ -15,6 +15,7 @@
 	strategy := clause.Flag("strategy", "How configuration versions reach the nodes.").Default("overlay").Enum("direct", "overlay")
 	fault := clause.Flag("fault", "Fault during the measurement: tenth_and_domain kills a tenth of the nodes and a failure domain, platform_down makes the platform unavailable and replaces a tenth, herd_restart restarts all nodes at once.").Default("none").
 		Enum("none", "tenth_and_domain", "platform_down", "herd_restart")
+	// With platform_down, no changes are committed and this flag has no effect.
 	changes := clause.Flag("changes", "Changes per fleet.").Default("50").Int()
 	idle := clause.Flag("idle", "How long the fleet is observed without changes.").Default("20s").Duration()
 	gap := clause.Flag("gap", "Pause between two changes.").Default("200ms").Duration()
@@ -30,6 +31,7 @@
 			}
 			plan.Counts = append(plan.Counts, n)
 		}
+		// With platform_down, the convergence and the bytes per change are 0.
 		result, err := kqnodes.New(plan).Run(ctx, func(r kqnodes.Run) {
 			fmt.Fprintf(c.errors, "%d nodes: convergence p50 %.0f ms, p99 %.0f ms; per node %.0f B/s idle, %.0f B per change\n",
 				r.Nodes, r.Convergence.P50, r.Convergence.P99, r.Bytes.Idle, r.BytesPerChange)
--- a/internal/run/kqcommand/upstream.go
+++ b/internal/run/kqcommand/upstream.go
@@ -18,6 +18,8 @@
 	clause := c.app.Command("upstream", "Run a fake upstream that announces itself to its node.")
 	service := clause.Flag("service", "Service that the upstream serves.").Required().String()
 	version := clause.Flag("upstream-version", "Version of the upstream.").Default("v1").String()
+	// The slots are announced to the node. The upstream itself enforces them only with
+	// --shed.
 	slots := clause.Flag("slots", "Largest number of calls that run concurrently.").Default("6").Int()
 	node := clause.Flag("node", "The node's local address.").Default("127.0.0.1:8081").String()
 	work := clause.Flag("work", "Duration of a call.").Default("5ms").Duration()
--- a/internal/run/kqsettings/combinations.go
+++ b/internal/run/kqsettings/combinations.go
@@ -13,6 +13,8 @@
 // addresses and of pairs skip settings that already have an error of their own: these
 // still hold their default, which the file does not state.
 func (r *fileReader) checkCombinations(s Settings) {
+	// This is only a lower bound for upstream_ttl. Heartbeats do not renew upstreams: the
+	// time counts from an upstream's own last announcement.
 	if s.Member.UpstreamTTL < 2*s.Member.Heartbeat {
 		r.addPairError("member", "upstream_ttl", "heartbeat", "must be at least twice heartbeat, or upstreams may expire and reappear")
 	}
