--- a/internal/admin/kqconsole/form.go
+++ b/internal/admin/kqconsole/form.go
@@ -48,7 +48,9 @@
 	form struct {
 		Kind, One, About string
 		Fields           []field
-		AdminOnly        bool
+		// AdminOnly hides the button for new items from operators who are not admins. It
+		// restricts nothing else: kqchange checks whether an operator may make a change.
+		AdminOnly bool
 	}
 )
 
--- a/internal/admin/kqview/report.go
+++ b/internal/admin/kqview/report.go
@@ -11,7 +11,9 @@
 type (
 	// Count is one nonzero counter of a node.
 	Count struct {
-		Name   string `json:"name" cbor:"1,keyasint"`
+		Name string `json:"name" cbor:"1,keyasint"`
+		// Reason holds the counter's label values that are not empty, such as a call's
+		// result and reason, separated by spaces.
 		Reason string `json:"reason,omitempty" cbor:"2,keyasint,omitempty"`
 		Value  uint64 `json:"value" cbor:"3,keyasint"`
 	}
--- a/internal/admin/kqview/view.go
+++ b/internal/admin/kqview/view.go
@@ -112,9 +112,10 @@
 // Ready reports whether the node is ready for calls.
 func (v *View) Ready() bool { return v.node.Ready() }
 
-// Fleet returns every node that this one knows. Versions come from the nodes'
-// heartbeats and are at most a few heartbeats old, except those of suspect and dead
-// nodes.
+// Fleet returns every node that this one knows. Versions come from the heartbeats of
+// overlay neighbours and, for other nodes, mostly from comparisons of member tables with
+// peers. They are usually a few heartbeats old, but older for suspect and dead nodes and
+// while comparisons wait for the send budget.
 func (v *View) Fleet() Fleet {
 	f := Fleet{Version: v.node.Version(), Ready: v.node.Ready(), Members: []Member{}}
 	members := v.node.Members()
