--- a/internal/lab/kqdemo/outcomes.go
+++ b/internal/lab/kqdemo/outcomes.go
@@ -46,7 +46,7 @@
 	// began, lostStopping those of them that were lost.
 	stopping, lostStopping int
 	// unexpectedCuts counts unknown calls with reason cut that overlapped no
-	// killPeriod. The report does not include it.
+	// killPeriod. Neither the report nor a check reads it.
 	unexpectedCuts int
 	// duringOutage counts calls that began during the platform outage, answered
 	// those of them that were answered.
@@ -164,6 +164,8 @@
 			fmt.Sprintf("%d checks of nodes' newest routes and versions, %d regressions%s", m.checks, len(m.regressions), firstExamples(m.regressions)),
 		},
 		{
+			// The missing resource is the configuration of a route, which a node could not
+			// fetch in time.
 			"no_route_without_its_service", t.missingRoute == 0,
 			fmt.Sprintf("%d of %d calls failed for a missing route or resource", t.missingRoute, t.calls.Total),
 		},
--- a/internal/lab/kqdemo/report.go
+++ b/internal/lab/kqdemo/report.go
@@ -42,11 +42,12 @@
 		Crossed  int `json:"crossed"`
 	}
 
-	// Rollouts summarizes the rollouts of good and bad versions. BadShareMax is
-	// the largest share of its service's calls that a bad version got in any
-	// second. BadAfterDetectionS is the longest time in seconds from the
-	// detection by the first node, or from the rollout's start if none detected it,
-	// to the last call that a bad version began.
+	// Rollouts summarizes the rollouts of good and bad versions. GoodOnTime counts the
+	// good versions whose rollout was done, not rolled back, by its deadline. BadShareMax
+	// is the largest share of its service's calls that a bad version got in any second.
+	// BadAfterDetectionS is the longest time in seconds from the detection by the first
+	// node, or from the rollout's start if none detected it, to the last call that a bad
+	// version began.
 	Rollouts struct {
 		Good               int     `json:"good"`
 		GoodOnTime         int     `json:"good_on_time"`
@@ -65,7 +66,7 @@
 )
 
 // Check returns an error that wraps ErrMissed and lists what was missed, unless
-// every outcome held and every good rollout ended on time.
+// every outcome held and every good rollout was done by its deadline.
 func (r Report) Check() error {
 	var missed []string
 	for _, o := range r.Outcomes {
--- a/internal/lab/kqnodes/measure.go
+++ b/internal/lab/kqnodes/measure.go
@@ -47,7 +47,8 @@
 		// Strategy is a strategy of the settings, "overlay" or "direct".
 		Strategy string
 		Fault    Fault
-		// Changes is how many versions are committed for each fleet.
+		// Changes is how many versions are committed and timed for each fleet.
+		// FaultPlatformDown ignores it.
 		Changes int
 		// Prefetch lets starting nodes fetch, in advance, the configuration of the hosts
 		// that peers of their service hold.
--- a/internal/lab/kqnodes/result.go
+++ b/internal/lab/kqnodes/result.go
@@ -19,7 +19,8 @@
 	// received, so that a byte between two nodes counts twice, and the keys, values and
 	// lease IDs exchanged with the platform. Processor time and the growth of memory are
 	// those of the whole process, including the fake platform. All three are divided by
-	// the number of nodes at the start of the run, even if some are killed later.
+	// the number of nodes at the start of the run, even if some are killed later. With
+	// platform_down, Convergence and all figures of changes are 0.
 	Run struct {
 		Nodes       int         `json:"nodes"`
 		Changes     int         `json:"changes"`
--- a/internal/lab/kqplayers/players.go
+++ b/internal/lab/kqplayers/players.go
@@ -8,7 +8,7 @@
 	"github.com/kumquatgw/kumquatgw/internal/lab/kqreplay"
 )
 
-// All returns the player factories by the name of the decision in a trace's head.
+// All returns the player factories by the kind of decision in a trace's head.
 func All() map[string]kqreplay.PlayerFactory {
 	return map[string]kqreplay.PlayerFactory{
 		"load":    newLoad,
--- a/internal/lab/kqreplay/trace.go
+++ b/internal/lab/kqreplay/trace.go
@@ -29,7 +29,8 @@
 	Trace struct {
 		// Name is the trace's source for error messages, such as its file.
 		Name string
-		// Decision names the decision that the trace was recorded for.
+		// Decision is the kind of decision that the trace was recorded for, such as
+		// "rollout". It selects the PlayerFactory.
 		Decision string
 		Seed     uint64
 		Settings json.RawMessage
--- a/internal/lab/kqsoakcheck/check.go
+++ b/internal/lab/kqsoakcheck/check.go
@@ -309,6 +309,7 @@
 		case ck.isExcused(rec):
 			ck.tally.Excused++
 		default:
+			// The text also stands for answers that are incomplete or "unknown".
 			ck.addLocked(Lost, rec.call.Ended, rec.call.WorkID+" was sent completely but got no answer from its upstream", rec)
 		}
 	}
--- a/internal/lab/kqsurvey/baseline.go
+++ b/internal/lab/kqsurvey/baseline.go
@@ -33,8 +33,8 @@
 		t.observe(at, s)
 		r.recordBadTick(t, at, s)
 		if r.at >= 0 {
-			// This tick's traffic was recorded because it takes propagationTicks until the
-			// decision is in force everywhere.
+			// This tick's traffic was recorded because the new version still gets calls
+			// for propagationTicks after the decision to roll back.
 			break
 		}
 		for i := range s.Sample {
--- a/internal/lab/kqsurvey/survey.go
+++ b/internal/lab/kqsurvey/survey.go
@@ -53,7 +53,8 @@
 		// had grown while they were good.
 		BadShareMax float64 `json:"bad_share_max"`
 		// SecondsAfterDetection is the 99th percentile of the time, in seconds, that
-		// bad versions still had traffic after the oracle had detected them.
+		// bad versions with an active regression still had traffic after the oracle had
+		// detected it.
 		SecondsAfterDetection float64 `json:"seconds_after_showing_p99"`
 		Kinds                 []Kind  `json:"kinds"`
 	}
@@ -66,8 +67,8 @@
 		CorrectShare float64 `json:"right"`
 
 		// ShareMax is the largest share of traffic that a version had while it was
-		// bad. SecondsP99 and CallsP99 count from the oracle's detection. These
-		// fields appear only in the printed table.
+		// bad. SecondsP99 and CallsP99 count ticks and calls with an active regression
+		// after the oracle's detection. These fields appear only in the printed table.
 		ShareMax float64 `json:"-"`
 		// OverShareBound counts the versions that had more than maxSmallShare of the
 		// traffic while they were bad.
--- a/internal/lab/kqsurvey/trial.go
+++ b/internal/lab/kqsurvey/trial.go
@@ -14,9 +14,9 @@
 
 const (
 	tick = time.Second
-	// propagationTicks is how many ticks pass from a decision until all calls
-	// follow it: the gates' reports take up to a tick, and the decision has to
-	// reach all nodes.
+	// propagationTicks is how many ticks the new version still gets calls after the
+	// decision to roll back: the gates' reports take up to a tick, and the decision has
+	// to reach all nodes. An advance takes effect in the next tick.
 	propagationTicks = 1
 )
 
@@ -27,9 +27,9 @@
 		correct bool
 		// maxBadShare is the version's largest share of traffic while it was bad.
 		maxBadShare float64
-		// badSeconds and badCalls count the ticks and calls of the bad version after the
-		// oracle has detected the regression. Calls that are also counted under
-		// kqevidence.ColdUpstreams count twice.
+		// badSeconds counts the ticks with traffic and an active regression after the
+		// oracle has detected it, and badCalls the bad version's calls in them. Calls that
+		// are also counted under kqevidence.ColdUpstreams count twice.
 		badSeconds, badCalls float64
 		// at is the last second in which a version that was rolled back could get
 		// calls, or for the oracle the second of its detection; -1 if there was none.
@@ -113,8 +113,8 @@
 	return t.detectedAt >= 0
 }
 
-// recordBadTick records a bad version's traffic in one tick. For a version that is
-// never rolled back, this continues until the deadline.
+// recordBadTick records a bad version's traffic in one tick, if the regression is active
+// in it. For a version that is never rolled back, this continues until the deadline.
 func (r *result) recordBadTick(t *trial, at int, s kqrolloutsim.TickResult) {
 	if !s.Bad {
 		return
--- a/internal/lab/kqupstream/event.go
+++ b/internal/lab/kqupstream/event.go
@@ -14,8 +14,8 @@
 	Begun Kind = "begin"
 	// Ended is the event that an execution of a call ended.
 	Ended Kind = "end"
-	// DrainAcknowledged is the event that the node first acknowledged that the upstream is
-	// draining.
+	// DrainAcknowledged is the event that, after Run's context has ended, the node first
+	// acknowledged that the upstream is draining. Drain emits no event.
 	DrainAcknowledged Kind = "goodbye"
 
 	maxWork = time.Minute
@@ -42,8 +42,8 @@
 // function must be safe for concurrent use.
 func WithEventHandler(f func(Event)) Option { return func(u *Upstream) { u.onEvent = f } }
 
-// WithDrainPeriod sets how long a leaving upstream keeps serving, counted from its first
-// announcement that it is draining.
+// WithDrainPeriod sets how long an upstream keeps serving, and announces that it is
+// draining, after Run's context has ended.
 func WithDrainPeriod(d time.Duration) Option { return func(u *Upstream) { u.drainPeriod = d } }
 
 func (u *Upstream) emit(k Kind, workID string) {
--- a/internal/lab/kqupstream/upstream.go
+++ b/internal/lab/kqupstream/upstream.go
@@ -31,11 +31,11 @@
 	// announceEvery is the interval between announcements, which renew the upstream at
 	// its node.
 	announceEvery = 500 * time.Millisecond
-	// defaultDrainPeriod is how long an upstream keeps serving from its first
-	// announcement that it is draining; the users' upstreams do so for two seconds or
-	// more after the acknowledgement. A call that the gate admitted just before that
-	// announcement may reach the upstream a moment after it. If the upstream closed its
-	// connections at once, that call would be lost whatever the node does.
+	// defaultDrainPeriod is how long an upstream keeps serving after Run's context has
+	// ended; the users' upstreams do so for two seconds or more after the acknowledgement
+	// of their drain. A call that the gate admitted just before the announcement that the
+	// upstream is draining may reach the upstream a moment after it. If the upstream
+	// closed its connections at once, that call would be lost whatever the node does.
 	defaultDrainPeriod = 300 * time.Millisecond
 )
 
@@ -101,8 +101,9 @@
 // expected of an upstream that is killed.
 func (nopLogger) Printf(string, ...any) {}
 
-// New opens an upstream of a service's version with the given slots. Once Run is called,
-// it announces itself to the node whose local address is node.
+// New opens an upstream of a service's version. Once Run is called, it announces itself
+// with the given slots to the node whose local address is node. It enforces the slots only
+// with Behaviour.Shed.
 func New(service kqname.Service, version kqname.UpstreamVersion, slots int, node kqname.Address, b Behaviour, options ...Option) (*Upstream, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
