--- a/internal/peer/kqmember/summary.go
+++ b/internal/peer/kqmember/summary.go
@@ -19,13 +19,13 @@
 		// Records holds one hash for each bucket, of the names, incarnations and states
 		// of the members in it.
 		Records [Buckets]uint64
-		// VersionHolders is the hash of the configuration versions that members apply.
-		VersionHolders uint64
+		// AppliedVersions is the hash of the configuration versions that members apply.
+		AppliedVersions uint64
 	}
 
-	// VersionHolders maps each configuration version to the name hashes of the members
+	// AppliedVersions maps each configuration version to the name hashes of the members
 	// that apply it.
-	VersionHolders map[kqname.ConfigVersion][]uint64
+	AppliedVersions map[kqname.ConfigVersion][]uint64
 )
 
 // Hash returns the combined hash of all buckets of records.
@@ -52,7 +52,7 @@
 	}
 	h := nameHash(m.Node)
 	s.Records[h%Buckets] ^= hashPair(h, m.Incarnation<<3|uint64(m.State))
-	s.VersionHolders ^= hashPair(h, uint64(m.HeldVersion))
+	s.AppliedVersions ^= hashPair(h, uint64(m.HeldVersion))
 }
 
 // RecordsInBuckets returns the records in the buckets for which chosen returns true.
@@ -68,12 +68,12 @@
 	return list
 }
 
-// VersionHolders returns which members apply which configuration version, without the
+// AppliedVersions returns which members apply which configuration version, without the
 // dead ones.
-func (t *Table) VersionHolders() VersionHolders {
+func (t *Table) AppliedVersions() AppliedVersions {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	c := make(VersionHolders)
+	c := make(AppliedVersions)
 	for n, m := range t.members {
 		if m.State != Dead {
 			c[m.HeldVersion] = append(c[m.HeldVersion], nameHash(n))
@@ -82,19 +82,19 @@
 	return c
 }
 
-// MergeVersionHolders raises the configuration versions of members to those that a peer
+// MergeAppliedVersions raises the configuration versions of members to those that a peer
 // knows. This node's own version is not changed.
-func (t *Table) MergeVersionHolders(c VersionHolders) {
+func (t *Table) MergeAppliedVersions(c AppliedVersions) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	held := make(map[uint64]kqname.ConfigVersion)
+	applied := make(map[uint64]kqname.ConfigVersion)
 	for v, names := range c {
 		for _, h := range names {
-			held[h] = v
+			applied[h] = v
 		}
 	}
 	for n, m := range t.members {
-		if v := held[nameHash(n)]; v > m.HeldVersion && n != t.self {
+		if v := applied[nameHash(n)]; v > m.HeldVersion && n != t.self {
 			m.HeldVersion = v
 			t.set(m)
 		}
--- a/internal/peer/kqmembersync/heartbeat.go
+++ b/internal/peer/kqmembersync/heartbeat.go
@@ -26,12 +26,12 @@
 		HeldVersion kqname.ConfigVersion `cbor:"4,keyasint"`
 	}
 
-	// heartbeatAnswer holds the receiver's own heartbeat and name. VersionHolders is the
+	// heartbeatAnswer holds the receiver's own heartbeat and name. AppliedVersions is the
 	// hash of the versions that the members of its table apply.
 	heartbeatAnswer struct {
 		heartbeat
-		Node           kqname.Node `cbor:"5,keyasint"`
-		VersionHolders uint64      `cbor:"6,keyasint"`
+		Node            kqname.Node `cbor:"5,keyasint"`
+		AppliedVersions uint64      `cbor:"6,keyasint"`
 		// NeedsComparison reports that the receiver has no record of the sender, has one of
 		// another incarnation, or holds it suspect or dead.
 		NeedsComparison bool `cbor:"7,keyasint,omitempty"`
@@ -40,16 +40,16 @@
 	// comparison requests the records of the buckets whose hashes differ. Records holds
 	// the sender's hash of each bucket.
 	comparison struct {
-		Records        []uint64                `cbor:"1,keyasint"`
-		VersionHolders kqmember.VersionHolders `cbor:"2,keyasint"`
+		Records         []uint64                 `cbor:"1,keyasint"`
+		AppliedVersions kqmember.AppliedVersions `cbor:"2,keyasint"`
 	}
 
 	// comparisonAnswer holds the numbers of the buckets that differ, and the receiver's
-	// records in them. VersionHolders covers the receiver's whole table.
+	// records in them. AppliedVersions covers the receiver's whole table.
 	comparisonAnswer struct {
-		Buckets        []int                   `cbor:"1,keyasint"`
-		Members        []kqmember.Member       `cbor:"2,keyasint"`
-		VersionHolders kqmember.VersionHolders `cbor:"3,keyasint"`
+		Buckets         []int                    `cbor:"1,keyasint"`
+		Members         []kqmember.Member        `cbor:"2,keyasint"`
+		AppliedVersions kqmember.AppliedVersions `cbor:"3,keyasint"`
 		// BusyMS is how long the receiver's budget stays exhausted, in milliseconds.
 		// If it is set, all other fields are empty.
 		BusyMS int64 `cbor:"4,keyasint,omitempty"`
@@ -92,7 +92,7 @@
 		s.compare(ctx, to)
 		return
 	}
-	if (a.Records != summary.Hash() || a.VersionHolders != summary.VersionHolders) && s.mayCompare(time.Now()) {
+	if (a.Records != summary.Hash() || a.AppliedVersions != summary.AppliedVersions) && s.mayCompare(time.Now()) {
 		s.compare(ctx, to)
 	}
 }
@@ -109,7 +109,7 @@
 	}
 	summary := s.table.Summary()
 	return heartbeatAnswer{
-		heartbeat: s.ownHeartbeat(summary), Node: s.table.Self().Node, VersionHolders: summary.VersionHolders,
+		heartbeat: s.ownHeartbeat(summary), Node: s.table.Self().Node, AppliedVersions: summary.AppliedVersions,
 		NeedsComparison: !ok || m.Incarnation != q.Incarnation || m.State == kqmember.Suspect || m.State == kqmember.Dead,
 	}, nil
 }
@@ -143,7 +143,7 @@
 // learns of its first members sends heartbeats to them at once.
 func (s *Synchronizer) compare(ctx context.Context, to kqname.Address) {
 	own := s.table.Summary()
-	a, err := kqrpc.Call[comparison, comparisonAnswer](ctx, s.client, to, methodCompare, comparison{Records: own.Records[:], VersionHolders: s.table.VersionHolders()})
+	a, err := kqrpc.Call[comparison, comparisonAnswer](ctx, s.client, to, methodCompare, comparison{Records: own.Records[:], AppliedVersions: s.table.AppliedVersions()})
 	if err != nil || a.BusyMS > 0 {
 		return
 	}
@@ -153,7 +153,7 @@
 		theirs[m.Node] = m
 		s.table.Merge(m)
 	}
-	s.table.MergeVersionHolders(a.VersionHolders)
+	s.table.MergeAppliedVersions(a.AppliedVersions)
 	if wasAlone && len(theirs) > 1 {
 		select {
 		case s.beatNow <- struct{}{}:
@@ -180,7 +180,7 @@
 	if wait := s.budget.Delay(time.Now()); wait > 0 {
 		return comparisonAnswer{BusyMS: wait.Milliseconds() + 1}, nil
 	}
-	s.table.MergeVersionHolders(q.VersionHolders)
+	s.table.MergeAppliedVersions(q.AppliedVersions)
 	own := s.table.Summary()
 	var a comparisonAnswer
 	differs := make(map[int]bool)
@@ -191,6 +191,6 @@
 		}
 	}
 	a.Members = s.table.RecordsInBuckets(func(b int) bool { return differs[b] })
-	a.VersionHolders = s.table.VersionHolders()
+	a.AppliedVersions = s.table.AppliedVersions()
 	return a, nil
 }
