--- a/internal/security/kqidentity/identity.go
+++ b/internal/security/kqidentity/identity.go
@@ -154,7 +154,8 @@
 
 // Dial connects to another node's gate and completes the TLS handshake. A failed
 // handshake gives a net.OpError with Op "dial", so that the sender of a call knows
-// that nothing of it was sent.
+// that nothing of it was sent. The gate's refusal of this node's certificate is not such
+// a failure: in TLS 1.3 it arrives only with the first read.
 func (i *Identity) Dial(address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -170,8 +171,9 @@
 	return connToGate{secured}, nil
 }
 
-// Close closes the TCP connection without a close_notify alert. The alert is not
-// needed to detect truncation, since answers state their length.
+// Close closes the TCP connection without a close_notify alert. The gate does not
+// need it to detect a truncated request, since a request states its length or ends with
+// a last chunk.
 func (c connToGate) Close() error { return c.NetConn().Close() }
 
 // NodeOf returns the node that the peer's certificate names.
--- a/internal/security/kqoperator/operator.go
+++ b/internal/security/kqoperator/operator.go
@@ -37,8 +37,8 @@
 	// ErrLine is returned if a line of the token file does not have the form
 	// "NAME ROLE TEAM HASH" or has an invalid value.
 	ErrLine = errors.New("malformed line, want NAME ROLE TEAM HASH")
-	// ErrOperator is returned if an operator's name is invalid, or its role and team
-	// contradict each other.
+	// ErrOperator is returned if an operator's name, role or team is invalid, or its
+	// role and team contradict each other.
 	ErrOperator = errors.New("invalid operator")
 )
 
@@ -141,7 +141,7 @@
 	case o.Role == Admin && o.Team == "", o.Role == Member && kqname.Valid(o.Team):
 		return nil
 	default:
-		return fmt.Errorf("role %q with team %q, want admin without or member with a team: %w", o.Role, o.Team, ErrOperator)
+		return fmt.Errorf("role %q with team %q, want admin without a team, or member with a team that is a plain name: %w", o.Role, o.Team, ErrOperator)
 	}
 }
 
