--- a/internal/store/kqstore/store.go
+++ b/internal/store/kqstore/store.go
@@ -21,8 +21,8 @@
 	// sentinels, and carry no stack trace.
 	namespace = errorx.NewNamespace("kqstore").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-	// ErrNotFound is returned if the key does not exist, or if nothing changed while
-	// Watch or Follow waited.
+	// ErrNotFound is returned if the key does not exist, or if Watch or Follow found
+	// no change to report.
 	ErrNotFound = namespace.NewType("not_found", errorx.NotFound()).New("key not found")
 	// ErrConflict is returned if the key's revision is not the expected one.
 	ErrConflict = namespace.NewType("conflict").New("revision conflict")
@@ -99,7 +99,8 @@
 		// ErrLeaseLapsed.
 		Renew(ctx context.Context, lease Lease) error
 		// Watch waits until the key's revision exceeds after and returns the entry.
-		// It returns ErrNotFound if the key does not change within wait.
+		// It returns ErrNotFound if the key is not written within wait; a deletion is
+		// not reported and may end the wait early.
 		Watch(ctx context.Context, key string, after Revision, wait time.Duration) (Entry, error)
 	}
 )
--- a/internal/store/kqstoreclient/client.go
+++ b/internal/store/kqstoreclient/client.go
@@ -28,7 +28,7 @@
 	Option func(*Client)
 )
 
-// WithTimeout sets the timeout of a call; that of a watch also includes its wait.
+// WithTimeout sets the timeout of a call; a watch's wait is added to it.
 func WithTimeout(d time.Duration) Option { return func(c *Client) { c.timeout = d } }
 
 // New returns a client of the service at url, such as "http://10.0.0.1:7000".
