--- a/pkg/kqdocument/validate_rollout.go
+++ b/pkg/kqdocument/validate_rollout.go
@@ -80,8 +80,8 @@
 
 // checkFrom refuses a rollout from a version that cannot be serving at its start, since
 // there would be nothing to compare the new version with. served holds the versions of
-// the service's earlier rollouts. It also refuses a rollout of a service that states no
-// version, since the new version would get calls before the start.
+// the service's earlier rollouts that are not cancelled. It also refuses a rollout of a
+// service that states no version, since the new version would get calls before the start.
 func (c *checker) checkFrom(path string, r Rollout, s Service, served []kqname.UpstreamVersion) {
 	if s.Version == "" {
 		c.reportIf(true, path+".service", "states no version, so the new version would serve before the start")
