--- a/cmd/kumquatgw/soak_fault_test.go
+++ b/cmd/kumquatgw/soak_fault_test.go
@@ -25,9 +25,9 @@
 		arguments []string
 		want      kqsoakcheck.Kind
 	}{
-		{kqfault.Reload, []string{"--planned"}, kqsoakcheck.Ended},
-		{kqfault.Repeat, nil, kqsoakcheck.Twice},
-		{kqfault.Goodbye, []string{"--planned"}, kqsoakcheck.Late},
+		{kqfault.IgnoreReload, []string{"--planned"}, kqsoakcheck.Ended},
+		{kqfault.RetryNonIdempotent, nil, kqsoakcheck.Twice},
+		{kqfault.IgnoreDraining, []string{"--planned"}, kqsoakcheck.Late},
 	} {
 		t.Run(string(c.fault), func(t *testing.T) {
 			t.Parallel()
--- a/internal/lab/kqfault/kind.go
+++ b/internal/lab/kqfault/kind.go
@@ -1,14 +1,17 @@
 package kqfault
 
 const (
-	// Reload makes a node stop handling the reload signal SIGHUP once its shutdown
-	// has begun. The signal's default action then ends the process and its calls.
-	Reload Kind = "reload"
-	// Repeat makes a node retry calls that are not idempotent and may have run.
-	Repeat Kind = "repeat"
-	// Goodbye makes a node acknowledge an upstream's announcement that it is draining,
-	// but keep sending calls to it. A goodbye (field Gone) still takes effect.
-	Goodbye Kind = "goodbye"
+	// IgnoreReload makes a node stop handling the reload signal SIGHUP once its
+	// shutdown has begun. The signal's default action then ends the process and its
+	// calls.
+	IgnoreReload Kind = "reload"
+	// RetryNonIdempotent makes a node retry calls that are not idempotent and may have
+	// run.
+	RetryNonIdempotent Kind = "repeat"
+	// IgnoreDraining makes a node ignore Draining in announcements: it acknowledges that
+	// an upstream is draining, but keeps sending calls to it. Despite the fault's value,
+	// goodbyes (field Gone) still apply.
+	IgnoreDraining Kind = "goodbye"
 
 	// EnvVariable is the environment variable that selects the fault.
 	EnvVariable = "KUMQUATGW_FAULT"
