--- a/internal/lab/kqplot/plot.go
+++ b/internal/lab/kqplot/plot.go
@@ -35,9 +35,9 @@
 	Plot struct {
 		// X and Y are the labels of the axes.
 		Title, X, Y string
-		// Names label X = 0, 1, 2 and so on, for a nominal X axis.
-		Names  []string
-		Series []Series
+		// Categories label X = 0, 1, 2 and so on, for a nominal X axis.
+		Categories []string
+		Series     []Series
 	}
 )
 
@@ -55,8 +55,8 @@
 			return fmt.Errorf("draw %q: %w", p.Title, err)
 		}
 	}
-	if len(p.Names) > 0 {
-		chart.NominalX(p.Names...)
+	if len(p.Categories) > 0 {
+		chart.NominalX(p.Categories...)
 	}
 	return writeSVG(chart, file)
 }
--- a/internal/run/kqcommand/demo.go
+++ b/internal/run/kqcommand/demo.go
@@ -40,7 +40,7 @@
 		if !o.Held {
 			verdict = "MISSED"
 		}
-		fmt.Fprintf(c.out, "%s %s: %s\n", verdict, o.Name, o.Seen)
+		fmt.Fprintf(c.out, "%s %s: %s\n", verdict, o.Name, o.Observed)
 	}
 	fmt.Fprintf(c.out, "convergence p99 %.0f ms; calls %+v; rollouts %+v\n", report.Convergence.P99, report.Calls, report.Rollouts)
 	return report.Check()
--- a/internal/run/kqcommand/plot.go
+++ b/internal/run/kqcommand/plot.go
@@ -58,7 +58,7 @@
 		for i, name := range names {
 			s.Points = append(s.Points, kqplot.Point{X: float64(i), Y: r.Latency[name]})
 		}
-		p.Names, p.Series = names, append(p.Series, s)
+		p.Categories, p.Series = names, append(p.Series, s)
 	}
 	return p
 }
@@ -67,7 +67,7 @@
 	good, bad := kqplot.Series{Name: "good on time"}, kqplot.Series{Name: "bad taken back"}
 	p := kqplot.Plot{Title: "Rollouts that ended right", X: "policy and decider", Y: "%"}
 	for i, one := range report.Policies {
-		p.Names = append(p.Names, string(one.Policy)+" "+one.Decider)
+		p.Categories = append(p.Categories, string(one.Policy)+" "+one.Decider)
 		good.Points = append(good.Points, kqplot.Point{X: float64(i), Y: 100 * one.GoodOnTime})
 		bad.Points = append(bad.Points, kqplot.Point{X: float64(i), Y: 100 * one.BadTakenBack})
 	}
