--- a/internal/lab/kqdemo/report.go
+++ b/internal/lab/kqdemo/report.go
@@ -59,9 +59,9 @@
 
 	// Outcome is the result of one check: whether it held, and what was observed.
 	Outcome struct {
-		Name string `json:"name"`
-		Held bool   `json:"held"`
-		Seen string `json:"seen"`
+		Name     string `json:"name"`
+		Held     bool   `json:"held"`
+		Observed string `json:"seen"`
 	}
 )
 
