--- a/internal/lab/kqsurvey/survey.go
+++ b/internal/lab/kqsurvey/survey.go
@@ -44,10 +44,10 @@
 		Policy  kqname.Policy `json:"policy"`
 		Decider string        `json:"decider"`
 		Good    int           `json:"good"`
-		// GoodOnTime and BadTakenBack are shares, from 0 to 1.
-		GoodOnTime   float64 `json:"good_on_time"`
-		Bad          int     `json:"bad"`
-		BadTakenBack float64 `json:"bad_taken_back"`
+		// GoodOnTimeShare and BadRolledBackShare are shares, from 0 to 1.
+		GoodOnTimeShare    float64 `json:"good_on_time"`
+		Bad                int     `json:"bad"`
+		BadRolledBackShare float64 `json:"bad_taken_back"`
 		// BadShareMax is the largest share of traffic that a version had
 		// while it was bad. FailsLater versions are left out, since their share
 		// had grown while they were good.
@@ -152,8 +152,8 @@
 			badSeconds = append(badSeconds, kindSeconds...)
 		}
 	}
-	p.GoodOnTime /= float64(max(p.Good, 1))
-	p.BadTakenBack /= float64(max(p.Bad, 1))
+	p.GoodOnTimeShare /= float64(max(p.Good, 1))
+	p.BadRolledBackShare /= float64(max(p.Bad, 1))
 	p.SecondsAfterDetection = p99(badSeconds)
 	return p
 }
@@ -161,11 +161,11 @@
 func (p *Policy) addKind(k kqrolloutsim.Kind, summary Kind) {
 	if k.Good() {
 		p.Good += summary.Count
-		p.GoodOnTime += summary.CorrectShare
+		p.GoodOnTimeShare += summary.CorrectShare
 		return
 	}
 	p.Bad += summary.Count
-	p.BadTakenBack += summary.CorrectShare
+	p.BadRolledBackShare += summary.CorrectShare
 	if k != kqrolloutsim.FailsLater {
 		p.BadShareMax = max(p.BadShareMax, summary.ShareMax)
 	}
--- a/internal/run/kqcommand/measure_rollouts.go
+++ b/internal/run/kqcommand/measure_rollouts.go
@@ -68,7 +68,7 @@
 func (c *Command) printSurvey(report kqsurvey.Report) {
 	for _, p := range report.Policies {
 		fmt.Fprintf(c.out, "%s by %s: %.1f%% of %d good versions on time, %.1f%% of %d bad versions taken back, largest share of a bad version %.1f%%, %.0f s from detectable to no traffic (p99)\n",
-			p.Policy, p.Decider, 100*p.GoodOnTime, p.Good, 100*p.BadTakenBack, p.Bad, 100*p.BadShareMax, p.SecondsAfterDetection)
+			p.Policy, p.Decider, 100*p.GoodOnTimeShare, p.Good, 100*p.BadRolledBackShare, p.Bad, 100*p.BadShareMax, p.SecondsAfterDetection)
 		for _, k := range p.Kinds {
 			fmt.Fprintf(c.out, "  %-22s %4d  right %5.1f%%  share %5.1f%%  over 5%%: %2d  from detectable to no traffic (p99) %5.0f s %6.0f calls\n",
 				k.Kind, k.Count, 100*k.CorrectShare, 100*k.ShareMax, k.OverShareBound, k.SecondsP99, k.CallsP99)
--- a/internal/run/kqcommand/plot.go
+++ b/internal/run/kqcommand/plot.go
@@ -68,8 +68,8 @@
 	p := kqplot.Plot{Title: "Rollouts that ended right", X: "policy and decider", Y: "%"}
 	for i, one := range report.Policies {
 		p.Categories = append(p.Categories, string(one.Policy)+" "+one.Decider)
-		good.Points = append(good.Points, kqplot.Point{X: float64(i), Y: 100 * one.GoodOnTime})
-		bad.Points = append(bad.Points, kqplot.Point{X: float64(i), Y: 100 * one.BadTakenBack})
+		good.Points = append(good.Points, kqplot.Point{X: float64(i), Y: 100 * one.GoodOnTimeShare})
+		bad.Points = append(bad.Points, kqplot.Point{X: float64(i), Y: 100 * one.BadRolledBackShare})
 	}
 	p.Series = []kqplot.Series{good, bad}
 	return p
