--- a/cmd/kumquatgw/soak_fault_test.go
+++ b/cmd/kumquatgw/soak_fault_test.go
@@ -25,7 +25,7 @@
 		arguments []string
 		want      kqsoakcheck.Kind
 	}{
-		{kqfault.IgnoreReload, []string{"--planned"}, kqsoakcheck.Ended},
+		{kqfault.IgnoreReload, []string{"--planned"}, kqsoakcheck.WrongExit},
 		{kqfault.RetryNonIdempotent, nil, kqsoakcheck.Twice},
 		{kqfault.IgnoreDraining, []string{"--planned"}, kqsoakcheck.Late},
 	} {
--- a/internal/lab/kqsoakcheck/check.go
+++ b/internal/lab/kqsoakcheck/check.go
@@ -24,9 +24,9 @@
 	// node acknowledged that the upstream is draining, while no unplanned fault could
 	// explain it.
 	Late Kind = "LATE"
-	// Ended is a process that exited without being asked to, not in the way it should,
-	// or not in time.
-	Ended Kind = "ENDED"
+	// WrongExit is a process that exited without being asked to, not in the way it
+	// should, or not in time.
+	WrongExit Kind = "ENDED"
 	// VersionRegressed is a node that went back to an older version of the configuration.
 	VersionRegressed Kind = "FELL_BACK"
 	// Exposed is a call that ran at an upstream of a bad version, more than
@@ -286,7 +286,7 @@
 // RecordWrongExit records a process that exited without being asked to, or not in the
 // way it should, or that did not exit in time.
 func (ck *Checker) RecordWrongExit(name, status string, at time.Duration) {
-	ck.AddViolation(Ended, at, name+" did not exit as expected: "+status)
+	ck.AddViolation(WrongExit, at, name+" did not exit as expected: "+status)
 }
 
 // AddViolation adds a violation that the caller detected itself.
--- a/internal/lab/kqsoakcheck/check_test.go
+++ b/internal/lab/kqsoakcheck/check_test.go
@@ -106,7 +106,7 @@
 			checker.Began("a", "u", 2, 10*second)
 			checker.Call(cut("a"))
 		}, []kqsoakcheck.Kind{kqsoakcheck.Lost}},
-		{"process exited", func(checker *kqsoakcheck.Checker) { checker.RecordWrongExit("node-0", "signal: hangup", second) }, []kqsoakcheck.Kind{kqsoakcheck.Ended}},
+		{"process exited", func(checker *kqsoakcheck.Checker) { checker.RecordWrongExit("node-0", "signal: hangup", second) }, []kqsoakcheck.Kind{kqsoakcheck.WrongExit}},
 		{"no call answered at the end", func(checker *kqsoakcheck.Checker) {
 			checker.Call(refusal("a"))
 			checker.CheckRecovery(9*second, 12*second, 0.95)
