--- a/internal/admin/kqadmin/harness_test.go
+++ b/internal/admin/kqadmin/harness_test.go
@@ -81,7 +81,7 @@
 }
 
 func (n fakeNode) Members() []kqmember.Member {
-	return []kqmember.Member{{Node: "one", Domain: "a", HeldVersion: 1}, {Node: "two", Domain: "b", HeldVersion: 0}}
+	return []kqmember.Member{{Node: "one", Domain: "a", AppliedVersion: 1}, {Node: "two", Domain: "b", AppliedVersion: 0}}
 }
 
 // initialDocument returns the document that every test starts with as version 1.
--- a/internal/admin/kqview/view.go
+++ b/internal/admin/kqview/view.go
@@ -120,12 +120,12 @@
 	f := Fleet{Version: v.node.Version(), Ready: v.node.Ready(), Members: []Member{}}
 	members := v.node.Members()
 	for _, m := range members {
-		f.Version = max(f.Version, m.HeldVersion)
+		f.Version = max(f.Version, m.AppliedVersion)
 	}
 	for _, m := range members {
 		member := Member{
 			Node: m.Node, Domain: m.Domain, Region: m.Region, State: m.State.String(), Control: m.Control,
-			Version: m.HeldVersion, Behind: f.Version - m.HeldVersion, Upstreams: []Upstream{},
+			Version: m.AppliedVersion, Behind: f.Version - m.AppliedVersion, Upstreams: []Upstream{},
 		}
 		for _, u := range m.Upstreams {
 			member.Upstreams = append(member.Upstreams, Upstream(u))
@@ -152,7 +152,7 @@
 			continue
 		}
 		c.Nodes++
-		if m.HeldVersion >= root.Version {
+		if m.AppliedVersion >= root.Version {
 			c.Have++
 			continue
 		}
--- a/internal/config/kqdistribute/exchange.go
+++ b/internal/config/kqdistribute/exchange.go
@@ -53,7 +53,7 @@
 	}
 	message := push{Version: r.root.Version, Digest: r.digest}
 	for _, m := range d.overlay.Neighbours() {
-		if m.Control == from || m.HeldVersion >= r.root.Version {
+		if m.Control == from || m.AppliedVersion >= r.root.Version {
 			continue
 		}
 		d.group.Go(func() {
--- a/internal/peer/kqmember/member.go
+++ b/internal/peer/kqmember/member.go
@@ -51,9 +51,9 @@
 		// or refutes a peer's record of it.
 		Incarnation uint64 `cbor:"6,keyasint"`
 		State       State  `cbor:"7,keyasint"`
-		// HeldVersion is the newest configuration version that the node applies.
-		HeldVersion kqname.ConfigVersion `cbor:"8,keyasint"`
-		Upstreams   []Upstream           `cbor:"9,keyasint,omitempty"`
+		// AppliedVersion is the newest configuration version that the node applies.
+		AppliedVersion kqname.ConfigVersion `cbor:"8,keyasint"`
+		Upstreams      []Upstream           `cbor:"9,keyasint,omitempty"`
 		// Reader reports whether the node reads the platform's key-value service for the
 		// other nodes.
 		Reader bool `cbor:"10,keyasint,omitempty"`
@@ -152,15 +152,15 @@
 	return m
 }
 
-// SetHeldVersion raises the configuration version that a member applies. It ignores
+// SetAppliedVersion raises the configuration version that a member applies. It ignores
 // lower versions and unknown members. Subscribers are not notified, since heartbeats
 // carry the versions: flooding a record for each node and version would cost a
 // quadratic number of messages per change.
-func (t *Table) SetHeldVersion(n kqname.Node, v kqname.ConfigVersion) {
+func (t *Table) SetAppliedVersion(n kqname.Node, v kqname.ConfigVersion) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if m, ok := t.members[n]; ok && v > m.HeldVersion {
-		m.HeldVersion = v
+	if m, ok := t.members[n]; ok && v > m.AppliedVersion {
+		m.AppliedVersion = v
 		t.set(m)
 	}
 }
--- a/internal/peer/kqmember/summary.go
+++ b/internal/peer/kqmember/summary.go
@@ -52,7 +52,7 @@
 	}
 	h := nameHash(m.Node)
 	s.Records[h%Buckets] ^= hashPair(h, m.Incarnation<<3|uint64(m.State))
-	s.AppliedVersions ^= hashPair(h, uint64(m.HeldVersion))
+	s.AppliedVersions ^= hashPair(h, uint64(m.AppliedVersion))
 }
 
 // RecordsInBuckets returns the records in the buckets for which chosen returns true.
@@ -76,7 +76,7 @@
 	c := make(AppliedVersions)
 	for n, m := range t.members {
 		if m.State != Dead {
-			c[m.HeldVersion] = append(c[m.HeldVersion], nameHash(n))
+			c[m.AppliedVersion] = append(c[m.AppliedVersion], nameHash(n))
 		}
 	}
 	return c
@@ -94,8 +94,8 @@
 		}
 	}
 	for n, m := range t.members {
-		if v := applied[nameHash(n)]; v > m.HeldVersion && n != t.self {
-			m.HeldVersion = v
+		if v := applied[nameHash(n)]; v > m.AppliedVersion && n != t.self {
+			m.AppliedVersion = v
 			t.set(m)
 		}
 	}
--- a/internal/peer/kqmembersync/heartbeat.go
+++ b/internal/peer/kqmembersync/heartbeat.go
@@ -18,12 +18,12 @@
 type (
 	// heartbeat holds the sender's incarnation, the combined hash of the records in its
 	// member table, the newest configuration version whose root it holds (Newest), and the
-	// version that it applies (HeldVersion).
+	// version that it applies (AppliedVersion).
 	heartbeat struct {
-		Incarnation uint64               `cbor:"1,keyasint"`
-		Records     uint64               `cbor:"2,keyasint"`
-		Newest      kqname.ConfigVersion `cbor:"3,keyasint"`
-		HeldVersion kqname.ConfigVersion `cbor:"4,keyasint"`
+		Incarnation    uint64               `cbor:"1,keyasint"`
+		Records        uint64               `cbor:"2,keyasint"`
+		Newest         kqname.ConfigVersion `cbor:"3,keyasint"`
+		AppliedVersion kqname.ConfigVersion `cbor:"4,keyasint"`
 	}
 
 	// heartbeatAnswer holds the receiver's own heartbeat and name. AppliedVersions is the
@@ -99,7 +99,7 @@
 
 func (s *Synchronizer) ownHeartbeat(summary kqmember.Summary) heartbeat {
 	self := s.table.Self()
-	return heartbeat{Incarnation: self.Incarnation, Records: summary.Hash(), Newest: s.versions.Newest(), HeldVersion: self.HeldVersion}
+	return heartbeat{Incarnation: self.Incarnation, Records: summary.Hash(), Newest: s.versions.Newest(), AppliedVersion: self.AppliedVersion}
 }
 
 func (s *Synchronizer) answerHeartbeat(_ context.Context, from kqname.Node, q heartbeat) (heartbeatAnswer, error) {
@@ -120,7 +120,7 @@
 	s.mu.Lock()
 	s.detector.RecordHeartbeat(n, time.Now())
 	s.mu.Unlock()
-	s.table.SetHeldVersion(n, b.HeldVersion)
+	s.table.SetAppliedVersion(n, b.AppliedVersion)
 	s.versions.VersionSeen(b.Newest, at)
 }
 
--- a/internal/run/kqnode/config.go
+++ b/internal/run/kqnode/config.go
@@ -140,7 +140,7 @@
 		kqreplica.WithOnRefused(n.metrics.ConfigRefused), kqreplica.WithSupervisor(n.supervisor),
 		kqreplica.WithOnChange(func(s *kqsnapshot.Snapshot) {
 			n.metrics.SetVersion(s.Version())
-			n.table.SetHeldVersion(n.settings.Node.Name, s.Version())
+			n.table.SetAppliedVersion(n.settings.Node.Name, s.Version())
 			// The version is the same as before if only the held hosts differ.
 			n.logger.Part("config").WithFields(logrus.Fields{"event": "applied", "version": s.Version()}).Info("Version is in force.")
 			n.rollouts.adoptConfig(s)
