--- a/internal/call/kqentry/record.go
+++ b/internal/call/kqentry/record.go
@@ -62,7 +62,7 @@
 func WithRecorder(r Recorder) Option { return func(e *Entry) { e.recorder = r } }
 
 // newAttempt returns an attempt to send the call to p, which was just picked.
-func newAttempt(p *kqpick.Peer, c *kqcall.Call, now time.Time) Attempt {
+func newAttempt(p *kqpick.PoolUpstream, c *kqcall.Call, now time.Time) Attempt {
 	load, age := p.LastReport(now)
 	return Attempt{To: p.Node, Version: p.Version, InFlight: p.InFlight(), Load: load, LoadAge: age, TimeLeft: c.Deadline.Sub(now)}
 }
--- a/internal/call/kqentry/service.go
+++ b/internal/call/kqentry/service.go
@@ -116,7 +116,7 @@
 
 // pick returns the upstream for the next attempt, how to reach it, and the attempt's record.
 // The upstream is nil if the target allows none whose node has not been tried.
-func (s *service) pick(c *kqcall.Call, all []kqmember.Candidate, target kqpick.Target, tried []kqname.Node, now time.Time) (*kqpick.Peer, kqmember.Candidate, Attempt) {
+func (s *service) pick(c *kqcall.Call, all []kqmember.Candidate, target kqpick.Target, tried []kqname.Node, now time.Time) (*kqpick.PoolUpstream, kqmember.Candidate, Attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.Set(all, now)
@@ -129,7 +129,7 @@
 
 // recordAttempt records how an attempt ended, and reports whether the upstream is now
 // ejected.
-func (s *service) recordAttempt(c *kqcall.Call, to *kqpick.Peer, o kqcall.Outcome, load kqcall.Load, hasLoad bool, now time.Time) bool {
+func (s *service) recordAttempt(c *kqcall.Call, to *kqpick.PoolUpstream, o kqcall.Outcome, load kqcall.Load, hasLoad bool, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var known *kqcall.Load
--- a/internal/decide/kqpick/peer.go
+++ b/internal/decide/kqpick/peer.go
@@ -11,8 +11,8 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// Peer is one upstream of a pool.
-type Peer struct {
+// PoolUpstream is one upstream of a pool.
+type PoolUpstream struct {
 	kqmember.Candidate
 	// sent is the number of this entry's in-flight calls to the upstream.
 	sent       int
@@ -26,7 +26,7 @@
 
 // LastReport returns the upstream's last reported load and its age, both zero if there is
 // none.
-func (upstream *Peer) LastReport(now time.Time) (kqcall.Load, time.Duration) {
+func (upstream *PoolUpstream) LastReport(now time.Time) (kqcall.Load, time.Duration) {
 	if upstream.reportedAt.IsZero() {
 		return upstream.load, 0
 	}
@@ -34,14 +34,14 @@
 }
 
 // InFlight returns the number of this entry's in-flight calls to the upstream.
-func (upstream *Peer) InFlight() int { return upstream.sent }
+func (upstream *PoolUpstream) InFlight() int { return upstream.sent }
 
 // Ejected reports whether the upstream is ejected.
-func (upstream *Peer) Ejected() bool { return upstream.state.Ejected() }
+func (upstream *PoolUpstream) Ejected() bool { return upstream.state.Ejected() }
 
 // selectBest returns the best sampled upstream of the own failure domain if it is fast
 // enough, else the best of a random sample of all. It reorders the list.
-func (p *Pool) selectBest(list []*Peer, target Target, now time.Time, random *rand.Rand) *Peer {
+func (p *Pool) selectBest(list []*PoolUpstream, target Target, now time.Time, random *rand.Rand) *PoolUpstream {
 	if localBest := p.localBest(list, target, now, random); localBest != nil {
 		return localBest
 	}
@@ -52,7 +52,7 @@
 // localBest returns the best sampled upstream of the own failure domain if its weighted
 // estimate is below target.ComfortableLatency, else nil. A faster upstream in another domain
 // would gain nothing then, while its responses would cross between domains.
-func (p *Pool) localBest(list []*Peer, target Target, now time.Time, random *rand.Rand) *Peer {
+func (p *Pool) localBest(list []*PoolUpstream, target Target, now time.Time, random *rand.Rand) *PoolUpstream {
 	local := 0
 	for i, upstream := range list {
 		if upstream.Domain == p.domain {
@@ -76,7 +76,7 @@
 // While the service has spare capacity, upstreams that fail part of their calls do not
 // count towards the sample size: if half of the upstreams fail, one in sixteen
 // samples of size four would hold only failing ones.
-func (p *Pool) leastEstimate(list []*Peer, route kqname.Route, now time.Time, random *rand.Rand) (found *Peer, leastEstimate float64) {
+func (p *Pool) leastEstimate(list []*PoolUpstream, route kqname.Route, now time.Time, random *rand.Rand) (found *PoolUpstream, leastEstimate float64) {
 	hasSpareCapacity := p.hasSpareCapacity(now)
 	counted := 0
 	for i := range min(maxSampleSize, len(list)) {
@@ -106,7 +106,7 @@
 // recent work for calls of any route: by that, an upstream that mostly serves orders of
 // 100 ms would look too slow for lookups of 20 ms and get none, even while the others have
 // more lookups than slots.
-func (p *Pool) expectedTime(upstream *Peer, route kqname.Route, now time.Time) float64 {
+func (p *Pool) expectedTime(upstream *PoolUpstream, route kqname.Route, now time.Time) float64 {
 	load := upstream.routeLoads.current(route, now)
 	if load.expectedWork == 0 {
 		expectedWork := p.LeastWork(route)
@@ -123,7 +123,7 @@
 
 // expectedWork returns the upstream's reported recent work of its short calls of any route,
 // or median, that of all upstreams, but at least 1 ms, if it has not reported.
-func (upstream *Peer) expectedWork(median time.Duration) time.Duration {
+func (upstream *PoolUpstream) expectedWork(median time.Duration) time.Duration {
 	if upstream.load.RecentDuration > 0 {
 		return upstream.load.RecentDuration
 	}
@@ -133,7 +133,7 @@
 // estimateFromWork returns the expected time in seconds of a call with the given work at
 // the upstream, including its cold slowdown and the wait for a slot. Utilization above
 // queueingUtilization costs twice the work per unit, since calls then queue.
-func (upstream *Peer) estimateFromWork(work time.Duration, now time.Time) float64 {
+func (upstream *PoolUpstream) estimateFromWork(work time.Duration, now time.Time) float64 {
 	busy := float64(upstream.sent + 1)
 	if now.Sub(upstream.reportedAt) < reportTTL {
 		busy += float64(upstream.load.Running + upstream.load.Waiting)
@@ -145,7 +145,7 @@
 // failurePenalty returns the factor on the expected time for the risk of failure. It is 1
 // without spare capacity: the other upstreams could not take the calls, and a call that
 // may fail is better than one that waits until its caller has given up.
-func (upstream *Peer) failurePenalty(hasSpareCapacity bool, now time.Time) float64 {
+func (upstream *PoolUpstream) failurePenalty(hasSpareCapacity bool, now time.Time) float64 {
 	if !hasSpareCapacity {
 		return 1
 	}
@@ -153,14 +153,14 @@
 }
 
 // failureRate returns the reported failure rate, decayed by its age.
-func (upstream *Peer) failureRate(now time.Time) float64 {
+func (upstream *PoolUpstream) failureRate(now time.Time) float64 {
 	return kqfailrate.Decay(upstream.load.FailureRate, now.Sub(upstream.reportedAt))
 }
 
 // coldSlowdown returns how many times slower the upstream is expected to be while it is
 // cold. WarmFrom is the announced end of its cold start; without one, the slowdown falls
 // linearly over coldDuration after the upstream was added.
-func (upstream *Peer) coldSlowdown(now time.Time) float64 {
+func (upstream *PoolUpstream) coldSlowdown(now time.Time) float64 {
 	if !upstream.WarmFrom.IsZero() {
 		if now.Before(upstream.WarmFrom) {
 			return coldFactorBeforeWarm
@@ -176,7 +176,7 @@
 // hasFreeSlot reports whether the upstream probably has a free slot. If the service is
 // saturated, only a recent report shows one. Otherwise, without a recent report, there is
 // one unless this entry's own calls use all slots.
-func (upstream *Peer) hasFreeSlot(saturated bool, now time.Time) bool {
+func (upstream *PoolUpstream) hasFreeSlot(saturated bool, now time.Time) bool {
 	ttl := unsaturatedReportTTL
 	if saturated {
 		ttl = reportTTL
--- a/internal/decide/kqpick/pick.go
+++ b/internal/decide/kqpick/pick.go
@@ -59,8 +59,8 @@
 		domain     kqname.Domain
 		uniform    bool
 		candidates []kqmember.Candidate
-		upstreams  []*Peer
-		eligible   []*Peer
+		upstreams  []*PoolUpstream
+		eligible   []*PoolUpstream
 		ejector    kqeject.Ejector
 		// medianWork is the median of the upstreams' reported work at medianWorkAt.
 		medianWork   time.Duration
@@ -96,9 +96,9 @@
 		return
 	}
 	old := p.upstreams
-	p.candidates, p.upstreams = all, make([]*Peer, 0, len(all))
+	p.candidates, p.upstreams = all, make([]*PoolUpstream, 0, len(all))
 	for _, c := range all {
-		i := slices.IndexFunc(old, func(upstream *Peer) bool {
+		i := slices.IndexFunc(old, func(upstream *PoolUpstream) bool {
 			return upstream.Node == c.Node && upstream.Version == c.Version && upstream.Gate == c.Gate
 		})
 		if i < 0 {
@@ -118,7 +118,7 @@
 
 // Pick returns an upstream that the target allows and whose node has not been tried, or
 // nil if there is none. The caller must call Done for it.
-func (p *Pool) Pick(target Target, tried []kqname.Node, now time.Time, random *rand.Rand) *Peer {
+func (p *Pool) Pick(target Target, tried []kqname.Node, now time.Time, random *rand.Rand) *PoolUpstream {
 	chosen := p.selectUpstream(target, tried, now, random)
 	if chosen == nil {
 		return nil
@@ -134,7 +134,7 @@
 // Done records the outcome of a call for which Pick returned the upstream, and the load
 // that the gate reported, if any. failed is set for an answer with a 5xx status. Calls that
 // were cancelled, or refused for example by a full gate, count as successes for ejection.
-func (p *Pool) Done(upstream *Peer, outcome kqcall.Outcome, failed bool, load *kqcall.Load, now time.Time) {
+func (p *Pool) Done(upstream *PoolUpstream, outcome kqcall.Outcome, failed bool, load *kqcall.Load, now time.Time) {
 	upstream.sent--
 	if load != nil {
 		upstream.load, upstream.reportedAt = *load, now
@@ -155,7 +155,7 @@
 
 // selectUpstream returns an ejected upstream that is due for a probe, if there is one. Else it
 // chooses among the upstreams that are not ejected or, if there are none, uses lastResort.
-func (p *Pool) selectUpstream(target Target, tried []kqname.Node, now time.Time, random *rand.Rand) *Peer {
+func (p *Pool) selectUpstream(target Target, tried []kqname.Node, now time.Time, random *rand.Rand) *PoolUpstream {
 	p.eligible = p.eligible[:0]
 	ejected := 0
 	for _, upstream := range p.upstreams {
@@ -189,7 +189,7 @@
 // within a call or two. Choosing by load instead would keep selecting dead upstreams, which
 // run nothing and look idle.
 func (p *Pool) lastResort(target Target, tried []kqname.Node) {
-	var first *Peer
+	var first *PoolUpstream
 	for _, upstream := range p.upstreams {
 		if !target.allows(upstream.Candidate) || slices.Contains(tried, upstream.Node) {
 			continue
@@ -202,8 +202,8 @@
 }
 
 // admit returns the state of an upstream that is new to the pool.
-func (p *Pool) admit(c kqmember.Candidate, now time.Time) *Peer {
-	upstream := &Peer{Candidate: c, addedAt: now}
+func (p *Pool) admit(c kqmember.Candidate, now time.Time) *PoolUpstream {
+	upstream := &PoolUpstream{Candidate: c, addedAt: now}
 	if !p.initialized {
 		upstream.addedAt = now.Add(-coldDuration)
 	}
--- a/internal/decide/kqpick/pick_test.go
+++ b/internal/decide/kqpick/pick_test.go
@@ -79,7 +79,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	p := newPool(now, []kqname.Domain{"x", "x", "x"}, 80*time.Millisecond, 80*time.Millisecond, 200*time.Millisecond)
 	slow := 0
-	var held []*kqpick.Peer
+	var held []*kqpick.PoolUpstream
 	for range 300 {
 		o := p.Pick(kqpick.Target{}, nil, now, random)
 		if o.Node == "2" {
--- a/internal/decide/kqpick/route_test.go
+++ b/internal/decide/kqpick/route_test.go
@@ -71,7 +71,7 @@
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 7))
 	p := newPool(now, []kqname.Domain{"x", "x", "x"}, 120*time.Millisecond, 30*time.Millisecond, 30*time.Millisecond)
-	report := func(o *kqpick.Peer) *kqcall.Load {
+	report := func(o *kqpick.PoolUpstream) *kqcall.Load {
 		if o.Node == "0" {
 			return &kqcall.Load{Slots: 6, Running: 2, RecentDuration: 120 * time.Millisecond, Route: "lookup", ExpectedWork: 15 * time.Millisecond}
 		}
--- a/internal/decide/kqpick/simulation_test.go
+++ b/internal/decide/kqpick/simulation_test.go
@@ -40,7 +40,7 @@
 
 	job struct {
 		entry     int
-		peer      *kqpick.Peer
+		peer      *kqpick.PoolUpstream
 		arrivedAt time.Time
 	}
 
--- a/internal/decide/kqpick/slow_test.go
+++ b/internal/decide/kqpick/slow_test.go
@@ -20,7 +20,7 @@
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 10))
 	p := newPool(now, []kqname.Domain{"x", "x", "x"}, fast, fast, fast)
-	report := func(o *kqpick.Peer) {
+	report := func(o *kqpick.PoolUpstream) {
 		load := others
 		load.Slots, load.RecentDuration = 6, fast
 		if o.Node == "0" {
--- a/internal/lab/kqloadmodel/model.go
+++ b/internal/lab/kqloadmodel/model.go
@@ -88,7 +88,7 @@
 		Stream
 		arrived, deadline time.Time
 		entry             *entry
-		peer              *kqpick.Peer
+		peer              *kqpick.PoolUpstream
 		triedNodes        []kqname.Node
 		ticket            *kqslots.Ticket
 	}
