--- a/internal/call/kqentry/entry.go
+++ b/internal/call/kqentry/entry.go
@@ -56,7 +56,7 @@
 
 	// Splitter decides which upstreams of a service a call may go to.
 	Splitter interface {
-		Split(service kqresource.Service, call *kqcall.Call) kqpick.Target
+		Split(service kqresource.Service, call *kqcall.Call) kqpick.Criteria
 	}
 
 	// Local runs calls at this node's own upstream.
@@ -143,8 +143,8 @@
 )
 
 // Split implements Splitter.
-func (defaultSplitter) Split(s kqresource.Service, _ *kqcall.Call) kqpick.Target {
-	return kqpick.Target{Version: s.Service.Version}
+func (defaultSplitter) Split(s kqresource.Service, _ *kqcall.Call) kqpick.Criteria {
+	return kqpick.Criteria{Version: s.Service.Version}
 }
 
 // Ended implements Counter.
--- a/internal/call/kqentry/serve.go
+++ b/internal/call/kqentry/serve.go
@@ -166,7 +166,7 @@
 
 // sendAttempts sends the call to one upstream after another, until an attempt's outcome
 // needs no retry, no upstream is left, or the limits for retries allow no further attempt.
-func (e *Entry) sendAttempts(f *callState, s *service, target kqpick.Target, now time.Time) kqcall.Outcome {
+func (e *Entry) sendAttempts(f *callState, s *service, target kqpick.Criteria, now time.Time) kqcall.Outcome {
 	c := &f.call
 	var space [maxGates]kqname.Node
 	tried, limit, sends, possibleRuns, repeat := space[:0], maxAttempts(c), 0, 0, c.Repeat
--- a/internal/decide/kqpick/nested_test.go
+++ b/internal/decide/kqpick/nested_test.go
@@ -23,7 +23,7 @@
 	start := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 8))
 	p := newPool(start, []kqname.Domain{"here", "there"}, localWork, remoteWork)
-	target := kqpick.Target{Route: "lookup", ComfortableLatency: kqpick.ComfortableLatency(120*time.Millisecond, true)}
+	target := kqpick.Criteria{Route: "lookup", ComfortableLatency: kqpick.ComfortableLatency(120*time.Millisecond, true)}
 	runs := 0
 	freeAt := [slots]time.Time{}
 	for i := range freeAt {
@@ -63,7 +63,7 @@
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 9))
 	p := newPool(now, []kqname.Domain{"here", "there"}, 60*time.Millisecond, 20*time.Millisecond)
-	target := kqpick.Target{ComfortableLatency: kqpick.ComfortableLatency(120*time.Millisecond, false)}
+	target := kqpick.Criteria{ComfortableLatency: kqpick.ComfortableLatency(120*time.Millisecond, false)}
 	for range 20 {
 		o := p.Pick(target, nil, now, random)
 		if o.Node != "0" {
--- a/internal/decide/kqpick/peer.go
+++ b/internal/decide/kqpick/peer.go
@@ -41,7 +41,7 @@
 
 // selectBest returns the best sampled upstream of the own failure domain if it is fast
 // enough, else the best of a random sample of all. It reorders the list.
-func (p *Pool) selectBest(list []*PoolUpstream, target Target, now time.Time, random *rand.Rand) *PoolUpstream {
+func (p *Pool) selectBest(list []*PoolUpstream, target Criteria, now time.Time, random *rand.Rand) *PoolUpstream {
 	if localBest := p.localBest(list, target, now, random); localBest != nil {
 		return localBest
 	}
@@ -52,7 +52,7 @@
 // localBest returns the best sampled upstream of the own failure domain if its weighted
 // estimate is below target.ComfortableLatency, else nil. A faster upstream in another domain
 // would gain nothing then, while its responses would cross between domains.
-func (p *Pool) localBest(list []*PoolUpstream, target Target, now time.Time, random *rand.Rand) *PoolUpstream {
+func (p *Pool) localBest(list []*PoolUpstream, target Criteria, now time.Time, random *rand.Rand) *PoolUpstream {
 	local := 0
 	for i, upstream := range list {
 		if upstream.Domain == p.domain {
--- a/internal/decide/kqpick/pick.go
+++ b/internal/decide/kqpick/pick.go
@@ -118,7 +118,7 @@
 
 // Pick returns an upstream that the target allows and whose node has not been tried, or
 // nil if there is none. The caller must call Done for it.
-func (p *Pool) Pick(target Target, tried []kqname.Node, now time.Time, random *rand.Rand) *PoolUpstream {
+func (p *Pool) Pick(target Criteria, tried []kqname.Node, now time.Time, random *rand.Rand) *PoolUpstream {
 	chosen := p.selectUpstream(target, tried, now, random)
 	if chosen == nil {
 		return nil
@@ -155,7 +155,7 @@
 
 // selectUpstream returns an ejected upstream that is due for a probe, if there is one. Else it
 // chooses among the upstreams that are not ejected or, if there are none, uses lastResort.
-func (p *Pool) selectUpstream(target Target, tried []kqname.Node, now time.Time, random *rand.Rand) *PoolUpstream {
+func (p *Pool) selectUpstream(target Criteria, tried []kqname.Node, now time.Time, random *rand.Rand) *PoolUpstream {
 	p.eligible = p.eligible[:0]
 	ejected := 0
 	for _, upstream := range p.upstreams {
@@ -188,7 +188,7 @@
 // failure extends an upstream's ejection, so one that was only briefly unreachable is found
 // within a call or two. Choosing by load instead would keep selecting dead upstreams, which
 // run nothing and look idle.
-func (p *Pool) lastResort(target Target, tried []kqname.Node) {
+func (p *Pool) lastResort(target Criteria, tried []kqname.Node) {
 	var first *PoolUpstream
 	for _, upstream := range p.upstreams {
 		if !target.allows(upstream.Candidate) || slices.Contains(tried, upstream.Node) {
--- a/internal/decide/kqpick/pick_test.go
+++ b/internal/decide/kqpick/pick_test.go
@@ -30,7 +30,7 @@
 	refused := 0
 	for call := range 100 {
 		now = now.Add(10 * time.Millisecond)
-		o := p.Pick(kqpick.Target{}, nil, now, random)
+		o := p.Pick(kqpick.Criteria{}, nil, now, random)
 		if o == nil {
 			t.Fatalf("call %d: no upstream was picked, want a last resort", call)
 		}
@@ -60,7 +60,7 @@
 	p.Set(all, now)
 	var tried []kqname.Node
 	for range works {
-		o := p.Pick(kqpick.Target{}, tried, now, rand.New(rand.NewPCG(1, 1)))
+		o := p.Pick(kqpick.Criteria{}, tried, now, rand.New(rand.NewPCG(1, 1)))
 		tried = append(tried, o.Node)
 		for i, w := range works {
 			if o.Node == kqname.Node(fmt.Sprint(i)) {
@@ -81,7 +81,7 @@
 	slow := 0
 	var held []*kqpick.PoolUpstream
 	for range 300 {
-		o := p.Pick(kqpick.Target{}, nil, now, random)
+		o := p.Pick(kqpick.Criteria{}, nil, now, random)
 		if o.Node == "2" {
 			slow++
 		}
@@ -103,7 +103,7 @@
 	random := rand.New(rand.NewPCG(1, 3))
 	p := newPool(now, []kqname.Domain{"here", "there"}, 100*time.Millisecond, 60*time.Millisecond)
 	for latency, want := range map[time.Duration]kqname.Node{160 * time.Millisecond: "0", 50 * time.Millisecond: "1"} {
-		o := p.Pick(kqpick.Target{ComfortableLatency: latency}, nil, now, random)
+		o := p.Pick(kqpick.Criteria{ComfortableLatency: latency}, nil, now, random)
 		p.Done(o, kqcall.OK(), false, nil, now)
 		if o.Node != want {
 			t.Errorf("comfortable latency %s: went to %s, want %s", latency, o.Node, want)
@@ -121,7 +121,7 @@
 	p := newPool(now, []kqname.Domain{"x", "x", "x", "x"}, work, work, work, work)
 	for call := range 400 {
 		now = now.Add(time.Millisecond)
-		o := p.Pick(kqpick.Target{}, nil, now, random)
+		o := p.Pick(kqpick.Criteria{}, nil, now, random)
 		p.Done(o, kqcall.OK(), o.Node == "3" && random.Float64() < 0.4, &kqcall.Load{Slots: 6, RecentDuration: work}, now)
 		if o.Ejected() {
 			if o.Node != "3" {
--- a/internal/decide/kqpick/route_test.go
+++ b/internal/decide/kqpick/route_test.go
@@ -18,7 +18,7 @@
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 5))
 	p := newPool(now, []kqname.Domain{"x", "x"}, 2*time.Millisecond, 180*time.Millisecond)
-	target := kqpick.Target{Route: "browse"}
+	target := kqpick.Criteria{Route: "browse"}
 	report := func(wait time.Duration) {
 		for range 2 {
 			o := p.Pick(target, nil, now, random)
@@ -48,7 +48,7 @@
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 6))
 	p := newPool(now, []kqname.Domain{"here", "there"}, 20*time.Millisecond, 20*time.Millisecond)
-	target := kqpick.Target{Route: "enrolments", ComfortableLatency: 320 * time.Millisecond}
+	target := kqpick.Criteria{Route: "enrolments", ComfortableLatency: 320 * time.Millisecond}
 	for range 10 {
 		o := p.Pick(target, nil, now, random)
 		load := kqcall.Load{Slots: 6, Route: "enrolments", RecentDuration: 20 * time.Millisecond, ExpectedWork: 350 * time.Millisecond}
@@ -79,7 +79,7 @@
 	}
 	counts := make(map[kqname.Node]int)
 	for range 100 {
-		o := p.Pick(kqpick.Target{Route: "lookup"}, nil, now, random)
+		o := p.Pick(kqpick.Criteria{Route: "lookup"}, nil, now, random)
 		counts[o.Node]++
 		p.Done(o, kqcall.OK(), false, report(o), now)
 	}
--- a/internal/decide/kqpick/saturation_test.go
+++ b/internal/decide/kqpick/saturation_test.go
@@ -36,8 +36,8 @@
 	for i := range calls {
 		now = now.Add(50 * time.Millisecond)
 		var tried []kqname.Node
-		for retry := true; retry && len(tried) < maxAttempts; retry = pool.HasFreeSlot(kqpick.Target{}, tried, now) {
-			o := pool.Pick(kqpick.Target{}, tried, now, random)
+		for retry := true; retry && len(tried) < maxAttempts; retry = pool.HasFreeSlot(kqpick.Criteria{}, tried, now) {
+			o := pool.Pick(kqpick.Criteria{}, tried, now, random)
 			if o == nil {
 				break
 			}
@@ -55,9 +55,9 @@
 
 	// An upstream that has reported a free slot is still tried.
 	free := kqcall.Load{Running: 4, Slots: 6, RecentDuration: 200 * time.Millisecond}
-	o := pool.Pick(kqpick.Target{}, nil, now, random)
+	o := pool.Pick(kqpick.Criteria{}, nil, now, random)
 	pool.Done(o, kqcall.OK(), false, &free, now)
-	if !pool.HasFreeSlot(kqpick.Target{}, nil, now.Add(300*time.Millisecond)) {
+	if !pool.HasFreeSlot(kqpick.Criteria{}, nil, now.Add(300*time.Millisecond)) {
 		t.Error("an upstream that reported free slots counts as full")
 	}
 }
--- a/internal/decide/kqpick/simulation_test.go
+++ b/internal/decide/kqpick/simulation_test.go
@@ -94,7 +94,7 @@
 }
 
 func (sim *simulation) call(entry int) {
-	p := sim.entries[entry].Pick(kqpick.Target{ComfortableLatency: target / 2}, nil, sim.now, sim.random)
+	p := sim.entries[entry].Pick(kqpick.Criteria{ComfortableLatency: target / 2}, nil, sim.now, sim.random)
 	j := &job{entry: entry, peer: p, arrivedAt: sim.now}
 	u := sim.upstreams[p.Node]
 	u.calls++
--- a/internal/decide/kqpick/slow_test.go
+++ b/internal/decide/kqpick/slow_test.go
@@ -30,14 +30,14 @@
 	}
 	var tried []kqname.Node
 	for range 3 {
-		o := p.Pick(kqpick.Target{}, tried, now, random)
+		o := p.Pick(kqpick.Criteria{}, tried, now, random)
 		tried = append(tried, o.Node)
 		report(o)
 	}
 	count := 0
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		o := p.Pick(kqpick.Target{}, nil, now, random)
+		o := p.Pick(kqpick.Criteria{}, nil, now, random)
 		if o.Node == "0" {
 			count++
 		}
@@ -86,13 +86,13 @@
 	}
 	for range calls {
 		now = now.Add(10 * time.Millisecond)
-		o := p.Pick(kqpick.Target{}, nil, now, random)
+		o := p.Pick(kqpick.Criteria{}, nil, now, random)
 		p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 6, Running: 6, Waiting: 6, RecentDuration: 100 * time.Millisecond}, now)
 	}
 	join()
 	count := 0
 	for range calls {
-		if p.Pick(kqpick.Target{}, nil, now, random).Node == "3" {
+		if p.Pick(kqpick.Criteria{}, nil, now, random).Node == "3" {
 			count++
 		}
 	}
--- a/internal/decide/kqpick/target.go
+++ b/internal/decide/kqpick/target.go
@@ -17,9 +17,9 @@
 	nestedComfortableShare = 0.35
 )
 
-// Target is what the choice of an upstream for a call depends on: which upstreams of the
-// service it may go to, its route, and up to which expected time it stays in its domain.
-type Target struct {
+// Criteria are what the choice of an upstream for a call depends on: which upstreams of
+// the service it may go to, its route, and up to which expected time it stays in its domain.
+type Criteria struct {
 	// Version is the required upstream version; empty allows any.
 	Version kqname.UpstreamVersion
 	// Nodes restricts the choice to the upstreams of these nodes; nil allows all.
@@ -38,28 +38,28 @@
 	Route kqname.Route
 }
 
-// Next returns the target to use after this one has not served the call: its fallback, or
-// itself if it has none.
-func (t Target) Next() Target {
+// Next returns the criteria to use after these have not served the call: their fallback,
+// or themselves if they have none.
+func (t Criteria) Next() Criteria {
 	switch {
 	case t.Fallback != "":
-		return Target{Version: t.Fallback, ComfortableLatency: t.ComfortableLatency, Route: t.Route}
+		return Criteria{Version: t.Fallback, ComfortableLatency: t.ComfortableLatency, Route: t.Route}
 	case len(t.FallbackExcludedVersions) > 0:
-		return Target{ExcludedVersions: t.FallbackExcludedVersions, ComfortableLatency: t.ComfortableLatency, Route: t.Route}
+		return Criteria{ExcludedVersions: t.FallbackExcludedVersions, ComfortableLatency: t.ComfortableLatency, Route: t.Route}
 	default:
 		return t
 	}
 }
 
-// HasNext reports whether there is a fallback target.
-func (t Target) HasNext() bool { return t.Fallback != "" || len(t.FallbackExcludedVersions) > 0 }
+// HasNext reports whether there are fallback criteria.
+func (t Criteria) HasNext() bool { return t.Fallback != "" || len(t.FallbackExcludedVersions) > 0 }
 
-func (t Target) allows(c kqmember.Candidate) bool {
+func (t Criteria) allows(c kqmember.Candidate) bool {
 	return (t.Version == "" || c.Version == t.Version) && (t.Nodes == nil || t.Nodes[c.Node]) && !slices.Contains(t.ExcludedVersions, c.Version)
 }
 
-// ComfortableLatency returns Target.ComfortableLatency for calls of a route with the given
-// latency target. It is less for nested calls: the calling call holds a slot of its
+// ComfortableLatency returns Criteria.ComfortableLatency for calls of a route with the
+// given latency target. It is less for nested calls: the calling call holds a slot of its
 // upstream while it waits, so when slots are short, extra milliseconds delay other callers,
 // and a queue in the own domain is reason enough to use another domain.
 func ComfortableLatency(target time.Duration, nested bool) time.Duration {
--- a/internal/decide/kqpick/usage.go
+++ b/internal/decide/kqpick/usage.go
@@ -14,7 +14,7 @@
 // counts as full: in a service with many upstreams each entry rarely gets a report of each,
 // so every call would be offered to one gate after another, with its body, until the
 // servers' links are full and even calls that have a slot are late.
-func (p *Pool) HasFreeSlot(target Target, tried []kqname.Node, now time.Time) bool {
+func (p *Pool) HasFreeSlot(target Criteria, tried []kqname.Node, now time.Time) bool {
 	saturated := p.utilization(now) >= saturatedUtilization
 	for _, upstream := range p.upstreams {
 		if target.allows(upstream.Candidate) && !slices.Contains(tried, upstream.Node) && !upstream.state.Ejected() && upstream.hasFreeSlot(saturated, now) {
--- a/internal/lab/kqloadmodel/model.go
+++ b/internal/lab/kqloadmodel/model.go
@@ -195,7 +195,7 @@
 // lastOutcome if there is none.
 func (m *Model) sendAttempt(c *call, lastOutcome kqcall.Outcome) {
 	c.entry.pool.Set(m.candidates, m.now)
-	c.peer = c.entry.pool.Pick(kqpick.Target{}, c.triedNodes, m.now, m.random)
+	c.peer = c.entry.pool.Pick(kqpick.Criteria{}, c.triedNodes, m.now, m.random)
 	if c.peer == nil {
 		m.finish(c, lastOutcome)
 		return
--- a/internal/rollout/kqshare/share.go
+++ b/internal/rollout/kqshare/share.go
@@ -52,12 +52,12 @@
 )
 
 // Split returns the version and the upstreams that one call may go to at the time now.
-func (d Distribution) Split(now time.Time, random Random) kqpick.Target {
+func (d Distribution) Split(now time.Time, random Random) kqpick.Criteria {
 	phase := time.Duration(now.UnixNano() % int64(period))
 	if d.Within <= 0 || float64(phase) >= d.Duty*float64(period) || random.Float64() >= d.Within {
-		return kqpick.Target{Version: d.From, ExcludedVersions: d.ExcludedVersions}
+		return kqpick.Criteria{Version: d.From, ExcludedVersions: d.ExcludedVersions}
 	}
-	return kqpick.Target{Version: d.To, Nodes: d.Nodes, Fallback: d.From, FallbackExcludedVersions: d.ExcludedVersions}
+	return kqpick.Criteria{Version: d.To, Nodes: d.Nodes, Fallback: d.From, FallbackExcludedVersions: d.ExcludedVersions}
 }
 
 // Distribution returns how the share is spread over each second and over upstreams. The
--- a/internal/rollout/kqtracker/traffic.go
+++ b/internal/rollout/kqtracker/traffic.go
@@ -23,7 +23,7 @@
 const failureStatus = 500
 
 // Split returns the version and the upstreams that a call to a service may go to.
-func (t *Tracker) Split(s kqresource.Service, now time.Time, random kqshare.Random) kqpick.Target {
+func (t *Tracker) Split(s kqresource.Service, now time.Time, random kqshare.Random) kqpick.Criteria {
 	// currentVersion is the version after the rollouts that are done so far; empty stands
 	// for any. If the service states none, it begins as the From of the first plan that has
 	// one, even if that plan has not begun. A plan whose From is another version is
@@ -55,7 +55,7 @@
 			rolledBackVersions = append(rolledBackVersions, to)
 		}
 	}
-	return kqpick.Target{Version: currentVersion, ExcludedVersions: rolledBackVersions}
+	return kqpick.Criteria{Version: currentVersion, ExcludedVersions: rolledBackVersions}
 }
 
 // hasUpstream reports whether any upstream of the version accepts new calls.
--- a/internal/run/kqnode/rollout.go
+++ b/internal/run/kqnode/rollout.go
@@ -74,7 +74,7 @@
 }
 
 // Split implements kqentry.Splitter.
-func (r *rollouts) Split(s kqresource.Service, _ *kqcall.Call) kqpick.Target {
+func (r *rollouts) Split(s kqresource.Service, _ *kqcall.Call) kqpick.Criteria {
 	return r.tracker.Split(s, time.Now(), globalRandom{})
 }
 
