--- a/internal/call/kqentry/returning_callers.go
+++ b/internal/call/kqentry/returning_callers.go
@@ -51,7 +51,7 @@
 	s := r.shards[f.callKey%shardCount]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f.firstTry = s.returningCallers.FirstAttempt(f.callKey, now)
+	f.firstTry = s.returningCallers.TakeFirstAttempt(f.callKey, now)
 }
 
 // ended remembers a call without a successful answer until its caller's deadline, so that a
--- a/internal/decide/kqcallerretry/callerretry.go
+++ b/internal/decide/kqcallerretry/callerretry.go
@@ -43,9 +43,9 @@
 	r.order = append(r.order, k)
 }
 
-// FirstAttempt returns the time of the first attempt of a call that arrives now: now,
+// TakeFirstAttempt returns the time of the first attempt of a call that arrives now: now,
 // unless it is a retry of a remembered call, which is then forgotten.
-func (r *RetryTracker) FirstAttempt(k Key, now time.Time) time.Time {
+func (r *RetryTracker) TakeFirstAttempt(k Key, now time.Time) time.Time {
 	for {
 		a, ok := r.removeOldest(k)
 		if !ok {
--- a/internal/decide/kqcallerretry/callerretry_test.go
+++ b/internal/decide/kqcallerretry/callerretry_test.go
@@ -16,13 +16,13 @@
 	r := kqcallerretry.New()
 	for i := range 3 {
 		now := start.Add(time.Duration(i) * 300 * time.Millisecond)
-		first := r.FirstAttempt(1, now)
+		first := r.TakeFirstAttempt(1, now)
 		if !first.Equal(start) {
 			t.Errorf("attempt %d: first attempt is %v, want %v", i+1, first, start)
 		}
 		r.RecordFailure(1, first, start.Add(2*time.Second))
 	}
-	if late := start.Add(3 * time.Second); !r.FirstAttempt(1, late).Equal(late) {
+	if late := start.Add(3 * time.Second); !r.TakeFirstAttempt(1, late).Equal(late) {
 		t.Error("a call after the caller's deadline counts as a retry")
 	}
 }
@@ -33,7 +33,7 @@
 	r := kqcallerretry.New()
 	r.RecordFailure(1, start, start.Add(time.Second))
 	now := start.Add(100 * time.Millisecond)
-	if !r.FirstAttempt(1, now).Equal(start) || !r.FirstAttempt(1, now).Equal(now) {
+	if !r.TakeFirstAttempt(1, now).Equal(start) || !r.TakeFirstAttempt(1, now).Equal(now) {
 		t.Error("want one retry and one new call")
 	}
 }
@@ -45,10 +45,10 @@
 	for i := range 100000 {
 		r.RecordFailure(kqcallerretry.Key(i), start, start.Add(time.Second))
 	}
-	if !r.FirstAttempt(99999, start.Add(time.Millisecond)).Equal(start) {
+	if !r.TakeFirstAttempt(99999, start.Add(time.Millisecond)).Equal(start) {
 		t.Error("the latest call is forgotten")
 	}
-	if now := start.Add(time.Millisecond); !r.FirstAttempt(1, now).Equal(now) {
+	if now := start.Add(time.Millisecond); !r.TakeFirstAttempt(1, now).Equal(now) {
 		t.Error("the oldest call is still remembered")
 	}
 }
