--- a/internal/admin/kqview/view.go
+++ b/internal/admin/kqview/view.go
@@ -35,13 +35,13 @@
 
 	// Upstream is one upstream that is local to a node.
 	Upstream struct {
-		Service  kqname.Service         `json:"service"`
-		Version  kqname.UpstreamVersion `json:"version"`
-		Slots    int                    `json:"slots"`
-		Draining bool                   `json:"draining"`
-		Started  time.Time              `json:"started"`
-		// WarmFrom is the announced end of the cold start, Started if none was announced,
-		// or zero if the upstream announced no instance.
+		Service        kqname.Service         `json:"service"`
+		Version        kqname.UpstreamVersion `json:"version"`
+		Slots          int                    `json:"slots"`
+		Draining       bool                   `json:"draining"`
+		FirstAnnounced time.Time              `json:"started"`
+		// WarmFrom is the announced end of the cold start, FirstAnnounced if none was
+		// announced, or zero if the upstream announced no instance.
 		WarmFrom time.Time `json:"warm,omitzero"`
 	}
 
--- a/internal/call/kqlocal/upstreams.go
+++ b/internal/call/kqlocal/upstreams.go
@@ -286,7 +286,7 @@
 		if e.withdrawn {
 			continue
 		}
-		next := kqmember.Upstream{Service: e.Service, Version: e.Version, Slots: e.Slots, Draining: e.Draining, Started: e.firstSeen}
+		next := kqmember.Upstream{Service: e.Service, Version: e.Version, Slots: e.Slots, Draining: e.Draining, FirstAnnounced: e.firstSeen}
 		if e.Instance != "" {
 			next.WarmFrom = e.firstSeen.Add(e.coldFor)
 		}
--- a/internal/peer/kqmember/member.go
+++ b/internal/peer/kqmember/member.go
@@ -31,8 +31,8 @@
 		Version  kqname.UpstreamVersion `cbor:"2,keyasint"`
 		Slots    int                    `cbor:"3,keyasint"`
 		Draining bool                   `cbor:"4,keyasint,omitempty"`
-		// Started is when the upstream first announced itself.
-		Started time.Time `cbor:"5,keyasint"`
+		// FirstAnnounced is when the upstream first announced itself.
+		FirstAnnounced time.Time `cbor:"5,keyasint"`
 		// WarmFrom is when the upstream is warm, according to what it announced; zero if
 		// it announced no instance.
 		WarmFrom time.Time `cbor:"6,keyasint,omitzero"`
--- a/internal/rollout/kqtracker/capacity_test.go
+++ b/internal/rollout/kqtracker/capacity_test.go
@@ -24,7 +24,7 @@
 			version = "v2"
 		}
 		list = append(list, kqmember.Candidate{
-			Upstream: kqmember.Upstream{Service: "shed", Version: version, Slots: slotsPerUpstream, Started: start.Add(-time.Minute), WarmFrom: start.Add(-time.Minute)},
+			Upstream: kqmember.Upstream{Service: "shed", Version: version, Slots: slotsPerUpstream, FirstAnnounced: start.Add(-time.Minute), WarmFrom: start.Add(-time.Minute)},
 			Node:     kqname.Node(fmt.Sprintf("n%d", i)),
 		})
 	}
--- a/internal/rollout/kqtracker/tracker.go
+++ b/internal/rollout/kqtracker/tracker.go
@@ -169,7 +169,7 @@
 		switch {
 		case ps.plan.IsOld(c.Version):
 			s.OldSlots += c.Slots
-		case c.Version == ps.plan.To && !now.Before(ps.plan.WarmAt(c.Started, c.WarmFrom)):
+		case c.Version == ps.plan.To && !now.Before(ps.plan.WarmAt(c.FirstAnnounced, c.WarmFrom)):
 			s.NewSlots += c.Slots
 		case c.Version == ps.plan.To:
 			s.ColdSlots += c.Slots
--- a/internal/run/kqnode/rollout.go
+++ b/internal/run/kqnode/rollout.go
@@ -88,7 +88,7 @@
 	var started, warm time.Time
 	for _, u := range r.node.table.Self().Upstreams {
 		if u.Service == o.Service && u.Version == o.Version {
-			started, warm = u.Started, u.WarmFrom
+			started, warm = u.FirstAnnounced, u.WarmFrom
 		}
 	}
 	r.tracker.Observe(o, started, warm)
