--- a/internal/decide/kqpick/target.go
+++ b/internal/decide/kqpick/criteria.go
@@ -40,22 +40,22 @@
 
 // Next returns the criteria to use after these have not served the call: their fallback,
 // or themselves if they have none.
-func (t Criteria) Next() Criteria {
+func (c Criteria) Next() Criteria {
 	switch {
-	case t.Fallback != "":
-		return Criteria{Version: t.Fallback, ComfortableLatency: t.ComfortableLatency, Route: t.Route}
-	case len(t.FallbackExcludedVersions) > 0:
-		return Criteria{ExcludedVersions: t.FallbackExcludedVersions, ComfortableLatency: t.ComfortableLatency, Route: t.Route}
+	case c.Fallback != "":
+		return Criteria{Version: c.Fallback, ComfortableLatency: c.ComfortableLatency, Route: c.Route}
+	case len(c.FallbackExcludedVersions) > 0:
+		return Criteria{ExcludedVersions: c.FallbackExcludedVersions, ComfortableLatency: c.ComfortableLatency, Route: c.Route}
 	default:
-		return t
+		return c
 	}
 }
 
 // HasNext reports whether there are fallback criteria.
-func (t Criteria) HasNext() bool { return t.Fallback != "" || len(t.FallbackExcludedVersions) > 0 }
+func (c Criteria) HasNext() bool { return c.Fallback != "" || len(c.FallbackExcludedVersions) > 0 }
 
-func (t Criteria) allows(c kqmember.Candidate) bool {
-	return (t.Version == "" || c.Version == t.Version) && (t.Nodes == nil || t.Nodes[c.Node]) && !slices.Contains(t.ExcludedVersions, c.Version)
+func (c Criteria) allows(candidate kqmember.Candidate) bool {
+	return (c.Version == "" || candidate.Version == c.Version) && (c.Nodes == nil || c.Nodes[candidate.Node]) && !slices.Contains(c.ExcludedVersions, candidate.Version)
 }
 
 // ComfortableLatency returns Criteria.ComfortableLatency for calls of a route with the
--- a/internal/decide/kqpick/nested_test.go
+++ b/internal/decide/kqpick/nested_test.go
@@ -23,7 +23,7 @@
 	start := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 8))
 	p := newPool(start, []kqname.Domain{"here", "there"}, localWork, remoteWork)
-	target := kqpick.Criteria{Route: "lookup", ComfortableLatency: kqpick.ComfortableLatency(120*time.Millisecond, true)}
+	criteria := kqpick.Criteria{Route: "lookup", ComfortableLatency: kqpick.ComfortableLatency(120*time.Millisecond, true)}
 	runs := 0
 	freeAt := [slots]time.Time{}
 	for i := range freeAt {
@@ -40,7 +40,7 @@
 		if now.Sub(start) >= duration {
 			break
 		}
-		o := p.Pick(target, nil, now, random)
+		o := p.Pick(criteria, nil, now, random)
 		took := localWork
 		if o.Node == "1" {
 			took = remoteWork
@@ -63,9 +63,9 @@
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 9))
 	p := newPool(now, []kqname.Domain{"here", "there"}, 60*time.Millisecond, 20*time.Millisecond)
-	target := kqpick.Criteria{ComfortableLatency: kqpick.ComfortableLatency(120*time.Millisecond, false)}
+	criteria := kqpick.Criteria{ComfortableLatency: kqpick.ComfortableLatency(120*time.Millisecond, false)}
 	for range 20 {
-		o := p.Pick(target, nil, now, random)
+		o := p.Pick(criteria, nil, now, random)
 		if o.Node != "0" {
 			t.Fatalf("went to %s, want the local upstream", o.Node)
 		}
--- a/internal/decide/kqpick/pick.go
+++ b/internal/decide/kqpick/pick.go
@@ -116,10 +116,10 @@
 	p.initialized = true
 }
 
-// Pick returns an upstream that the target allows and whose node has not been tried, or
+// Pick returns an upstream that the criteria allow and whose node has not been tried, or
 // nil if there is none. The caller must call Done for it.
-func (p *Pool) Pick(target Criteria, tried []kqname.Node, now time.Time, random *rand.Rand) *PoolUpstream {
-	chosen := p.selectUpstream(target, tried, now, random)
+func (p *Pool) Pick(criteria Criteria, tried []kqname.Node, now time.Time, random *rand.Rand) *PoolUpstream {
+	chosen := p.selectUpstream(criteria, tried, now, random)
 	if chosen == nil {
 		return nil
 	}
@@ -127,7 +127,7 @@
 		chosen.state.StartProbe()
 	}
 	chosen.sent++
-	chosen.routeLoads.sent(target.Route)
+	chosen.routeLoads.sent(criteria.Route)
 	return chosen
 }
 
@@ -155,11 +155,11 @@
 
 // selectUpstream returns an ejected upstream that is due for a probe, if there is one. Else it
 // chooses among the upstreams that are not ejected or, if there are none, uses lastResort.
-func (p *Pool) selectUpstream(target Criteria, tried []kqname.Node, now time.Time, random *rand.Rand) *PoolUpstream {
+func (p *Pool) selectUpstream(criteria Criteria, tried []kqname.Node, now time.Time, random *rand.Rand) *PoolUpstream {
 	p.eligible = p.eligible[:0]
 	ejected := 0
 	for _, upstream := range p.upstreams {
-		if !target.allows(upstream.Candidate) || slices.Contains(tried, upstream.Node) {
+		if !criteria.allows(upstream.Candidate) || slices.Contains(tried, upstream.Node) {
 			continue
 		}
 		if upstream.state.Ejected() {
@@ -172,7 +172,7 @@
 		p.eligible = append(p.eligible, upstream)
 	}
 	if len(p.eligible) == 0 && ejected > 0 {
-		p.lastResort(target, tried)
+		p.lastResort(criteria, tried)
 	}
 	if len(p.eligible) == 0 {
 		return nil
@@ -180,7 +180,7 @@
 	if p.uniform {
 		return p.eligible[random.IntN(len(p.eligible))]
 	}
-	return p.selectBest(p.eligible, target, now, random)
+	return p.selectBest(p.eligible, criteria, now, random)
 }
 
 // lastResort makes the ejected upstream with the earliest end of its ejection eligible: if
@@ -188,10 +188,10 @@
 // failure extends an upstream's ejection, so one that was only briefly unreachable is found
 // within a call or two. Choosing by load instead would keep selecting dead upstreams, which
 // run nothing and look idle.
-func (p *Pool) lastResort(target Criteria, tried []kqname.Node) {
+func (p *Pool) lastResort(criteria Criteria, tried []kqname.Node) {
 	var first *PoolUpstream
 	for _, upstream := range p.upstreams {
-		if !target.allows(upstream.Candidate) || slices.Contains(tried, upstream.Node) {
+		if !criteria.allows(upstream.Candidate) || slices.Contains(tried, upstream.Node) {
 			continue
 		}
 		if first == nil || upstream.state.EjectedUntil().Before(first.state.EjectedUntil()) {
--- a/internal/decide/kqpick/peer.go
+++ b/internal/decide/kqpick/pool_upstream.go
@@ -41,18 +41,18 @@
 
 // selectBest returns the best sampled upstream of the own failure domain if it is fast
 // enough, else the best of a random sample of all. It reorders the list.
-func (p *Pool) selectBest(list []*PoolUpstream, target Criteria, now time.Time, random *rand.Rand) *PoolUpstream {
-	if localBest := p.localBest(list, target, now, random); localBest != nil {
+func (p *Pool) selectBest(list []*PoolUpstream, criteria Criteria, now time.Time, random *rand.Rand) *PoolUpstream {
+	if localBest := p.localBest(list, criteria, now, random); localBest != nil {
 		return localBest
 	}
-	found, _ := p.leastEstimate(list, target.Route, now, random)
+	found, _ := p.leastEstimate(list, criteria.Route, now, random)
 	return found
 }
 
 // localBest returns the best sampled upstream of the own failure domain if its weighted
-// estimate is below target.ComfortableLatency, else nil. A faster upstream in another domain
-// would gain nothing then, while its responses would cross between domains.
-func (p *Pool) localBest(list []*PoolUpstream, target Criteria, now time.Time, random *rand.Rand) *PoolUpstream {
+// estimate is below criteria.ComfortableLatency, else nil. A faster upstream in another
+// domain would gain nothing then, while its responses would cross between domains.
+func (p *Pool) localBest(list []*PoolUpstream, criteria Criteria, now time.Time, random *rand.Rand) *PoolUpstream {
 	local := 0
 	for i, upstream := range list {
 		if upstream.Domain == p.domain {
@@ -60,8 +60,8 @@
 			local++
 		}
 	}
-	found, leastEstimate := p.leastEstimate(list[:local], target.Route, now, random)
-	if leastEstimate >= target.ComfortableLatency.Seconds() {
+	found, leastEstimate := p.leastEstimate(list[:local], criteria.Route, now, random)
+	if leastEstimate >= criteria.ComfortableLatency.Seconds() {
 		return nil
 	}
 	return found
--- a/internal/decide/kqpick/route_test.go
+++ b/internal/decide/kqpick/route_test.go
@@ -18,10 +18,10 @@
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 5))
 	p := newPool(now, []kqname.Domain{"x", "x"}, 2*time.Millisecond, 180*time.Millisecond)
-	target := kqpick.Criteria{Route: "browse"}
+	criteria := kqpick.Criteria{Route: "browse"}
 	report := func(wait time.Duration) {
 		for range 2 {
-			o := p.Pick(target, nil, now, random)
+			o := p.Pick(criteria, nil, now, random)
 			load := kqcall.Load{Slots: 6, Route: "browse", RecentDuration: 180 * time.Millisecond, ExpectedWork: 180 * time.Millisecond}
 			if o.Node == "0" {
 				load.RecentDuration, load.Wait, load.Running, load.Waiting = 2*time.Millisecond, wait, 6, 5
@@ -32,7 +32,7 @@
 	report(150 * time.Millisecond)
 	counts := make(map[kqname.Node]int)
 	for range 100 {
-		o := p.Pick(target, nil, now, random)
+		o := p.Pick(criteria, nil, now, random)
 		counts[o.Node]++
 		p.Done(o, kqcall.OK(), false, &kqcall.Load{Slots: 6, Route: "browse", RecentDuration: 180 * time.Millisecond, ExpectedWork: 180 * time.Millisecond}, now)
 	}
@@ -48,16 +48,16 @@
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 6))
 	p := newPool(now, []kqname.Domain{"here", "there"}, 20*time.Millisecond, 20*time.Millisecond)
-	target := kqpick.Criteria{Route: "enrolments", ComfortableLatency: 320 * time.Millisecond}
+	criteria := kqpick.Criteria{Route: "enrolments", ComfortableLatency: 320 * time.Millisecond}
 	for range 10 {
-		o := p.Pick(target, nil, now, random)
+		o := p.Pick(criteria, nil, now, random)
 		load := kqcall.Load{Slots: 6, Route: "enrolments", RecentDuration: 20 * time.Millisecond, ExpectedWork: 350 * time.Millisecond}
 		if o.Node == "0" {
 			load.Running, load.Waiting, load.Wait = 6, 6, 350*time.Millisecond
 		}
 		p.Done(o, kqcall.OK(), false, &load, now)
 	}
-	o := p.Pick(target, nil, now, random)
+	o := p.Pick(criteria, nil, now, random)
 	if o.Node != "1" {
 		t.Errorf("went to %s, want the upstream with free slots", o.Node)
 	}
--- a/internal/decide/kqpick/usage.go
+++ b/internal/decide/kqpick/usage.go
@@ -7,17 +7,17 @@
 	"github.com/kumquatgw/kumquatgw/pkg/kqname"
 )
 
-// HasFreeSlot reports whether an upstream that the target allows, and whose node has not
+// HasFreeSlot reports whether an upstream that the criteria allow, and whose node has not
 // been tried, probably has a free slot. An upstream with an outdated report counts as free
 // unless this entry's own calls use all its slots, since an attempt is cheap compared with
 // refusing a call that could be served. If the service is saturated, such an upstream
 // counts as full: in a service with many upstreams each entry rarely gets a report of each,
 // so every call would be offered to one gate after another, with its body, until the
 // servers' links are full and even calls that have a slot are late.
-func (p *Pool) HasFreeSlot(target Criteria, tried []kqname.Node, now time.Time) bool {
+func (p *Pool) HasFreeSlot(criteria Criteria, tried []kqname.Node, now time.Time) bool {
 	saturated := p.utilization(now) >= saturatedUtilization
 	for _, upstream := range p.upstreams {
-		if target.allows(upstream.Candidate) && !slices.Contains(tried, upstream.Node) && !upstream.state.Ejected() && upstream.hasFreeSlot(saturated, now) {
+		if criteria.allows(upstream.Candidate) && !slices.Contains(tried, upstream.Node) && !upstream.state.Ejected() && upstream.hasFreeSlot(saturated, now) {
 			return true
 		}
 	}
