--- a/internal/call/kqentry/serve.go
+++ b/internal/call/kqentry/serve.go
@@ -148,16 +148,16 @@
 	if !now.Before(c.Deadline) {
 		return kqcall.Refuse(kqcall.NotStartedInTime)
 	}
-	target := e.splitter.Split(found, c)
-	target.Route = c.Route
-	target.ComfortableLatency = kqpick.ComfortableLatency(time.Duration(route.TargetMS)*time.Millisecond, c.Depth > 0)
+	criteria := e.splitter.Split(found, c)
+	criteria.Route = c.Route
+	criteria.ComfortableLatency = kqpick.ComfortableLatency(time.Duration(route.TargetMS)*time.Millisecond, c.Depth > 0)
 	s := e.service(c.Service)
 	if !s.admit(c, e.baseline, now) {
 		o := kqcall.Refuse(kqcall.Overload)
 		o.RetryAfter = defaultRetryAfter
 		return o
 	}
-	o := e.sendAttempts(f, s, target, now)
+	o := e.sendAttempts(f, s, criteria, now)
 	if o.Reason == kqcall.QueueFull {
 		s.recordRefusal(c)
 	}
@@ -166,17 +166,17 @@
 
 // sendAttempts sends the call to one upstream after another, until an attempt's outcome
 // needs no retry, no upstream is left, or the limits for retries allow no further attempt.
-func (e *Entry) sendAttempts(f *callState, s *service, target kqpick.Criteria, now time.Time) kqcall.Outcome {
+func (e *Entry) sendAttempts(f *callState, s *service, criteria kqpick.Criteria, now time.Time) kqcall.Outcome {
 	c := &f.call
 	var space [maxGates]kqname.Node
 	tried, limit, sends, possibleRuns, repeat := space[:0], maxAttempts(c), 0, 0, c.Repeat
 	last := kqcall.Refuse(kqcall.NoUpstream)
 	last.RetryAfter = defaultRetryAfter
 	for {
-		c.Version = target.Version
-		to, gate, attempt := s.pick(c, e.directory.Upstreams(c.Service), target, tried, now)
-		if to == nil && target.HasNext() {
-			target = target.Next()
+		c.Version = criteria.Version
+		to, gate, attempt := s.pick(c, e.directory.Upstreams(c.Service), criteria, tried, now)
+		if to == nil && criteria.HasNext() {
+			criteria = criteria.Next()
 			continue
 		}
 		if to == nil {
@@ -204,13 +204,13 @@
 			possibleRuns++
 		}
 		canRetry := sends < limit && len(tried) < maxGates && now.Before(c.Deadline) && !c.Cancel.Done()
-		attempt.RetryAllowed = canRetry && (s.spendRetry(c, last) || s.hasSpareGate(last, target, tried, now) || e.baselineRetries(c, last))
+		attempt.RetryAllowed = canRetry && (s.spendRetry(c, last) || s.hasSpareGate(last, criteria, tried, now) || e.baselineRetries(c, last))
 		f.sendAttempts = append(f.sendAttempts, attempt)
 		if !attempt.RetryAllowed {
 			return combined(last, possibleRuns)
 		}
 		e.counter.Retried(last.Reason)
-		target = target.Next()
+		criteria = criteria.Next()
 	}
 }
 
--- a/internal/call/kqentry/service.go
+++ b/internal/call/kqentry/service.go
@@ -115,12 +115,12 @@
 }
 
 // pick returns the upstream for the next attempt, how to reach it, and the attempt's record.
-// The upstream is nil if the target allows none whose node has not been tried.
-func (s *service) pick(c *kqcall.Call, all []kqmember.Candidate, target kqpick.Criteria, tried []kqname.Node, now time.Time) (*kqpick.PoolUpstream, kqmember.Candidate, Attempt) {
+// The upstream is nil if the criteria allow none whose node has not been tried.
+func (s *service) pick(c *kqcall.Call, all []kqmember.Candidate, criteria kqpick.Criteria, tried []kqname.Node, now time.Time) (*kqpick.PoolUpstream, kqmember.Candidate, Attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.Set(all, now)
-	p := s.pool.Pick(target, tried, now, s.random)
+	p := s.pool.Pick(criteria, tried, now, s.random)
 	if p == nil {
 		return nil, kqmember.Candidate{}, Attempt{}
 	}
@@ -207,13 +207,13 @@
 // without counting as a retry: it has not reached an upstream, and another upstream seems
 // to have a free slot. When the whole service is full, none seems to, so calls are not
 // passed from gate to gate.
-func (s *service) hasSpareGate(o kqcall.Outcome, target kqpick.Criteria, tried []kqname.Node, now time.Time) bool {
+func (s *service) hasSpareGate(o kqcall.Outcome, criteria kqpick.Criteria, tried []kqname.Node, now time.Time) bool {
 	if o.Reason != kqcall.QueueFull {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pool.HasFreeSlot(target, tried, now)
+	return s.pool.HasFreeSlot(criteria, tried, now)
 }
 
 // budgetFor returns the retry budget of calls at that depth.
--- a/internal/rollout/kqshare/share_test.go
+++ b/internal/rollout/kqshare/share_test.go
@@ -34,10 +34,10 @@
 		newCallsByInterval := make(map[int]int)
 		for i := range calls {
 			now := time.Unix(second, int64(i)*int64(time.Second)/calls)
-			if target := d.Split(now, random); target.Version == "v2" {
+			if criteria := d.Split(now, random); criteria.Version == "v2" {
 				next++
 				newCallsByInterval[i*20/calls]++
-				if len(target.Nodes) == 0 {
+				if len(criteria.Nodes) == 0 {
 					t.Fatal("the small share goes to all upstreams")
 				}
 			}
@@ -68,13 +68,13 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	next := 0
 	for range 1000 {
-		target := d.Split(time.Unix(7, 0), random)
-		if target.Version == "v3" {
+		criteria := d.Split(time.Unix(7, 0), random)
+		if criteria.Version == "v3" {
 			next++
-			target = target.Next()
+			criteria = criteria.Next()
 		}
-		if !slices.Contains(target.ExcludedVersions, "v2") || !slices.Contains(target.ExcludedVersions, "v3") {
-			t.Fatalf("the old version's calls may go to %+v", target)
+		if !slices.Contains(criteria.ExcludedVersions, "v2") || !slices.Contains(criteria.ExcludedVersions, "v3") {
+			t.Fatalf("the old version's calls may go to %+v", criteria)
 		}
 	}
 	// Four of the six upstreams in use are new ones.
--- a/internal/rollout/kqtracker/tracker_test.go
+++ b/internal/rollout/kqtracker/tracker_test.go
@@ -50,8 +50,8 @@
 	}
 	tracker.Join(id, kqprogress.Progress{RolledBack: true, Why: "errors"})
 	random := rand.New(rand.NewPCG(1, 1))
-	if target := tracker.Split(service(plan), start.Add(time.Second), random); !tracker.Refuses("shed", "v2") || tracker.Refuses("shed", "v1") || target.Version != "v1" {
-		t.Errorf("after the rollback, calls go to %+v", target)
+	if criteria := tracker.Split(service(plan), start.Add(time.Second), random); !tracker.Refuses("shed", "v2") || tracker.Refuses("shed", "v1") || criteria.Version != "v1" {
+		t.Errorf("after the rollback, calls go to %+v", criteria)
 	}
 	again := plan
 	again.Name, again.Start, again.Deadline = "again", start.Add(time.Hour), start.Add(2*time.Hour)
