--- a/internal/run/kqnode/rollout.go
+++ b/internal/run/kqnode/rollout.go
@@ -85,13 +85,13 @@
 
 // Observe implements kqgate.Observer.
 func (r *rollouts) Observe(o kqgate.Observation) {
-	var started, warm time.Time
+	var firstAnnounced, warm time.Time
 	for _, u := range r.node.table.Self().Upstreams {
 		if u.Service == o.Service && u.Version == o.Version {
-			started, warm = u.FirstAnnounced, u.WarmFrom
+			firstAnnounced, warm = u.FirstAnnounced, u.WarmFrom
 		}
 	}
-	r.tracker.Observe(o, started, warm)
+	r.tracker.Observe(o, firstAnnounced, warm)
 }
 
 func (r *rollouts) adoptConfig(s *kqsnapshot.Snapshot) { r.tracker.Update(s.Services(), time.Now()) }
