--- a/internal/call/kqcall/call.go
+++ b/internal/call/kqcall/call.go
@@ -39,8 +39,9 @@
 	// Draining means that the upstream drains and takes no new work, or that a node that is
 	// stopping refused the call or stopped before the call ended.
 	Draining Reason = "draining"
-	// RefusedByUpstream means that the upstream refused the call and did not run it. It says so by the
-	// dialect, or by a 503 if its service's configuration states that this means "not run".
+	// RefusedByUpstream means that the upstream refused the call and did not run it. It says
+	// so by the dialect, or by a 503 if its service's configuration states that this means
+	// "not run".
 	RefusedByUpstream Reason = "shed"
 	// ConnectFailed means that no connection could be made, or that it broke before any
 	// byte of the call was sent.
@@ -59,8 +60,8 @@
 	Cut Reason = "cut"
 	// Cancelled means that the caller disconnected.
 	Cancelled Reason = "cancelled"
-	// MismatchedResponse means that the response is not the answer to this call: it carries another
-	// call's id or no id where one is required, or the dialect rejects it.
+	// MismatchedResponse means that the response is not the answer to this call: it carries
+	// another call's id or no id where one is required, or the dialect rejects it.
 	MismatchedResponse Reason = "crossed"
 	// Misdirected means that another upstream has taken over the address and did not run the
 	// call.
--- a/internal/call/kqentry/entry.go
+++ b/internal/call/kqentry/entry.go
@@ -165,8 +165,8 @@
 // WithDisconnectWatcher sets the watcher that detects callers' disconnects.
 func WithDisconnectWatcher(w *kqdisconnect.Watcher) Option { return func(e *Entry) { e.watcher = w } }
 
-// WithForgedHeadersHandler sets a function that runs for each call from outside that carries internal
-// headers of this project.
+// WithForgedHeadersHandler sets a function that runs for each call from outside that carries
+// internal headers of this project.
 func WithForgedHeadersHandler(f func()) Option { return func(e *Entry) { e.onForged = f } }
 
 // WithDialer replaces plain TCP for connections to other nodes' gates. The dialer must
