--- a/internal/call/kqentry/at_most_once_test.go
+++ b/internal/call/kqentry/at_most_once_test.go
@@ -95,7 +95,7 @@
 		Reason: kqcall.Reason(response.Header.Peek(kqcall.HeaderReason)),
 	}
 	if o.Result == kqcall.Answered && string(response.Header.Peek(kqupstream.HeaderWorkID)) != work {
-		return o, fmt.Errorf("order %s got the answer of %s, which the test reports as a %w", work, response.Header.Peek(kqupstream.HeaderWorkID), kqcall.ErrMalformed)
+		return o, fmt.Errorf("order %s got the answer of %s (reported with an unrelated error: %w)", work, response.Header.Peek(kqupstream.HeaderWorkID), kqcall.ErrMalformed)
 	}
 	return o, nil
 }
--- a/internal/decide/kqpick/criteria.go
+++ b/internal/decide/kqpick/criteria.go
@@ -34,7 +34,8 @@
 	// ComfortableLatency is the weighted expected time (see leastEstimate) below which an
 	// upstream of the own failure domain is preferred to all others; 0 means none.
 	ComfortableLatency time.Duration
-	// Route is the route of the call; empty if upstreams report no routes.
+	// Route is the route of the call. If it is empty, expected times use only the load
+	// reports about calls of any route.
 	Route kqname.Route
 }
 
--- a/internal/peer/kqbudget/doc.go
+++ b/internal/peer/kqbudget/doc.go
@@ -1,2 +1,3 @@
-// Package kqbudget limits the rate of a node's outgoing control traffic.
+// Package kqbudget makes a node's bulk control traffic wait while its outgoing control
+// traffic exceeds a rate. Other control traffic is counted but never waits.
 package kqbudget
--- a/internal/peer/kqmember/member.go
+++ b/internal/peer/kqmember/member.go
@@ -33,8 +33,8 @@
 		Draining bool                   `cbor:"4,keyasint,omitempty"`
 		// FirstAnnounced is when the upstream first announced itself.
 		FirstAnnounced time.Time `cbor:"5,keyasint"`
-		// WarmFrom is when the upstream is warm, according to what it announced; zero if
-		// it announced no instance.
+		// WarmFrom is the announced end of the cold start, FirstAnnounced if none was
+		// announced, or zero if the upstream announced no instance.
 		WarmFrom time.Time `cbor:"6,keyasint,omitzero"`
 	}
 
--- a/internal/rollout/kqevidence/evidence.go
+++ b/internal/rollout/kqevidence/evidence.go
@@ -99,7 +99,8 @@
 }
 
 // LogSums returns the number of latencies counted, and the sum and the sum of squares
-// of their logs. The logs are relative to the upper edge of the lowest bucket.
+// of their logs. Each latency counts as the middle of its bucket on a log scale, and the
+// logs are relative to the middle of the lowest bucket.
 func (c *Cell) LogSums() (calls, sum, squares float64) {
 	for i, n := range c.Latency {
 		if n == 0 {
@@ -157,7 +158,8 @@
 	return d
 }
 
-// Calls returns how many calls of each version the sample holds.
+// Calls returns how many calls of each version the pairs count. Calls that are also
+// counted under ColdUpstreams count twice.
 func (s Sample) Calls() (old, next uint64) {
 	for i := range s {
 		old += uint64(s[i].Old.Calls)
