--- a/internal/config/kqfollower/follower.go
+++ b/internal/config/kqfollower/follower.go
@@ -27,8 +27,9 @@
 	stopDelay = 2 * time.Second
 	// maxPeerWait bounds how long a starting node waits until it knows another member. It
 	// learns of its peers, some of which follow already, within about half that time. If
-	// it followed at once, each replaced server would read the whole document some 20 times
-	// in its first seconds, and peers would request it from slow servers.
+	// it followed at once, each replaced server would read the whole document for each new
+	// version until stopDelay has passed, some 20 times in its first seconds, and peers
+	// would request it from slow servers.
 	maxPeerWait = 400 * time.Millisecond
 )
 
--- a/internal/config/kqresource/resource.go
+++ b/internal/config/kqresource/resource.go
@@ -28,8 +28,9 @@
 
 	// ErrTooLarge means that an encoded value is larger than MaxObjectBytes.
 	ErrTooLarge = namespace.NewType("too_large").New("object is larger than 1 MB")
-	// ErrDigestMismatch means that an object is missing, that its bytes do not match its
-	// digest, or that a digest is malformed.
+	// ErrDigestMismatch means that there are no bytes with a digest: an object is missing,
+	// its bytes do not match its digest, or the digest is malformed. Its text names only
+	// the second cause.
 	ErrDigestMismatch = namespace.NewType("digest").New("bytes do not match the digest")
 
 	encoder = mustEncoder()
