--- a/internal/admin/kqaudit/audit.go
+++ b/internal/admin/kqaudit/audit.go
@@ -29,7 +29,8 @@
 		Request string               `json:"request_id,omitempty"`
 		Reason  string               `json:"reason,omitempty"`
 		Version kqname.ConfigVersion `json:"version,omitempty"`
-		// Refused is the code of the refusal, "" for accepted changes.
+		// Refused is the code of the problem that answered the attempt, "" for accepted
+		// changes. With kqproblem.OutcomeUnknown the change may still take effect.
 		Refused kqproblem.Code `json:"refused,omitempty"`
 	}
 
@@ -51,7 +52,7 @@
 		"operator": r.Operator, "source": r.Source, "way": r.Way, "request_id": r.Request, "reason": r.Reason,
 	})
 	if r.Refused != "" {
-		entry.Warnf("Refused %s: %s.", r.What, r.Refused)
+		entry.Warnf("Answered %s with problem %s.", r.What, r.Refused)
 	} else {
 		// A change without a difference commits nothing; its version is the one in force.
 		entry.Infof("Accepted %s as version %d.", r.What, r.Version)
--- a/internal/admin/kqchange/kind.go
+++ b/internal/admin/kqchange/kind.go
@@ -164,6 +164,7 @@
 	if err := dec.Decode(value); err != nil {
 		return fmt.Errorf("read JSON: %w", err)
 	}
+	// Any trailing data is reported as a further value.
 	if _, err := dec.Token(); err != io.EOF {
 		return fmt.Errorf("read JSON: more than one value: %w", ErrMalformedItem)
 	}
--- a/internal/admin/kqproblem/problem.go
+++ b/internal/admin/kqproblem/problem.go
@@ -25,7 +25,8 @@
 	// CSRFCheckFailed means that a form came from another site or without the CSRF token
 	// of its session.
 	CSRFCheckFailed Code = "no_csrf"
-	// Malformed means that the body or a parameter cannot be parsed.
+	// Malformed means that the body or a parameter cannot be parsed, is missing or has an
+	// invalid value. A changed document that fails validation is Invalid.
 	Malformed Code = "malformed"
 	// TooLarge means that the body or the document exceeds its size limit.
 	TooLarge Code = "too_large"
--- a/internal/run/kqcommand/commit.go
+++ b/internal/run/kqcommand/commit.go
@@ -98,7 +98,7 @@
 		return err
 	}
 	if o.Status != kqcommit.Committed {
-		return fmt.Errorf("commit %s ended as %s", o.RequestID, o.Status)
+		return fmt.Errorf("outcome of commit %s: %s", o.RequestID, o.Status)
 	}
 	return nil
 }
--- a/internal/run/kqnode/adapter.go
+++ b/internal/run/kqnode/adapter.go
@@ -67,7 +67,8 @@
 	}
 	entry := n.logger.Part("store").WithFields(logrus.Fields{"event": "store", "call": call, "status": status})
 	if unavailable {
-		// The text is the same for status 429 and 503, as kqexplain looks for "does not".
+		// A store that answers 429 or 503 is logged with the same text. kqexplain looks
+		// for "does not" in it.
 		entry.Warn("Store does not answer.")
 	} else {
 		entry.Info("Store answers again.")
