--- a/internal/lab/kqcallbench/callbench.go
+++ b/internal/lab/kqcallbench/callbench.go
@@ -60,7 +60,7 @@
 		AllocationsPerCall float64 `json:"allocations_per_call"`
 	}
 
-	// Latency holds latency quantiles in microseconds.
+	// Latency holds the latency quantiles of the answered calls, in microseconds.
 	Latency struct {
 		P50  int64 `json:"p50"`
 		P99  int64 `json:"p99"`
--- a/internal/lab/kqreplay/trace.go
+++ b/internal/lab/kqreplay/trace.go
@@ -99,7 +99,7 @@
 		return err
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return errors.New("more than one JSON value")
+		return errors.New("data after the JSON value")
 	}
 	if t.Decision == "" {
 		return t.setHead(l)
--- a/internal/lab/kqsurvey/survey.go
+++ b/internal/lab/kqsurvey/survey.go
@@ -13,8 +13,9 @@
 
 const (
 	defaultRollouts = 1000
-	// maxSmallShare is the bound of 5% on the small share, with a tolerance for rounding
-	// errors in shares that are computed from call rates.
+	// maxSmallShare is the bound of 5% on kqplan.Plan.SmallShare, the new version's share
+	// of traffic in a rollout's first step, with a tolerance for rounding errors in shares
+	// that are computed from call rates.
 	maxSmallShare = 0.0505
 )
 
