--- a/cmd/kumquatgw/docs_test.go
+++ b/cmd/kumquatgw/docs_test.go
@@ -10,8 +10,9 @@
 	"github.com/kumquatgw/kumquatgw/internal/admin/kqproblem"
 )
 
-// Checks that the operators' page documents every metric, reason of a refused call and
-// error code, so that an operator who sees one can look it up.
+// Checks that the operators' page documents every metric, every reason of a call's outcome
+// or of a refused configuration version, and every error code, so that an operator who
+// sees one can look it up.
 func TestOperationsPageDocumentsMetricsAndCodes(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
--- a/pkg/kqdocument/parse.go
+++ b/pkg/kqdocument/parse.go
@@ -19,6 +19,7 @@
 	// and unique fields and values of their types.
 	ErrSyntax = errors.New("document cannot be read")
 
+	// errTrailing means that any data follows the document, even if it is no JSON value.
 	errTrailing       = errors.New("more than one JSON value")
 	errDuplicateField = errors.New("duplicate field")
 )
